--- /dev/null
+++ b/tests/golden_kit.py
@@ -0,0 +1,507 @@
+"""Golden data: bytes that the program put on the wire and on the disk at commit a71086c.
+
+A form is a kind of message or stored content with its reader and its writer. Its samples are given as plain
+values, with the names that stand on the wire, so no sample hangs on the name of a class or a field in Python.
+What the program writes after reading a sample is the golden data. To write the files again, with the code of
+the directory that PYTHONPATH names:
+
+    PYTHONPATH=DIRECTORY_OF_COMMIT python tests/golden_kit.py
+
+The files in `tests/data/golden` stay as they are: other processes of a fleet and files on disks hold the same
+bytes. A form may get more samples; a sample that is there does not change.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import json
+import shutil
+import sqlite3
+import tempfile
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, get_args
+
+import msgspec
+
+import hazelbend
+from hazelbend.control import config_machine, messages, workers
+from hazelbend.fleet import engine, leases, members, memory, memory_file
+from hazelbend.fleet import messages as log_messages
+from hazelbend.transport.control_store import ControlStore
+from hazelbend.transport.soft_state_file import write_soft_state
+
+GOLDEN = Path(__file__).parent / "data" / "golden"
+
+N1, N2, N3 = "n1#5f3a@127.0.0.1:9100", "n2#77aa@127.0.0.2:9100", "n3#0c1d@127.0.0.3:9100"
+
+
+@dataclass(frozen=True)
+class Form:
+    """`read` gives a value of the program's own types, or raises msgspec.DecodeError."""
+
+    read: Callable[[bytes], Any]
+    write: Callable[[Any], bytes]
+
+
+def msgpack_form(kind: Any) -> Form:
+    return Form(msgspec.msgpack.Decoder(kind).decode, msgspec.msgpack.Encoder().encode)
+
+
+def lease_machine(content: bytes) -> leases.Leases:
+    machine = leases.Leases(leases.Limits())
+    machine.restore(content)
+    return machine
+
+
+def configuration_machine(content: bytes) -> config_machine.ConfigMachine:
+    machine = config_machine.ConfigMachine()
+    machine.restore(content)
+    return machine
+
+
+# The only place where these tests name types of the program.
+FORMS = {
+    "control_message": Form(messages.decode, messages.encode),
+    "soft_state": Form(messages.decode_soft_state, messages.encode_soft_state),
+    "log_body": msgpack_form(log_messages.Body),
+    "packet_body": msgpack_form(members.Probe | members.Answer | members.Whole),
+    "log_transfer": Form(log_messages.decode_transfer, log_messages.encode_transfer),
+    "fleet_tell": msgpack_form(tuple[tuple[members.Packet, ...], tuple[log_messages.Message, ...]]),
+    "fleet_reply": msgpack_form(engine.Reply),
+    "fleet_view": msgpack_form(engine.View),
+    "lease_operation": Form(msgspec.msgpack.Decoder(leases.Operation).decode, leases.encode),
+    "lease_answer": msgpack_form(leases.Answer),
+    "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
+    "memory_part": msgpack_form(memory_file.Promise | memory_file.Entries | memory_file.Base),
+    "log_entry": msgpack_form(log_messages.Entry),
+    "configuration_entry": msgpack_form(config_machine.ConfigChange | config_machine.Refound),
+    "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
+}
+
+# Their values are state machines: they show what they hold by `snapshot`.
+MACHINES = ("lease_snapshot", "configuration_snapshot")
+# Of several kinds each, told apart by the key `type`.
+TAGGED_FORMS = {
+    "control_message": messages.Body,
+    "log_body": log_messages.Body,
+    "packet_body": members.Probe | members.Answer | members.Whole,
+    "lease_operation": leases.Operation,
+    "memory_part": memory_file.Promise | memory_file.Entries | memory_file.Base,
+    "configuration_entry": config_machine.ConfigChange | config_machine.Refound,
+}
+
+
+def tags_of(form: str) -> list[str]:
+    """What the key `type` may be."""
+    return [kind.__struct_config__.tag for kind in get_args(TAGGED_FORMS[form])]
+
+
+def epoch_numbers() -> list[int]:
+    """Of founders at some times, with and without a known epoch."""
+    return [
+        memory.epoch_number(known, unix_s, identity, by_operator)
+        for known in (0, 456_789_012_345)
+        for unix_s in (0.0, 1_764_000_000.5)
+        for identity in (N1, N2)
+        for by_operator in (False, True)
+    ]
+
+
+LONG_TEXT = b"".join(b'{"service": "s-%d", "share": %d}\n' % (n, n * n % 97) for n in range(400))
+
+WORKER = {
+    "instance": "w-1",
+    "service": "chat",
+    "address": "127.0.0.1:8001",
+    "zone": "a",
+    "state": 1,
+    "seq": 17,
+    "capacity": 8,
+    "phase": "prefill",
+    "models": ["m-small", "m-large"],
+    "cold_left_ms": 2500,
+}
+LEAST_WORKER = {
+    "instance": "w-2",
+    "service": "chat",
+    "address": "127.0.0.1:8002",
+    "zone": "b",
+    "state": 0,
+    "seq": 0,
+}
+GONE_WORKER = LEAST_WORKER | {"instance": "w-3", "address": "127.0.0.1:8003", "state": 2, "seq": 9}
+ENTRY = [3, None, b"\x82operation"]
+VOTERS_ENTRY = [4, [N1, N2, N3], b""]
+APPEND = {
+    "type": "Put",
+    "before": 11,
+    "before_term": 3,
+    "entries": [ENTRY, VOTERS_ENTRY, [4]],
+    "commit": 10,
+    "round": 7,
+    "confirmed": [1234567, 890123],
+}
+INSTALL = {
+    "type": "Install",
+    "base": 40,
+    "base_term": 5,
+    "voters": [N1, N2],
+    "state": b"\x81state",
+    "round": 9,
+}
+LOG_BODIES = {
+    "Ask": {"type": "Ask", "pre": True, "last": 12, "last_term": 4, "handed": True},
+    "Ask, least": {"type": "Ask", "pre": False, "last": 0, "last_term": 0},
+    "Vote": {"type": "Vote", "granted": True, "pre": False},
+    "Put": APPEND,
+    "Put, least": {
+        "type": "Put",
+        "before": 0,
+        "before_term": 0,
+        "entries": [],
+        "commit": 0,
+        "round": 1,
+    },
+    "Install": INSTALL,
+    "Piece": {"type": "Piece", "number": 2, "offset": 65536, "total": 70000, "data": b"\0\1", "round": 3},
+    "PieceTaken": {"type": "PieceTaken", "number": 2, "offset": 65538, "round": 3},
+    "Taken": {"type": "Taken", "ok": False, "index": 9, "round": 8, "stamp": [77, 88]},
+    "Taken, least": {"type": "Taken", "ok": True, "index": 9, "round": 8},
+    "TimeIsUp": {"type": "TimeIsUp"},
+}
+LOG_MESSAGES = {name: [N1, N2, 256, 4, body] for name, body in LOG_BODIES.items()}
+PACKETS = {
+    "Probe": ["blue", N1, N2, {"type": "Probe", "number": 5, "target": N3}, [], [256, 4, N1]],
+    "Probe, least": ["blue", N1, "127.0.0.2:9100", {"type": "Probe", "number": 5}],
+    "Answer": ["blue", N2, N1, {"type": "Answer", "number": 5, "ok": False}, [[N3, 2, 1, N2], [N2, 1, 0]]],
+    "Answer, least": ["blue", N2, N1, {"type": "Answer", "number": 5}],
+    "Whole": [
+        "blue",
+        N1,
+        N2,
+        {"type": "Whole", "answer": True},
+        [[N1, 1, 0, N1], [N2, 2, 1, N1], [N3, 3, 2, N1], ["n4#1@127.0.0.4:9100", 4, 3, N1]],
+        [0, 0, ""],
+    ],
+}
+ACQUIRE = {"type": "Acquire", "name": "compactor", "holder": N1, "ask": 5, "ttl": 5000000, "wait": 700}
+LEASE = {
+    "holder": N1,
+    "ask": 5,
+    "ttl": 5000000,
+    "token": 68719476737,
+    "renewals": 3,
+    "waiters": [
+        {"holder": N2, "ask": 6, "ttl": 4000000, "looks": 2},
+        {"holder": N3, "ask": 7, "ttl": 3000000},
+    ],
+}
+CHANGE = {
+    "type": "ConfigChange",
+    "base": 1,
+    "version": 2,
+    "digest": bytes(range(16)),
+    "body": bytes.fromhex("7801abaee502000179007c"),
+}
+LOADS = {"w-1": [3, 4096], "w-2": [1], "w-3": []}
+CACHED = [["w-1", "p1", 512], ["w-2", "p2", 64]]
+OUTCOMES = [["w-1", "a", 5, 1, 2], ["w-2", "b"]]
+WORKER_NEWS = {"type": "WorkerNews", "number": 4, "records": [WORKER, LEAST_WORKER, GONE_WORKER]}
+
+# By form and sample: plain values as they stand on the wire. What is left out gets its default.
+SAMPLES: dict[str, dict[str, Any]] = {
+    "control_message": {
+        "Hello": {
+            "type": "Hello",
+            "identity": N1,
+            "counted": True,
+            "controls": ["127.0.0.1:9100", "127.0.0.2:9100"],
+            "leader": N2,
+            "leaving": True,
+            "stamp": [11, 22],
+            "answers": [33, 44],
+        },
+        "Hello, least": {"type": "Hello", "identity": N1, "counted": False, "controls": []},
+        "Agreement": {"type": "Agreement", "messages": list(LOG_MESSAGES.values())},
+        **{f"Agreement: {name}": {"type": "Agreement", "messages": [m]} for name, m in LOG_MESSAGES.items()},
+        "WorkerNews": WORKER_NEWS | {"ages": {"w-1": 150, "w-2": 2000000}, "life": 99},
+        "WorkerNews, least": {"type": "WorkerNews", "number": 0, "records": []},
+        "WorkerNewsTaken": {
+            "type": "WorkerNewsTaken",
+            "number": 4,
+            "life": 99,
+            "identity": N2,
+            "voters": [N1, N2, N3],
+        },
+        "Ages": {
+            "type": "Ages",
+            "ages": {"w-1": 10, "w-2": 20},
+            "routers": ["r-1", "r-2"],
+            "switching": ["w-2"],
+            "digest": 0x1234567890AB,
+        },
+        "Ages, least": {"type": "Ages", "ages": {}},
+        "WorkersWanted": {"type": "WorkersWanted"},
+        "Watch": {"type": "Watch", "router": "r-1", "version": 7, "loads": False, "caches": False},
+        "Watch, least": {"type": "Watch", "router": "r-1", "version": 0},
+        "Ping": {"type": "Ping", "sent_at": 123456789},
+        "Ping, least": {"type": "Ping"},
+        "Pong": {"type": "Pong", "sent_at": 123456789, "version": 7, "confirmed_age": 250},
+        "Pong, unconfirmed": {"type": "Pong", "sent_at": 123456789, "version": 7, "confirmed_age": None},
+        "ConfigNews": {"type": "ConfigNews", "version": 7, "body": b"\x78\x01body"},
+        "CacheNews": {"type": "CacheNews", "body": bytes.fromhex("780163606060000000040001")},
+        "FleetNews": {
+            "type": "FleetNews",
+            "controls": ["127.0.0.1:9100"],
+            "routers": 3,
+            "silent": {"w-2": 3000000},
+            "switching": ["w-1"],
+        },
+        "FleetNews, least": {"type": "FleetNews", "controls": [], "routers": 1, "silent": {}},
+        "RouterLoad": {
+            "type": "RouterLoad",
+            "router": "r-1",
+            "seq": 18,
+            "loads": LOADS,
+            "cached": CACHED,
+            "outcomes": OUTCOMES,
+        },
+        "RouterLoad, least": {"type": "RouterLoad", "router": "r-1", "seq": 0, "loads": {}},
+        "LoadNews": {
+            "type": "LoadNews",
+            "loads": LOADS,
+            "cached": CACHED,
+            "whole": True,
+            "outcomes": OUTCOMES,
+        },
+        "LoadNews, least": {"type": "LoadNews", "loads": {}},
+    },
+    "soft_state": {
+        "full": {"workers": [WORKER, LEAST_WORKER, GONE_WORKER], "cached": CACHED, "routers": 4},
+        "least": {"workers": [], "cached": []},
+    },
+    "log_body": LOG_BODIES,
+    "packet_body": {name: packet[3] for name, packet in PACKETS.items()},
+    "log_transfer": {"Put": APPEND, "Install": INSTALL},
+    "fleet_tell": {
+        "empty": [[], []],
+        **{f"packet: {name}": [[packet], []] for name, packet in PACKETS.items()},
+        **{f"message: {name}": [[], [message]] for name, message in LOG_MESSAGES.items()},
+        "all": [list(PACKETS.values()), list(LOG_MESSAGES.values())],
+    },
+    "fleet_reply": {
+        "answer": {"answer": {"token": 68719476737, "place": 0, "why": ""}, "leader": N1},
+        "no answer": {"answer": None, "leader": N2},
+        "least": {},
+    },
+    "fleet_view": {
+        "full": {
+            "fleet": "blue",
+            "me": N1,
+            "role": "leader",
+            "epoch": 256,
+            "term": 4,
+            "leader": N1,
+            "fresh": True,
+            "open": True,
+            "commit": 41,
+            "lag": 1,
+            "doubt": 2,
+            "voters": [N1, N2, N3],
+            "members": [
+                {"identity": N1, "status": "alive", "incarnation": 1, "for_s": 12.5},
+                {"identity": N3, "status": "suspect", "incarnation": 2, "for_s": 0.25},
+            ],
+            "leases": [
+                {
+                    "name": "compactor",
+                    "holder": N1,
+                    "token": 68719476737,
+                    "ttl_s": 5.0,
+                    "renewals": 3,
+                    "renewed_s_ago": None,
+                    "waiters": [N2, N3],
+                },
+                {
+                    "name": "mailer",
+                    "holder": N2,
+                    "token": 68719476738,
+                    "ttl_s": 5.0,
+                    "renewals": 0,
+                    "renewed_s_ago": 0.75,
+                    "waiters": [],
+                },
+            ],
+            "strangers": {"127.0.0.9:9100": "green"},
+        },
+    },
+    "lease_operation": {
+        "Acquire": ACQUIRE,
+        "Acquire, least": {name: value for name, value in ACQUIRE.items() if name != "wait"},
+        "Renew": {"type": "Renew", "name": "compactor", "token": 68719476737},
+        "Release": {"type": "Release", "name": "compactor", "token": 68719476737},
+        "HandOver": {"type": "HandOver", "name": "compactor", "token": 68719476737, "to": N2},
+        "ForceRelease": {"type": "ForceRelease", "name": "compactor"},
+        "LeaveQueue": {"type": "LeaveQueue", "name": "compactor", "holder": N2},
+        "Expire": {"type": "Expire", "name": "compactor", "token": 68719476737, "renewals": 3},
+        "Open": {"type": "Open"},
+        "ExpireWait": {"type": "ExpireWait", "name": "compactor", "holder": N2, "ask": 6, "looks": 2},
+    },
+    "lease_answer": {
+        "held": {"token": 68719476737, "place": 0, "why": ""},
+        "waits": {"place": 2},
+        "refused": {"why": "held"},
+        "least": {},
+    },
+    "lease_snapshot": {
+        "full": {
+            "epoch": 256,
+            "open": True,
+            "granted": 2,
+            "leases": {
+                "compactor": LEASE,
+                "mailer": {"holder": N2, "ask": 1, "ttl": 1000000, "token": 68719476738},
+            },
+        },
+        "least": {},
+    },
+    "memory_part": {
+        "Promise": {"type": "Promise", "identity": N1, "epoch": 256, "term": 4, "vote": N2},
+        "Entries": {"type": "Entries", "first": 12, "entries": [ENTRY, VOTERS_ENTRY, [4]]},
+        "Base": {"type": "Base", "index": 11, "term": 3, "voters": [N1, N2], "state": b"\x81state"},
+    },
+    "log_entry": {"operation": ENTRY, "voters": VOTERS_ENTRY, "neither": [4]},
+    "configuration_entry": {
+        "ConfigChange": CHANGE,
+        "Refound": {"type": "Refound", "state": b"\x84state"},
+    },
+    "configuration_snapshot": {
+        "full": {
+            "current": {"version": 7, "body": b"\x78\x01body"},
+            "accepted": [bytes(range(16)), bytes(range(16, 32))],
+            "bases": [5, 6],
+            "floor": 5,
+        },
+        "earlier format": {
+            "current": {"version": 7, "body": b"\x78\x01body"},
+            "accepted": [bytes(range(16)), bytes(range(16, 32))],
+        },
+        "least": {"current": {}, "accepted": []},
+    },
+}
+
+# A voter's life as frames of its file, by samples of `memory_part`: each takes effect after the ones before.
+MEMORY_HISTORY: list[dict[str, Any]] = [
+    {"type": "Promise", "identity": N1, "epoch": 256, "term": 1, "vote": N1},
+    {"type": "Base", "index": 0, "term": 0, "voters": [], "state": b""},
+    {"type": "Entries", "first": 1, "entries": [[1, [N1], b""], [1, None, b"first"], [1, None, b"lost"]]},
+    {"type": "Promise", "identity": N1, "epoch": 256, "term": 2, "vote": ""},
+    {"type": "Promise", "identity": N1, "epoch": 256, "term": 2, "vote": N2},
+    {"type": "Entries", "first": 3, "entries": [[2, None, b"second"], [2, [N1, N2, N3], b""]]},
+    {"type": "Base", "index": 3, "term": 2, "voters": [N1], "state": b"\x81state"},
+    {"type": "Entries", "first": 5, "entries": [[3, None, b""], [3, None, b"third"]]},
+    {"type": "Promise", "identity": N1, "epoch": 256, "term": 3, "vote": N1},
+]
+TORN_BYTES = 9  # that the last frame lacks in the torn file
+
+
+def written(form: str, plain: Any) -> bytes:
+    """What the program writes after it has read this."""
+    reader_writer = FORMS[form]
+    return reader_writer.write(reader_writer.read(msgspec.msgpack.encode(plain)))
+
+
+def as_text(plain: Any) -> Any:
+    """For a JSON file: bytes in base 64, by the one key `base64`."""
+    if isinstance(plain, bytes):
+        return {"base64": base64.b64encode(plain).decode()}
+    if isinstance(plain, dict):
+        return {str(key): as_text(value) for key, value in plain.items()}
+    if isinstance(plain, list | tuple):
+        return [as_text(value) for value in plain]
+    return plain
+
+
+def history_file() -> bytes:
+    parts = [FORMS["memory_part"].read(msgspec.msgpack.encode(part)) for part in MEMORY_HISTORY]
+    return memory_file.MAGIC + b"".join(map(memory_file.frame, parts))
+
+
+def save_json(name: str, value: Any) -> None:
+    (GOLDEN / f"{name}.json").write_text(json.dumps(value, indent=1) + "\n")
+
+
+def load_json(name: str) -> Any:
+    return json.loads((GOLDEN / f"{name}.json").read_text())
+
+
+def store_rows(folder: Path) -> dict[str, Any]:
+    """Schema and content of a control process's database."""
+    connection = sqlite3.connect(folder / "control.db")
+    try:
+        return {
+            "schema": connection.execute(
+                "SELECT type, name, sql FROM sqlite_master ORDER BY name"
+            ).fetchall(),
+            "part": connection.execute("SELECT kind, content FROM part ORDER BY kind").fetchall(),
+            "entry": connection.execute("SELECT position, content FROM entry ORDER BY position").fetchall(),
+        }
+    finally:
+        connection.close()
+
+
+def write_all() -> None:
+    print("written with", hazelbend.__file__)
+    GOLDEN.mkdir(parents=True, exist_ok=True)
+    for form, samples in SAMPLES.items():
+        found = {}
+        for name, plain in samples.items():
+            content = written(form, plain)
+            found[name] = {
+                "read": msgspec.msgpack.encode(plain).hex(),
+                "written": content.hex(),
+                "plain": as_text(msgspec.msgpack.decode(content)),
+            }
+        save_json(form, found)
+
+    history = history_file()
+    (GOLDEN / "memory").write_bytes(history)
+    (GOLDEN / "memory.torn").write_bytes(history[:-TORN_BYTES])
+    (GOLDEN / "memory.whole").write_bytes(memory_file.whole(memory_file.read(history)[0]))
+
+    async def store(folder: Path) -> None:
+        control_store = ControlStore(folder)
+        for part in MEMORY_HISTORY:
+            await control_store.save([FORMS["memory_part"].read(msgspec.msgpack.encode(part))], 4)
+        await control_store.close()
+
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        asyncio.run(store(folder))
+        shutil.copy(folder / "control.db", GOLDEN / "control.db")
+        save_json("control_db", as_text(store_rows(folder)))
+
+    write_soft_state(GOLDEN / "soft_state.file", written("soft_state", SAMPLES["soft_state"]["full"]))
+
+    registry = workers.WorkerRegistry(1_000_000)
+    for record in FORMS["control_message"].read(msgspec.msgpack.encode(WORKER_NEWS)).records:
+        registry.merge(record, 5_000_000)
+    entry = msgspec.msgpack.decode(config_machine.change_entry(6, 7, b'{"version": 7}'))
+    entry.pop("body")
+    save_json(
+        "numbers",
+        {
+            "worker_digest": registry.digest,
+            "change_digest": config_machine.digest_of(6, b'{"version": 7}').hex(),
+            "change_entry": as_text(entry),
+            "cache_head": messages.CacheNews.of({}).body[:2].hex(),
+            "epochs": epoch_numbers(),
+        },
+    )
+
+
+if __name__ == "__main__":
+    write_all()
