--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -30,6 +30,14 @@
 from hazelbend.control import config_machine, messages, workers
 from hazelbend.fleet import engine, leases, members, memory, memory_file
 from hazelbend.fleet import messages as log_messages
+from hazelbend.forwarding import prefill
+from hazelbend.names import snapshot
+from hazelbend.placement import routes
+from hazelbend.program import fleet_snapshot
+from hazelbend.protocol import control_calls, handover
+from hazelbend.protocol.discovery import ListReader
+from hazelbend.quotas import book
+from hazelbend.transport import worker_orders
 from hazelbend.transport.control_store import ControlStore
 from hazelbend.transport.soft_state_file import write_soft_state
 
@@ -44,12 +52,34 @@
 
     read: Callable[[bytes], Any]
     write: Callable[[Any], bytes]
+    encode: Callable[[Any], bytes] = msgspec.msgpack.encode  # plain values
+    decode: Callable[[bytes], Any] = msgspec.msgpack.decode  # to plain values
 
 
 def msgpack_form(kind: Any) -> Form:
     return Form(msgspec.msgpack.Decoder(kind).decode, msgspec.msgpack.Encoder().encode)
 
 
+def json_form(read: Callable[[bytes], Any], write: Callable[[Any], bytes] = msgspec.json.encode) -> Form:
+    return Form(read, write, msgspec.json.encode, msgspec.json.decode)
+
+
+def quota_machine(content: bytes) -> book.Book:
+    machine = book.Book(book.Terms())
+    machine.restore(content)
+    return machine
+
+
+def srv_snapshot(content: bytes) -> snapshot.Body:
+    """Of a whole file, or of its body alone, as in the state that an upgrade hands over."""
+    value = msgspec.json.decode(content)
+    return snapshot.decode(content) if "digest" in value else snapshot.from_object(value)
+
+
+# It gives numbers to names that it meets, so what one has read the same one writes.
+LISTS = ListReader(("east", "west"), ("small", "large"))
+
+
 def lease_machine(content: bytes) -> leases.Leases:
     machine = leases.Leases(leases.Limits())
     machine.restore(content)
@@ -79,10 +109,30 @@
     "log_entry": msgpack_form(log_messages.Entry),
     "configuration_entry": msgpack_form(config_machine.ConfigChange | config_machine.Refound),
     "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
+    "quota_operation": Form(msgspec.msgpack.Decoder(book.Operation).decode, book.encode),
+    "quota_answer": msgpack_form(book.Answer),
+    "quota_snapshot": Form(quota_machine, lambda machine: machine.snapshot()),
+    "srv_snapshot": json_form(srv_snapshot, snapshot.encode),
+    "handover_state": json_form(
+        lambda line: handover.read_state(line, LISTS), lambda state: handover.write_state(state, LISTS)
+    ),
+    "handover_news": json_form(handover.read_news, handover.write_news),
+    "endpoint_list": json_form(LISTS.read, lambda found: msgspec.json.encode(LISTS.to_object(found))),
+    "heartbeat": json_form(
+        lambda body: control_calls.read_heartbeat("w-1", body), lambda record: msgspec.json.encode(record)
+    ),
+    "worker_order": json_form(msgspec.json.Decoder(worker_orders.Order).decode),
+    "prefill_result": json_form(msgspec.json.Decoder(prefill._PrefillResult).decode),
+    "fleet_snapshot": json_form(msgspec.json.Decoder(fleet_snapshot.Snapshot).decode),
+    "routes": json_form(msgspec.json.Decoder(routes.Configuration).decode),
 }
 
 # Their values are state machines: they show what they hold by `snapshot`.
-MACHINES = ("lease_snapshot", "configuration_snapshot")
+MACHINES = ("lease_snapshot", "configuration_snapshot", "quota_snapshot")
+# What is read is not what is written: a heartbeat becomes a record, a configuration is never written.
+ONE_WAY = ("heartbeat", "routes")
+# Their values in Python have other names than what is written.
+RENAMED = ("srv_snapshot", "handover_state", "handover_news", "endpoint_list")
 # Of several kinds each, told apart by the key `type`.
 TAGGED_FORMS = {
     "control_message": messages.Body,
@@ -91,6 +141,7 @@
     "lease_operation": leases.Operation,
     "memory_part": memory_file.Promise | memory_file.Entries | memory_file.Base,
     "configuration_entry": config_machine.ConfigChange | config_machine.Refound,
+    "quota_operation": book.Operation,
 }
 
 
@@ -211,6 +262,112 @@
 OUTCOMES = [["w-1", "a", 5, 1, 2], ["w-2", "b"]]
 WORKER_NEWS = {"type": "WorkerNews", "number": 4, "records": [WORKER, LEAST_WORKER, GONE_WORKER]}
 
+FLEET_VIEW = {
+    "fleet": "blue",
+    "me": N1,
+    "role": "leader",
+    "epoch": 256,
+    "term": 4,
+    "leader": N1,
+    "fresh": True,
+    "open": True,
+    "commit": 41,
+    "lag": 1,
+    "doubt": 2,
+    "voters": [N1, N2, N3],
+    "members": [
+        {"identity": N1, "status": "alive", "incarnation": 1, "for_s": 12.5},
+        {"identity": N3, "status": "suspect", "incarnation": 2, "for_s": 0.25},
+    ],
+    "leases": [
+        {
+            "name": "compactor",
+            "holder": N1,
+            "token": 68719476737,
+            "ttl_s": 5.0,
+            "renewals": 3,
+            "renewed_s_ago": None,
+            "waiters": [N2, N3],
+        },
+        {
+            "name": "mailer",
+            "holder": N2,
+            "token": 68719476738,
+            "ttl_s": 5.0,
+            "renewals": 0,
+            "renewed_s_ago": 0.75,
+            "waiters": [],
+        },
+    ],
+    "strangers": {"127.0.0.9:9100": "green"},
+}
+ENDPOINT_LIST = {
+    "seq": 12,
+    "whole": True,
+    "hosts": [
+        {
+            "host": "h1",
+            "dial": "127.0.0.1:8001",
+            "site": "west",
+            "class": "large",
+            "block": 3,
+            "health": "SERVING",
+            "share": 2.5,
+            "born_ms": 1764000000123,
+        },
+        {"host": "h2", "dial": "127.0.0.2:8001", "site": "new", "class": "new", "health": "DRAINING"},
+        {"host": "h3", "dial": "127.0.0.3:8001", "health": "DELETED"},
+    ],
+}
+ROUTES = {
+    "version": 7,
+    "routes": [
+        {
+            "name": "r",
+            "host": "a.example",
+            "prefix": "/x/",
+            "kind": "stream",
+            "timeoutMs": 1000,
+            "targetMs": 250,
+            "priority": 7,
+            "backend": "chat",
+            "retries": 2,
+            "sticky": True,
+            "resume": True,
+            "gap_aim_ms": 40.5,
+        },
+        {
+            "name": "q",
+            "host": "b.example",
+            "prefix": "/",
+            "kind": "safe",
+            "timeoutMs": 100,
+            "split": [{"backend": "chat", "weight": 3.0}, {"backend": "other", "weight": 0.5}],
+        },
+    ],
+    "services": [
+        {
+            "name": "chat",
+            "maxConns": 50,
+            "engine": {
+                "capacity": 8,
+                "kvCapacity": 100000,
+                "kvTokenBytes": 2048,
+                "bandwidthMbps": 800.0,
+                "kvTtlS": 30.0,
+            },
+        },
+        {"name": "other", "engine": {}},
+        {"name": "third"},
+    ],
+    "limits": {
+        "maxHeaderBytes": 8192,
+        "maxBodyBytes": 65536,
+        "headerTimeoutMs": 500,
+        "idleTimeoutMs": 700,
+    },
+}
+
 # By form and sample: plain values as they stand on the wire. What is left out gets its default.
 SAMPLES: dict[str, dict[str, Any]] = {
     "control_message": {
@@ -297,47 +454,7 @@
         "no answer": {"answer": None, "leader": N2},
         "least": {},
     },
-    "fleet_view": {
-        "full": {
-            "fleet": "blue",
-            "me": N1,
-            "role": "leader",
-            "epoch": 256,
-            "term": 4,
-            "leader": N1,
-            "fresh": True,
-            "open": True,
-            "commit": 41,
-            "lag": 1,
-            "doubt": 2,
-            "voters": [N1, N2, N3],
-            "members": [
-                {"identity": N1, "status": "alive", "incarnation": 1, "for_s": 12.5},
-                {"identity": N3, "status": "suspect", "incarnation": 2, "for_s": 0.25},
-            ],
-            "leases": [
-                {
-                    "name": "compactor",
-                    "holder": N1,
-                    "token": 68719476737,
-                    "ttl_s": 5.0,
-                    "renewals": 3,
-                    "renewed_s_ago": None,
-                    "waiters": [N2, N3],
-                },
-                {
-                    "name": "mailer",
-                    "holder": N2,
-                    "token": 68719476738,
-                    "ttl_s": 5.0,
-                    "renewals": 0,
-                    "renewed_s_ago": 0.75,
-                    "waiters": [],
-                },
-            ],
-            "strangers": {"127.0.0.9:9100": "green"},
-        },
-    },
+    "fleet_view": {"full": FLEET_VIEW},
     "lease_operation": {
         "Acquire": ACQUIRE,
         "Acquire, least": {name: value for name, value in ACQUIRE.items() if name != "wait"},
@@ -378,6 +495,116 @@
         "ConfigChange": CHANGE,
         "Refound": {"type": "Refound", "state": b"\x84state"},
     },
+    "quota_operation": {
+        "Draw": {"type": "Draw", "account": "a/c", "holder": N1, "units": 5, "number": 3, "token": 9},
+        "Draw, least": {"type": "Draw", "account": "a/c", "holder": N1, "units": 5, "number": 3},
+        "Give": {"type": "Give", "account": "a/c", "holder": N1, "token": 9, "units": 2, "number": 4},
+        "Expire": {"type": "Expire", "account": "a/c", "holder": N1, "token": 9, "draws": 2},
+        "Settle": {"type": "Settle", "account": "a/c", "token": 9},
+        "SetAccounts": {
+            "type": "SetAccounts",
+            "accounts": [
+                {"name": "a/c", "limit": 8, "sure": 3, "parent": "a"},
+                {"name": "a", "limit": 12},
+            ],
+        },
+        "Open": {"type": "Open"},
+    },
+    "quota_answer": {
+        "full": {"token": 9, "units": 5, "wanted": 2, "why": ""},
+        "refused": {"why": "no such account"},
+        "least": {},
+    },
+    "quota_snapshot": {
+        "full": {
+            "epoch": 256,
+            "open": True,
+            "granted": 2,
+            "accounts": {
+                "a/c": {"name": "a/c", "limit": 8, "sure": 3, "parent": "a"},
+                "a": {"name": "a", "limit": 12},
+            },
+            "held": {
+                "a/c": {
+                    N1: {"token": 9, "units": 5, "number": 3, "draws": 2, "lacks": 1},
+                    N2: {"token": 10, "units": 1},
+                }
+            },
+            "doubt": {"a/c": {8: 2}},
+        },
+        "least": {},
+    },
+    "srv_snapshot": {
+        "full": {
+            "written_at": 1764000000000000,
+            "services": [
+                {
+                    "name": "_web._tcp.example",
+                    "items": [["a.example", 8001, 10, 5, 1764000060000000], ["b.example", 8002, 20, 0, 7]],
+                }
+            ],
+            "addresses": [
+                {"name": "a.example", "kind": "A", "items": [["127.0.0.1", 1764000030000000]]},
+                {"name": "a.example", "kind": "AAAA", "items": [["::1", 1764000030000000]]},
+            ],
+            "gone": [
+                {"host": "h1", "at": 5, "dial": "127.0.0.1:8001", "target": "a.example", "port": 8001},
+                {"host": "h2", "at": 6, "dial": "127.0.0.2:8001"},
+            ],
+            "started": {"h1": 1764000000000000},
+        },
+        "least": {"written_at": 1, "services": [], "addresses": []},
+    },
+    "handover_state": {
+        "full": {
+            "classes": ["nearby", "reserve"],
+            "known": ENDPOINT_LIST,
+            "held_back": ["h1"],
+            "ids": ["f1", "f2"],
+            "learnt": {"means": {"work": [1.0, 2.0]}},
+            "parts": {"srv": {"written_at": 1, "services": [], "addresses": []}},
+        },
+        "least": {"known": {"seq": 0, "hosts": []}},
+    },
+    "handover_news": {"taken": {"taken": "f1"}, "over": {"over": "f1"}},
+    "endpoint_list": {
+        "full": ENDPOINT_LIST,
+        "least": {"seq": 0, "hosts": [{"host": "h3", "dial": "127.0.0.3:80", "health": "DELETED"}]},
+    },
+    "heartbeat": {
+        "full": {
+            "backend": "chat",
+            "addr": "127.0.0.1:8001",
+            "zone": "a",
+            "seq": 17,
+            "state": "draining",
+            "capacity": 8,
+            "coldLeftMs": 2500.4,
+            "phase": "prefill",
+            "models": [{"name": "m-small"}, {"name": "m-large", "size": 7}],
+        },
+        "least": {"backend": "chat", "addr": "127.0.0.1:8001", "zone": "a", "seq": 0},
+        "no room": {"backend": "c", "addr": "a:1", "zone": "a", "seq": 0, "state": "ready", "capacity": 0},
+    },
+    "worker_order": {
+        "full": {
+            "op": "switchPhase",
+            "phase": "decode",
+            "holder": "127.0.0.1:9100",
+            "fenceToken": 68719476737,
+        }
+    },
+    "prefill_result": {
+        "full": {"kvHandle": "kv-1", "tokens": 512},
+        "least": {"kvHandle": "kv-1"},
+    },
+    "fleet_snapshot": {
+        "full": {"token": 68719476737, "written_at": 1764000000.5, "by": N1, "fleet": FLEET_VIEW},
+    },
+    "routes": {
+        "full": ROUTES,
+        "least": {"version": 1, "routes": [], "services": []},
+    },
     "configuration_snapshot": {
         "full": {
             "current": {"version": 7, "body": b"\x78\x01body"},
@@ -411,7 +638,7 @@
 def written(form: str, plain: Any) -> bytes:
     """What the program writes after it has read this."""
     reader_writer = FORMS[form]
-    return reader_writer.write(reader_writer.read(msgspec.msgpack.encode(plain)))
+    return reader_writer.write(reader_writer.read(reader_writer.encode(plain)))
 
 
 def as_text(plain: Any) -> Any:
@@ -461,9 +688,9 @@
         for name, plain in samples.items():
             content = written(form, plain)
             found[name] = {
-                "read": msgspec.msgpack.encode(plain).hex(),
+                "read": FORMS[form].encode(plain).hex(),
                 "written": content.hex(),
-                "plain": as_text(msgspec.msgpack.decode(content)),
+                "plain": as_text(FORMS[form].decode(content)),
             }
         save_json(form, found)
 
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import shutil
+import socket
 import sqlite3
 import zlib
 from pathlib import Path
@@ -20,7 +21,7 @@
 
 from hazelbend.control import config_machine, messages, workers
 from hazelbend.fleet import memory_file
-from hazelbend.transport import control_store, fleet_store, soft_state_file
+from hazelbend.transport import control_store, fleet_store, frame_link, soft_state_file
 
 SAMPLES = [(form, name) for form in kit.FORMS for name in kit.load_json(form)]
 
@@ -39,15 +40,16 @@
     sample = kit.load_json(form)[name]
     codec = kit.FORMS[form]
     content = bytes.fromhex(sample["written"])
-    assert codec.write(codec.read(content)).hex() == sample["written"]
     assert codec.write(codec.read(bytes.fromhex(sample["read"]))).hex() == sample["written"]
-    assert kit.as_text(msgspec.msgpack.decode(content)) == sample["plain"]
+    assert kit.as_text(codec.decode(content)) == sample["plain"]
+    if form not in kit.ONE_WAY:
+        assert codec.write(codec.read(content)).hex() == sample["written"]
 
 
-@pytest.mark.parametrize(("form", "name"), SAMPLES)
+@pytest.mark.parametrize(("form", "name"), [each for each in SAMPLES if each[0] not in kit.RENAMED])
 def test_what_was_read_has_the_names_of_the_wire(form: str, name: str) -> None:
     sample = kit.load_json(form)[name]
-    found = kit.FORMS[form].read(bytes.fromhex(sample["written"]))
+    found = kit.FORMS[form].read(bytes.fromhex(sample["read"]))
     if form in kit.MACHINES:
         found = msgspec.msgpack.decode(found.snapshot())
     assert kit.as_text(msgspec.to_builtins(found, builtin_types=(bytes,))) == sample["plain"]
@@ -182,6 +184,47 @@
     assert [each.name for each in tmp_path.iterdir()] == ["soft_state"]
 
 
+# --- frames over TCP ---
+
+
+class Wire(asyncio.Transport):
+    """Keeps what is written."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.content = b""
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        self.content += data
+
+    def is_closing(self) -> bool:
+        return False
+
+    def get_write_buffer_size(self) -> int:
+        return 0
+
+
+def test_frames_have_a_length_of_four_bytes_before_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    frames: list[bytes] = []
+    wire = Wire()
+
+    async def talk() -> None:
+        connection = frame_link.FrameConnection(
+            lambda _, frame: frames.append(frame), lambda _: None, lambda _: None
+        )
+        with socket.socket() as plain:
+            monkeypatch.setattr(wire, "get_extra_info", {"peername": ("127.0.0.1", 1), "socket": plain}.get)
+            connection.connection_made(wire)
+        for content in (b"one", b"", b"x" * 70_000):
+            assert connection.send(content)
+        for at in range(0, len(wire.content), 1000):
+            connection.data_received(wire.content[at : at + 1000])
+
+    asyncio.run(talk())
+    assert wire.content == b"\0\0\0\3one" + b"\0\0\0\0" + b"\0\1\x11\x70" + b"x" * 70_000
+    assert frames == [b"one", b"", b"x" * 70_000]
+
+
 # --- numbers that are drawn from encoded content ---
 
 
