--- /dev/null
+++ b/tests/golden_shown.py
@@ -0,0 +1,623 @@
+"""Golden texts: what the program shows to people and to other programs, and what it takes settings for.
+
+Each text is made from plain values alone, given by their places, so it does not hang on the name of a class
+or a field in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
+
+    PYTHONPATH=DIRECTORY_OF_COMMIT:. python tests/golden_shown.py
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import io
+import json
+import re
+import tempfile
+from collections import Counter, deque
+from collections.abc import Callable
+from dataclasses import fields, is_dataclass
+from enum import Enum
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import click
+import golden_kit as kit
+import msgspec
+from click.testing import CliRunner
+from site_kit import DIGEST, SETTINGS, host_entry
+
+import hazelbend
+from hazelbend.cli.main import main as command_line
+from hazelbend.console import client as console_client
+from hazelbend.control import configuration
+from hazelbend.decisions.interface import LoadReport, Outcome
+from hazelbend.placement import statistics
+from hazelbend.placement.reliability import SendEnd
+from hazelbend.program import config, console_server
+from hazelbend.program.log import RecentLines
+from hazelbend.protocol import (
+    discovery,
+    handover,
+    http_fields,
+    stomp,
+    stomp_jobs,
+    waiting_terms,
+    worker_lines,
+)
+from hazelbend.routing import overview
+from hazelbend.routing.ports import Answer, Job, Verdict
+from hazelbend.system import main as system_main
+from hazelbend.system import metrics
+from hazelbend.system import settings as system_settings
+from hazelbend.transport import ops_door, snmp_agent
+from hazelbend.waiting import gate
+
+SHOWN = kit.GOLDEN / "shown"
+
+
+def values_of(thing: Any) -> Any:
+    """Values without the names of classes and fields, for JSON."""
+    if isinstance(thing, Enum):
+        return values_of(thing.value)
+    if is_dataclass(thing):
+        return [values_of(getattr(thing, each.name)) for each in fields(thing)]
+    if isinstance(thing, msgspec.Struct):
+        return [values_of(getattr(thing, name)) for name in thing.__struct_fields__]
+    if isinstance(thing, dict):
+        return {str(key): values_of(value) for key, value in thing.items()}
+    if isinstance(thing, list | tuple | set | frozenset | deque):
+        found = [values_of(each) for each in thing]
+        return sorted(found, key=str) if isinstance(thing, set | frozenset) else found
+    if isinstance(thing, bytes | Path):
+        return str(thing)
+    if thing is None or isinstance(thing, str | int | float):
+        return thing
+    return "object"
+
+
+def as_lines(value: Any) -> str:
+    return json.dumps(value, indent=1) + "\n"
+
+
+# --- what runs ---
+
+
+def histogram(first: int) -> statistics.RatioHistogram:
+    return statistics.RatioHistogram(
+        [first + n for n in range(len(statistics.RATIO_BOUNDS) + 1)], first + 0.5
+    )
+
+
+def metrics_text() -> str:
+    worker = statistics.WorkerStatistics(
+        Counter({end: n for n, end in enumerate(SendEnd, 1)}), histogram(2), histogram(5), 70, 80
+    )
+    refusals = Counter({reason: n for n, reason in enumerate(statistics.Refusal, 1)})
+    found = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
+    return metrics.render(found).decode()
+
+
+def view() -> overview.Overview:
+    """A moment of a program, all of its values different."""
+    classes = (overview.ClassFigures("nearby", 31, 32, 33), overview.ClassFigures("reserve", 34, 35, 36))
+    names = ("followed", "unknown", "stale", "boxes", "spare", "queries", "failures")
+    waiting = (
+        "jobs",
+        "released",
+        "refused",
+        "expired",
+        "cancelled",
+        "longest_ms.nearby",
+        "longest_ms.reserve",
+    )
+    further = {f"names.{name}": 50 + n for n, name in enumerate(names)}
+    further |= {f"waiting.{name}": 70 + n for n, name in enumerate(waiting)}
+    servers = tuple(
+        overview.ServerRow(n, f"h{n}", f"127.0.0.1:800{n}", n, n + 1, state, n + 2, n + 3, n + 4)
+        for n, state in enumerate(("ready", "draining", "held back", "gone"), 1)
+    )
+    flows = (
+        overview.FlowRow("f1", 0, 1_500_000, 500_000, ("h1", "h2")),
+        overview.FlowRow("f2", 1, 2_500_000, 700_000, ()),
+    )
+    return overview.Overview(
+        "balancer-1",
+        5_000_000,
+        "serving",
+        100,
+        7,
+        {verdict: 10 + n for n, verdict in enumerate(Verdict)},
+        overview.Figures(classes, 40, 41, 42, 43, further),
+        {outcome: 20 + n for n, outcome in enumerate(Outcome)},
+        flows,
+        servers,
+        {"edge": 3, "stomp": 2, "boxes": 1},
+    )
+
+
+def snmp_values() -> str:
+    return as_lines(
+        {
+            ".".join(map(str, oid)): [type(value).__name__, value.prettyPrint()]
+            for oid, value in sorted(snmp_agent.values(view()).items())
+        }
+    )
+
+
+def ops_stats() -> str:
+    async def ask() -> list[Any]:
+        door = ops_door.OpsDoor(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
+        calls = {path: method for path, (method, _) in door._calls.items()}
+        return [calls, door._calls["/ops/stats"][1]().text]
+
+    return as_lines(asyncio.run(ask()))
+
+
+def console_texts() -> str:
+    recent = RecentLines()
+    recent.lines.extend(["first line", "second line"])
+    router = SimpleNamespace(
+        listed=asyncio.Event(), flows={"f1": None}, hold_back=lambda host, _: host == "h1"
+    )
+    program = SimpleNamespace(
+        overview=view,
+        parts={},
+        recent=recent,
+        router=router,
+        stopping=asyncio.Event(),
+        conf=SimpleNamespace(catalogue=http_fields.Catalogue(CLASSES, ())),
+    )
+    commands = console_server.Commands(program)  # type: ignore[arg-type]
+    lines = [
+        "help",
+        "show status",
+        "show figures",
+        "show servers",
+        "show flows",
+        "show fronts",
+        "show sources",
+    ]
+    lines += ["show log", "show log 1", "show log x", "drain h1", "undrain h1", "drain h9", "shutdown"]
+    lines += [f"show {name}" for name in ("names", "fleet", "leases", "waiting")] + ["cancel a b", "dance"]
+    found = []
+    for line in lines:
+        try:
+            text = commands.run(line)
+        except console_server.CommandError as error:
+            text = f"ERROR {error}"
+        found.append(f"> {line}\n{text}\n")
+    return "\n".join(found)
+
+
+# --- command lines ---
+
+
+def default_of(parameter: click.Parameter) -> object:
+    return parameter.default if isinstance(parameter.default, str | int | float) else None
+
+
+def command_words() -> str:
+    """Commands, their arguments and options; not the help, which is prose."""
+    found: dict[str, Any] = {}
+
+    def add(command: click.Command, path: tuple[str, ...]) -> None:
+        found[" ".join(("hazelbend", *path))] = [
+            [each.param_type_name, *each.opts, each.nargs, each.required, default_of(each), each.type.name]
+            for each in command.params
+        ]
+        if isinstance(command, click.Group):
+            for name, sub in sorted(command.commands.items()):
+                add(sub, (*path, name))
+
+    add(command_line, ())
+    said = io.StringIO()
+    with contextlib.redirect_stdout(said), contextlib.suppress(SystemExit):
+        console_client.main(["--help"])
+    found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", said.getvalue())))
+    flags = system_main.FLAGS._flags()
+    found["hazelbend.system"] = {name: values_of(flags[name].default) for name in ("settings", "log_level")}
+    found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
+    found["variables"] = [system_main.ENVIRONMENT, config.DEPLOY_VARIABLE, config.PASSED_SOCKET]
+    return as_lines(found)
+
+
+def named_site(**changes: Any) -> dict[str, Any]:
+    known = {"seq": 3, "whole": True, "hosts": [host_entry("h1", "127.0.0.1:8001")]}
+    return {"name": "site", "listen": "127.0.0.1:7070", "known": known, "settings": SETTINGS | changes}
+
+
+SITES: dict[str, dict[str, Any]] = {
+    "plain": named_site(),
+    "doubtful": named_site(
+        membership_mode="pull",
+        weight_kind="exact",
+        value_by="second",
+        report={"via": "on_probe", "columns": ["wait", "outstanding"]},
+        my_zone=7,
+        limits={"probes": False, "max_attempts": 0, "cpu_us_per_s": 5},
+        rules={"start_capacity": 30, "fall_multiple": 0.5},
+        lanes=[{"name": "a", "semantics": "odd", "streaming": True, "worth": 0, "objective_us": 9_000_000}],
+    ),
+    "full": named_site(
+        fleet_size=4,
+        my_zone=1,
+        membership_mode="ask",
+        weight_kind="live",
+        value_by="work",
+        tick_us=2_000,
+        report={"via": "on_probe", "columns": ["outstanding", "x0", "recent_ms"]},
+        charges={"probe": 0.5, "cross_zone": 0.25, "handshake": 0.125},
+        rules={
+            "ask_within_us": 90_000,
+            "fall_multiple": 4.0,
+            "fall_us": 70_000,
+            "start_capacity": 0.5,
+            "warm_after_us": 80_000,
+        },
+        limits={
+            "probes": True,
+            "cancel": False,
+            "may_duplicate": True,
+            "max_attempts": 5,
+            "keepalive_us": 900_000,
+            "connect_timeout_us": 300_000,
+            "sockets": 2_048,
+        },
+    ),
+}
+
+
+def check_pages() -> str:
+    found = []
+    runner = CliRunner()
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        for site, conf in SITES.items():
+            (folder / f"{site}.json").write_text(json.dumps(conf))
+            for more in ([], ["--json"]):
+                said = runner.invoke(
+                    command_line,
+                    ["check", str(folder / f"{site}.json"), *more],
+                    env={config.DEPLOY_VARIABLE: str(folder)},
+                )
+                found.append(f"$ check {site} {' '.join(more)}\n{said.output}(status {said.exit_code})\n")
+    return "\n".join(found)
+
+
+# --- settings ---
+
+STOMP = f"""
+enabled = true
+listen = "127.0.0.1:61613"
+heart_beat_out_ms = 11
+heart_beat_in_ms = 12
+connections = 13
+write_limit = 65537
+waiting = 14
+waiting_bytes = 65538
+remembered = 15
+total_bytes = 65539
+keep_s = 16
+[[client]]
+login = "c"
+passcode_sha256 = "{DIGEST}"
+tenants = ["ege-volt"]
+[[box]]
+login = "b"
+passcode_sha256 = "{DIGEST}"
+zone = "konya-1"
+kind = "small-box"
+cell = 3
+weight = 2.5
+"""
+SNMP = 'enabled = true\nlisten = "127.0.0.1:1161"\ncommunity = "x"\nnotify = ["127.0.0.1:1162"]\n'
+CONSOLE = 'enabled = true\nsocket = "/run/console.sock"\n'
+SRV = """
+enabled = true
+[[nameserver]]
+address = "127.0.0.1:53"
+[[name]]
+name = "_web._tcp.example.org"
+zone = "konya-1"
+kind = "big-box"
+cell = 4
+weight_scale = 1.5
+most_targets = 17
+[lifetimes]
+least_s = 6.0
+most_s = 3601.0
+stale_s = 86401.0
+gone_s = 3602.0
+[budgets]
+per_s = 101.0
+at_once = 65
+timeout_s = 1.25
+tries = 4
+retry_part = 0.25
+rest_s = 1.75
+longest_rest_s = 31.0
+start_spread_s = 1.125
+[pools]
+return_s = 5.5
+look_s = 0.125
+[snapshot]
+path = "/var/lib/names.json"
+every_s = 5.25
+"""
+WAITING = """
+enabled = true
+http_headers = true
+[limits]
+jobs = 10001
+bytes = 67108865
+by_client = 1001
+parents = 65
+children = 1002
+depth = 101
+come_within_s = 5.5
+remembered = 10002
+remember_s = 60.5
+result_bytes = 65537
+longest_s = 3600.5
+[admission]
+in_service = 102
+aged = 2
+ordinary = true
+[[admission.class]]
+name = "reserve"
+in_service = 41
+[[admission.tenant]]
+name = "toros-sarj"
+share = 0.25
+"""
+FLEET = """
+enabled = true
+id = "blue"
+listen = "127.0.0.1:9100"
+advertise = "127.0.0.9:9100"
+seeds = ["127.0.0.1:9100", "127.0.0.2:9100"]
+voters = 5
+store = "/var/lib/fleet"
+[leases]
+most = 1001
+waiters = 201
+shortest_s = 1.5
+longest_s = 30.5
+asks_per_s = 101.0
+clock_drift = 0.0625
+[snapshot]
+url = "http://127.0.0.1:80/fleet.json"
+every_s = 61.0
+ttl_s = 10.5
+timeout_s = 2.5
+"""
+DEPLOY = {
+    "stomp": STOMP,
+    "snmp": SNMP,
+    "console": CONSOLE,
+    "srv": SRV,
+    "waiting": WAITING,
+    "fleet": FLEET,
+}
+SYSTEM = """
+nodeName: n1
+role: control
+ip: 127.0.0.1
+zone: a
+region: r
+zones: {n1: a, n2: b}
+listen: {http: "127.0.0.1:8080", readiness: "127.0.0.1:8081", control: "127.0.0.1:8082"}
+portRange: [9000, 9010]
+seeds: ["127.0.0.2:8082"]
+bootstrap: true
+countsForQuorum: true
+limits: {cpuShare: 2.0, memoryMb: 128, maxFds: 512}
+dataDir: /var/lib/control
+heartbeatMs: 1100
+faultTolerance: {machines: 2}
+bounds: {drainMs: 2100, graceS: 9, retryRatio: 0.3, retryWindowS: 11, retrySlack: 12, leaseMs: 3100,
+         configApplyMs: 2200}
+"""
+LEAST_SYSTEM = 'nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\nlisten: {control: "x"}\n'
+LEAST_SYSTEM_GOOD = "nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\n"
+
+
+def site_settings() -> str:
+    found = {}
+    for site, conf in SITES.items():
+        read = config.from_object(conf)
+        load = read.load_fields.read({"outstanding": 1, "backlog": 2, "x0": 3, "recent_ms": 4})
+        by_site = read.load_fields.read({"inflight": 5, "queue": 6})
+        found[site] = values_of([read.settings, read.catalogue, load, by_site, read.known, read.listen])
+        found[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
+    return as_lines(found)
+
+
+def deploy_settings() -> str:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        conf = named_site()
+        none = config.with_deploy(config.from_object(conf), folder, conf)
+        for file, text in DEPLOY.items():
+            (folder / f"{file}.toml").write_text(text)
+        read = config.with_deploy(config.from_object(conf), folder, conf)
+        parts = {"on": read, "off": none}
+        found = {
+            state: {name: values_of(getattr(each, name)) for name in DEPLOY} for state, each in parts.items()
+        }
+        for file in DEPLOY:
+            (folder / f"{file}.toml").write_text(
+                "enabled = true\nodd = 1\n" + DEPLOY[file].partition("true")[2]
+            )
+            try:
+                config.with_deploy(config.from_object(conf), folder, conf)
+            except config.ConfigError as error:
+                found.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
+            (folder / f"{file}.toml").write_text(DEPLOY[file])
+    return as_lines(found)
+
+
+def system_settings_values() -> str:
+    found = {
+        name: values_of(system_settings.read_settings(text))
+        for name, text in (("full", SYSTEM), ("least", LEAST_SYSTEM_GOOD))
+    }
+    for name, text in (("bad address", LEAST_SYSTEM), ("empty", "{}"), ("list", "[]")):
+        try:
+            system_settings.read_settings(text)
+        except system_settings.SettingsError as error:
+            found[name] = str(error)
+    return as_lines(found)
+
+
+def configuration_findings() -> str:
+    """What is said of a configuration: of a right one its version, else the findings."""
+    broken = {
+        "version": 0,
+        "routes": [
+            {"name": "r", "prefix": "x", "kind": "odd", "timeoutMs": 0, "split": [{"weight": "a"}]},
+            5,
+        ],
+        "services": [{"maxConns": 0, "engine": {"capacity": 0}}, {}],
+        "limits": {"maxBodyBytes": 0, "maxHeaderBytes": "x", "headerTimeoutMs": 0, "idleTimeoutMs": 0},
+    }
+    found: dict[str, Any] = {}
+    for name, document in (("full", kit.ROUTES), ("broken", broken), ("none", {}), ("list", [])):
+        try:
+            found[name] = configuration.check_configuration(json.dumps(document).encode())
+        except configuration.InvalidConfigurationError as error:
+            found[name] = list(map(str, error.findings))
+    return as_lines(found)
+
+
+# --- protocols ---
+
+CLASSES = (http_fields.ClassRow("nearby", 5_000, False), http_fields.ClassRow("reserve", 7_500, True))
+CATALOGUE = http_fields.Catalogue(CLASSES, ("ege-volt", "toros-sarj"))
+
+
+def plain_job(keyed: bool = True) -> Job:
+    return Job("j1", 1, 1, 5_000_000, 7, 2.0, 3, "/reserve/k", b"body", "key-1" if keyed else None)
+
+
+def stomp_frames() -> str:
+    send = stomp.Frame(
+        "SEND",
+        {
+            "destination": stomp_jobs.JOBS,
+            "request-id": "r1",
+            "class": "reserve",
+            "tenant": "toros-sarj",
+            "deadline": "900",
+            "key": "a/b",
+            "slots": "2.5",
+        },
+        b"body",
+    )
+    answers = (
+        Answer(Verdict.SERVED, b"result"),
+        Answer(Verdict.REFUSED, b"", 1_234_567),
+        Answer(Verdict.FAILED, b"", 0, True),
+        Answer(Verdict.FAILED, b"", 0, False, "why"),
+    )
+    found = {
+        "destinations": [
+            stomp_jobs.JOBS,
+            stomp_jobs.ANSWERS,
+            stomp_jobs.WORK,
+            stomp_jobs.CANCEL,
+            stomp_jobs.NEWS,
+        ],
+        "frame": [stomp.encode(send, version).decode() for version in ("1.1", "1.2")],
+        "escaped": stomp.encode(stomp.Frame("MESSAGE", {"a:b": "c\n\\d"}, b"")).decode(),
+        "job": values_of(stomp_jobs.read_job(send, "client", CATALOGUE)),
+        "answers": [stomp_jobs.answer_headers(each) for each in answers],
+        "work": [stomp_jobs.work_headers(plain_job(keyed), 4_000_000, CATALOGUE) for keyed in (True, False)],
+        "versions": [stomp.choose_version(each) for each in ("1.0,1.1", "1.2,1.1", "1.0")],
+        "beats": [stomp.beat_intervals("100,200", (50, 400)), stomp.beat_intervals("", (50, 400))],
+    }
+    reader = stomp.FrameReader()
+    items = list(reader.feed(b"\n" + stomp.encode(send) + b"DISCONNECT\nreceipt:1\n\n\0"))
+    found["read"] = [values_of(each) for each in items]
+    return as_lines(found)
+
+
+def http_jobs() -> str:
+    from multidict import CIMultiDict
+
+    full = {
+        "X-Request-ID": "r1",
+        "X-Priority-Class": "reserve",
+        "Idempotency-Key": "key-1",
+        "X-Tenant-Id": "toros-sarj",
+        "X-Timeout-Ms": "900",
+        "X-Attrs": "a=1,slots=2.5",
+        "X-Cost": "77",
+    }
+    least = {"X-Request-ID": "r1", "X-Tenant-Id": "ege-volt"}
+    found: dict[str, Any] = {}
+    for name, target, headers in (("full", "/reserve/k?x=1", full), ("least", "/nearby", least)):
+        found[name] = values_of(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
+    for left_out in full:
+        headers = CIMultiDict({key: value for key, value in full.items() if key != left_out})
+        try:
+            found[left_out] = values_of(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
+        except http_fields.BadRequestError as error:
+            found[left_out] = f"BAD {error}"
+    terms = waiting_terms.read_terms("a, b;ended", "1764000000000", "250", "1", 1_000)
+    found["terms"] = [values_of(terms), values_of(waiting_terms.read_terms("", "", "", "", 1_000))]
+    found["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
+    return as_lines(found)
+
+
+def worker_texts() -> str:
+    read = config.from_object(named_site()).load_fields
+    load = {"inflight": 3, "queue": 2.5, "x0": 1, "other": 9}
+    states = ("started", "running", "done", "failed", "returned", "lost", "odd")
+    lines = [{"id": "j", "state": state, "share": 0.5, "result": {"a": 1}, "load": load} for state in states]
+    found = [values_of(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
+    statuses = [
+        worker_lines.read_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
+    ]
+    return as_lines([found, statuses, values_of(read.read_text('{"inflight": 4}')), values_of(LoadReport())])
+
+
+def upgrade_lines() -> str:
+    reader = discovery.ListReader(("east",), ("big",))
+    state = handover.State(
+        ("nearby",), reader.from_object(kit.ENDPOINT_LIST), ("h1",), ("f1",), {"a": 1}, {"srv": {"b": 2}}
+    )
+    news = (handover.IdNews("f1", True), handover.IdNews("f1", False))
+    lines = [handover.write_state(state, reader), *map(handover.write_news, news)]
+    return "".join(line.decode() for line in lines)
+
+
+TEXTS: dict[str, Callable[[], str]] = {
+    "metrics.txt": metrics_text,
+    "snmp.json": snmp_values,
+    "ops_stats.json": ops_stats,
+    "console.txt": console_texts,
+    "commands.json": command_words,
+    "check.txt": check_pages,
+    "site_settings.json": site_settings,
+    "deploy_settings.json": deploy_settings,
+    "system_settings.json": system_settings_values,
+    "configuration.json": configuration_findings,
+    "stomp.json": stomp_frames,
+    "http.json": http_jobs,
+    "workers.json": worker_texts,
+    "upgrade.txt": upgrade_lines,
+}
+
+
+def write_all() -> None:
+    print("written with", hazelbend.__file__)
+    SHOWN.mkdir(parents=True, exist_ok=True)
+    for name, make in TEXTS.items():
+        (SHOWN / name).write_text(make())
+
+
+if __name__ == "__main__":
+    write_all()
--- /dev/null
+++ b/tests/test_golden_shown.py
@@ -0,0 +1,19 @@
+"""What people and other programs are shown, and what settings are taken for, stays word for word.
+
+golden_shown.py says how the texts in `data/golden/shown` are made. Where one differs by intent, say in the
+commit who reads it and what they have to change.
+"""
+
+from __future__ import annotations
+
+import golden_shown
+import pytest
+
+
+@pytest.mark.parametrize("name", golden_shown.TEXTS)
+def test_a_text_is_the_same_word_for_word(name: str) -> None:
+    assert golden_shown.TEXTS[name]() == (golden_shown.SHOWN / name).read_text()
+
+
+def test_each_file_has_a_text() -> None:
+    assert sorted(each.name for each in golden_shown.SHOWN.iterdir()) == sorted(golden_shown.TEXTS)
