--- /dev/null
+++ b/tests/golden_runs.py
@@ -0,0 +1,507 @@
+"""Golden runs: what the engines decide, from fixed seeds and fixed events, as digests.
+
+A run gives the engines events and takes in what they answer: encoded messages, or values without the names of
+classes and fields. A rename changes no digest; another order of draws, another timer or another field does.
+`checkpoints` tell after how many steps a run went another way. The file was written by the program of commit
+a71086c:
+
+    PYTHONPATH=DIRECTORY_OF_COMMIT:tests PYTHONHASHSEED=0 python tests/golden_runs.py --write
+"""
+
+from __future__ import annotations
+
+import heapq
+import json
+import random
+import sys
+from collections.abc import Callable
+from hashlib import blake2b
+from pathlib import Path
+from typing import Any
+
+import golden_kit as kit
+import msgspec
+from golden_shown import values_of
+
+import hazelbend
+from benchmarks import quota_sim
+from benchmarks.control import history
+from hazelbend.control import messages
+from hazelbend.control.load_table import CachedPart, Load
+from hazelbend.control.phase_planner import PhasePlanner
+from hazelbend.control.workers import WorkerRecord, WorkerState
+from hazelbend.decisions import interface as face
+from hazelbend.decisions import memory as decision_memory
+from hazelbend.decisions.brain import Dispatcher
+from hazelbend.fleet import leases, memory_file
+from hazelbend.fleet.engine import Fleet, Plan
+from hazelbend.fleet.members import Packet
+from hazelbend.placement.engine import Placement
+from hazelbend.placement.prompt import read_prompt
+from hazelbend.placement.reliability import SendEnd, Stakes
+from hazelbend.placement.routes import read_table
+from hazelbend.quotas import book
+from hazelbend.waiting import terms
+from hazelbend.waiting.engine import Engine
+
+RUNS = kit.GOLDEN / "runs.json"
+MS, S = 1_000, 1_000_000
+CHECKPOINTS = 8
+DIGITS = 9  # of a number with a point: libraries of mathematics differ beyond
+
+
+class Trace:
+    """Takes in what a run says."""
+
+    def __init__(self) -> None:
+        self.steps: list[str] = []
+        self._digest = blake2b(digest_size=8)
+
+    def add(self, *said: Any) -> None:
+        text = json.dumps([shown(each) for each in said]).encode()
+        self._digest.update(text)
+        self.steps.append(self._digest.hexdigest())
+
+    def result(self) -> dict[str, Any]:
+        count = len(self.steps)
+        places = [count * n // CHECKPOINTS - 1 for n in range(1, CHECKPOINTS + 1)]
+        return {"steps": count, "checkpoints": {str(place + 1): self.steps[place] for place in places}}
+
+
+def shown(value: Any) -> Any:
+    if isinstance(value, bytes):
+        return value.hex()
+    return rounded(values_of(value))
+
+
+def next_draws(*owners: Any) -> list[float]:
+    """What the generators of these would draw next: it tells whether each draw was made."""
+    found = []
+    for owner in owners:
+        for value in vars(owner).values():
+            if isinstance(value, random.Random):
+                copy = random.Random()
+                copy.setstate(value.getstate())
+                found.append(copy.random())
+    assert found
+    return found
+
+
+def rounded(value: Any) -> Any:
+    if isinstance(value, float):
+        return f"{value:.{DIGITS}g}"
+    if isinstance(value, list):
+        return [rounded(each) for each in value]
+    if isinstance(value, dict):
+        return {key: rounded(each) for key, each in value.items()}
+    return value
+
+
+def control_run() -> Trace:
+    """Control processes under faults: all messages, by benchmarks.control."""
+    trace, encode = Trace(), messages.encode
+
+    def recorded(body: Any) -> bytes:
+        content = encode(body)
+        trace.add(content)
+        return content
+
+    messages.encode = recorded
+    try:
+        played = history.play(5, length=10 * S)
+    finally:
+        messages.encode = encode
+    trace.add([played.changes, played.reads, played.drains, played.orders, played.messages])
+    return trace
+
+
+def quota_run() -> Trace:
+    """Dispatchers that draw units from a book, which loses and gets requests late."""
+    trace = Trace()
+    world = quota_sim.World(4, 3, terms=quota_sim.SHORT, load=3.0)
+    do = world.book.do
+
+    def recorded(operation: Any) -> Any:
+        answer = do(operation)
+        trace.add(book.encode(operation), answer)
+        return answer
+
+    world.book.do = recorded  # type: ignore[method-assign]
+    world.play(20 * S)
+    trace.add(world.book.snapshot())
+    return trace
+
+
+def fleet_run() -> Trace:
+    """Four members that share leases on a network that loses; leaders hand over and stop, one leaves."""
+    trace, chance, now = Trace(), random.Random(8), 0
+    addresses = [f"127.0.0.{n}:9100" for n in range(1, 5)]
+    plan = Plan("blue", tuple(addresses[:2]), 3, leases.Limits(shortest=200 * MS, longest=2 * S))
+    fleets = {address: Fleet(f"n{n}@{address}", plan, n, 0) for n, address in enumerate(addresses)}
+    on_the_way: list[tuple[int, int, str, bytes, bool]] = []
+    packets = msgspec.msgpack.Decoder(Packet)
+    log_messages = kit.FORMS["fleet_tell"]
+    encode = msgspec.msgpack.encode
+    number = 0
+
+    def flush(address: str) -> None:
+        nonlocal number
+        fleet = fleets[address]
+        saved = memory_file.changed(fleet.record)
+        out, answers = fleet.take()
+        trace.add(address, saved, answers)
+        for to, item in out:
+            content = encode(item)
+            trace.add(to, content)
+            if chance.random() > 0.03:
+                number += 1
+                at = now + chance.randrange(1 * MS, 40 * MS)
+                heapq.heappush(on_the_way, (at, number, to, content, isinstance(item, Packet)))
+
+    tokens: dict[str, int] = {}
+    for step in range(3_000):
+        now += 10 * MS
+        if step == 5:
+            fleets[addresses[0]].found(1_764_000_000.0, now)
+        leading = [address for address, fleet in fleets.items() if fleet.record.leads]
+        if step == 1_000:
+            fleets[leading[0]].hand_over(now)
+        if step == 1_400:
+            del fleets[leading[0]]
+        if step == 2_000:
+            last = next(address for address in fleets if address not in leading)
+            fleets[last].leave(now)
+            flush(last)
+        while on_the_way and on_the_way[0][0] <= now:
+            _, _, to, content, is_packet = heapq.heappop(on_the_way)
+            if to in fleets:
+                item = (
+                    packets.decode(content)
+                    if is_packet
+                    else log_messages.read(encode([[], [msgspec.msgpack.decode(content)]]))[1][0]
+                )
+                fleets[to].receive(item, now)
+                flush(to)
+        if step % 29 == 7:  # less often than heartbeats, which wait for the next message
+            address = chance.choice(leading or sorted(fleets))
+            name = f"lease-{chance.randrange(3)}"
+            holder = f"h{chance.randrange(4)}"
+            operation = chance.choice(
+                [
+                    leases.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
+                    leases.Acquire(name, holder, step // 400, 1_800 * MS),
+                    leases.Renew(name, tokens.get(name, 1)),
+                    leases.Release(name, tokens.get(name, 1)),
+                    leases.LeaveQueue(name, holder),
+                ]
+            )
+            fleets[address].ask(step, operation, now)
+        for address, fleet in fleets.items():
+            if now >= fleet.due:
+                fleet.tick(now)
+            if fleet.has_to_say:
+                flush(address)
+            for name, lease in fleet.leases.state.leases.items():
+                tokens[name] = max(tokens.get(name, 0), lease.token)
+    for fleet in fleets.values():
+        trace.add(encode(fleet.view(now)), memory_file.whole(fleet.record.memory))
+        trace.add(next_draws(fleet.members, fleet.record))
+    return trace
+
+
+def settings(**more: Any) -> face.Settings:
+    classes = (
+        face.JobClass(200 * MS, 1.0, 1.0, 0.5, face.Effect.SAFE),
+        face.JobClass(400 * MS, 0.0, 3.0, 0.0, face.Effect.KEYED, face.Group.ZONE, 2 * S),
+        face.JobClass(300 * MS, 0.0, 2.0, 0.2, face.Effect.UNSAFE, machine_kind=1),
+    )
+    return face.Settings(fleet_size=2, classes=classes, fall_window=500 * MS, warm_after=4 * S, **more)
+
+
+DISPATCHERS = {
+    "inline": settings(reports_inline=True, tells_start=True, cancel_allowed=True),
+    "probes": settings(reports_by_probe=True, probes_allowed=True, second_copies_allowed=True),
+    "blind": settings(progress_interval=50 * MS, list_must_be_asked=True, cross_zone_charge=0.1),
+    "weights": settings(weights_fall_with_load=True, worth_by_work=True, handshake_charge=0.1),
+}
+
+
+def dispatcher_run(conf: face.Settings) -> Trace:
+    """One dispatcher before ten workers; some are cold, slow, or fail. Workers run four jobs at once."""
+    trace, chance, now, number = Trace(), random.Random(3), 1 * S, 0
+    dispatcher = Dispatcher(conf, 7)
+    later: list[tuple[int, int, Any]] = []
+    busy = dict.fromkeys(range(1, 11), 0)
+    attempts: dict[int, int] = {}
+
+    def at(delay: int, event: Any) -> None:
+        nonlocal number
+        number += 1
+        heapq.heappush(later, (now + max(delay, 0), number, event))
+
+    def load(worker: int) -> face.LoadReport:
+        held = busy[worker]
+        return face.LoadReport(float(held), float(max(held - 4, 0)), float(max(4 - held, 0)))
+
+    def sent(send: Any) -> None:
+        attempt = attempts.get(send.request, 0)
+        attempts[send.request] = attempt + 1
+        busy[send.worker] += 1
+        drawn, run = chance.random(), chance.randrange(40 * MS, 200 * MS) * (1 + busy[send.worker] // 4)
+        outcome = face.Outcome.SERVED
+        if drawn < 0.1 and send.worker % 3 == 0:
+            outcome = chance.choice([face.Outcome.ERROR, face.Outcome.RESET, face.Outcome.CONNECT_FAILED])
+        elif busy[send.worker] > 9:
+            outcome, run = face.Outcome.FULL, 5 * MS
+        elif drawn > 0.97:
+            run += 1 * S
+        if send.timeout and run > send.timeout:
+            outcome, run = face.Outcome.TIMED_OUT, send.timeout
+        at(run // 3, face.JobStarted(send.request, send.worker, attempt))
+        at(run // 2, face.JobProgress(send.request, send.worker, attempt, 0.5))
+        at(run, ("end", send.request, send.worker, attempt, outcome, run))
+
+    def handle(event: Any) -> None:
+        actions = dispatcher.handle(event, now)
+        trace.add(now, actions)
+        for action in actions:
+            if isinstance(action, face.Send):
+                sent(action)
+            elif isinstance(action, face.StartTimer):
+                at(action.delay, face.TimerFired(action.token))
+            elif isinstance(action, face.Probe):
+                at(3 * MS, ("probe", action.worker))
+            elif isinstance(action, face.Subscribe):
+                at(20 * MS, ("list",))
+
+    def entries() -> tuple[face.WorkerEntry, ...]:
+        return tuple(
+            face.WorkerEntry(
+                worker,
+                worker % 2,
+                worker % 3 // 2,
+                worker % 4,
+                face.WorkerState.DRAINING if now > 6 * S and worker == 4 else face.WorkerState.READY,
+                1.0 + worker % 2,
+                2 * S if worker > 8 else 0,
+            )
+            for worker in busy
+        )
+
+    at(0, ("list",))
+    for request in range(500):
+        arrival = face.RequestArrived(
+            request, chance.randrange(300 * MS, 3 * S), request % 3, request % 2, 1.0, 50 * MS, request % 7
+        )
+        at(request * 20 * MS + chance.randrange(20 * MS), arrival)
+    at(3 * S, ("down", 5))
+    at(5 * S, face.ClientGone(200))
+    while later and now < 14 * S:
+        now, _, event = heapq.heappop(later)
+        match event:
+            case ("list",):
+                handle(face.MembershipUpdate(face.ListKind.FULL, entries()))
+            case ("down", worker):
+                busy.pop(worker)
+                handle(face.MembershipUpdate(face.ListKind.FULL, entries()))
+                busy[worker] = 0
+            case ("probe", worker):
+                handle(face.ProbeEnded(worker, face.Outcome.SERVED, 3 * MS, load(worker)))
+            case ("end", request, worker, attempt, outcome, run):
+                busy[worker] -= 1
+                said = load(worker) if conf.reports_inline else None
+                handle(face.AttemptEnded(request, worker, attempt, outcome, False, run, said))
+            case _:
+                handle(event)
+    trace.add(decision_memory.recall(dispatcher, now), sorted(dispatcher.avoided(now)))
+    trace.add(next_draws(dispatcher))
+    return trace
+
+
+def learnt() -> dict[str, Any]:
+    """What an upgrade passes on of the decisions: by the names that stand on the wire."""
+    dispatcher = Dispatcher(DISPATCHERS["inline"], 7)
+    entries = tuple(face.WorkerEntry(n, started_at=2 * S if n == 3 else 0) for n in range(1, 4))
+    dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 1 * S)
+    now = 1 * S
+    for request in range(60):
+        now += 50 * MS
+        for action in dispatcher.handle(face.RequestArrived(request, 5 * S, request % 2, key=request), now):
+            if isinstance(action, face.Send):
+                outcome = face.Outcome.SERVED if action.worker != 2 else face.Outcome.CONNECT_FAILED
+                load = face.LoadReport(float(action.worker), 1.0, 2.0)
+                end = face.AttemptEnded(request, action.worker, 0, outcome, False, 40 * MS, load)
+                dispatcher.handle(end, now + 40 * MS)
+    known: dict[str, Any] = json.loads(json.dumps(decision_memory.recall(dispatcher, now)))
+    fresh = Dispatcher(DISPATCHERS["inline"], 7)
+    fresh.handle(face.MembershipUpdate(face.ListKind.FULL, entries), now)
+    decision_memory.remember(fresh, known, now)
+    passed_on = json.loads(json.dumps(decision_memory.recall(fresh, now)))
+    return {"passed": digits(known), "passed on": digits(passed_on)}
+
+
+def digits(value: Any) -> Any:
+    """Rounded, and numbers still."""
+    if isinstance(value, float):
+        return float(f"{value:.{DIGITS}g}")
+    if isinstance(value, list):
+        return [digits(each) for each in value]
+    if isinstance(value, dict):
+        return {key: digits(each) for key, each in value.items()}
+    return value
+
+
+def placement_run() -> Trace:
+    """A router before workers with phases, and others without; reads, runs, failures, and others' loads."""
+    trace, chance, now = Trace(), random.Random(6), 0
+    placement = Placement("a", 11)
+    body = json.dumps(kit.ROUTES | {"services": [{"name": "plain"}, {"name": "chat", "engine": ENGINE}]})
+    placement.services = read_table(body.encode()).services
+    for n in range(8):
+        phase = ("prefill", "decode")[n % 2] if n < 5 else ""
+        service = "chat" if n < 5 else "plain"
+        record = WorkerRecord(
+            f"w{n}", service, f"127.0.0.1:80{n:02}", "ab"[n % 3 == 0], WorkerState.READY, 1, 8, phase
+        )
+        placement.merge(record)
+    out: list[tuple[int, int, str, Any, Any]] = []
+
+    def choice(found: Any) -> list[Any] | None:
+        if found is None:
+            return None
+        return [found.worker.record.instance, found.tokens, found.delay, found.expected]
+
+    for step in range(1_500):
+        now += chance.randrange(1 * MS, 8 * MS)
+        while out and out[0][0] <= now:
+            _, _, stage, send, prompt = heapq.heappop(out)
+            failed = chance.random() < 0.08
+            placement.heard_of(send, now)
+            if stage == "read":
+                placement.read(send, now)
+            elif stage == "event":
+                placement.first_event(send, now)
+                placement.moved(send, prompt)
+            else:
+                placement.served(send, now)
+            placement.tells_of(send, SendEnd.FAILED if failed else SendEnd.SERVED, now)
+            placement.ended(send)
+        usage, parts = f"{300 + step % 9 * 400},80", f"p{step % 3}:200,q{step % 5}:100,r{step}:50"
+        prompt, stakes = read_prompt(usage, parts), Stakes(4e5, 1e5, 2e5 * (step % 2))
+        tried = {f"w{step % 8}"} if step % 10 == 0 else set()
+        if step % 3 == 0:
+            chosen = placement.choose("plain", now, tried, stakes)
+            trace.add(choice(chosen))
+            if chosen is not None:
+                send = placement.sent(chosen, True, prompt, now)
+                heapq.heappush(out, (now + 30 * MS + step % 7 * 9 * MS, step, "run", send, prompt))
+        else:
+            pair = placement.choose_pair("chat", prompt, now, tried, stakes)
+            trace.add(None if pair is None else [choice(pair.reader), choice(pair.runner), pair.delay])
+            if pair is not None and pair.reader is not None:
+                send = placement.sent(pair.reader, False, prompt, now)
+                heapq.heappush(out, (now + 40 * MS + prompt.tokens * 20, step, "read", send, prompt))
+            if pair is not None:
+                send = placement.sent(pair.runner, True, prompt, now)
+                heapq.heappush(out, (now + 90 * MS + step % 5 * 20 * MS, step, "event", send, prompt))
+        if step % 20 == 19:
+            loads = {f"w{n}": Load(chance.randrange(6), chance.randrange(3_000)) for n in range(8)}
+            placement.reported(loads, (CachedPart("w0", "p1", 200),), now)
+            placement.heard({"w7": step * MS}, 1 * S)
+            trace.add(placement.own_loads(now), placement.take_outcomes(), placement.newly_cached)
+            placement.newly_cached = []
+    trace.add(next_draws(placement.choose.__self__))  # type: ignore[attr-defined]
+    return trace
+
+
+ENGINE = {"capacity": 16, "kvCapacity": 40_000, "kvTokenBytes": 18_000, "bandwidthMbps": 370_000.0}
+
+
+def phases_run() -> Trace:
+    """Who of a service's workers reads prompts, and who makes tokens, as loads change."""
+    trace, chance, planner = Trace(), random.Random(2), PhasePlanner()
+    phases = {f"w{n}": ("prefill", "decode")[n % 2] for n in range(8)}
+    for step in range(400):
+        records = [
+            WorkerRecord(name, "chat", f"127.0.0.1:80{n:02}", "a", WorkerState.READY, step, 8, phase)
+            for n, (name, phase) in enumerate(phases.items())
+        ]
+        heavy = step // 100 % 2
+        loads = {
+            name: Load(chance.randrange(1, 12) * heavy, chance.randrange(9_000) * (1 - heavy))
+            for name in phases
+        }
+        orders = planner.plan(records, loads, step * 200 * MS)
+        trace.add(orders, planner.switching)
+        for order in orders:
+            if chance.random() < 0.8:
+                phases[order.instance] = order.phase
+            else:
+                planner.refused(order)
+    return trace
+
+
+def waiting_run() -> Trace:
+    """Jobs that wait on each other, on a clock and on admission."""
+    trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
+    bounds = terms.Bounds(
+        in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, come_within=400 * MS
+    )
+    engine = Engine(bounds)
+    running: list[Any] = []
+    for step in range(1_500):
+        passed = chance.randrange(1, 20 * MS)
+        now, wall = now + passed, wall + passed
+        drawn = chance.random()
+        effects: list[Any] = []
+        if drawn < 0.5:
+            after = [terms.After(str(chance.randrange(max(step - 30, 0), step + 3)), chance.choice(EDGES))]
+            at = wall + chance.randrange(300 * MS) if drawn < 0.1 else None
+            wish = terms.Terms(tuple(after if drawn < 0.25 else ()), at, 0, drawn < 0.2)
+            request = terms.Request(
+                ("c", str(step)), step % 3, step % 2, now + chance.randrange(1 * S), 10, wish, 200 * MS, 0.5
+            )
+            try:
+                effects = engine.submit(request, now, wall)
+            except terms.TermsError as error:
+                trace.add(str(error))
+        elif drawn < 0.8 and running:
+            key = running.pop(chance.randrange(len(running)))
+            end = chance.choice([terms.End.SERVED, terms.End.SERVED, terms.End.FAILED])
+            effects = engine.ended(key, end, b"result", now)
+        elif drawn < 0.85:
+            effects = engine.cancel(("c", str(chance.randrange(step + 1))), terms.End.CANCELLED, now)
+        else:
+            effects = engine.tick(now, wall)
+        trace.add(effects, engine.next_at(now, wall), engine.waiting)
+        running += [each.key for each in effects if isinstance(each, terms.Release)]
+    trace.add(engine.refuse_all("over", now))
+    return trace
+
+
+EDGES = tuple(terms.Edge)
+ALL: dict[str, Callable[[], Trace]] = {
+    "control": control_run,
+    "quotas": quota_run,
+    "fleet": fleet_run,
+    **{
+        f"dispatcher {name}": (lambda conf=conf: dispatcher_run(conf))  # type: ignore[misc]
+        for name, conf in DISPATCHERS.items()
+    },
+    "placement": placement_run,
+    "phases": phases_run,
+    "waiting": waiting_run,
+}
+
+
+def run_all() -> dict[str, Any]:
+    return {name: run().result() for name, run in ALL.items()} | {"learnt": learnt()}
+
+
+if __name__ == "__main__":
+    found = json.dumps(run_all(), indent=1) + "\n"
+    if "--write" in sys.argv:
+        print("written with", Path(hazelbend.__file__).parent)
+        RUNS.write_text(found)
+    else:
+        print(found, end="")
