--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -13,15 +13,15 @@
 import msgspec
 
 from benchmarks.control.fleet import Fleet, Machine
+from hazelbend.consensus import replicator
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import Done, RaftNode
 from hazelbend.control import announcements, config_machine, engine, outputs
 from hazelbend.control.announcements import Announcements
 from hazelbend.control.config_machine import ChangeResult, ConfigMachine, StoredConfig
 from hazelbend.control.engine import ControlEngine
 from hazelbend.control.messages import WorkerNewsTaken
 from hazelbend.control.peers import PeerTable
-from hazelbend.fleet import replicator
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.record import Done, Record
 
 STALE = 1_000_000  # tickets of reads that are answered without asking a majority
 NEVER = 1 << 40
@@ -30,7 +30,7 @@
 
 
 def _acknowledge_before_majority() -> list[Patch]:
-    return [(Record, "_majority_holds", lambda self: self.memory.last)]
+    return [(RaftNode, "_majority_holds", lambda self: self.persistent.last)]
 
 
 def _unconfirmed_counts() -> list[Patch]:
@@ -48,17 +48,17 @@
 def _leads_without_majority() -> list[Patch]:
     """A leader's rounds count as answered, and it never steps down by itself."""
 
-    def confirm(self: Record) -> None:
+    def confirm(self: RaftNode) -> None:
         while self._rounds:
             self.confirmed_at = self._rounds.popleft()[1]
 
-    return [(Record, "_confirm", confirm), (Record, "_heard_by_majority", lambda self, now: True)]
+    return [(RaftNode, "_confirm", confirm), (RaftNode, "_heard_by_majority", lambda self, now: True)]
 
 
 def _stale_read() -> list[Patch]:
     def read(self: ControlEngine, now: int) -> int:
         number = self._next_number()
-        self.record.done.append(Done(number + STALE, True))
+        self.raft.done.append(Done(number + STALE, True))
         self._reads[number + STALE] = number
         return number
 
@@ -96,7 +96,7 @@
         memory = self.machines[address].disk.memory
         original(self, address)
         if memory is not None:
-            self.machines[address].disk.memory = Memory(memory.identity, memory.epoch)
+            self.machines[address].disk.memory = PersistentState(memory.identity, memory.epoch)
 
     return [(Fleet, "wipe", wipe)]
 
@@ -130,7 +130,7 @@
 
     return [
         (engine, "next_voters", next_voters),
-        (Record, "confirmed_age", lambda self, now: 0),
+        (RaftNode, "confirmed_age", lambda self, now: 0),
         (ControlEngine, "acknowledges", True),
     ]
 
@@ -175,7 +175,7 @@
 
 def _no_lease_before_orders() -> list[Patch]:
     def order_token(self: ControlEngine, now: int) -> int | None:
-        return self.fencing_token if self.record.settled else None
+        return self.fencing_token if self.raft.settled else None
 
     return [(ControlEngine, "order_token", order_token)]
 
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -101,11 +101,11 @@
         leader = self.fleet.leader
         if leader is None:
             return False
-        record = leader.engine.record
+        record = leader.engine.raft
         for address in list(self._wiped):
             engine = self.fleet.machines[address].engine
-            listed = engine is not None and engine.me in record.memory.voters_at(record.commit)
-            if listed and engine.record.commit >= record.commit:
+            listed = engine is not None and engine.me in record.persistent.voters_at(record.commit)
+            if listed and engine.raft.commit >= record.commit:
                 self._wiped.discard(address)
         gone = [each for each in record.voters if each.rpartition("@")[2] in self._removed()]
         return len(self._wiped) + len(gone) < self.fleet.tolerance
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from benchmarks.control.network import MS, Network, S
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.control import engine as ce
 from hazelbend.control import messages as m
 from hazelbend.control import outputs as co
 from hazelbend.control.config_machine import ChangeResult, StoredConfig
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
 
 HEARTBEAT = 1_200 * MS
 
@@ -30,7 +30,7 @@
 class Disk:
     """What a machine has on its disk: whole saves, in their order."""
 
-    memory: Memory | None = None
+    memory: PersistentState | None = None
     commit: int = 0
     stalled_until: int = 0
     full: bool = False
@@ -39,12 +39,12 @@
     def save(self, parts: list[object], commit: int) -> None:
         """All of it lasts from now on."""
         old = self.memory
-        memory = Memory("")
+        memory = PersistentState("")
         if old is not None:
-            for part in memory_file.whole_parts(old):
-                memory_file.take(memory, part)
+            for part in state_codec.whole_parts(old):
+                state_codec.take(memory, part)
         for part in parts:
-            memory_file.take(memory, part)
+            state_codec.take(memory, part)
         self.memory, self.commit = memory, max(commit, self.commit)
 
 
@@ -133,16 +133,16 @@
         stored = machine.disk.memory
         memory = None
         if stored is not None:
-            memory = Memory("")
-            for part in memory_file.whole_parts(stored):
-                memory_file.take(memory, part)
+            memory = PersistentState("")
+            for part in state_codec.whole_parts(stored):
+                state_codec.take(memory, part)
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
         machine.engine = ce.ControlEngine(
             identity, plan, seed, self.now, lambda: self.now / S + machine.clock_offset, memory
         )
         if memory is not None:
-            machine.engine.record.restore_commit(machine.disk.commit, self.now)
+            machine.engine.raft.restore_commit(machine.disk.commit, self.now)
         machine.saving, machine.waiting = False, {}
         machine.published, machine.back_at, machine.confirmed_at = 0, self.now, None
         self._pump(machine, machine.life)
@@ -195,8 +195,8 @@
     @property
     def leader(self) -> Machine | None:
         """The one that leads with a commit in its term, of the highest term."""
-        leading = [each for each in self.alive if each.engine.record.settled]
-        return max(leading, key=lambda each: each.engine.record.memory.term, default=None)
+        leading = [each for each in self.alive if each.engine.raft.settled]
+        return max(leading, key=lambda each: each.engine.raft.persistent.term, default=None)
 
     # --- the driver, as in system/control_daemon.py ---
 
@@ -227,12 +227,12 @@
         if machine.saving or not engine.has_stable_output:
             return
         said = engine.take_stable()
-        parts = memory_file.changed_parts(engine.record)
+        parts = state_codec.changed_parts(engine.raft)
         if not parts:
             self._say(machine, said)
             return
         machine.saving = True
-        life, commit = machine.life, engine.record.commit
+        life, commit = machine.life, engine.raft.commit
         delay = machine.disk.sync + max(machine.disk.stalled_until - self.now, 0)
         self.at(delay, lambda: self._saved(machine, life, parts, commit, said))
 
@@ -243,7 +243,7 @@
         if machine.life != life or engine is None:
             return
         if machine.disk.full:
-            engine.record.promise_changed, engine.record.unsaved = True, engine.record.memory.base
+            engine.raft.promise_changed, engine.raft.unsaved = True, engine.raft.persistent.base
             for answer in (*said.answers, *engine.discard_stable()):
                 self._answer(machine, _unknown(answer))
             self.at(200 * MS, lambda: self._free_to_save(machine, life))
@@ -364,6 +364,6 @@
 
 def whole(fleet: Fleet, machines: int) -> bool:
     """Whether so many vote, and all of them know."""
-    records = [each.engine.record for each in fleet.alive if each.address not in fleet.observers]
-    known = [len(each.memory.voters_at(each.commit)) for each in records]
+    records = [each.engine.raft for each in fleet.alive if each.address not in fleet.observers]
+    known = [len(each.persistent.voters_at(each.commit)) for each in records]
     return fleet.leader is not None and known == [machines] * machines
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -94,7 +94,7 @@
         if leader is None:
             raise BrokenRuleError("nobody leads though all is well")
         standing = {machine.engine.me for machine in self.fleet.alive}
-        gone = set(leader.engine.record.voters) - standing
+        gone = set(leader.engine.raft.voters) - standing
         if gone:
             raise BrokenRuleError(f"{min(gone)} is still listed {RECOVERY / S:.0f} s after all")
         digests = {
@@ -107,8 +107,8 @@
         for machine in self.fleet.alive:
             if machine.address in self.fleet.observers:
                 continue
-            record = machine.engine.record
-            if record.commit < leader.engine.record.commit or not record.is_voter:
+            record = machine.engine.raft
+            if record.commit < leader.engine.raft.commit or not record.is_voter:
                 raise BrokenRuleError(f"{machine.address} has not caught up {RECOVERY / S:.0f} s after all")
 
     def result(self) -> Played:
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -19,12 +19,12 @@
 
 from benchmarks.control.fleet import Fleet, whole
 from benchmarks.control.network import MS, S
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import RaftNode
 from hazelbend.control.config_machine import ConfigMachine, change_entry
 from hazelbend.control.engine import TIMING
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.record import Record
-from hazelbend.transport.control_store import ControlStore
+from hazelbend.transport.storage.control_store import ControlStore
 
 CHANGES = 10_000
 BODY = 2_000  # bytes of a change, a third of them chance
@@ -46,7 +46,7 @@
     times: dict[str, int] = {}
 
     def look() -> bool:
-        if not old.engine.record.leads:
+        if not old.engine.raft.leads:
             times.setdefault("step_down", fleet.now - began)
         if fleet.leader is not None and fleet.leader is not old:
             times.setdefault("new_leader", fleet.now - began)
@@ -60,7 +60,7 @@
         fleet.run(200 * MS)
     healed = fleet.now
     fleet.heal()
-    caught_up = fleet.until(lambda: old.engine.record.commit == fleet.leader.engine.record.commit, 10 * S)
+    caught_up = fleet.until(lambda: old.engine.raft.commit == fleet.leader.engine.raft.commit, 10 * S)
     assert caught_up
     times["caught_up"] = fleet.now - healed
     return times
@@ -93,7 +93,7 @@
 
 async def _disk_after_changes(folder: Path) -> int:
     """A single voter's store, saved after each change as the agreement does."""
-    record = Record(Memory("a@10.0.0.1:7"), ConfigMachine(), TIMING, 1, 0)
+    record = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigMachine(), TIMING, 1, 0)
     record.found(256, 0)
     store = ControlStore(folder)
     await store.open("10.0.0.1:7")
@@ -101,7 +101,7 @@
     for version in range(1, CHANGES + 1):
         body = b'{"version":%d,"x":"%s"}' % (version, chance.randbytes(BODY // 3).hex().encode())
         record.propose(change_entry(version - 1, version, body), 0)
-        await store.save(memory_file.changed_parts(record), record.commit)
+        await store.save(state_codec.changed_parts(record), record.commit)
     await store.close()
     return sum(each.stat().st_size for each in folder.iterdir())
 
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -33,12 +33,12 @@
 
 from benchmarks import breadth_first
 from benchmarks.control.defects import DEFECTS, planted
+from hazelbend.consensus.messages import Entry, Message, VoteResponse
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import RaftNode, Role
+from hazelbend.consensus.replication import Assembly, Progress
 from hazelbend.control.config_machine import ChangeResult, ConfigMachine, change_entry
 from hazelbend.control.engine import TIMING
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import Entry, Message, VoteResponse
-from hazelbend.fleet.record import Record, Role
-from hazelbend.fleet.replication import Assembly, Progress
 
 EPOCH, VOTERS, NEWCOMER = 256, ("a", "b", "c"), "d"
 BODIES = (b'{"version":1,"by":1}', b'{"version":1,"by":2}')
@@ -61,7 +61,9 @@
 
     def __init__(self, left: Left) -> None:
         self.left = left
-        self.records = [self._make(Memory(name, EPOCH, 1, "", 1, 1, VOTERS, _empty())) for name in VOTERS]
+        self.records = [
+            self._make(PersistentState(name, EPOCH, 1, "", 1, 1, VOTERS, _empty())) for name in VOTERS
+        ]
         self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # by change: what its operator knows
         self.sent = 0  # changes
         self.erased: frozenset[str] = frozenset()
@@ -71,8 +73,8 @@
         self.wrong = ""
 
     @staticmethod
-    def _make(memory: Memory) -> Record:
-        return Record(memory, ConfigMachine(), TIMING, 1, 0)
+    def _make(memory: PersistentState) -> RaftNode:
+        return RaftNode(memory, ConfigMachine(), TIMING, 1, 0)
 
     def broken(self) -> str:
         """The check that fails here, or nothing."""
@@ -86,8 +88,8 @@
         return (self.left, records, self.outcomes, self.sent, self.erased, self.held, self.committed)
 
     @staticmethod
-    def _record_key(record: Record) -> tuple[object, ...]:
-        memory = record.memory
+    def _record_key(record: RaftNode) -> tuple[object, ...]:
+        memory = record.persistent
         peers = tuple(sorted((name, peer.match) for name, peer in record.peers.items()))
         stored = (memory.identity, memory.epoch, memory.term, memory.vote, memory.base, tuple(memory.entries))
         tickets = tuple(sorted(record.tickets.items()))
@@ -193,7 +195,7 @@
     def _propose(self, slot: int, number: int) -> None:
         record = self.records[slot]
         if record.propose(change_entry(0, 1, BODIES[number]), 0) is not None:
-            record.tickets[record.memory.last] = number + 1  # names the change
+            record.tickets[record.persistent.last] = number + 1  # names the change
 
     def _confirmed(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
         """The leader is heard by these in this round: it may answer a read, or replace an erased voter."""
@@ -228,14 +230,14 @@
     def _restart(self, slot: int) -> World:
         after = self._copy(restarts=1)
         before = after.records[slot]
-        after.records[slot] = self._make(before.memory)
+        after.records[slot] = self._make(before.persistent)
         after.records[slot].restore_commit(before.commit, 0)
         return after._settled()
 
     def _wipe(self, slot: int) -> World:
         after = self._copy(wipes=1)
         after.erased |= {after.records[slot].me}
-        after.records[slot] = self._make(Memory(NEWCOMER))
+        after.records[slot] = self._make(PersistentState(NEWCOMER))
         return after._settled()
 
     def _deliver_held(self) -> World:
@@ -257,7 +259,7 @@
         return after
 
     @staticmethod
-    def _take(record: Record, to: str) -> list[Message]:
+    def _take(record: RaftNode, to: str) -> list[Message]:
         """Its messages to this one; all others are lost."""
         found = [message for message in record.out if message.to == to]
         record.out.clear()
@@ -270,7 +272,7 @@
             record.unsaved, record.promise_changed = None, False
             for peer in record.peers.values():
                 peer.transfer, peer.asked, peer.confirmed = None, None, None
-                peer.next = peer.match + 1 if peer.match else record.memory.last + 1
+                peer.next = peer.match + 1 if peer.match else record.persistent.last + 1
             for done in record.done:
                 if done.ok and isinstance(done.result, ChangeResult):
                     self._decided(done.ticket - 1, done.result)
@@ -292,7 +294,7 @@
     def _check(self) -> str:
         for record in self.records:
             if record.role is Role.LEADER:
-                self.leaders |= {(record.memory.term, record.me)}
+                self.leaders |= {(record.persistent.term, record.me)}
             entries = _committed(record)
             shared = min(len(entries), len(self.committed))
             if entries[:shared] != self.committed[:shared]:
@@ -302,9 +304,9 @@
         if len(terms) != len(set(terms)):
             return "two leaders in a term"
         for record in self.records:
-            if record.role is Role.LEADER and self._newest_term() == record.memory.term:
-                held = tuple(record.memory.entries[: len(self.committed)])
-                if record.memory.base == 1 and held != self.committed:
+            if record.role is Role.LEADER and self._newest_term() == record.persistent.term:
+                held = tuple(record.persistent.entries[: len(self.committed)])
+                if record.persistent.base == 1 and held != self.committed:
                     return f"{record.me} leads without all that was committed"
             body = _body(record)
             if any(body == BODIES[n] and _is_refused(each) for n, each in enumerate(self.outcomes)):
@@ -319,12 +321,12 @@
     return outcome in (ChangeResult.CONFLICT, ChangeResult.NOT_ABOVE)
 
 
-def _committed(record: Record) -> tuple[Entry, ...]:
-    memory = record.memory
+def _committed(record: RaftNode) -> tuple[Entry, ...]:
+    memory = record.persistent
     return tuple(memory.entries[: record.commit - memory.base]) if memory.base == 1 else ()
 
 
-def _body(record: Record) -> bytes:
+def _body(record: RaftNode) -> bytes:
     from hazelbend.control.config_machine import plain_body
 
     return plain_body(record.machine.current) if record.machine.current.version else b""
@@ -338,12 +340,12 @@
     return [each for size in (1, 2) for each in itertools.combinations(others, size)]
 
 
-def _copy(record: Record) -> Record:
+def _copy(record: RaftNode) -> RaftNode:
     """A record that shares nothing that changes. Field by field: the search makes millions."""
-    made = object.__new__(Record)
+    made = object.__new__(RaftNode)
     made.__dict__.update(record.__dict__)
-    memory = record.memory
-    made.memory = Memory(
+    memory = record.persistent
+    made.persistent = PersistentState(
         memory.identity,
         memory.epoch,
         memory.term,
--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from hazelbend.fleet.holder import Holder
-from hazelbend.fleet.leases import Answer, Leases, State, Watch
-from hazelbend.fleet.messages import Entry
-from hazelbend.fleet.record import Done, Record
+from hazelbend.consensus.messages import Entry
+from hazelbend.consensus.raft import Done, RaftNode
+from hazelbend.leases.client import Holder
+from hazelbend.leases.lease_table import Answer, Leases, State, Watch
 
 
 def forget_the_wait(watch: Watch, term: int) -> None:
@@ -29,17 +29,17 @@
         super().answered(number, answer, now)
 
 
-class Rash(Record):
+class Rash(RaftNode):
     """Voters are changed while a change is under way, and by a leader that has committed nothing."""
 
     def change_voters(self, voters: tuple[str, ...], now: int) -> bool:
         if not self.leads or not voters:
             return False
-        self._append_and_send(Entry(self.memory.term, tuple(sorted(voters))), now)
+        self._append_and_send(Entry(self.persistent.term, tuple(sorted(voters))), now)
         return True
 
 
-class Careless(Record):
+class Careless(RaftNode):
     """A read is answered at once."""
 
     def read(self, now: int) -> int | None:
@@ -50,7 +50,7 @@
         return self.last_ticket
 
 
-class Hopeful(Record):
+class Hopeful(RaftNode):
     """An entry of an earlier term is held to be committed once a majority has it (Raft's figure 8)."""
 
     def _advance(self, now: int) -> None:
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -28,17 +28,17 @@
         fleet.Holder = Hasty  # type: ignore[misc]
     elif defect == "token reset in a new epoch":
         from benchmarks.fleet_defects import Forgetful
-        from hazelbend.fleet import engine
+        from hazelbend.leases import engine
 
         engine.Leases = Forgetful  # type: ignore[misc]
     elif defect == "no wait by a new leader":
         from benchmarks.fleet_defects import forget_the_wait
-        from hazelbend.fleet.engine import Fleet
+        from hazelbend.leases.engine import Fleet
 
         lead = Fleet._lead
 
         def hasty(self: Fleet, now: int) -> None:
-            forget_the_wait(self.watch, self.record.memory.term)
+            forget_the_wait(self.watch, self.raft.persistent.term)
             lead(self, now)
 
         Fleet._lead = hasty  # type: ignore[method-assign]
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -19,7 +19,8 @@
 
 import msgspec
 
-from hazelbend.fleet.members import Members, Packet, Status, Timing, address_of
+from hazelbend.consensus.identity import address_of
+from hazelbend.gossip.swim import Members, Packet, Status, Timing
 
 S = 1_000_000
 
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -24,10 +24,10 @@
 
 from benchmarks import breadth_first
 from benchmarks.fleet_defects import Hopeful, Rash
-from hazelbend.fleet.leases import Leases, Limits, Open, encode
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import Entry, Message, TimeoutNow
-from hazelbend.fleet.record import Record, Role, Timing
+from hazelbend.consensus.messages import Entry, Message, TimeoutNow
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import RaftNode, Role, Timing
+from hazelbend.leases.lease_table import Leases, Limits, Open, encode
 
 VOTERS = ("a", "b", "c")
 DEFECTS = (
@@ -56,20 +56,20 @@
         self.defect, self.left = defect, left
         self.sent: frozenset[Message] = frozenset()
         self.records = {
-            name: self._make(Memory(name, 1, 1, "", 1, 1, VOTERS, Leases(Limits()).snapshot()))
+            name: self._make(PersistentState(name, 1, 1, "", 1, 1, VOTERS, Leases(Limits()).snapshot()))
             for name in VOTERS
         }
         self.leaders: frozenset[tuple[int, str]] = frozenset()
 
-    def _make(self, memory: Memory) -> Record:
-        return KINDS.get(self.defect, Record)(memory, Leases(Limits()), Timing(), 1, 0)
+    def _make(self, memory: PersistentState) -> RaftNode:
+        return KINDS.get(self.defect, RaftNode)(memory, Leases(Limits()), Timing(), 1, 0)
 
     def key(self) -> tuple[object, ...]:
         return (self.left, self.sent, tuple(self._record_key(each) for each in self.records.values()))
 
     @staticmethod
-    def _record_key(record: Record) -> tuple[object, ...]:
-        memory = record.memory
+    def _record_key(record: RaftNode) -> tuple[object, ...]:
+        memory = record.persistent
         peers = tuple((name, peer.next, peer.match) for name, peer in record.peers.items())
         state = (record.role, record.commit, frozenset(record.votes), peers)
         return (memory.term, memory.vote, tuple(memory.entries), *state)
@@ -99,14 +99,14 @@
         after.left = left
         record = _copy(self.records[name])
         if what == "restart":
-            memory = record.memory
+            memory = record.persistent
             if self.defect == "vote forgotten":
                 memory.vote = ""
             elif self.defect == "memory forgotten":
-                memory = Memory(name, 1, 1, "", 1, 1, VOTERS, memory.base_state)
+                memory = PersistentState(name, 1, 1, "", 1, 1, VOTERS, memory.base_state)
             record = self._make(memory)
         elif what == "stand":
-            record.receive(Message("", name, 1, record.memory.term, TimeoutNow()), 0)
+            record.receive(Message("", name, 1, record.persistent.term, TimeoutNow()), 0)
         elif what == "put":
             record.propose(OP, 0)
         elif isinstance(what, str):
@@ -119,7 +119,7 @@
         record.tickets.clear()
         after.records = self.records | {name: record}
         if record.role is Role.LEADER:
-            after.leaders = self.leaders | {(record.memory.term, name)}
+            after.leaders = self.leaders | {(record.persistent.term, name)}
         return after
 
     def broken(self) -> str:
@@ -128,23 +128,25 @@
             return f"election: {sorted(self.leaders)}"
         known: dict[int, Entry] = {}
         for name, record in self.records.items():
-            entries = {record.memory.base + n: each for n, each in enumerate(record.memory.entries, 1)}
-            for index in range(record.memory.base + 1, record.commit + 1):
+            entries = {
+                record.persistent.base + n: each for n, each in enumerate(record.persistent.entries, 1)
+            }
+            for index in range(record.persistent.base + 1, record.commit + 1):
                 if known.setdefault(index, entries[index]) != entries[index]:
                     return f"machine: {name} holds another entry at {index}"
-        newest = max(record.memory.term for record in self.records.values())
+        newest = max(record.persistent.term for record in self.records.values())
         for name, record in self.records.items():
-            if record.leads and record.memory.term == newest:
+            if record.leads and record.persistent.term == newest:
                 for index, entry in known.items():
-                    if record.memory.term_at(index) != entry.term:
+                    if record.persistent.term_at(index) != entry.term:
                         return f"completeness: {name} leads without what is committed at {index}"
         return ""
 
 
-def _copy(record: Record) -> Record:
+def _copy(record: RaftNode) -> RaftNode:
     made = copy.copy(record)
-    made.memory = copy.copy(record.memory)
-    made.memory.entries = list(record.memory.entries)
+    made.persistent = copy.copy(record.persistent)
+    made.persistent.entries = list(record.persistent.entries)
     made.machine = copy.deepcopy(record.machine)
     made.votes, made.peers = set(record.votes), {name: copy.copy(peer) for name, peer in record.peers.items()}
     made.out, made.done, made.reads, made.tickets = [], [], [], {}
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -1,5 +1,6 @@
-"""A fleet on virtual time: the engines of hazelbend/fleet unchanged, a network that loses, doubles, delays
-and cuts, processes that die with and without their memory, stop and go on, and clocks that run fast or slow.
+"""A fleet on virtual time: the engines of consensus, gossip and leases unchanged, a network that loses,
+doubles, delays and cuts, processes that die with and without their memory, stop and go on, and clocks that
+run fast or slow.
 
     python -m benchmarks.fleet_sim --schedules 1000 --seed 1 [--defect NAME] [--nodes 5] [--seconds 20]
 
@@ -23,13 +24,13 @@
 
 from benchmarks.fleet_defects import Careless, Forgetful, Hasty, Rash, forget_the_wait
 from benchmarks.fleet_history import Call, linearizable
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.holder import Holder, Request, Stage
-from hazelbend.fleet.leases import Answer, Leases, Limits, Operation, Watch, encode
-from hazelbend.fleet.memory import Memory, epoch_number
-from hazelbend.fleet.messages import Entry, Message
-from hazelbend.fleet.record import Record, Timing
-from hazelbend.fleet.voters import next_voters
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.messages import Entry, Message
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.voters import next_voters
+from hazelbend.leases.client import Holder, Request, Stage
+from hazelbend.leases.lease_table import Answer, Leases, Limits, Operation, Watch, encode
 
 S = 1_000_000  # microseconds
 LIMITS = Limits(shortest=S, longest=3 * S, drift=0.05)
@@ -59,11 +60,11 @@
     rate: float
     offset: int
     has_store: bool
-    record: Record | None = None
+    record: RaftNode | None = None
     leases: Leases = field(default_factory=lambda: Leases(LIMITS))
     watch: Watch = field(default_factory=lambda: Watch(LIMITS))
     holders: list[Holder] = field(default_factory=list)
-    disk: bytes | None = None  # a file, as memory_file.py writes it
+    disk: bytes | None = None  # a file, as state_codec.py writes it
     lives: int = 0
     asks: int = 0
     paused: bool = False
@@ -131,26 +132,26 @@
     def _start(self, node: Node) -> None:
         """With its disk's memory if it has one, else as somebody new."""
         node.lives += 1
-        memory = memory_file.read(node.disk)[0] if node.disk is not None else None
+        memory = state_codec.read(node.disk)[0] if node.disk is not None else None
         if memory is None:
             identity = f"n{node.number}.{node.lives}"
             if self.defect == "memory forgotten":
                 identity = f"n{node.number}"  # it votes as if it remembered
-            memory = Memory(identity)
+            memory = PersistentState(identity)
         elif self.defect == "vote forgotten":
             memory.vote = ""
         leases = Forgetful(LIMITS) if self.defect.startswith("token") else Leases(LIMITS)
         node.leases, node.watch = leases, Watch(LIMITS)
         kinds = {"two voter changes at once": Rash, "stale read": Careless}
         now = self.local(node)
-        record = kinds.get(self.defect, Record)(memory, leases, Timing(), self.random.getrandbits(32), now)
+        record = kinds.get(self.defect, RaftNode)(memory, leases, Timing(), self.random.getrandbits(32), now)
         record.watcher = lambda at: node.watch.look(node.leases, at)
         node.record, node.down_since, node.paused, node.inbox = record, None, False, []
         node.checked = (0, 0)
         node.holders, node.tickets = [], {}
         record.watcher(now)
         if node.has_store:
-            node.disk = memory_file.whole(memory)
+            node.disk = state_codec.whole(memory)
         for _ in range(2):
             self._wish(node)
         self._pump(node)
@@ -168,7 +169,7 @@
             return
         node.record, node.down_since, node.holders = None, self.now, []
         if node.disk is not None and self.torn.random() < 0.3:  # it was writing: some of a frame is there
-            frame = memory_file.frame(memory_file.Entries(1, (Entry(1),)))
+            frame = state_codec.frame(state_codec.Entries(1, (Entry(1),)))
             node.disk += frame[: self.torn.randrange(1, len(frame))]
         self.at(
             self.random.uniform(0, longest) * S, lambda: self._start(node) if node.record is None else None
@@ -176,12 +177,12 @@
 
     def _found(self, node: Node) -> None:
         assert node.record is not None
-        known = max(node.record.memory.epoch, 0)
+        known = max(node.record.persistent.epoch, 0)
         self.epoch = epoch_number(known, self.now / S + 1_000, node.record.me)
         node.record.found(self.epoch, self.local(node))
         self._pump(node)
 
-    def _do(self, node: Node, act: Callable[[Record, int], None]) -> None:
+    def _do(self, node: Node, act: Callable[[RaftNode, int], None]) -> None:
         """Something comes to a process: a stopped one finds it when it goes on, a dead one never."""
         lives = node.lives
 
@@ -209,11 +210,11 @@
             lives = node.lives
             self.at(self.random.uniform(0, 10_000), lambda: self._die(node, lives, 0.03))
         if record.promise_changed or record.unsaved is not None:
-            frames = memory_file.changed(record)
+            frames = state_codec.changed(record)
             if node.disk is not None:
                 node.disk += frames
                 if len(node.disk) > 50_000:
-                    node.disk = memory_file.whole(record.memory)
+                    node.disk = state_codec.whole(record.persistent)
         for message in record.out:
             self._carry(message)
         record.out.clear()
@@ -230,10 +231,10 @@
         node.wake_at = at
         self.at(delay, lambda: self._pump(node) if node.wake_at <= self.now else None)
 
-    def _lead(self, node: Node, record: Record, now: int) -> None:
+    def _lead(self, node: Node, record: RaftNode, now: int) -> None:
         if self.defect == "no wait by a new leader":
-            forget_the_wait(node.watch, record.memory.term)
-        for operation in node.watch.to_ask(node.leases, record.memory.term, now):
+            forget_the_wait(node.watch, record.persistent.term)
+        for operation in node.watch.to_ask(node.leases, record.persistent.term, now):
             record.propose(encode(operation), now)
 
     # --- the network ---
@@ -285,14 +286,14 @@
 
             self._deliver(target, node.number, back)
 
-        def put(record: Record, now: int) -> None:
+        def put(record: RaftNode, now: int) -> None:
             ticket = record.propose(encode(request.operation), now)
             if ticket is None:
                 reply(None)
                 return
 
             def ended(ok: bool, result: object) -> None:
-                epoch = record.memory.epoch
+                epoch = record.persistent.epoch
                 self.finished[epoch] = max(self.finished[epoch], record.commit if ok else 0)
                 reply(result if ok and isinstance(result, Answer) else None)
 
@@ -328,7 +329,7 @@
                 self._read(node, node.record, now)
             self._pump(node)
 
-    def _see_to_voters(self, node: Node, record: Record, now: int) -> None:
+    def _see_to_voters(self, node: Node, record: RaftNode, now: int) -> None:
         up = {each.record.me: each for each in self.nodes if each.record is not None}
         gone = {
             name
@@ -340,8 +341,8 @@
         if wish is not None:
             self.counts["voter changes"] += record.change_voters(wish, now)
 
-    def _read(self, node: Node, record: Record, now: int) -> None:
-        epoch = record.memory.epoch
+    def _read(self, node: Node, record: RaftNode, now: int) -> None:
+        epoch = record.persistent.epoch
         finished, ticket = self.finished[epoch], record.read(now)
         if ticket is None:
             return
@@ -355,7 +356,7 @@
                     lease = node.leases.state.leases.get(name)
                     call = Call(start, self.now, "read", lease.token if lease else 0)
                     self.history[name].append(call)
-            if ok and epoch == record.memory.epoch and record.commit < finished:
+            if ok and epoch == record.persistent.epoch and record.commit < finished:
                 raise BrokenRuleError(f"stale read: {record.me} shows {record.commit} of {finished}")
 
         node.tickets[ticket] = ended
@@ -427,14 +428,16 @@
     def _maybe_found(self, up: list[Node]) -> None:
         """An operator's word, where it is true: most of the voters' memory is lost for good."""
         known = [
-            each for each in up if each.record and each.record.memory.epoch == self.epoch and not each.paused
+            each
+            for each in up
+            if each.record and each.record.persistent.epoch == self.epoch and not each.paused
         ]
         voters = max((each.record.voters for each in known if each.record), key=len, default=())
         alive = {each.record.me for each in up if each.record}
         back = {
             name
             for name in voters
-            if (disk := self.nodes[self._number(name)].disk) and memory_file.read(disk)[0].identity == name
+            if (disk := self.nodes[self._number(name)].disk) and state_codec.read(disk)[0].identity == name
         }
         if (
             2 * len((alive | back) & set(voters)) <= len(voters)
@@ -462,7 +465,7 @@
             record = node.record
             if record is None:
                 continue
-            memory = record.memory
+            memory = record.persistent
             if record.leads:
                 before = self.leaders.setdefault((memory.epoch, memory.term), record.me)
                 if before != record.me:
@@ -477,8 +480,8 @@
                             f"overlap: {other} and {holder.holder, holder.token} may act on {holder.name}"
                         )
 
-    def _check_applied(self, node: Node, record: Record) -> None:
-        memory = record.memory
+    def _check_applied(self, node: Node, record: RaftNode) -> None:
+        memory = record.persistent
         first = max(node.checked[1] if node.checked[0] == memory.epoch else 0, memory.base)
         for index in range(first + 1, record.commit + 1):
             entry = memory.entries[index - memory.base - 1]
--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -27,7 +27,7 @@
 from hazelbend.names.settings import SrvSettings, read_settings
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import Endpoint, EndpointList
-from hazelbend.transport.name_source import NameSource
+from hazelbend.transport.dns.name_source import NameSource
 
 LIFETIME = 30
 SOA = "@ 5 IN SOA ns host 1 3600 600 86400 5\n@ 300 IN NS ns\nns 300 IN A 127.0.0.1\n"
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -149,7 +149,7 @@
 
 @then("there is one leader")
 def then_one_leader(context):
-    assert sum(each.engine.record.leads for each in context.fleet.alive) == 1
+    assert sum(each.engine.raft.leads for each in context.fleet.alive) == 1
 
 
 # --- workers ---
--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -16,12 +16,12 @@
 import aiohttp
 import msgspec
 
-from hazelbend.fleet.holder import Holder, Stage
-from hazelbend.fleet.leases import Answer, ForceRelease, Operation
-from hazelbend.fleet.members import address_of
-from hazelbend.fleet.settings import FleetSettings
+from hazelbend.consensus.identity import address_of
+from hazelbend.leases.client import Holder, Stage
+from hazelbend.leases.lease_table import Answer, ForceRelease, Operation
+from hazelbend.leases.settings import FleetSettings
 from hazelbend.program.config import ConfigError, fleet_settings
-from hazelbend.transport.fleet_peers import UNANSWERED, Asking, Peers
+from hazelbend.transport.peer.fleet_peers import UNANSWERED, Asking, Peers
 
 OK, NOTHING, UNUSABLE, UNREACHABLE = 0, 1, 2, 3
 NOT_HELD, LOST = 75, 76  # of `lease run`: EX_TEMPFAIL and the next, which few commands use
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -28,7 +28,7 @@
 from hazelbend.names.settings import Nameserver
 from hazelbend.program.config import DEPLOY_VARIABLE
 from hazelbend.program.parts import table
-from hazelbend.transport.dns_client import DnsClient
+from hazelbend.transport.dns.dns_client import DnsClient
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/hazelbend/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Raft: replicated log, elections, persistent state. Engines without I/O."""
--- a/hazelbend/fleet/memory.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -9,7 +9,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from hazelbend.fleet.messages import Entry
+from hazelbend.consensus.messages import Entry
 
 EPOCH_BITS = 8  # of an epoch below the time at which it was started
 EPOCH_S = 16  # seconds that such a time is counted in, so that tokens have room for their count
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Memory:
+class PersistentState:
     """All that a voter must not forget. `entries[0]` is the one after `base`."""
 
     identity: str
--- a/hazelbend/fleet/record.py
+++ b/hazelbend/consensus/raft.py
@@ -42,9 +42,7 @@
 
 import msgspec
 
-from hazelbend.fleet.log import Machine
-from hazelbend.fleet.memory import Memory, founded_by_operator
-from hazelbend.fleet.messages import (
+from hazelbend.consensus.messages import (
     AppendEntries,
     AppendResponse,
     Entry,
@@ -58,10 +56,12 @@
     VoteResponse,
     decode_transfer,
 )
-from hazelbend.fleet.replication import Assembly
-from hazelbend.fleet.replicator import Replicator, Role, Timing
+from hazelbend.consensus.persistent_state import PersistentState, founded_by_operator
+from hazelbend.consensus.replicated_log import StateMachine
+from hazelbend.consensus.replication import Assembly
+from hazelbend.consensus.replicator import Replicator, Role, Timing
 
-__all__ = ["Done", "Read", "Record", "Role", "Timing"]
+__all__ = ["Done", "Read", "RaftNode", "Role", "Timing"]
 
 
 @dataclass(slots=True)
@@ -82,10 +82,12 @@
     result: object = None
 
 
-class Record(Replicator):
+class RaftNode(Replicator):
     """The log of one member, and its part in elections and replication: see the head of the file."""
 
-    def __init__(self, memory: Memory, machine: Machine, timing: Timing, seed: int, now: int) -> None:
+    def __init__(
+        self, memory: PersistentState, machine: StateMachine, timing: Timing, seed: int, now: int
+    ) -> None:
         super().__init__(memory, machine, timing, seed)
         self.random = random.Random(seed)
         self.leader = ""
@@ -117,16 +119,16 @@
     def found(self, epoch: int, now: int) -> None:
         """Start an epoch with this one voter. ValueError unless it is higher than what is known here. No
         number may ever be used twice: see `epoch_number`."""
-        if epoch <= self.memory.epoch:
-            raise ValueError(f"epoch {epoch} is not higher than {self.memory.epoch}")
+        if epoch <= self.persistent.epoch:
+            raise ValueError(f"epoch {epoch} is not higher than {self.persistent.epoch}")
         self._begin_epoch(epoch, now)
-        self.memory.term, self.memory.vote = 1, self.me
+        self.persistent.term, self.persistent.vote = 1, self.me
         self.append(Entry(1, (self.me,)))
         self._become_leader(now)
 
     def restore_commit(self, index: int, now: int) -> None:
         """After a start: all up to this index of the recalled memory was known to be committed."""
-        self._commit(min(index, self.memory.last), now)
+        self._commit(min(index, self.persistent.last), now)
 
     def campaign_at(self, at: int) -> None:
         """Stand for election at this time, where no leader is heard before. Others that hear one refuse."""
@@ -140,8 +142,8 @@
         if self.pending_bytes and self.pending_bytes + len(op) > self.timing.pending_bytes:
             return None
         self.last_ticket += 1
-        self.tickets[self.memory.last + 1] = self.last_ticket
-        self._append_and_send(Entry(self.memory.term, None, op), now)
+        self.tickets[self.persistent.last + 1] = self.last_ticket
+        self._append_and_send(Entry(self.persistent.term, None, op), now)
         return self.last_ticket
 
     def read(self, now: int) -> int | None:
@@ -160,7 +162,7 @@
         now (see the head of the file); a new one must have caught up, and a majority of the list in force
         must have confirmed the leader within the last two heartbeats."""
         more, less = set(voters) - set(self.voters), set(self.voters) - set(voters)
-        pending = self.memory.voters_at(self.commit) != self.voters
+        pending = self.persistent.voters_at(self.commit) != self.voters
         one_step = len(more) + len(less) == 1 or (len(more) == len(less) == 1 and less <= erased)
         if not self.settled or self.handing_to or pending or not one_step or not voters:
             return False
@@ -169,7 +171,7 @@
             return False
         if more and not self._caught_up(next(iter(more))):
             return False
-        self._append_and_send(Entry(self.memory.term, tuple(sorted(voters))), now)
+        self._append_and_send(Entry(self.persistent.term, tuple(sorted(voters))), now)
         return True
 
     def set_learners(self, learners: set[str], now: int) -> None:
@@ -194,7 +196,7 @@
             if self.handing_to and now >= self.handing_until:
                 self.handing_to = ""
             if not self._heard_by_majority(now):
-                self._become_follower(self.memory.term, "", now)  # check-quorum: somebody else may lead
+                self._become_follower(self.persistent.term, "", now)  # check-quorum: somebody else may lead
             elif now >= self.heartbeat_due:
                 self._begin_round(now)
                 self._broadcast(now)
@@ -204,12 +206,12 @@
 
     def receive(self, message: Message, now: int) -> None:
         """Of whatever age, as often as it comes, in whatever order."""
-        if message.epoch != self.memory.epoch:
-            if message.epoch < self.memory.epoch:  # the sender is told of the epoch by any answer
+        if message.epoch != self.persistent.epoch:
+            if message.epoch < self.persistent.epoch:  # the sender is told of the epoch by any answer
                 if not isinstance(message.body, (VoteResponse, AppendResponse, PieceResponse)):
                     self._send_to(message.sender, VoteResponse(granted=False, pre=True))
                 return
-            if not founded_by_operator(message.epoch) and self.memory.has_operations:
+            if not founded_by_operator(message.epoch) and self.persistent.has_operations:
                 self.foreign_epoch = message.epoch
                 return  # two fleets were founded; which one goes on is an operator's word
             self._begin_epoch(message.epoch, now)
@@ -217,7 +219,7 @@
         if isinstance(body, VoteRequest):
             self._vote_requested(message, body, now)
             return
-        if term > self.memory.term and not (isinstance(body, VoteResponse) and body.pre and body.granted):
+        if term > self.persistent.term and not (isinstance(body, VoteResponse) and body.pre and body.granted):
             self._become_follower(term, "", now)
         if isinstance(body, VoteResponse):
             self._vote_answered(message, body, now)
@@ -225,7 +227,7 @@
             self._append_answered(message, body, now)
         elif isinstance(body, PieceResponse):
             self._piece_answered(message, body, now)
-        elif term < self.memory.term:
+        elif term < self.persistent.term:
             self._send_to(message.sender, AppendResponse(ok=False, index=0, round=0))
         elif isinstance(body, AppendEntries):
             self._send_to(message.sender, self._append_entries(message, body, now))
@@ -243,8 +245,8 @@
 
     def _become_follower(self, term: int, leader: str, now: int) -> None:
         was_leading = self.leads
-        if term > self.memory.term:
-            self.memory.term, self.memory.vote = term, ""
+        if term > self.persistent.term:
+            self.persistent.term, self.persistent.vote = term, ""
             self.promise_changed = True
         self.role, self.leader, self.handing_to = Role.FOLLOWER, leader, ""
         self.votes, self.peers = set(), {}
@@ -260,7 +262,7 @@
         self._reset_election_timer(now)
         if not self.is_voter:
             return
-        memory = self.memory
+        memory = self.persistent
         self.role, self.leader, self.votes = (Role.PRE_CANDIDATE if pre else Role.CANDIDATE), "", {self.me}
         if not pre:
             memory.term, memory.vote = memory.term + 1, self.me
@@ -274,7 +276,7 @@
         self._count_votes(now)
 
     def _vote_requested(self, message: Message, ask: VoteRequest, now: int) -> None:
-        memory, term = self.memory, message.term
+        memory, term = self.persistent, message.term
         led = self.leads or now < self.heard_at + self.timing.election
         if led and not ask.handed and term > memory.term:
             return  # its leader is well; who was cut off, or is no voter any more, does not disturb it
@@ -296,7 +298,7 @@
 
     def _vote_answered(self, message: Message, vote: VoteResponse, now: int) -> None:
         wanted = Role.PRE_CANDIDATE if vote.pre else Role.CANDIDATE
-        term = self.memory.term + 1 if vote.pre else self.memory.term
+        term = self.persistent.term + 1 if vote.pre else self.persistent.term
         if vote.granted and self.role is wanted and message.term == term:
             self.votes.add(message.sender)
             self._count_votes(now)
@@ -307,7 +309,7 @@
         if self.role is Role.PRE_CANDIDATE:
             self._campaign(now, pre=False)
         elif self.role is Role.CANDIDATE:
-            self.append(Entry(self.memory.term))
+            self.append(Entry(self.persistent.term))
             self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
@@ -335,7 +337,7 @@
 
     def _begin_epoch(self, epoch: int, now: int) -> None:
         """Begin another epoch, with nothing."""
-        self._become_follower(self.memory.term, "", now)
+        self._become_follower(self.persistent.term, "", now)
         self.clear(epoch)
         self.promise_changed = True
         self.confirmed_at, self._to_confirm, self.foreign_epoch = None, None, 0
@@ -364,7 +366,7 @@
 
     def _piece_answered(self, message: Message, taken: PieceResponse, now: int) -> None:
         peer = self.peers.get(message.sender)
-        if not self.leads or peer is None or message.term != self.memory.term:
+        if not self.leads or peer is None or message.term != self.persistent.term:
             return
         peer.heard_at, peer.round = now, max(peer.round, taken.round)
         transfer = peer.transfer
@@ -398,7 +400,7 @@
 
     def _append_answered(self, message: Message, taken: AppendResponse, now: int) -> None:
         peer = self.peers.get(message.sender)
-        if not self.leads or peer is None or message.term != self.memory.term:
+        if not self.leads or peer is None or message.term != self.persistent.term:
             return
         peer.heard_at, peer.round = now, max(peer.round, taken.round)
         if taken.stamp is not None and peer.asked is None:
@@ -407,21 +409,21 @@
             peer.match = max(peer.match, taken.index) if taken.ok else peer.match
             self._advance(now)
         elif not taken.ok:
-            peer.next = max(min(taken.index, self.memory.last) + 1, peer.match + 1)
+            peer.next = max(min(taken.index, self.persistent.last) + 1, peer.match + 1)
             if taken.index >= peer.match:  # else it is an old answer, or one that has forgotten: no hurry
                 self._send(message.sender, now)
         else:
             peer.match = max(peer.match, taken.index)
             peer.next = max(peer.next, peer.match + 1)  # what is lost shows at the next sign of life
             self._advance(now)
-            if peer.next <= self.memory.last and message.sender in self.peers:
+            if peer.next <= self.persistent.last and message.sender in self.peers:
                 self._send(message.sender, now)
         self._finish_hand_over()
 
     def _advance(self, now: int) -> None:
         """Commit what a majority has, of the own term; answer what may be read."""
         index = self._majority_holds()
-        if index > self.commit and self.memory.term_at(index) == self.memory.term:
+        if index > self.commit and self.persistent.term_at(index) == self.persistent.term:
             self._commit(index, now)
             if self.leads:
                 self._broadcast(now)
@@ -439,11 +441,11 @@
             if ticket := self.tickets.pop(applied.index, 0):
                 self.done.append(Done(ticket, True, applied.result))
         self.watcher(now)
-        if self.leads and not self.is_voter and self.memory.voters_at(self.commit) == self.voters:
-            self._become_follower(self.memory.term, "", now)
+        if self.leads and not self.is_voter and self.persistent.voters_at(self.commit) == self.voters:
+            self._become_follower(self.persistent.term, "", now)
         self.compact(self.timing.kept, self.timing.kept_bytes)
 
     def _finish_hand_over(self) -> None:
         peer = self.peers.get(self.handing_to) if self.leads else None
-        if peer is not None and peer.match == self.memory.last:
+        if peer is not None and peer.match == self.persistent.last:
             self._send_to(self.handing_to, TimeoutNow())
--- a/hazelbend/fleet/log.py
+++ b/hazelbend/consensus/replicated_log.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import AppendEntries, Entry, InstallSnapshot
-from hazelbend.fleet.replication import size_of
+from hazelbend.consensus.messages import AppendEntries, Entry, InstallSnapshot
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.replication import size_of
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the entries change: the same after the same entries, whatever the time and the process."""
 
     def begin(self, epoch: int) -> None:
@@ -41,8 +41,8 @@
 class ReplicatedLog:
     """See the head of the file."""
 
-    def __init__(self, memory: Memory, machine: Machine) -> None:
-        self.memory, self.machine = memory, machine
+    def __init__(self, memory: PersistentState, machine: StateMachine) -> None:
+        self.persistent, self.machine = memory, machine
         self.commit = memory.base  # all up to it is applied
         self.voters = memory.voters_at(memory.last)  # the list in force, committed or not
         self.unsaved: int | None = None  # entries from this index on, and what is under them, are to be saved
@@ -53,18 +53,18 @@
     @property
     def pending_bytes(self) -> int:
         """Bytes of entries that are not known to be committed."""
-        return size_of(self.memory.entries[self.commit - self.memory.base :])
+        return size_of(self.persistent.entries[self.commit - self.persistent.base :])
 
     def append(self, entry: Entry) -> None:
         """One more at the end."""
-        self._mark_unsaved(self.memory.last + 1)
-        self.memory.entries.append(entry)
+        self._mark_unsaved(self.persistent.last + 1)
+        self.persistent.entries.append(entry)
         if entry.voters is not None:
             self.voters = entry.voters
 
     def merge(self, append: AppendEntries) -> None:
         """Take a leader's entries; those that differ give way. The one before them must be the same here."""
-        memory = self.memory
+        memory = self.persistent
         for index, entry in enumerate(append.entries, append.before + 1):
             if index <= memory.base or memory.term_at(index) == entry.term:
                 continue
@@ -77,7 +77,7 @@
     def conflict_hint(self, append: AppendEntries) -> int | None:
         """None where the entry before these is the same here; else up to which index it may be. It need not
         be tried one by one: all of a term that differs is passed over."""
-        memory = self.memory
+        memory = self.persistent
         before = memory.term_at(append.before) if append.before >= memory.base else append.before_term
         if before == append.before_term:
             return None
@@ -91,13 +91,13 @@
         first, self.commit = self.commit + 1, max(self.commit, index)
         applied = []
         for at in range(first, self.commit + 1):
-            entry = self.memory.entries[at - self.memory.base - 1]
+            entry = self.persistent.entries[at - self.persistent.base - 1]
             applied.append(Applied(at, self.machine.apply(at, entry.op) if entry.op else None))
         return applied
 
     def compact(self, most_entries: int, most_bytes: int) -> None:
         """Let a snapshot take the place of what is applied, once that is more than so much."""
-        memory, base = self.memory, self.commit
+        memory, base = self.persistent, self.commit
         applied = memory.entries[: base - memory.base]
         if len(applied) < most_entries and size_of(applied) <= most_bytes:
             return
@@ -111,7 +111,7 @@
 
     def install(self, snapshot: InstallSnapshot) -> bool:
         """Replace what is applied by a snapshot of later state. False: it is not later."""
-        memory = self.memory
+        memory = self.persistent
         if snapshot.base <= self.commit:
             return False
         keeps = memory.term_at(snapshot.base) == snapshot.base_term
@@ -126,7 +126,7 @@
 
     def clear(self, epoch: int) -> None:
         """Begin another epoch, with nothing."""
-        self.memory = Memory(self.memory.identity, epoch)
+        self.persistent = PersistentState(self.persistent.identity, epoch)
         self.commit, self.voters = 0, ()
         self._mark_unsaved(1)
         self.machine.begin(epoch)
--- a/hazelbend/fleet/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from hazelbend.fleet.messages import (
+from hazelbend.consensus.messages import (
     AppendEntries,
     AppendResponse,
     Entry,
--- a/hazelbend/fleet/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from hazelbend.fleet.log import Machine, ReplicatedLog
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import (
+from hazelbend.consensus.messages import (
     AppendEntries,
     AppendResponse,
     Body,
     InstallSnapshot,
     Message,
 )
-from hazelbend.fleet.replication import (
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.replicated_log import ReplicatedLog, StateMachine
+from hazelbend.consensus.replication import (
     BATCH_BYTES,
     Assembly,
     Progress,
@@ -62,7 +62,7 @@
 class Replicator(ReplicatedLog):
     """See the head of the file. Who leads, and in which term, is for the subclass."""
 
-    def __init__(self, memory: Memory, machine: Machine, timing: Timing, seed: int) -> None:
+    def __init__(self, memory: PersistentState, machine: StateMachine, timing: Timing, seed: int) -> None:
         super().__init__(memory, machine)
         self.timing = timing
         self.role = Role.FOLLOWER
@@ -80,7 +80,7 @@
 
     @property
     def me(self) -> str:
-        return self.memory.identity
+        return self.persistent.identity
 
     @property
     def leads(self) -> bool:
@@ -90,7 +90,7 @@
     def settled(self) -> bool:
         """Whether it leads and has committed in its own term: what it has applied is all that was
         committed."""
-        return self.leads and self.memory.term_at(self.commit) == self.memory.term
+        return self.leads and self.persistent.term_at(self.commit) == self.persistent.term
 
     def confirmed_age(self, now: int) -> int | None:
         """Microseconds since a time at which all that was committed anywhere was committed here too, as a
@@ -105,7 +105,7 @@
         for gone in set(self.peers) - names:
             del self.peers[gone]
         for name in sorted(names - set(self.peers)):
-            self.peers[name] = Progress(self.memory.last + 1, heard_at=now)
+            self.peers[name] = Progress(self.persistent.last + 1, heard_at=now)
 
     def _caught_up(self, name: str) -> bool:
         peer = self.peers.get(name)
@@ -119,7 +119,7 @@
             self._send(name, now)
 
     def _send(self, name: str, now: int) -> None:
-        memory, peer = self.memory, self.peers[name]
+        memory, peer = self.persistent, self.peers[name]
         if peer.transfer is not None:
             self._send_to(name, self._heartbeat(peer, 0, 0))  # entries go on once the transfer is over
             if now - peer.transfer.sent_at >= PIECE_PATIENCE * self.timing.heartbeat:
@@ -156,7 +156,7 @@
         self._send_to(name, transfer.piece(self.round))
 
     def _send_to(self, to: str, body: Body, term: int | None = None) -> None:
-        memory = self.memory
+        memory = self.persistent
         self.out.append(Message(self.me, to, memory.epoch, memory.term if term is None else term, body))
 
     # --- what was answered ---
@@ -176,7 +176,7 @@
 
     def _majority_holds(self) -> int:
         """All up to this index."""
-        match = {name: peer.match for name, peer in self.peers.items()} | {self.me: self.memory.last}
+        match = {name: peer.match for name, peer in self.peers.items()} | {self.me: self.persistent.last}
         held = sorted((match.get(name, 0) for name in self.voters), reverse=True)
         return held[len(held) // 2]
 
--- a/hazelbend/fleet/memory_file.py
+++ b/hazelbend/consensus/state_codec.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import Entry
-from hazelbend.fleet.record import Record
+from hazelbend.consensus.messages import Entry
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import RaftNode
 
 MAGIC = b"hazelbend-fleet 1\n"
 NUMBER = 4  # bytes of a number in a head
@@ -68,24 +68,24 @@
     return value.to_bytes(NUMBER, "little")
 
 
-def whole(memory: Memory) -> bytes:
+def whole(memory: PersistentState) -> bytes:
     """A new file's content."""
     return MAGIC + b"".join(map(frame, whole_parts(memory)))
 
 
-def whole_parts(memory: Memory) -> list[Promise | Entries | Base]:
+def whole_parts(memory: PersistentState) -> list[Promise | Entries | Base]:
     """All of a memory, to be taken in this order."""
     return [_promise(memory), _base(memory), _entries(memory, memory.base + 1)]
 
 
-def changed(record: Record) -> bytes:
+def changed(record: RaftNode) -> bytes:
     """The frames to be added for what has changed since the last call."""
     return b"".join(map(frame, changed_parts(record)))
 
 
-def changed_parts(record: Record) -> list[Promise | Entries | Base]:
+def changed_parts(record: RaftNode) -> list[Promise | Entries | Base]:
     """What has changed since the last call, to be taken in this order; the record's marks are taken off."""
-    memory, first = record.memory, record.unsaved
+    memory, first = record.persistent, record.unsaved
     parts: list[Promise | Entries | Base] = []
     if record.promise_changed:
         parts.append(_promise(memory))
@@ -97,23 +97,23 @@
     return parts
 
 
-def _promise(memory: Memory) -> Promise:
+def _promise(memory: PersistentState) -> Promise:
     return Promise(memory.identity, memory.epoch, memory.term, memory.vote)
 
 
-def _base(memory: Memory) -> Base:
+def _base(memory: PersistentState) -> Base:
     return Base(memory.base, memory.base_term, memory.base_voters, memory.base_state)
 
 
-def _entries(memory: Memory, first: int) -> Entries:
+def _entries(memory: PersistentState, first: int) -> Entries:
     return Entries(first, tuple(memory.entries[first - memory.base - 1 :]))
 
 
-def read(content: bytes) -> tuple[Memory, int]:
+def read(content: bytes) -> tuple[PersistentState, int]:
     """The memory, and how many bytes of the content are good. DamagedError if it is of no use."""
     if not content.startswith(MAGIC):
         raise DamagedError("not a fleet's memory, or of another version")
-    memory, at = Memory(""), len(MAGIC)
+    memory, at = PersistentState(""), len(MAGIC)
     while at + HEAD <= len(content):
         numbers = [content[at + n : at + n + NUMBER] for n in range(0, HEAD, NUMBER)]
         length, check, head_check = (int.from_bytes(each, "little") for each in numbers)
@@ -133,7 +133,7 @@
     return memory, at
 
 
-def take(memory: Memory, body: Promise | Entries | Base) -> None:
+def take(memory: PersistentState, body: Promise | Entries | Base) -> None:
     """Let a stored part take effect. DamagedError if it cannot stand here."""
     if isinstance(body, Promise):
         if body.epoch != memory.epoch:  # another epoch begins with nothing
--- a/hazelbend/fleet/voters.py
+++ b/hazelbend/consensus/voters.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from hazelbend.fleet.members import address_of
+from hazelbend.consensus.identity import address_of
 
 
 def next_voters(
--- a/hazelbend/control/config_machine.py
+++ b/hazelbend/control/config_machine.py
@@ -79,7 +79,7 @@
 
 
 class ConfigMachine:
-    """Implements `fleet.record.Machine`.
+    """Implements `consensus.replicated_log.StateMachine`.
 
     Of the newest `KEPT_DIGESTS` accepted changes it knows the digest and the version that each builds on.
     Each builds on the one before, so a change that builds on `floor` or a later version, and is not among
--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -10,6 +10,11 @@
 import random
 from collections.abc import Callable
 
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.messages import Message
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.voters import next_voters
 from hazelbend.control import messages as m
 from hazelbend.control.announcements import Announcements
 from hazelbend.control.config_machine import ChangeResult, ConfigMachine, change_entry, refound_entry
@@ -24,11 +29,6 @@
     WorkerRegistry,
     WorkerState,
 )
-from hazelbend.fleet.members import address_of
-from hazelbend.fleet.memory import Memory, epoch_number
-from hazelbend.fleet.messages import Message
-from hazelbend.fleet.record import Record, Timing
-from hazelbend.fleet.voters import next_voters
 
 GREETING_PERIOD = 250_000  # microseconds between two greetings to a control process
 AGES_PERIOD = 500_000  # between two messages on when workers were heard
@@ -52,16 +52,16 @@
         seed: int,
         now: int,
         unix_seconds: Callable[[], float],
-        memory: Memory | None = None,
+        memory: PersistentState | None = None,
     ) -> None:
         self.plan, self._unix_seconds = plan, unix_seconds
         self.machine = ConfigMachine()
-        self.record = Record(memory or Memory(identity), self.machine, TIMING, seed, now)
+        self.raft = RaftNode(memory or PersistentState(identity), self.machine, TIMING, seed, now)
         if memory is not None:
-            self.record.campaign_at(now + random.Random(seed).randint(*FIRST_ELECTION))
+            self.raft.campaign_at(now + random.Random(seed).randint(*FIRST_ELECTION))
         self.registry = WorkerRegistry(plan.heartbeat)
-        self.peers = PeerTable(self.record.me, plan.address, plan.seeds, self.record.life, now)
-        self.announcements = Announcements(self.record.life, plan.tolerance)
+        self.peers = PeerTable(self.raft.me, plan.address, plan.seeds, self.raft.life, now)
+        self.announcements = Announcements(self.raft.life, plan.tolerance)
         self.own_routers: set[str] = set()  # those that watch this process
         self.most_routers = 1  # that have watched the fleet at a time: they share what may be spent
         self.planner = PhasePlanner()
@@ -77,12 +77,12 @@
     @property
     def me(self) -> str:
         """This process's identity: that of its memory."""
-        return self.record.me
+        return self.raft.me
 
     @property
     def due(self) -> int:
         """When `tick` has something to do."""
-        times = [self.record.due, self._greet_at, self._ages_at, self._voters_at]
+        times = [self.raft.due, self._greet_at, self._ages_at, self._voters_at]
         if (announcement := self.announcements.due) is not None:
             times.append(announcement)
         return min(times)
@@ -90,25 +90,25 @@
     @property
     def has_stable_output(self) -> bool:
         """Whether something is to be stored, or sent after that."""
-        record = self.record
+        record = self.raft
         return bool(record.promise_changed or record.unsaved is not None or record.out or record.done)
 
     @property
     def leader(self) -> str:
         """The identity of the leader, as far as it is known; an observer knows what voters have told."""
-        return self.record.leader if self.plan.counted else self.peers.told_leader()
+        return self.raft.leader if self.plan.counted else self.peers.told_leader()
 
     @property
     def fencing_token(self) -> int:
         """Of orders to workers: rises with each term, and with each epoch beyond all terms of the one before
         (`refound` sees to that)."""
-        memory = self.record.memory
+        memory = self.raft.persistent
         return (memory.epoch << TERM_BITS) + memory.term
 
     @property
     def acknowledges(self) -> bool:
         """Whether a majority of the voters is more copies than may be lost."""
-        return len(self.record.voters) // 2 + 1 > self.plan.tolerance
+        return len(self.raft.voters) // 2 + 1 > self.plan.tolerance
 
     def fleet_news(self, now: int) -> m.FleetNews:
         """What routers are told now and then."""
@@ -143,8 +143,8 @@
         lease, so that no order of an earlier leader falls within a lease of its own. Ask regularly. A
         majority must confirm each order besides, and the token must still be the same after that: a process
         that has stepped down meanwhile knows the next leader's term."""
-        if not self.record.settled or self.record.memory.term != self._led_term:
-            self._led_term = self.record.memory.term if self.record.settled else 0
+        if not self.raft.settled or self.raft.persistent.term != self._led_term:
+            self._led_term = self.raft.persistent.term if self.raft.settled else 0
             self._led_since = now
         waited = now - self._led_since >= self.plan.lease + LEASE_MARGIN
         return self.fencing_token if self._led_term and waited else None
@@ -157,11 +157,11 @@
 
     def take_stable(self) -> StableOutput:
         """What is to be sent once the record's changes are stored."""
-        output = StableOutput(config=self.machine.current, confirmed_at=self.record.confirmed_at)
+        output = StableOutput(config=self.machine.current, confirmed_at=self.raft.confirmed_at)
         by_address: dict[str, list[Message]] = {}
-        for message in self.record.out:
+        for message in self.raft.out:
             by_address.setdefault(address_of(message.to), []).append(message)
-        self.record.out.clear()
+        self.raft.out.clear()
         output.out = [(address, m.Agreement(tuple(each))) for address, each in by_address.items()]
         output.answers = self._take_answers()
         return output
@@ -180,7 +180,7 @@
         holds more than it may that no majority has taken."""
         if not self.acknowledges:
             return None
-        ticket = self.record.propose(change_entry(base, version, body), now)
+        ticket = self.raft.propose(change_entry(base, version, body), now)
         if ticket is None:
             return None
         self._puts[ticket] = self._next_number()
@@ -188,7 +188,7 @@
 
     def read(self, now: int) -> int | None:
         """Ask for the newest committed configuration; None: this process does not lead."""
-        ticket = self.record.read(now)
+        ticket = self.raft.read(now)
         if ticket is None:
             return None
         self._reads[ticket] = self._next_number()
@@ -215,7 +215,7 @@
         return number
 
     def _holds(self, news: m.WorkerNews) -> m.WorkerNewsTaken:
-        return m.WorkerNewsTaken(news.number, news.life, self.me, self.record.voters)
+        return m.WorkerNewsTaken(news.number, news.life, self.me, self.raft.voters)
 
     def send_all_workers(self, address: str, now: int) -> None:
         """What was sent to this control process before may be lost: it is sent all workers."""
@@ -234,8 +234,8 @@
     def tick(self, now: int) -> None:
         """Do what is due."""
         self._found_if_first(now)
-        if now >= self.record.due:
-            self.record.tick(now)
+        if now >= self.raft.due:
+            self.raft.tick(now)
         if now >= self._greet_at:
             self._greet(now)
         if now >= self._ages_at:
@@ -258,7 +258,7 @@
             case m.Agreement(messages=messages):
                 for message in messages:
                     if message.to == self.me:
-                        self.record.receive(message, now)
+                        self.raft.receive(message, now)
             case m.WorkerNews():
                 self._worker_news(sender, body, now)
             case m.WorkerNewsTaken():
@@ -272,13 +272,13 @@
         """An operator's word that a majority is lost for good: a new record, founded here, that begins with
         what this process holds. Its epoch. ValueError: a leader is known, so nothing is lost.
         """
-        if self.record.leader:
-            raise ValueError(f"{self.record.leader} leads: no majority is lost")
-        state, memory = self.machine.snapshot(), self.record.memory
+        if self.raft.leader:
+            raise ValueError(f"{self.raft.leader} leads: no majority is lost")
+        state, memory = self.machine.snapshot(), self.raft.persistent
         highest = memory.epoch + (memory.term >> TERM_BITS) + 1  # what its fencing tokens have reached
         epoch = epoch_number(highest, self._unix_seconds(), self.me)
-        self.record.found(epoch, now)
-        self.record.propose(refound_entry(state), now)
+        self.raft.found(epoch, now)
+        self.raft.propose(refound_entry(state), now)
         return epoch
 
     def seeds_changed(self, addresses: tuple[str, ...], now: int) -> None:
@@ -291,8 +291,8 @@
         self.peers.leaving = True
         self._greet(now)
         alive = {peer.identity for peer in self.peers.alive(now).values() if not peer.leaving}
-        others = [each for each in self.record.voters if each in alive]
-        return bool(others) and self.record.hand_over(others[0], now)
+        others = [each for each in self.raft.voters if each in alive]
+        return bool(others) and self.raft.hand_over(others[0], now)
 
     # --- parts ---
 
@@ -302,14 +302,14 @@
 
     def _found_if_first(self, now: int) -> None:
         plan = self.plan
-        if self.record.memory.epoch or not plan.may_found or not plan.counted:
+        if self.raft.persistent.epoch or not plan.may_found or not plan.counted:
             return
         if self.peers.may_found(now):
-            self.record.found(epoch_number(0, self._unix_seconds(), self.me, by_operator=False), now)
+            self.raft.found(epoch_number(0, self._unix_seconds(), self.me, by_operator=False), now)
 
     def _greet(self, now: int) -> None:
         self._greet_at = now + GREETING_PERIOD
-        leader = self.record.leader if self.plan.counted else ""
+        leader = self.raft.leader if self.plan.counted else ""
         self._volatile.out += self.peers.greetings(self.plan.counted, leader, now)
 
     def _greeted(self, sender: str, hello: m.Hello, now: int) -> None:
@@ -338,7 +338,7 @@
 
     def _look_at_voters(self, now: int) -> None:
         """The leader keeps as voters all that count and are alive."""
-        record = self.record
+        record = self.raft
         if not record.leads:
             return
         self.peers.note_voters(record.voters, now)
@@ -364,7 +364,7 @@
 
     def _take_answers(self) -> list[Answer]:
         answers: list[Answer] = []
-        done, self.record.done = self.record.done, []
+        done, self.raft.done = self.raft.done, []
         for each in done:
             if (number := self._puts.pop(each.ticket, None)) is not None:
                 result = each.result if each.ok and isinstance(each.result, ChangeResult) else None
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
+from hazelbend.consensus.messages import Message as RaftMessage
+from hazelbend.consensus.messages import Stamp
 from hazelbend.control.load_table import CachedPart, LoadNews, RouterLoad
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.fleet.messages import Message as RaftMessage
-from hazelbend.fleet.messages import Stamp
 
 CACHE_COMPRESSION = 1  # of zlib: the fastest
 
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.messages import Stamp
 from hazelbend.control.messages import Hello
-from hazelbend.fleet.members import address_of
-from hazelbend.fleet.messages import Stamp
 
 ALIVE = 1_000_000  # since it was heard, a control process counts as alive
 LOST = 2_500_000  # after so long without a word it may be replaced as a voter
--- /dev/null
+++ b/hazelbend/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Membership by gossip (SWIM). Engines without I/O."""
--- a/hazelbend/fleet/members.py
+++ b/hazelbend/gossip/swim.py
@@ -37,6 +37,8 @@
 
 import msgspec
 
+from hazelbend.consensus.identity import address_of
+
 
 class Status(IntEnum):
     ALIVE = 0
@@ -45,11 +47,6 @@
     LEFT = 3
 
 
-def address_of(identity: str) -> str:
-    """An identity ends with its address: `n1#5f3a@127.0.0.1:9100`."""
-    return identity.rpartition("@")[2]
-
-
 class News(msgspec.Struct, frozen=True, array_like=True):
     """`by`: who suspects, as several make it surer."""
 
--- a/hazelbend/fleet/holder.py
+++ b/hazelbend/leases/client.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hazelbend.fleet.leases import Acquire, Answer, LeaveQueue, Limits, Operation, Release, Renew
+from hazelbend.leases.lease_table import Acquire, Answer, LeaveQueue, Limits, Operation, Release, Renew
 
 RENEWED = 3  # times that a renewal is due within a lease's time
 TRIES = 4  # of a renewal in such a part
--- a/hazelbend/fleet/engine.py
+++ b/hazelbend/leases/engine.py
@@ -18,14 +18,15 @@
 
 import msgspec
 
-from hazelbend.fleet import members as mb
-from hazelbend.fleet import record as rc
-from hazelbend.fleet.holder import parked
-from hazelbend.fleet.leases import Acquire, Answer, Leases, Limits, Operation, Watch, encode
-from hazelbend.fleet.memory import Memory, epoch_number
-from hazelbend.fleet.messages import Message
-from hazelbend.fleet.record import Record
-from hazelbend.fleet.voters import next_voters
+from hazelbend.consensus import raft as rc
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.messages import Message
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode
+from hazelbend.consensus.voters import next_voters
+from hazelbend.gossip import swim as mb
+from hazelbend.leases.client import parked
+from hazelbend.leases.lease_table import Acquire, Answer, Leases, Limits, Operation, Watch, encode
 
 TEND = 500_000  # microseconds between looks at the voters
 
@@ -86,13 +87,15 @@
 
 
 class Fleet:
-    def __init__(self, identity: str, plan: Plan, seed: int, now: int, memory: Memory | None = None) -> None:
+    def __init__(
+        self, identity: str, plan: Plan, seed: int, now: int, memory: PersistentState | None = None
+    ) -> None:
         self.plan = plan
         self.leases, self.watch = Leases(plan.limits), Watch(plan.limits)
         self.members = mb.Members(identity, plan.fleet, plan.seeds, mb.Timing(), seed, now)
-        self.record = Record(memory or Memory(identity), self.leases, rc.Timing(), seed, now)
-        self.record.watcher = lambda at: self.watch.look(self.leases, at)
-        self.record.watcher(now)
+        self.raft = RaftNode(memory or PersistentState(identity), self.leases, rc.Timing(), seed, now)
+        self.raft.watcher = lambda at: self.watch.look(self.leases, at)
+        self.raft.watcher(now)
         self.out: list[tuple[str, mb.Packet | Message]] = []  # to an address
         self.answers: list[tuple[int, Reply]] = []
         self._tickets: dict[int, tuple[int, Operation]] = {}  # of the record's: the driver's number, the wish
@@ -107,7 +110,7 @@
     @property
     def has_to_say(self) -> bool:
         """Whether something is to be saved or sent."""
-        record = self.record
+        record = self.raft
         return bool(self.out or self.answers or record.promise_changed or record.unsaved is not None)
 
     def take(self) -> tuple[list[tuple[str, mb.Packet | Message]], list[tuple[int, Reply]]]:
@@ -118,8 +121,8 @@
 
     @property
     def due(self) -> int:
-        times = [self.members.due, self.record.due]
-        if self.record.leads:
+        times = [self.members.due, self.raft.due]
+        if self.raft.leads:
             times += [self._tend_at, self.watch.due(self.leases)]
         times += [until for _, _, until in self._parked.values()]
         return min(times)
@@ -127,8 +130,8 @@
     @property
     def leader(self) -> str:
         """Who leads, as the record says; to one that does not vote, as the members tell each other."""
-        record, (epoch, _, told) = self.record, self.members.head
-        if record.leader or record.is_voter or epoch < record.memory.epoch or told in self.members.lost():
+        record, (epoch, _, told) = self.raft, self.members.head
+        if record.leader or record.is_voter or epoch < record.persistent.epoch or told in self.members.lost():
             return record.leader
         return told
 
@@ -136,9 +139,9 @@
         self._now = now
         if now >= self.members.due:
             self.members.tick(now)
-        if now >= self.record.due:
-            self.record.tick(now)
-        if self.record.leads:
+        if now >= self.raft.due:
+            self.raft.tick(now)
+        if self.raft.leads:
             self._lead(now)
         for number, (_, answer, until) in list(self._parked.items()):
             if now >= until:
@@ -150,19 +153,19 @@
         if isinstance(item, mb.Packet):
             self.members.receive(item, now)
         elif item.to == self.me:  # an address that was another's: what was meant for it is not for us
-            self.record.receive(item, now)
+            self.raft.receive(item, now)
         self._collect()
 
     def ask(self, number: int, operation: Operation, now: int) -> None:
         """A reply with this number comes, at once or once the record has taken it."""
         self._now = now
-        if isinstance(operation, Acquire) and self.record.leads and not self._may_ask(now):
+        if isinstance(operation, Acquire) and self.raft.leads and not self._may_ask(now):
             # A flood of takers must not keep those that hold from renewing: these alone are held off.
             self.answers.append((number, Reply(Answer(why="busy"), self.me)))
             return
-        ticket = self.record.propose(encode(operation), now)
+        ticket = self.raft.propose(encode(operation), now)
         if ticket is None:
-            self.answers.append((number, Reply(leader="" if self.record.leads else self.leader)))
+            self.answers.append((number, Reply(leader="" if self.raft.leads else self.leader)))
         else:
             self._tickets[ticket] = (number, operation)
         self._collect()
@@ -178,8 +181,8 @@
 
     def found(self, unix_s: float, now: int) -> int:
         """An operator's word: a new epoch, with this one voter. Its number."""
-        epoch = epoch_number(self.record.memory.epoch, unix_s, self.me)
-        self.record.found(epoch, now)
+        epoch = epoch_number(self.raft.persistent.epoch, unix_s, self.me)
+        self.raft.found(epoch, now)
         self._collect()
         return epoch
 
@@ -192,27 +195,27 @@
         """Let another voter lead, if there is one that is well; call it again until it is False: then it does
         not lead, or nobody else can."""
         well = self.members.well()
-        others = [each for each in self.record.voters if each in well and each != self.me]
-        if not self.record.leads or not others:
+        others = [each for each in self.raft.voters if each in well and each != self.me]
+        if not self.raft.leads or not others:
             return False
-        self.record.hand_over(others[0], now)
+        self.raft.hand_over(others[0], now)
         self._collect()
         return True
 
     def view(self, now: int) -> View:
-        record, members = self.record, self.members
+        record, members = self.raft, self.members
         seen = {name: at for (name, _, _), at in self.watch.since.items()}
         return View(
             fleet=self.plan.fleet,
             me=self.me,
             role=record.role.value if record.is_voter else "member",
-            epoch=record.memory.epoch,
-            term=record.memory.term,
+            epoch=record.persistent.epoch,
+            term=record.persistent.term,
             leader=self.leader,
             fresh=record.settled,
             open=self.leases.state.open,
             commit=record.commit,
-            lag=record.memory.last - record.commit,
+            lag=record.persistent.last - record.commit,
             doubt=members.doubt,
             voters=record.voters,
             members=tuple(
@@ -237,8 +240,8 @@
         )
 
     def _lead(self, now: int) -> None:
-        record = self.record
-        for operation in self.watch.to_ask(self.leases, record.memory.term, now):
+        record = self.raft
+        for operation in self.watch.to_ask(self.leases, record.persistent.term, now):
             record.propose(encode(operation), now)
         if now >= self._tend_at:
             self._tend_at = now + TEND
@@ -250,17 +253,17 @@
                 record.change_voters(wish, now)
 
     def _collect(self) -> None:
-        record = self.record
+        record = self.raft
         if record.leader:
-            head = (record.memory.epoch, record.memory.term, record.leader)
+            head = (record.persistent.epoch, record.persistent.term, record.leader)
             self.members.head = max(self.members.head, head)
         for packet in self.members.out:
-            self.out.append((mb.address_of(packet.to) or packet.to, packet))
+            self.out.append((address_of(packet.to) or packet.to, packet))
         self.members.out.clear()
-        for message in self.record.out:
-            self.out.append((mb.address_of(message.to), message))
-        self.record.out.clear()
-        done, self.record.done = self.record.done, []
+        for message in self.raft.out:
+            self.out.append((address_of(message.to), message))
+        self.raft.out.clear()
+        done, self.raft.done = self.raft.done, []
         for each in done:
             number, operation = self._tickets.pop(each.ticket, (None, None))
             if number is None:
@@ -281,4 +284,4 @@
     def _unpark(self, number: int, answer: Answer | None) -> None:
         """Answer one that waits; what it is told of its place may be older than it is."""
         del self._parked[number]
-        self.answers.append((number, Reply(answer, self.record.leader)))
+        self.answers.append((number, Reply(answer, self.raft.leader)))
--- a/hazelbend/fleet/settings.py
+++ b/hazelbend/leases/settings.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Meta
 
-from hazelbend.fleet.engine import Plan
-from hazelbend.fleet.leases import Limits
+from hazelbend.leases.engine import Plan
+from hazelbend.leases.lease_table import Limits
 from hazelbend.schema import convert
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -25,14 +25,14 @@
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
-from hazelbend.transport.backend_client import ConnectionPool, PoolSettings
-from hazelbend.transport.client_listener import ClientListener
-from hazelbend.transport.discovery_watch import DiscoveryWatch
-from hazelbend.transport.handover import Handover
-from hazelbend.transport.http_listener import passed_listener
-from hazelbend.transport.ops_door import OpsDoor
-from hazelbend.transport.stomp_boxes import Boxes
-from hazelbend.transport.stomp_listener import StompListener
+from hazelbend.transport.http.admin_listener import OpsDoor
+from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
+from hazelbend.transport.http.client_listener import ClientListener
+from hazelbend.transport.http.discovery_watch import DiscoveryWatch
+from hazelbend.transport.http.http_listener import passed_listener
+from hazelbend.transport.peer.handover import Handover
+from hazelbend.transport.stomp.stomp_listener import StompListener
+from hazelbend.transport.stomp.stomp_workers import Boxes
 
 log = logging.getLogger("hazelbend")
 
@@ -85,7 +85,7 @@
             self.console = ConsoleServer(conf.console, self)
         self.agent: Agent | None = None
         if conf.snmp is not None:
-            from hazelbend.transport.snmp_agent import SnmpAgent
+            from hazelbend.transport.snmp.snmp_agent import SnmpAgent
 
             snmp = conf.snmp
             self.agent = SnmpAgent(snmp.host, snmp.port, snmp.community, snmp.notify, self.overview)
--- a/hazelbend/program/config.py
+++ b/hazelbend/program/config.py
@@ -25,12 +25,12 @@
 from hazelbend.protocol.http_fields import Catalogue, ClassRow
 from hazelbend.protocol.worker_lines import LoadFields
 from hazelbend.routing.ports import EndpointList
-from hazelbend.transport.stomp_boxes import BoxAccount
-from hazelbend.transport.stomp_clients import Bounds
-from hazelbend.transport.stomp_listener import ClientAccount, StompSettings
+from hazelbend.transport.stomp.stomp_clients import Bounds
+from hazelbend.transport.stomp.stomp_listener import ClientAccount, StompSettings
+from hazelbend.transport.stomp.stomp_workers import BoxAccount
 
 if TYPE_CHECKING:
-    from hazelbend.fleet.settings import FleetSettings
+    from hazelbend.leases.settings import FleetSettings
     from hazelbend.names.settings import SrvSettings
     from hazelbend.waiting.settings import WaitingSettings
 
@@ -280,7 +280,7 @@
 
 def _fleet(keys: Keys) -> FleetSettings:
     with _named(keys, "requirements-fleet.txt"):
-        from hazelbend.fleet.settings import read_settings
+        from hazelbend.leases.settings import read_settings
 
         return read_settings(keys.table)
 
--- a/hazelbend/program/fleet.py
+++ b/hazelbend/program/fleet.py
@@ -8,16 +8,16 @@
 import time
 from pathlib import Path
 
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.engine import Fleet, Reply, View
-from hazelbend.fleet.leases import Answer, Operation
-from hazelbend.fleet.members import address_of
-from hazelbend.fleet.memory_file import DamagedError
-from hazelbend.fleet.settings import FleetSettings
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.state_codec import DamagedError
+from hazelbend.leases.engine import Fleet, Reply, View
+from hazelbend.leases.lease_table import Answer, Operation
+from hazelbend.leases.settings import FleetSettings
 from hazelbend.program.fleet_snapshot import SnapshotTask
 from hazelbend.program.parts import Ground, Part, Show, table
-from hazelbend.transport.fleet_peers import FleetDoor, Item, Peers
-from hazelbend.transport.fleet_store import FleetStore
+from hazelbend.transport.peer.fleet_peers import FleetDoor, Item, Peers
+from hazelbend.transport.storage.fleet_store import FleetStore
 
 log = logging.getLogger("hazelbend.fleet")
 
@@ -70,7 +70,7 @@
             plan = self.settings.plan()
             self.engine = Fleet(memory.identity, plan, self._seed, self._clock(), memory)
         try:
-            await asyncio.to_thread(store.begin, memory_file.whole(self.engine.record.memory))
+            await asyncio.to_thread(store.begin, state_codec.whole(self.engine.raft.persistent))
         except OSError as error:
             self._lose_store(store, error)
         else:
@@ -135,8 +135,8 @@
             written = {"fleet_snapshots": task.written, "fleet_snapshots_refused": task.refused}
         return written | {
             "fleet_members": engine.members.size,
-            "fleet_leads": int(engine.record.leads),
-            "fleet_epoch": engine.record.memory.epoch,
+            "fleet_leads": int(engine.raft.leads),
+            "fleet_epoch": engine.raft.persistent.epoch,
             "fleet_leases": len(engine.leases.state.leases),
             "fleet_requests": self.peers.sent,
             "fleet_requests_lost": self.peers.lost,
@@ -214,7 +214,7 @@
         if now >= engine.due:
             engine.tick(now)
         if self.store is None:
-            engine.record.unsaved, engine.record.promise_changed = None, False
+            engine.raft.unsaved, engine.raft.promise_changed = None, False
             self._say(*engine.take())
         elif self._saving is None:
             self._saving = asyncio.create_task(self._save(self.store))
@@ -238,11 +238,11 @@
         try:
             while engine.has_to_say:
                 said = engine.take()
-                frames = memory_file.changed(engine.record)
+                frames = state_codec.changed(engine.raft)
                 large = bool(frames) and await asyncio.to_thread(store.add, frames)
                 if large:
                     # What has changed meanwhile is in it too, and is added once more: that does no harm.
-                    await asyncio.to_thread(store.begin, memory_file.whole(engine.record.memory))
+                    await asyncio.to_thread(store.begin, state_codec.whole(engine.raft.persistent))
                 self._say(*said)
         except OSError as error:
             self._lose_store(store, error)
--- a/hazelbend/program/fleet_snapshot.py
+++ b/hazelbend/program/fleet_snapshot.py
@@ -16,11 +16,11 @@
 import msgspec
 from yarl import URL
 
-from hazelbend.fleet.engine import View
-from hazelbend.fleet.holder import Holder, Stage
-from hazelbend.fleet.leases import Answer, Limits, Operation
-from hazelbend.fleet.settings import SnapshotSettings
-from hazelbend.transport.fleet_peers import UNANSWERED, Asking
+from hazelbend.leases.client import Holder, Stage
+from hazelbend.leases.engine import View
+from hazelbend.leases.lease_table import Answer, Limits, Operation
+from hazelbend.leases.settings import SnapshotSettings
+from hazelbend.transport.peer.fleet_peers import UNANSWERED, Asking
 
 log = logging.getLogger("hazelbend.fleet")
 
--- a/hazelbend/program/parts.py
+++ b/hazelbend/program/parts.py
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from hazelbend.program.config import Config
     from hazelbend.routing.router import Router
-    from hazelbend.transport.client_listener import ClientListener
-    from hazelbend.transport.stomp_listener import StompListener
+    from hazelbend.transport.http.client_listener import ClientListener
+    from hazelbend.transport.stomp.stomp_listener import StompListener
 
 Show = Callable[..., str]
 
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -26,7 +26,7 @@
 from hazelbend.program.log import Sparing
 from hazelbend.program.parts import CommandError, Ground, Part, Show, table
 from hazelbend.routing.ports import Endpoint, EndpointList
-from hazelbend.transport.name_source import NameSource
+from hazelbend.transport.dns.name_source import NameSource
 
 log = logging.getLogger("hazelbend.names")
 
--- a/hazelbend/system/agreement.py
+++ b/hazelbend/system/agreement.py
@@ -9,17 +9,17 @@
 
 import picologging
 
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.control import messages as m
 from hazelbend.control.config_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
 from hazelbend.control.outputs import Answer, ControlPlan, StableOutput, VolatileOutput
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
 from hazelbend.system.agreement_log import AgreementLog
 from hazelbend.system.clock import clock
-from hazelbend.transport.control_store import ControlStore, Part, StoreError
-from hazelbend.transport.frame_link import FrameLink
+from hazelbend.transport.peer.frame_link import FrameLink
+from hazelbend.transport.storage.control_store import ControlStore, Part, StoreError
 
 log = picologging.getLogger("hazelbend.control")
 
@@ -67,12 +67,12 @@
         self._store_begun = memory is not None
         self.engine = ControlEngine(identity, self._plan, secrets.randbits(63), clock(), time.time, memory)
         if recalled is not None:
-            self.engine.record.restore_commit(recalled[1], clock())
+            self.engine.raft.restore_commit(recalled[1], clock())
             self._stored_commit = recalled[1]
             self.config = self.engine.machine.current
         log.info("control: this is %s, %s", self.engine.me, "recalled" if memory else "new")
 
-    async def _restored(self) -> tuple[Memory, int] | None:
+    async def _restored(self) -> tuple[PersistentState, int] | None:
         while self._store is not None:
             try:
                 return await self._store.open(self._plan.address)
@@ -88,7 +88,7 @@
         if not handed:
             return
         end = time.monotonic() + LEAVE_WAIT
-        while self.engine.record.leads and time.monotonic() < end:
+        while self.engine.raft.leads and time.monotonic() < end:
             await asyncio.sleep(LEAVE_LOOK)
 
     async def close(self) -> None:
@@ -120,7 +120,7 @@
             if engine.has_stable_output:
                 self._saving = asyncio.create_task(self._save_and_send())
             else:
-                self.confirmed_at = engine.record.confirmed_at
+                self.confirmed_at = engine.raft.confirmed_at
         if self._wake is not None:
             self._wake.cancel()
         wait = max((engine.due - clock()) / 1e6, SHORTEST_WAIT)
@@ -146,11 +146,11 @@
         try:
             while engine.has_stable_output:
                 output = engine.take_stable()
-                parts = memory_file.changed_parts(engine.record)
+                parts = state_codec.changed_parts(engine.raft)
                 if parts and self._store is not None and not await self._stored(parts):
                     return
                 self._send_stable(output)
-            if self._store is not None and engine.record.commit != self._stored_commit:
+            if self._store is not None and engine.raft.commit != self._stored_commit:
                 await self._stored([])
         finally:
             self._saving = None
@@ -161,8 +161,8 @@
         engine = self.engine
         try:
             if not self._store_begun:
-                parts = memory_file.whole_parts(engine.record.memory)
-            commit = engine.record.commit
+                parts = state_codec.whole_parts(engine.raft.persistent)
+            commit = engine.raft.commit
             await self._store.save(parts, commit)
             self._stored_commit = commit
             self._store_begun = True
@@ -170,7 +170,7 @@
         except StoreError as error:
             log.error("control: store: %s; nothing that rests on it is sent until it takes writes", error)
             self._store_begun = False  # the next save takes all
-            engine.record.promise_changed = True
+            engine.raft.promise_changed = True
             for answer in engine.discard_stable():
                 self._answer(answer)
             await asyncio.sleep(STORE_PAUSE)
--- a/hazelbend/system/agreement_log.py
+++ b/hazelbend/system/agreement_log.py
@@ -28,26 +28,26 @@
         self._look_at_voters(engine)
         self._look_at_confirmation(engine, now)
         self._look_at_transfers(engine)
-        if engine.record.foreign_epoch != self._foreign_epoch:
-            self._foreign_epoch = engine.record.foreign_epoch
+        if engine.raft.foreign_epoch != self._foreign_epoch:
+            self._foreign_epoch = engine.raft.foreign_epoch
             log.error(
                 "control: another record, epoch %d, was founded elsewhere; this one, epoch %d, is kept: an "
                 "operator must decide",
                 self._foreign_epoch,
-                engine.record.memory.epoch,
+                engine.raft.persistent.epoch,
             )
 
     def _look_at_leader(self, engine: ControlEngine) -> None:
-        term = engine.record.memory.term
-        if self._led_term and not engine.record.leads:
+        term = engine.raft.persistent.term
+        if self._led_term and not engine.raft.leads:
             log.warning("control: stepped down in term %d; term %d now", self._led_term, term)
-        self._led_term = term if engine.record.leads else 0
+        self._led_term = term if engine.raft.leads else 0
         if engine.leader != self._leader:
             self._leader = engine.leader
             log.info("control: leader %s, term %d", self._leader or "unknown", term)
 
     def _look_at_voters(self, engine: ControlEngine) -> None:
-        voters = engine.record.voters
+        voters = engine.raft.voters
         if voters != self._voters:
             before, self._voters = self._voters, voters
             log.info(
@@ -58,9 +58,9 @@
             )
 
     def _look_at_confirmation(self, engine: ControlEngine, now: int) -> None:
-        if not engine.plan.counted or not engine.record.memory.epoch:
+        if not engine.plan.counted or not engine.raft.persistent.epoch:
             return
-        age = engine.record.confirmed_age(now)
+        age = engine.raft.confirmed_age(now)
         confirmed = age is not None and age < UNCONFIRMED
         if confirmed and self._unconfirmed_since is not None:
             seconds = (now - self._unconfirmed_since) / 1e6
@@ -71,10 +71,10 @@
             log.warning("control: no majority confirms what this process has: it answers 503, routers go on")
 
     def _look_at_transfers(self, engine: ControlEngine) -> None:
-        peers = engine.record.peers
+        peers = engine.raft.peers
         transfers = {name for name, peer in peers.items() if peer.transfer is not None}
         for name in sorted(transfers - self._transfers):
-            behind = engine.record.memory.last - peers[name].match
+            behind = engine.raft.persistent.last - peers[name].match
             log.info("control: %s is behind by %d entries: catching up", name, behind)
         for name in sorted(self._transfers - transfers):
             log.info("control: %s has caught up, or is not reached any more", name)
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -8,17 +8,17 @@
 import msgspec
 import picologging
 
+from hazelbend.consensus.identity import address_of
 from hazelbend.control.announcements import WorkerDone
 from hazelbend.control.config_machine import ChangeResult, plain_body
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
 from hazelbend.control.outputs import PutDone, ReadDone
-from hazelbend.fleet.members import address_of
 from hazelbend.protocol.control_calls import read_heartbeat
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
 from hazelbend.system.control_status import control_status
 from hazelbend.system.settings import Settings, split_address
-from hazelbend.transport.asgi_server import HttpAnswer, HttpCall
+from hazelbend.transport.http.asgi_server import HttpAnswer, HttpCall
 
 log = picologging.getLogger("hazelbend.control")
 
@@ -127,7 +127,7 @@
         """None once this process leads; else the way to the leader, or 503 where none is known."""
         engine = self._agreement.engine
         end = time.monotonic() + LEADER_WAIT
-        while not engine.record.settled:
+        while not engine.raft.settled:
             leader = engine.leader
             if leader and leader != engine.me:
                 host = split_address(address_of(leader))[0]
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -5,20 +5,20 @@
 import msgspec
 import picologging
 
+from hazelbend.consensus.identity import address_of
 from hazelbend.control import messages as m
 from hazelbend.control.load_table import RouterLoad
 from hazelbend.control.outputs import ControlPlan
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.fleet.members import address_of
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
 from hazelbend.system.control_api import ControlApi
 from hazelbend.system.phase_orders import PhaseOrders
 from hazelbend.system.settings import Settings, split_address
 from hazelbend.system.watch_service import WatchService
-from hazelbend.transport.asgi_server import AsgiServer
-from hazelbend.transport.control_store import ControlStore
-from hazelbend.transport.frame_link import FrameConnection, FrameServer
+from hazelbend.transport.http.asgi_server import AsgiServer
+from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
+from hazelbend.transport.storage.control_store import ControlStore
 
 log = picologging.getLogger("hazelbend.control")
 
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -7,14 +7,14 @@
 
 def control_status(engine: ControlEngine, version: int, now: int) -> dict[str, object]:
     """Values for JSON. `version`: of the configuration that is told to routers; times in milliseconds."""
-    record = engine.record
+    record = engine.raft
     age = record.confirmed_age(now)
     return {
         "me": engine.me,
         "leader": engine.leader,
-        "epoch": record.memory.epoch,
+        "epoch": record.persistent.epoch,
         "foreign_epoch": record.foreign_epoch or None,
-        "term": record.memory.term,
+        "term": record.persistent.term,
         "voters": record.voters,
         "lost": [each for each in record.voters if each != engine.me and engine.peers.is_lost(each, now)],
         "joining": sorted(record.learners),
@@ -30,12 +30,12 @@
 
 def _replicas(engine: ControlEngine, now: int) -> dict[str, object]:
     """What the leader knows of the others: who confirms it, and who is behind by how much."""
-    record = engine.record
+    record = engine.raft
     return {
         name: {
             "confirms": peer.round >= record.round - 1,
             "answered_ms_ago": (now - peer.heard_at) // 1_000,
-            "behind": record.memory.last - peer.match,
+            "behind": record.persistent.last - peer.match,
             "bytes_to_come": len(peer.transfer.content) - peer.transfer.offset if peer.transfer else 0,
         }
         for name, peer in record.peers.items()
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -56,7 +56,7 @@
     async def _order(self, order: PhaseOrder) -> None:
         """Let routers know first, then order, if a majority confirms that this process still leads."""
         # Imported here: it takes time that a start does not have, and most processes never give an order.
-        from hazelbend.transport.worker_orders import Order, OrderResult, send_order
+        from hazelbend.transport.http.worker_orders import Order, OrderResult, send_order
 
         engine = self._agreement.engine
         token = engine.order_token(clock())
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -20,9 +20,9 @@
 from hazelbend.system.clock import clock
 from hazelbend.system.settings import Settings, split_address
 from hazelbend.system.watch import Watches
-from hazelbend.transport.asgi_server import AsgiServer, HttpAnswer, HttpCall
-from hazelbend.transport.request_listener import RequestListener
-from hazelbend.transport.worker_client import HttpWorkerClient
+from hazelbend.transport.http.asgi_server import AsgiServer, HttpAnswer, HttpCall
+from hazelbend.transport.http.request_listener import RequestListener
+from hazelbend.transport.http.worker_client import HttpWorkerClient
 
 log = picologging.getLogger("hazelbend.router")
 
--- a/hazelbend/system/watch.py
+++ b/hazelbend/system/watch.py
@@ -12,7 +12,7 @@
 
 from hazelbend.control import messages as m
 from hazelbend.control.load_table import LoadNews
-from hazelbend.transport.frame_link import FrameLink
+from hazelbend.transport.peer.frame_link import FrameLink
 
 log = picologging.getLogger("hazelbend.watch")
 
--- a/hazelbend/system/watch_service.py
+++ b/hazelbend/system/watch_service.py
@@ -15,8 +15,8 @@
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
-from hazelbend.transport.frame_link import FrameConnection
-from hazelbend.transport.soft_state_file import read_soft_state, write_soft_state
+from hazelbend.transport.peer.frame_link import FrameConnection
+from hazelbend.transport.storage.soft_state_file import read_soft_state, write_soft_state
 
 log = picologging.getLogger("hazelbend.control")
 
--- /dev/null
+++ b/hazelbend/transport/dns/__init__.py
@@ -0,0 +1,1 @@
+"""The DNS client and what drives the resolver."""
--- a/hazelbend/transport/name_source.py
+++ b/hazelbend/transport/dns/name_source.py
@@ -8,7 +8,7 @@
 
 from hazelbend.names.answers import Meaning, Unknown
 from hazelbend.names.resolver import Ask, Resolver
-from hazelbend.transport.dns_client import DnsClient
+from hazelbend.transport.dns.dns_client import DnsClient
 
 log = logging.getLogger("hazelbend.names")
 
--- /dev/null
+++ b/hazelbend/transport/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP listeners and clients."""
--- a/hazelbend/transport/ops_door.py
+++ b/hazelbend/transport/http/admin_listener.py
@@ -12,8 +12,8 @@
 from aiohttp import web
 
 from hazelbend.routing.overview import Figures
-from hazelbend.transport.client_connection import ClientConnection
-from hazelbend.transport.http_listener import HttpListener
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.http_listener import HttpListener
 
 CONNECTIONS = 16
 
--- a/hazelbend/transport/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -14,7 +14,7 @@
 from hazelbend.decisions.interface import Outcome
 from hazelbend.protocol.worker_lines import LINE_LIMIT, LoadFields, read_line, read_status
 from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Forwarded, Job, News
-from hazelbend.transport.aiohttp_client import (
+from hazelbend.transport.http.aiohttp_client import (
     CheckedRequest,
     RequestWriting,
     StaleConnectionError,
--- a/hazelbend/transport/client_connection.py
+++ b/hazelbend/transport/http/client_connection.py
@@ -18,7 +18,7 @@
 from aiohttp import http_exceptions, web
 from aiohttp.web_protocol import RequestHandler
 
-from hazelbend.transport.half_close import HalfClosingTransport
+from hazelbend.transport.http.half_close import HalfClosingTransport
 
 log = logging.getLogger("hazelbend.client_listener")
 
--- a/hazelbend/transport/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -17,8 +17,8 @@
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, read_job
 from hazelbend.routing.ports import Answer, Job, Verdict
 from hazelbend.routing.router import Router
-from hazelbend.transport.client_connection import ClientConnection
-from hazelbend.transport.draining_listener import DrainingListener
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.draining_listener import DrainingListener
 
 log = logging.getLogger("hazelbend.client_listener")
 
--- a/hazelbend/transport/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -17,7 +17,7 @@
 from hazelbend.decisions import discovery_retry
 from hazelbend.protocol.discovery import ListReader
 from hazelbend.routing.ports import EndpointList
-from hazelbend.transport.aiohttp_client import open_session
+from hazelbend.transport.http.aiohttp_client import open_session
 
 log = logging.getLogger("hazelbend.discovery")
 
--- a/hazelbend/transport/draining_listener.py
+++ b/hazelbend/transport/http/draining_listener.py
@@ -4,8 +4,8 @@
 
 import math
 
-from hazelbend.transport.client_connection import ClientConnection
-from hazelbend.transport.http_listener import HttpListener
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.http_listener import HttpListener
 
 
 class DrainingListener(HttpListener):
--- a/hazelbend/transport/http_listener.py
+++ b/hazelbend/transport/http/http_listener.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from hazelbend.transport.client_connection import REQUEST_WAIT, ClientConnection
-from hazelbend.transport.half_close import LINGER
+from hazelbend.transport.http.client_connection import REQUEST_WAIT, ClientConnection
+from hazelbend.transport.http.half_close import LINGER
 
 log = logging.getLogger("hazelbend.client_listener")
 
--- a/hazelbend/transport/request_listener.py
+++ b/hazelbend/transport/http/request_listener.py
@@ -9,9 +9,9 @@
 from aiohttp.web_protocol import RequestPayloadError
 
 from hazelbend.forwarding.ports import ClientReply, ClientRequest, Headers
-from hazelbend.transport.client_connection import ClientConnection
-from hazelbend.transport.draining_listener import DrainingListener
-from hazelbend.transport.worker_client import PER_CONNECTION
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.draining_listener import DrainingListener
+from hazelbend.transport.http.worker_client import PER_CONNECTION
 
 Serve: TypeAlias = Callable[[ClientRequest, ClientReply], Awaitable[None]]
 
--- a/hazelbend/transport/worker_client.py
+++ b/hazelbend/transport/http/worker_client.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from hazelbend.forwarding.ports import BeforeFirstByte, BrokenError, Headers, NotSentError, WorkerCall
-from hazelbend.transport.aiohttp_client import (
+from hazelbend.transport.http.aiohttp_client import (
     CheckedRequest,
     RequestWriting,
     StaleConnectionError,
--- /dev/null
+++ b/hazelbend/transport/peer/__init__.py
@@ -0,0 +1,1 @@
+"""Links between processes of this project."""
--- a/hazelbend/transport/fleet_peers.py
+++ b/hazelbend/transport/peer/fleet_peers.py
@@ -21,13 +21,14 @@
 from aiohttp import web
 from yarl import URL
 
-from hazelbend.fleet.engine import Reply, View
-from hazelbend.fleet.holder import Holder, Request
-from hazelbend.fleet.leases import Answer, Operation
-from hazelbend.fleet.members import Packet, address_of
-from hazelbend.fleet.messages import Message
-from hazelbend.transport.client_connection import ClientConnection
-from hazelbend.transport.http_listener import HttpListener
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.messages import Message
+from hazelbend.gossip.swim import Packet
+from hazelbend.leases.client import Holder, Request
+from hazelbend.leases.engine import Reply, View
+from hazelbend.leases.lease_table import Answer, Operation
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.http_listener import HttpListener
 
 CONNECTIONS = 256  # of peers and commands together
 KEPT = 256  # items that wait for one peer
--- /dev/null
+++ b/hazelbend/transport/snmp/__init__.py
@@ -0,0 +1,1 @@
+"""The SNMP agent."""
--- /dev/null
+++ b/hazelbend/transport/stomp/__init__.py
@@ -0,0 +1,1 @@
+"""The STOMP listener, its clients and its workers."""
--- a/hazelbend/transport/stomp_listener.py
+++ b/hazelbend/transport/stomp/stomp_listener.py
@@ -22,8 +22,8 @@
     encode,
 )
 from hazelbend.routing.router import Router
-from hazelbend.transport.stomp_boxes import BoxAccount, Boxes, StompBackendClient
-from hazelbend.transport.stomp_clients import Bounds, Mailbox, StompGate, Subscription, Usage
+from hazelbend.transport.stomp.stomp_clients import Bounds, Mailbox, StompGate, Subscription, Usage
+from hazelbend.transport.stomp.stomp_workers import BoxAccount, Boxes, StompBackendClient
 
 log = logging.getLogger("hazelbend.stomp")
 
--- a/hazelbend/transport/stomp_boxes.py
+++ b/hazelbend/transport/stomp/stomp_workers.py
@@ -15,7 +15,7 @@
 from hazelbend.protocol.worker_lines import LoadFields, read_line
 from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Endpoint, Forwarded, Job, News
 from hazelbend.routing.router import Router
-from hazelbend.transport.stomp_clients import Outlet
+from hazelbend.transport.stomp.stomp_clients import Outlet
 
 log = logging.getLogger("hazelbend.stomp")
 
--- /dev/null
+++ b/hazelbend/transport/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Files and databases that outlast a process."""
--- a/hazelbend/transport/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.memory_file import Base, DamagedError, Entries, Promise
-from hazelbend.fleet.messages import Entry
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.messages import Entry
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.state_codec import Base, DamagedError, Entries, Promise
 
 DATABASE = "control.db"
 DAMAGED = "control.damaged"
@@ -48,7 +48,7 @@
         self._connection: sqlite3.Connection | None = None
         self._commit = 0  # as read
 
-    async def open(self, address: str) -> tuple[Memory, int] | None:
+    async def open(self, address: str) -> tuple[PersistentState, int] | None:
         """The memory that is kept there, if it is of this address, and up to which index it was committed.
 
         Raises:
@@ -74,7 +74,7 @@
 
     # --- in the store's thread ---
 
-    def _open(self, address: str) -> tuple[Memory, int] | None:
+    def _open(self, address: str) -> tuple[PersistentState, int] | None:
         self._close()
         self._folder.mkdir(parents=True, exist_ok=True)
         try:
@@ -108,20 +108,20 @@
         for ending in ("-wal", "-shm"):
             (self._folder / (DATABASE + ending)).unlink(missing_ok=True)
 
-    def _read(self) -> Memory | None:
+    def _read(self) -> PersistentState | None:
         assert self._connection is not None
         rows = dict(self._connection.execute("SELECT kind, content FROM part"))
         if "promise" not in rows:
             return None
         self._commit = int(rows.get("commit", b"0"))
-        memory = Memory("")
+        memory = PersistentState("")
         try:
-            memory_file.take(memory, _promises.decode(rows["promise"]))
+            state_codec.take(memory, _promises.decode(rows["promise"]))
             if "base" in rows:
-                memory_file.take(memory, _bases.decode(rows["base"]))
+                state_codec.take(memory, _bases.decode(rows["base"]))
             found = self._connection.execute("SELECT position, content FROM entry ORDER BY position")
             for position, content in found:
-                memory_file.take(memory, Entries(position, (_entries.decode(content),)))
+                state_codec.take(memory, Entries(position, (_entries.decode(content),)))
         except msgspec.DecodeError as error:
             raise DamagedError(str(error)) from None
         return memory
--- a/hazelbend/transport/fleet_store.py
+++ b/hazelbend/transport/storage/fleet_store.py
@@ -8,8 +8,8 @@
 import os
 from pathlib import Path
 
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.persistent_state import PersistentState
 
 NAME, NEW = "memory", "memory.new"
 LARGE = 4 * 1024 * 1024  # bytes, after which the file is written anew
@@ -23,9 +23,9 @@
         self._lock = self._file = -1
         self._size = 0
 
-    def open(self, identity_ends_with: str) -> Memory | None:
+    def open(self, identity_ends_with: str) -> PersistentState | None:
         """The memory of the process before, if it is of this address. OSError if the folder cannot be used,
-        or another process does; memory_file.DamagedError: it is set aside, and whoever goes on is somebody
+        or another process does; state_codec.DamagedError: it is set aside, and whoever goes on is somebody
         new."""
         self._folder.mkdir(parents=True, exist_ok=True)
         self._lock = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -36,8 +36,8 @@
         except FileNotFoundError:
             return None
         try:
-            memory, good = memory_file.read(content)
-        except memory_file.DamagedError:
+            memory, good = state_codec.read(content)
+        except state_codec.DamagedError:
             os.replace(path, self._folder / "memory.damaged")
             raise
         if not memory.identity.endswith(identity_ends_with):
--- a/tests/crossing_kit.py
+++ b/tests/crossing_kit.py
@@ -16,7 +16,7 @@
 from hazelbend.routing.ports import Endpoint, EndpointList
 from hazelbend.routing.router import Decider, Router
 from hazelbend.routing.table import BackendTable
-from hazelbend.transport.backend_client import ConnectionPool, PoolSettings
+from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
 OK = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -27,19 +27,21 @@
 import msgspec
 
 import hazelbend
+from hazelbend.consensus import messages as log_messages
+from hazelbend.consensus import persistent_state, state_codec
 from hazelbend.control import config_machine, messages, workers
-from hazelbend.fleet import engine, leases, members, memory, memory_file
-from hazelbend.fleet import messages as log_messages
 from hazelbend.forwarding import prefill
+from hazelbend.gossip import swim
+from hazelbend.leases import engine, lease_table
 from hazelbend.names import snapshot
 from hazelbend.placement import routes
 from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
 from hazelbend.protocol.discovery import ListReader
 from hazelbend.quotas import book
-from hazelbend.transport import worker_orders
-from hazelbend.transport.control_store import ControlStore
-from hazelbend.transport.soft_state_file import write_soft_state
+from hazelbend.transport.http import worker_orders
+from hazelbend.transport.storage.control_store import ControlStore
+from hazelbend.transport.storage.soft_state_file import write_soft_state
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -80,8 +82,8 @@
 LISTS = ListReader(("east", "west"), ("small", "large"))
 
 
-def lease_machine(content: bytes) -> leases.Leases:
-    machine = leases.Leases(leases.Limits())
+def lease_machine(content: bytes) -> lease_table.Leases:
+    machine = lease_table.Leases(lease_table.Limits())
     machine.restore(content)
     return machine
 
@@ -97,15 +99,15 @@
     "control_message": Form(messages.decode, messages.encode),
     "soft_state": Form(messages.decode_soft_state, messages.encode_soft_state),
     "log_body": msgpack_form(log_messages.Body),
-    "packet_body": msgpack_form(members.Probe | members.Answer | members.Whole),
+    "packet_body": msgpack_form(swim.Probe | swim.Answer | swim.Whole),
     "log_transfer": Form(log_messages.decode_transfer, log_messages.encode_transfer),
-    "fleet_tell": msgpack_form(tuple[tuple[members.Packet, ...], tuple[log_messages.Message, ...]]),
+    "fleet_tell": msgpack_form(tuple[tuple[swim.Packet, ...], tuple[log_messages.Message, ...]]),
     "fleet_reply": msgpack_form(engine.Reply),
     "fleet_view": msgpack_form(engine.View),
-    "lease_operation": Form(msgspec.msgpack.Decoder(leases.Operation).decode, leases.encode),
-    "lease_answer": msgpack_form(leases.Answer),
+    "lease_operation": Form(msgspec.msgpack.Decoder(lease_table.Operation).decode, lease_table.encode),
+    "lease_answer": msgpack_form(lease_table.Answer),
     "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
-    "memory_part": msgpack_form(memory_file.Promise | memory_file.Entries | memory_file.Base),
+    "memory_part": msgpack_form(state_codec.Promise | state_codec.Entries | state_codec.Base),
     "log_entry": msgpack_form(log_messages.Entry),
     "configuration_entry": msgpack_form(config_machine.ConfigChange | config_machine.Refound),
     "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
@@ -137,9 +139,9 @@
 TAGGED_FORMS = {
     "control_message": messages.Body,
     "log_body": log_messages.Body,
-    "packet_body": members.Probe | members.Answer | members.Whole,
-    "lease_operation": leases.Operation,
-    "memory_part": memory_file.Promise | memory_file.Entries | memory_file.Base,
+    "packet_body": swim.Probe | swim.Answer | swim.Whole,
+    "lease_operation": lease_table.Operation,
+    "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
     "configuration_entry": config_machine.ConfigChange | config_machine.Refound,
     "quota_operation": book.Operation,
 }
@@ -153,7 +155,7 @@
 def epoch_numbers() -> list[int]:
     """Of founders at some times, with and without a known epoch."""
     return [
-        memory.epoch_number(known, unix_s, identity, by_operator)
+        persistent_state.epoch_number(known, unix_s, identity, by_operator)
         for known in (0, 456_789_012_345)
         for unix_s in (0.0, 1_764_000_000.5)
         for identity in (N1, N2)
@@ -654,7 +656,7 @@
 
 def history_file() -> bytes:
     parts = [FORMS["memory_part"].read(msgspec.msgpack.encode(part)) for part in MEMORY_HISTORY]
-    return memory_file.MAGIC + b"".join(map(memory_file.frame, parts))
+    return state_codec.MAGIC + b"".join(map(state_codec.frame, parts))
 
 
 def save_json(name: str, value: Any) -> None:
@@ -697,7 +699,7 @@
     history = history_file()
     (GOLDEN / "memory").write_bytes(history)
     (GOLDEN / "memory.torn").write_bytes(history[:-TORN_BYTES])
-    (GOLDEN / "memory.whole").write_bytes(memory_file.whole(memory_file.read(history)[0]))
+    (GOLDEN / "memory.whole").write_bytes(state_codec.whole(state_codec.read(history)[0]))
 
     async def store(folder: Path) -> None:
         control_store = ControlStore(folder)
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -26,6 +26,7 @@
 import hazelbend
 from benchmarks import quota_sim
 from benchmarks.control import history
+from hazelbend.consensus import state_codec
 from hazelbend.control import messages
 from hazelbend.control.load_table import CachedPart, Load
 from hazelbend.control.phase_planner import PhasePlanner
@@ -33,9 +34,9 @@
 from hazelbend.decisions import interface as face
 from hazelbend.decisions import memory as decision_memory
 from hazelbend.decisions.brain import Dispatcher
-from hazelbend.fleet import leases, memory_file
-from hazelbend.fleet.engine import Fleet, Plan
-from hazelbend.fleet.members import Packet
+from hazelbend.gossip.swim import Packet
+from hazelbend.leases import lease_table
+from hazelbend.leases.engine import Fleet, Plan
 from hazelbend.placement.engine import Placement
 from hazelbend.placement.prompt import read_prompt
 from hazelbend.placement.reliability import SendEnd, Stakes
@@ -136,7 +137,7 @@
     """Four members that share leases on a network that loses; leaders hand over and stop, one leaves."""
     trace, chance, now = Trace(), random.Random(8), 0
     addresses = [f"127.0.0.{n}:9100" for n in range(1, 5)]
-    plan = Plan("blue", tuple(addresses[:2]), 3, leases.Limits(shortest=200 * MS, longest=2 * S))
+    plan = Plan("blue", tuple(addresses[:2]), 3, lease_table.Limits(shortest=200 * MS, longest=2 * S))
     fleets = {address: Fleet(f"n{n}@{address}", plan, n, 0) for n, address in enumerate(addresses)}
     on_the_way: list[tuple[int, int, str, bytes, bool]] = []
     packets = msgspec.msgpack.Decoder(Packet)
@@ -147,7 +148,7 @@
     def flush(address: str) -> None:
         nonlocal number
         fleet = fleets[address]
-        saved = memory_file.changed(fleet.record)
+        saved = state_codec.changed(fleet.raft)
         out, answers = fleet.take()
         trace.add(address, saved, answers)
         for to, item in out:
@@ -163,7 +164,7 @@
         now += 10 * MS
         if step == 5:
             fleets[addresses[0]].found(1_764_000_000.0, now)
-        leading = [address for address, fleet in fleets.items() if fleet.record.leads]
+        leading = [address for address, fleet in fleets.items() if fleet.raft.leads]
         if step == 1_000:
             fleets[leading[0]].hand_over(now)
         if step == 1_400:
@@ -188,11 +189,11 @@
             holder = f"h{chance.randrange(4)}"
             operation = chance.choice(
                 [
-                    leases.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
-                    leases.Acquire(name, holder, step // 400, 1_800 * MS),
-                    leases.Renew(name, tokens.get(name, 1)),
-                    leases.Release(name, tokens.get(name, 1)),
-                    leases.LeaveQueue(name, holder),
+                    lease_table.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
+                    lease_table.Acquire(name, holder, step // 400, 1_800 * MS),
+                    lease_table.Renew(name, tokens.get(name, 1)),
+                    lease_table.Release(name, tokens.get(name, 1)),
+                    lease_table.LeaveQueue(name, holder),
                 ]
             )
             fleets[address].ask(step, operation, now)
@@ -204,8 +205,8 @@
             for name, lease in fleet.leases.state.leases.items():
                 tokens[name] = max(tokens.get(name, 0), lease.token)
     for fleet in fleets.values():
-        trace.add(encode(fleet.view(now)), memory_file.whole(fleet.record.memory))
-        trace.add(next_draws(fleet.members, fleet.record))
+        trace.add(encode(fleet.view(now)), state_codec.whole(fleet.raft.persistent))
+        trace.add(next_draws(fleet.members, fleet.raft))
     return trace
 
 
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -51,7 +51,8 @@
 from hazelbend.system import main as system_main
 from hazelbend.system import metrics
 from hazelbend.system import settings as system_settings
-from hazelbend.transport import ops_door, snmp_agent
+from hazelbend.transport.http import admin_listener
+from hazelbend.transport.snmp import snmp_agent
 from hazelbend.waiting import gate
 
 SHOWN = kit.GOLDEN / "shown"
@@ -148,7 +149,7 @@
 
 def ops_stats() -> str:
     async def ask() -> list[Any]:
-        door = ops_door.OpsDoor(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
+        door = admin_listener.OpsDoor(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
         calls = {path: method for path, (method, _) in door._calls.items()}
         return [calls, door._calls["/ops/stats"][1]().text]
 
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -13,7 +13,7 @@
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.protocol.worker_lines import LoadFields
 from hazelbend.routing.ports import Forwarded, Job, News
-from hazelbend.transport.backend_client import ConnectionPool, PoolSettings
+from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
 JOB = Job("9b", 0, 0, 1_000_000, target="/nearby/%31?q=%20+&x=", body=b"a\0b", idempotency_key="k")
 DONE = b'{"id":"9b","state":"done","result":"r"}\n'
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 from test_client_listener import open_kept, request
 
 from hazelbend.program import app as program
-from hazelbend.transport import client_connection, half_close, http_listener
+from hazelbend.transport.http import client_connection, half_close, http_listener
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,6 +14,7 @@
 from benchmarks.control.history import play, shrink
 from benchmarks.control.model import Left, search
 from benchmarks.control.operators import Change, Operators
+from hazelbend.consensus.raft import RaftNode
 from hazelbend.control import messages as m
 from hazelbend.control.config_machine import ChangeResult, ConfigMachine, change_entry, plain_body
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
@@ -28,7 +29,6 @@
 )
 from hazelbend.control.phase_planner import PhaseOrder, PhasePlanner
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry, WorkerState
-from hazelbend.fleet.record import Record
 
 NO_WEIGHT = {"split": [{"backend": "s", "weight": 0}]}
 ROUTE = {"name": "r", "host": "a.example", "prefix": "/x/", "kind": "safe", "timeoutMs": 100, "backend": "s"}
@@ -284,11 +284,11 @@
 def test_a_first_start_brings_all_together_under_one_leader(machines):
     fleet = Fleet(3, machines, tolerance=(machines - 1) // 2)
     assert fleet.until(
-        lambda: fleet.leader is not None and len(fleet.leader.engine.record.voters) == machines, 4 * S
+        lambda: fleet.leader is not None and len(fleet.leader.engine.raft.voters) == machines, 4 * S
     )
-    assert len({each.engine.record.memory.epoch for each in fleet.alive}) == 1
+    assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
     fleet.run(2 * S)
-    assert sum(each.engine.record.leads for each in fleet.alive) == 1
+    assert sum(each.engine.raft.leads for each in fleet.alive) == 1
 
 
 def test_nothing_is_acknowledged_by_too_few_copies():
@@ -298,7 +298,7 @@
         fleet.kill(address)
         fleet.machines[address].removed = True
     fleet.run(5 * S)
-    assert fleet.leader.engine.record.voters == (fleet.leader.engine.me,)
+    assert fleet.leader.engine.raft.voters == (fleet.leader.engine.me,)
     assert results_of(fleet, base=0, version=1, body=b"{}") == [None]
 
 
@@ -308,8 +308,8 @@
     fleet.wipe(victim.address)
     fleet.run(200 * MS)
     fleet.start(victim.address)
-    assert fleet.until(lambda: victim.engine.me in fleet.leader.engine.record.voters, 4 * S)
-    assert fleet.until(lambda: before not in fleet.leader.engine.record.voters, 4 * S)
+    assert fleet.until(lambda: victim.engine.me in fleet.leader.engine.raft.voters, 4 * S)
+    assert fleet.until(lambda: before not in fleet.leader.engine.raft.voters, 4 * S)
 
 
 def test_a_machine_at_a_new_address_takes_the_place_of_one_that_is_gone(fleet):
@@ -319,7 +319,7 @@
     assert fleet.until(
         lambda: (
             fleet.leader is not None
-            and {each.rpartition("@")[2] for each in fleet.leader.engine.record.voters}
+            and {each.rpartition("@")[2] for each in fleet.leader.engine.raft.voters}
             == {*fleet.addresses, new} - {gone}
         ),
         8 * S,
@@ -412,10 +412,10 @@
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, (first, second) = fleet.addresses[:3], fleet.addresses[3:]
-    [leader] = [each.engine for each in fleet.alive if each.engine.record.leads]
+    [leader] = [each.engine for each in fleet.alive if each.engine.raft.leads]
     observer = fleet.machines[first].engine
     assert observer.leader == leader.me
-    assert sorted(leader.record.voters) == sorted(fleet.machines[each].engine.me for each in core)
+    assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.me for each in core)
     for address in (core[0], first, second):
         news = fleet.machines[address].engine.fleet_news(fleet.now)
         assert sorted(news.controls) == sorted(core)
@@ -494,12 +494,12 @@
 @contextmanager
 def nobody_is_asked():
     """A leader's read ends before a majority has answered."""
-    usual = Record._round_taken
-    Record._round_taken = lambda self, number: True
+    usual = RaftNode._round_taken
+    RaftNode._round_taken = lambda self, number: True
     try:
         yield
     finally:
-        Record._round_taken = usual
+        RaftNode._round_taken = usual
 
 
 # Seeds at which a planted defect is found, with machines and losses to be borne.
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -8,6 +8,9 @@
 import pytest
 
 from benchmarks.control.fleet import MS, Fleet, S, whole
+from hazelbend.consensus.messages import AppendEntries, Message, Stamp
+from hazelbend.consensus.persistent_state import PersistentState, founded_by_operator
+from hazelbend.consensus.voters import next_voters
 from hazelbend.control import config_machine
 from hazelbend.control import messages as m
 from hazelbend.control.config_machine import ChangeResult, ConfigMachine, StoredConfig, change_entry
@@ -16,13 +19,10 @@
 from hazelbend.control.peers import PeerTable
 from hazelbend.control.phase_planner import PhaseOrder
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry, WorkerState
-from hazelbend.fleet.memory import Memory, founded_by_operator
-from hazelbend.fleet.messages import AppendEntries, Message, Stamp
-from hazelbend.fleet.voters import next_voters
 from hazelbend.system import phase_orders
 from hazelbend.system.phase_orders import PhaseOrders
-from hazelbend.transport import worker_orders
-from hazelbend.transport.worker_orders import OrderResult
+from hazelbend.transport.http import worker_orders
+from hazelbend.transport.http.worker_orders import OrderResult
 
 DRAINING = WorkerRecord("i-1", "s", "10.9.0.1:80", "z", WorkerState.DRAINING, 2)
 
@@ -51,11 +51,11 @@
     apart(fleet, [lost])
     fleet.run(20 * S)
     for machine in fleet.alive:
-        age = machine.engine.record.confirmed_age(fleet.now)
+        age = machine.engine.raft.confirmed_age(fleet.now)
         assert (age > 19 * S) if machine.address == lost else (age < 500 * MS)
     fleet.heal()
     fleet.run(1 * S)
-    assert fleet.machines[lost].engine.record.confirmed_age(fleet.now) < 500 * MS
+    assert fleet.machines[lost].engine.raft.confirmed_age(fleet.now) < 500 * MS
 
 
 def test_nobody_is_confirmed_while_the_counted_machines_are_in_two_halves_and_no_list_is_changed():
@@ -63,13 +63,13 @@
     for seed in range(1, 9):
         fleet = started(4, seed=seed)
         leader = fleet.leader
-        voters = leader.engine.record.voters
+        voters = leader.engine.raft.voters
         other = next(each for each in fleet.alive if each is not leader)
         apart(fleet, [leader.address, other.address])
         fleet.run(10 * S)
-        assert [each.engine.record.leads for each in fleet.alive] == [False] * 4
-        assert all(each.engine.record.voters == voters for each in fleet.alive)
-        assert min(each.engine.record.confirmed_age(fleet.now) for each in fleet.alive) > 8 * S
+        assert [each.engine.raft.leads for each in fleet.alive] == [False] * 4
+        assert all(each.engine.raft.voters == voters for each in fleet.alive)
+        assert min(each.engine.raft.confirmed_age(fleet.now) for each in fleet.alive) > 8 * S
         fleet.heal()
         assert fleet.until(lambda fleet=fleet: whole(fleet, 4), 4 * S)
 
@@ -89,7 +89,7 @@
     first, second = fleet.alive[0], fleet.alive[1]
     number = first.engine.worker_heard(DRAINING, fleet.now)
     asked = [body for _, body in first.engine.take_volatile().out if getattr(body, "number", 0) == number]
-    answer = m.WorkerNewsTaken(number, asked[0].life, second.engine.me, second.engine.record.voters)
+    answer = m.WorkerNewsTaken(number, asked[0].life, second.engine.me, second.engine.raft.voters)
     earlier = msgspec.structs.replace(answer, life=answer.life + 1)
     first.engine.receive(second.address, earlier, fleet.now)
     assert first.engine.take_volatile().answers == []
@@ -101,10 +101,10 @@
 def test_each_life_has_a_name_of_its_own():
     fleet = started(3)
     victim = fleet.alive[0]
-    before = victim.engine.record.life
+    before = victim.engine.raft.life
     fleet.kill(victim.address)
     fleet.start(victim.address)
-    assert victim.engine.record.life != before
+    assert victim.engine.raft.life != before
 
 
 def test_a_drain_is_acknowledged_only_with_a_majority():
@@ -127,7 +127,7 @@
     fleet = started(4)
     back = next(each for each in fleet.alive if each is not fleet.leader)
     fleet.kill(back.address)
-    assert fleet.until(lambda: len(fleet.leader.engine.record.voters) == 3, 4 * S)
+    assert fleet.until(lambda: len(fleet.leader.engine.raft.voters) == 3, 4 * S)
     beside = next(each for each in fleet.alive if each is not fleet.leader)
     apart(fleet, [back.address, beside.address])
     fleet.start(back.address)
@@ -193,10 +193,10 @@
     fleet = Fleet(5, 5, 1, loss=0.0)
     apart(fleet, side)
     fleet.run(8 * S)
-    assert {each.engine.record.memory.epoch for each in fleet.alive if each.address in side} == {0}
+    assert {each.engine.raft.persistent.epoch for each in fleet.alive if each.address in side} == {0}
     fleet.heal()
     assert fleet.until(lambda: whole(fleet, 5), 8 * S)
-    assert len({each.engine.record.memory.epoch for each in fleet.alive}) == 1
+    assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
 
 
 def test_where_no_seed_counts_two_that_hear_different_seeds_do_not_both_found():
@@ -208,14 +208,14 @@
         for one, other in cuts:
             fleet.cut(one, other)
         fleet.run(6 * S)
-        epochs = {each.engine.record.memory.epoch for each in fleet.alive if each.engine.plan.counted}
+        epochs = {each.engine.raft.persistent.epoch for each in fleet.alive if each.engine.plan.counted}
         founded.append(len(epochs - {0}))
     assert founded == [1, 1]
 
 
 def test_a_fleet_is_founded_once_without_a_seed_and_that_epoch_is_no_operators_word():
     fleet = started(3)
-    assert not founded_by_operator(fleet.leader.engine.record.memory.epoch)
+    assert not founded_by_operator(fleet.leader.engine.raft.persistent.epoch)
 
 
 # --- row 6: fencing tokens rise ---
@@ -225,7 +225,7 @@
     tokens = []
     plan = ControlPlan("10.0.1.1:7000", ("10.0.1.1:7000",), True, False, 0, 1_200 * MS)
     for term in (65_534, 65_535, 65_536, 200_000):
-        engine = ControlEngine("x@10.0.1.1:7000", plan, 1, 0, lambda: 0.0, Memory("x", 512, term))
+        engine = ControlEngine("x@10.0.1.1:7000", plan, 1, 0, lambda: 0.0, PersistentState("x", 512, term))
         tokens.append(engine.fencing_token)
         engine.refound(0)
         assert engine.fencing_token > tokens[-1]
@@ -244,8 +244,8 @@
 
         async def wait_for(self, number: int) -> ReadDone:
             if number == steps_down:
-                leader.record.receive(
-                    Message("x", leader.me, leader.record.memory.epoch, 9, AppendEntries(0, 0, (), 0, 1)),
+                leader.raft.receive(
+                    Message("x", leader.me, leader.raft.persistent.epoch, 9, AppendEntries(0, 0, (), 0, 1)),
                     fleet.now,
                 )
             return ReadDone(number, StoredConfig(1))
@@ -309,8 +309,8 @@
     def replaced() -> bool:
         leader = fleet.leader
         if leader is not None:
-            lengths.add(len(leader.engine.record.voters))
-        return victim.engine is not None and leader is not None and victim.engine.record.is_voter
+            lengths.add(len(leader.engine.raft.voters))
+        return victim.engine is not None and leader is not None and victim.engine.raft.is_voter
 
     assert fleet.until(replaced, 5 * S) and lengths == {3}
     fleet.run(500 * MS)
@@ -324,7 +324,7 @@
     leaving = next(each for each in fleet.alive if each is not fleet.leader)
     leaving.engine.leave(fleet.now)
     fleet._flush(leaving)
-    assert fleet.until(lambda: leaving.engine.me not in fleet.leader.engine.record.voters, 600 * MS)
+    assert fleet.until(lambda: leaving.engine.me not in fleet.leader.engine.raft.voters, 600 * MS)
 
 
 def hello(identity: str, stamp: Stamp | None = None, answers: Stamp | None = None) -> m.Hello:
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -9,7 +9,7 @@
 
 from hazelbend.decisions import discovery_retry
 from hazelbend.protocol.discovery import ListReader
-from hazelbend.transport import discovery_watch
+from hazelbend.transport.http import discovery_watch
 
 
 def answer(seq: int, whole: bool, *names: str) -> bytes:
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -8,7 +8,7 @@
 from hazelbend.names.answers import Alias, BoxKey, Good, Kind, Nothing, Question, Rank, Truncated, Unknown
 from hazelbend.names.resolver import Ask
 from hazelbend.standins.dns import FAULTS, Fault
-from hazelbend.transport.dns_client import DnsClient
+from hazelbend.transport.dns.dns_client import DnsClient
 
 BOXES = {
     BoxKey("b1.konya-1.example.org", 7101): Rank(0, 1),
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -13,7 +13,7 @@
 from test_reload import changed
 
 from hazelbend.program import drain
-from hazelbend.transport import client_connection, http_listener
+from hazelbend.transport.http import client_connection, http_listener
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
@@ -124,7 +124,7 @@
 
 
 def test_stomp_clients_are_sent_away_when_they_have_their_answers(tmp_path, hurried, monkeypatch):
-    monkeypatch.setattr("hazelbend.transport.stomp_listener.YOUNG", 0.01)
+    monkeypatch.setattr("hazelbend.transport.stomp.stomp_listener.YOUNG", 0.01)
 
     async def run():
         async with site(tmp_path, ops=OPS) as (app, _):
@@ -141,7 +141,7 @@
             assert busy.answers() == {"b": ["served"]} and not box.closed
             await asyncio.sleep(drain.OVER)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
-            monkeypatch.setattr("hazelbend.transport.stomp_listener.YOUNG", 2.0)
+            monkeypatch.setattr("hazelbend.transport.stomp.stomp_listener.YOUNG", 2.0)
             late = await StandIn.connect(app.stomp.port, client_id="late")
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -9,7 +9,7 @@
 
 from hazelbend.decisions.interface import Outcome
 from hazelbend.program.console_server import Commands
-from hazelbend.transport import snmp_agent
+from hazelbend.transport.snmp import snmp_agent
 
 
 async def stats(app) -> dict[str, int]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 from hazelbend.decisions.discovery_retry import FIRST_EACH, DiscoveryRetry
 from hazelbend.decisions.records import Mean, Refresh, Worker
 from hazelbend.decisions.unseen import COLD_SAFETY
-from hazelbend.transport import discovery_watch
-from hazelbend.transport.discovery_watch import HOLD_GRACE
+from hazelbend.transport.http import discovery_watch
+from hazelbend.transport.http.discovery_watch import HOLD_GRACE
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -17,10 +17,10 @@
 from benchmarks.fleet_faults import LEASES, Play, Store
 from benchmarks.fleet_rig import ACT, Site, acts, free_port, wait_for
 from hazelbend.cli.main import Time
-from hazelbend.fleet.leases import TOKEN_BITS, Acquire
-from hazelbend.fleet.members import Packet, Whole
+from hazelbend.gossip.swim import Packet, Whole
+from hazelbend.leases.lease_table import TOKEN_BITS, Acquire
 from hazelbend.program.console_server import CommandError, Commands
-from hazelbend.transport.fleet_peers import Peers
+from hazelbend.transport.peer.fleet_peers import Peers
 
 
 @pytest.fixture
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -19,9 +19,10 @@
 import msgspec
 import pytest
 
+from hazelbend.consensus import state_codec
 from hazelbend.control import config_machine, messages, workers
-from hazelbend.fleet import memory_file
-from hazelbend.transport import control_store, fleet_store, frame_link, soft_state_file
+from hazelbend.transport.peer import frame_link
+from hazelbend.transport.storage import control_store, fleet_store, soft_state_file
 
 SAMPLES = [(form, name) for form in kit.FORMS for name in kit.load_json(form)]
 
@@ -78,29 +79,29 @@
 
 def test_a_memory_file_is_read_and_written_whole() -> None:
     content = bytes_of("memory")
-    memory, good = memory_file.read(content)
+    memory, good = state_codec.read(content)
     assert good == len(content)
-    assert memory_file.whole(memory) == bytes_of("memory.whole")
-    again, _ = memory_file.read(bytes_of("memory.whole"))
-    assert memory_file.whole(again) == bytes_of("memory.whole")
+    assert state_codec.whole(memory) == bytes_of("memory.whole")
+    again, _ = state_codec.read(bytes_of("memory.whole"))
+    assert state_codec.whole(again) == bytes_of("memory.whole")
 
 
 def test_frames_of_a_memory_file_are_the_same_bytes() -> None:
-    frames = memory_file.MAGIC + b"".join(map(memory_file.frame, history_parts()))
+    frames = state_codec.MAGIC + b"".join(map(state_codec.frame, history_parts()))
     assert frames == bytes_of("memory")
 
 
 def test_the_torn_end_of_a_memory_file_is_cut_off(tmp_path: Path) -> None:
-    last = len(memory_file.frame(history_parts()[-1]))
+    last = len(state_codec.frame(history_parts()[-1]))
     good = bytes_of("memory")[:-last]
     shutil.copy(kit.GOLDEN / "memory.torn", tmp_path / "memory")
     store = fleet_store.FleetStore(tmp_path)
     try:
         memory = store.open("@127.0.0.1:9100")
         assert memory is not None
-        assert memory_file.whole(memory) == memory_file.whole(memory_file.read(good)[0])
+        assert state_codec.whole(memory) == state_codec.whole(state_codec.read(good)[0])
         assert (tmp_path / "memory").read_bytes() == good
-        store.add(memory_file.frame(history_parts()[-1]))
+        store.add(state_codec.frame(history_parts()[-1]))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory")
         store.begin(bytes_of("memory.whole"))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory.whole")
@@ -111,11 +112,11 @@
 
 def test_a_damaged_memory_file_is_set_aside(tmp_path: Path) -> None:
     content = bytearray(bytes_of("memory"))
-    content[len(memory_file.MAGIC) + memory_file.HEAD] ^= 1
+    content[len(state_codec.MAGIC) + state_codec.HEAD] ^= 1
     (tmp_path / "memory").write_bytes(content)
     store = fleet_store.FleetStore(tmp_path)
     try:
-        with pytest.raises(memory_file.DamagedError):
+        with pytest.raises(state_codec.DamagedError):
             store.open("@127.0.0.1:9100")
     finally:
         store.close()
@@ -134,7 +135,7 @@
             found = await store.open("127.0.0.1:9100")
             assert found is not None
             memory, commit = found
-            return memory_file.whole(memory), commit
+            return state_codec.whole(memory), commit
         finally:
             await store.close()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,8 +17,8 @@
 from hazelbend.decisions.memory import recall, remember
 from hazelbend.protocol.discovery import ListReader
 from hazelbend.protocol.handover import IdNews, State, read_news, read_state, write_news, write_state
-from hazelbend.transport import handover
-from hazelbend.transport.handover import Handover
+from hazelbend.transport.peer import handover
+from hazelbend.transport.peer.handover import Handover
 
 ENTRIES = (face.WorkerEntry(1), face.WorkerEntry(2, started_at=900_000), face.WorkerEntry(3, machine_kind=1))
 SETTINGS = Settings(fall_window=1, warm_after=1)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -15,19 +15,41 @@
     "names": {"schema"},
     "membership": {"decisions", "routing", "names"},
     "waiting": {"decisions", "routing", "schema"},
-    "fleet": {"schema"},
+    "consensus": set(),
+    "gossip": {"consensus"},
+    "leases": {"schema", "consensus", "gossip"},
     "quotas": set(),
-    "control": {"fleet"},
+    "control": {"consensus"},
     "placement": {"decisions", "control"},
     "forwarding": {"control", "placement"},
     "protocol": {"decisions", "routing", "names", "waiting", "control"},
-    "transport": {"decisions", "routing", "names", "membership", "protocol", "fleet", "forwarding"},
-    "system": {"fleet", "control", "placement", "forwarding", "protocol", "transport"},
-    "program": {"decisions", "routing", "names", "membership", "waiting", "fleet", "protocol", "transport"},
+    "transport": {
+        "decisions",
+        "routing",
+        "names",
+        "membership",
+        "protocol",
+        "consensus",
+        "gossip",
+        "leases",
+        "forwarding",
+    },
+    "system": {"consensus", "control", "placement", "forwarding", "protocol", "transport"},
+    "program": {
+        "decisions",
+        "routing",
+        "names",
+        "membership",
+        "waiting",
+        "consensus",
+        "leases",
+        "protocol",
+        "transport",
+    },
     "console": {"program"},
     "benchlink": {"decisions"},
     "standins": set(),
-    "cli": {"names", "fleet", "protocol", "transport", "program", "standins"},
+    "cli": {"names", "consensus", "leases", "protocol", "transport", "program", "standins"},
 }
 WIRES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
 TEXT = {"orjson"}  # of the operators' configuration, which is the control layer's to check
@@ -47,7 +69,7 @@
 
 @pytest.mark.parametrize("layer", ALLOWED)
 def test_a_layer_imports_only_what_is_below(layer):
-    files = list((PACKAGE / layer).glob("*.py"))
+    files = list((PACKAGE / layer).rglob("*.py"))
     assert files
     for path in files:
         own = {name.split(".")[1] for name in imports(path) if name.startswith("hazelbend.")}
@@ -55,16 +77,28 @@
 
 
 @pytest.mark.parametrize(
-    "layer", ["decisions", "routing", "membership", "fleet", "quotas", "control", "placement", "forwarding"]
+    "layer",
+    [
+        "decisions",
+        "routing",
+        "membership",
+        "consensus",
+        "gossip",
+        "leases",
+        "quotas",
+        "control",
+        "placement",
+        "forwarding",
+    ],
 )
 def test_the_core_imports_no_wire(layer):
-    for path in (PACKAGE / layer).glob("*.py"):
+    for path in (PACKAGE / layer).rglob("*.py"):
         barred = WIRES if layer == "control" else WIRES | TEXT
         assert not {name.split(".")[0] for name in imports(path)} & barred, path
 
 
 def test_every_part_of_the_package_is_a_known_layer():
-    assert {path.parent.name for path in PACKAGE.glob("*/*.py")} == set(ALLOWED)
+    assert {path.relative_to(PACKAGE).parts[0] for path in PACKAGE.rglob("*/*.py")} == set(ALLOWED)
 
 
 def test_what_is_not_enabled_is_not_imported():
@@ -86,7 +120,9 @@
         "hazelbend.system",
     )
     off += (
-        "hazelbend.fleet",
+        "hazelbend.consensus",
+        "hazelbend.gossip",
+        "hazelbend.leases",
         "hazelbend.quotas",
         "hazelbend.waiting",
         "hazelbend.program.waiting",
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,15 +10,15 @@
 from benchmarks.fleet_history import Call, linearizable
 from benchmarks.fleet_search import Left, search
 from benchmarks.fleet_sim import play
-from hazelbend.fleet import leases as ls
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.engine import Fleet, Plan, Reply
-from hazelbend.fleet.holder import Holder, Stage
-from hazelbend.fleet.memory import Memory, epoch_number
-from hazelbend.fleet.messages import AppendEntries, AppendResponse, Entry, Message
-from hazelbend.fleet.record import Record, Timing
-from hazelbend.fleet.voters import next_voters
-from hazelbend.transport.fleet_store import FleetStore
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.messages import AppendEntries, AppendResponse, Entry, Message
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.voters import next_voters
+from hazelbend.leases import lease_table as ls
+from hazelbend.leases.client import Holder, Stage
+from hazelbend.leases.engine import Fleet, Plan, Reply
+from hazelbend.transport.storage.fleet_store import FleetStore
 
 S = 1_000_000
 LIMITS = ls.Limits(leases=3, waiters=2, shortest=S, longest=10 * S)
@@ -193,8 +193,8 @@
 # --- the record ---
 
 
-def record(identity: str = "a.1", memory: Memory | None = None, now: int = 0) -> Record:
-    return Record(memory or Memory(identity), ls.Leases(LIMITS), Timing(), 1, now)
+def record(identity: str = "a.1", memory: PersistentState | None = None, now: int = 0) -> RaftNode:
+    return RaftNode(memory or PersistentState(identity), ls.Leases(LIMITS), Timing(), 1, now)
 
 
 def test_one_voter_founds_an_epoch_and_a_lower_one_is_not_gone_back_to():
@@ -217,7 +217,7 @@
     leader.set_learners({"b.1"}, 0)
     for _ in range(600):
         leader.propose(ls.encode(ls.Open()), 0)
-    assert leader.memory.base > 0, "what is applied goes into a snapshot"
+    assert leader.persistent.base > 0, "what is applied goes into a snapshot"
     now = 0
     for _ in range(40):
         now += 100_000
@@ -230,7 +230,7 @@
         new.out.clear()
     assert new.commit == leader.commit and new.machine.state.open
     leader.out.clear()
-    leader.peers["b.1"].match = leader.memory.last
+    leader.peers["b.1"].match = leader.persistent.last
     leader.receive(Message("b.1", "a.1", 5, 1, AppendResponse(False, 3, 0)), now)
     assert leader.out == []
 
@@ -325,8 +325,8 @@
                 out, each.out = each.out, []
                 for address, item in out:
                     fleets[address].receive(item, now)
-    leads = fleets["h:0"].record
-    others = [each for each in fleets.values() if not each.record.is_voter]
+    leads = fleets["h:0"].raft
+    others = [each for each in fleets.values() if not each.raft.is_voter]
     assert leads.leads and len(leads.voters) == 3 and len(others) == 2
     for each in others:
         each.ask(1, ls.Acquire("a", "x", 1, 2 * S), 60 * S)
@@ -338,33 +338,33 @@
     fleet.receive(
         Message("b#1@h:2", "a#1@h:1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a#1@h:1",)),), 0, 1)), 0
     )
-    assert fleet.record.memory.epoch == 0 and not fleet.out
+    assert fleet.raft.persistent.epoch == 0 and not fleet.out
 
 
 # --- the memory in a file ---
 
 
-def kept() -> tuple[bytes, Memory]:
+def kept() -> tuple[bytes, PersistentState]:
     """A file of several writes, one of which takes entries back, and what it holds."""
     voter = record("b.1")
-    content = memory_file.whole(voter.memory)
+    content = state_codec.whole(voter.persistent)
     entries = [Entry(term, None, bytes([term])) for term in (1, 1, 2)]
     for term, before, some in ((1, 0, entries[:2]), (2, 1, entries[2:]), (2, 2, entries[2:])):
         before_term = 0 if before == 0 else entries[0].term if before == 1 else 2
         voter.receive(
             Message("a.1", "b.1", 5, term, AppendEntries(before, before_term, tuple(some), 0, 1)), 0
         )
-        content += memory_file.changed(voter)
-    return content, voter.memory
+        content += state_codec.changed(voter)
+    return content, voter.persistent
 
 
 def test_a_file_gives_back_what_was_written_and_drops_only_what_was_not_confirmed():
     content, memory = kept()
-    first = len(memory_file.whole(Memory("b.1")))
-    found, good = memory_file.read(content)
+    first = len(state_codec.whole(PersistentState("b.1")))
+    found, good = state_codec.read(content)
     assert found == memory and good == len(content) and [each.term for each in found.entries] == [1, 2, 2]
-    sizes = {memory_file.read(content[:cut])[1] for cut in range(first, len(content))}
-    assert all(memory_file.read(content[:size])[1] == size for size in sizes) and len(sizes) > 3
+    sizes = {state_codec.read(content[:cut])[1] for cut in range(first, len(content))}
+    assert all(state_codec.read(content[:size])[1] == size for size in sizes) and len(sizes) > 3
 
 
 def test_a_changed_bit_is_never_gone_on_with():
@@ -372,8 +372,8 @@
     for place in range(len(content)):
         changed = bytearray(content)
         changed[place] ^= 0x10
-        with pytest.raises(memory_file.DamagedError):
-            memory_file.read(bytes(changed))
+        with pytest.raises(state_codec.DamagedError):
+            state_codec.read(bytes(changed))
 
 
 def test_a_store_has_one_process_and_a_file_of_another_version_or_address_is_not_taken(tmp_path):
@@ -382,21 +382,21 @@
     with pytest.raises(OSError):
         other.open("@h:1")
     other.close()
-    store.begin(memory_file.whole(Memory("n@h:1", 7, 3, "n@h:1")))
-    assert store.add(memory_file.frame(memory_file.Promise("n@h:1", 7, 4, ""))) is False
+    store.begin(state_codec.whole(PersistentState("n@h:1", 7, 3, "n@h:1")))
+    assert store.add(state_codec.frame(state_codec.Promise("n@h:1", 7, 4, ""))) is False
     store.close()
     with (tmp_path / "s" / "memory").open("ab") as file:
         file.write(b"\x07")
     again = FleetStore(tmp_path / "s")
-    assert again.open("@h:1") == Memory("n@h:1", 7, 4, "")
-    again.add(memory_file.frame(memory_file.Promise("n@h:1", 7, 5, "")))
+    assert again.open("@h:1") == PersistentState("n@h:1", 7, 4, "")
+    again.add(state_codec.frame(state_codec.Promise("n@h:1", 7, 5, "")))
     again.close()
-    assert memory_file.read((tmp_path / "s" / "memory").read_bytes())[0].term == 5, "the torn end is gone"
+    assert state_codec.read((tmp_path / "s" / "memory").read_bytes())[0].term == 5, "the torn end is gone"
     moved = FleetStore(tmp_path / "s")
     assert moved.open("@h:2") is None
     moved.close()
     (tmp_path / "s" / "memory").write_bytes(b"another format")
-    with pytest.raises(memory_file.DamagedError):
+    with pytest.raises(state_codec.DamagedError):
         moved.open("@h:1")
     moved.close()
     assert (tmp_path / "s" / "memory.damaged").read_bytes() == b"another format"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 from benchmarks.fleet_members import Crowd, S, measure
-from hazelbend.fleet.members import Members, News, Packet, Probe, Status, Timing, Whole, address_of
+from hazelbend.consensus.identity import address_of
+from hazelbend.gossip.swim import Members, News, Packet, Probe, Status, Timing, Whole
 
 A, B, C = (f"10.0.0.{n}:1" for n in range(3))
 
--- a/tests/test_ops_door.py
+++ b/tests/test_ops_door.py
@@ -9,7 +9,7 @@
 from test_reload import changed
 
 from hazelbend.program import config
-from hazelbend.transport import ops_door
+from hazelbend.transport.http import admin_listener
 
 OPS = "127.0.0.1:0"
 
@@ -71,12 +71,12 @@
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
             writers = []
-            for number in range(4 * ops_door.CONNECTIONS):
+            for number in range(4 * admin_listener.CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", app.door.port)
                 if number % 2:
                     writer.write(call("/ops/readiness")[:-7])
                 writers.append(writer)
-                assert app.door.connections <= 2 * ops_door.CONNECTIONS + 1
+                assert app.door.connections <= 2 * admin_listener.CONNECTIONS + 1
             assert (await asked(app, "/ops/readiness"))[0] == 200
             for writer in writers:
                 writer.close()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from hazelbend.fleet.memory import Memory, epoch_number
-from hazelbend.fleet.messages import AppendEntries, InstallSnapshot, Message, Piece
-from hazelbend.fleet.record import Record, Timing
-from hazelbend.fleet.replication import BATCH_BYTES, PIECE_BYTES
+from hazelbend.consensus.messages import AppendEntries, InstallSnapshot, Message, Piece
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.replication import BATCH_BYTES, PIECE_BYTES
 
 MS, S = 1_000, 1_000_000
 TIMING = Timing(heartbeat=100 * MS, election=500 * MS, batch=32, kept=48)
@@ -43,21 +43,21 @@
         self.cut: set[str] = set()
         self.largest: dict[type, int] = {}
         self.sent = 0  # bytes
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, RaftNode] = {}
         self._arrivals: list[tuple[int, int, Message]] = []
         self._free_at: dict[tuple[str, str], int] = {}
         for number, name in enumerate("abc"):
-            memory = Memory(name, 256, 1, "", 1, 1, ("a", "b", "c"), b"")
-            self.records[name] = Record(memory, LastValue(), TIMING, number + 1, 0)
+            memory = PersistentState(name, 256, 1, "", 1, 1, ("a", "b", "c"), b"")
+            self.records[name] = RaftNode(memory, LastValue(), TIMING, number + 1, 0)
 
     @property
-    def leader(self) -> Record | None:
+    def leader(self) -> RaftNode | None:
         leading = [each for name, each in self.records.items() if each.settled and name not in self.cut]
-        return max(leading, key=lambda each: each.memory.term, default=None)
+        return max(leading, key=lambda each: each.persistent.term, default=None)
 
     def restart(self, name: str) -> None:
         before = self.records[name]
-        self.records[name] = Record(before.memory, LastValue(), TIMING, 77, self.now)
+        self.records[name] = RaftNode(before.persistent, LastValue(), TIMING, 77, self.now)
         self.records[name].restore_commit(before.commit, self.now)
 
     def run(self, duration: int, step: int = 1 * MS) -> None:
@@ -74,7 +74,7 @@
                     record.tick(self.now)
                 self._carry(record)
 
-    def _carry(self, record: Record) -> None:
+    def _carry(self, record: RaftNode) -> None:
         out, record.out = record.out, []
         for message in out:
             body = message.body
@@ -94,7 +94,7 @@
         return holds()
 
 
-def led(group: Group) -> Record:
+def led(group: Group) -> RaftNode:
     assert group.until(lambda: group.leader is not None, 5 * S)
     assert group.leader is not None
     return group.leader
@@ -114,13 +114,13 @@
     chance = random.Random(1)
     for _ in range(changes):
         leader.propose(chance.randbytes(size), group.now)
-        assert group.until(lambda: leader.commit == leader.memory.last, 60 * S)
+        assert group.until(lambda: leader.commit == leader.persistent.last, 60 * S)
     group.cut.clear()
-    term, kept = leader.memory.term, sum(len(each.op) for each in leader.memory.entries)
-    state = len(leader.memory.base_state)
+    term, kept = leader.persistent.term, sum(len(each.op) for each in leader.persistent.entries)
+    state = len(leader.persistent.base_state)
     needed = (kept + state) / 625_000 * S
     assert group.until(lambda: group.records[lost].commit == leader.commit, round(2 * needed) + 4 * S)
-    assert (leader.leads, leader.memory.term) == (True, term)
+    assert (leader.leads, leader.persistent.term) == (True, term)
     assert max(group.largest.values()) <= max(BATCH_BYTES, PIECE_BYTES)
     assert kept <= TIMING.kept_bytes + size and InstallSnapshot not in group.largest
 
@@ -133,7 +133,7 @@
     group.run(600 * MS)
     assert leader.peers[other].transfer.offset > 0
     group.restart(other)
-    assert group.until(lambda: group.records[other].commit == leader.memory.last, 10 * S)
+    assert group.until(lambda: group.records[other].commit == leader.persistent.last, 10 * S)
 
 
 def test_entries_that_no_majority_takes_are_bounded_by_their_bytes():
@@ -177,7 +177,7 @@
     group.run(1 * S)
     other = next(name for name in group.records if name != leader.me)
     late = Message(
-        leader.me, other, 256, leader.memory.term,
+        leader.me, other, 256, leader.persistent.term,
         AppendEntries(0, 0, (), leader.commit, leader.round, leader.peers[other].confirmed),
     )  # fmt: skip
     group.restart(other)
@@ -192,7 +192,7 @@
     other = group.records[next(name for name in group.records if name != leader.me)]
     before = other.confirmed_at
     ahead = AppendEntries(0, 0, (), other.commit + 1, leader.round, leader.peers[other.me].confirmed)
-    other.receive(Message(leader.me, other.me, 256, leader.memory.term, ahead), group.now)
+    other.receive(Message(leader.me, other.me, 256, leader.persistent.term, ahead), group.now)
     assert other.confirmed_at == before
 
 
@@ -217,14 +217,14 @@
     leader = led(group)
     group.run(300 * MS)
     erased = next(name for name in leader.voters if name != leader.me)
-    group.records["d"] = Record(Memory("d", 256), LastValue(), TIMING, 9, group.now)
+    group.records["d"] = RaftNode(PersistentState("d", 256), LastValue(), TIMING, 9, group.now)
     replaced = tuple(sorted({*leader.voters, "d"} - {erased}))
     leader.set_learners({"d"}, group.now)
     group.run(500 * MS)
     assert not leader.change_voters(replaced, group.now)
     assert leader.change_voters(replaced, group.now, frozenset({erased}))
     group.run(200 * MS)
-    assert leader.memory.voters_at(leader.commit) == replaced
+    assert leader.persistent.voters_at(leader.commit) == replaced
 
 
 # --- epochs ---
@@ -241,12 +241,12 @@
     for epoch, followed in ((first, False), (word, True)):
         heartbeat = AppendEntries(0, 0, (), 0, 1)
         other.receive(Message("x", other.me, epoch, 1, heartbeat), group.now)
-        assert (other.memory.epoch == epoch) is followed
+        assert (other.persistent.epoch == epoch) is followed
         assert (other.foreign_epoch == epoch) is not followed
 
 
 def test_an_empty_record_follows_the_first_epoch_that_it_hears_of():
-    record = Record(Memory("a"), LastValue(), TIMING, 1, 0)
+    record = RaftNode(PersistentState("a"), LastValue(), TIMING, 1, 0)
     epoch = epoch_number(0, 5_000.0, "x", by_operator=False)
     record.receive(Message("x", "a", epoch, 1, AppendEntries(0, 0, (), 0, 1)), 0)
-    assert record.memory.epoch == epoch
+    assert record.persistent.epoch == epoch
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -27,7 +27,7 @@
 from pysnmp.smi.compiler import add_mib_compiler
 from site_kit import ROOT, site, until
 
-from hazelbend.transport import snmp_agent
+from hazelbend.transport.snmp import snmp_agent
 
 COMMUNITY = "reading-room"
 
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -9,7 +9,7 @@
 from parser_kit import garbage, pieces
 from site_kit import SECRET, STOMP, StandIn, StandInBox, site, until, write_frame
 
-from hazelbend.transport import stomp_listener
+from hazelbend.transport.stomp import stomp_listener
 
 ANSWERS = {"id": "a", "destination": "/hazelbend/answers"}
 WORK = {"id": "w", "destination": "/hazelbend/work"}
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -11,21 +11,21 @@
 
 import pytest
 
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.messages import Entry
+from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.control import messages as control_messages
 from hazelbend.control.config_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
 from hazelbend.control.outputs import ControlPlan
-from hazelbend.fleet import memory_file
-from hazelbend.fleet.memory import Memory
-from hazelbend.fleet.messages import Entry
 from hazelbend.forwarding.ports import BrokenError, ClientReply, ClientRequest, NotSentError, WorkerCall
 from hazelbend.system.watch_service import WatchService
-from hazelbend.transport.asgi_server import AsgiServer, HttpAnswer, HttpCall
-from hazelbend.transport.control_store import DAMAGED, DATABASE, ControlStore
-from hazelbend.transport.frame_link import FrameConnection, FrameLink, FrameServer
-from hazelbend.transport.request_listener import RequestListener
-from hazelbend.transport.soft_state_file import read_soft_state, write_soft_state
-from hazelbend.transport.worker_client import HttpWorkerClient
+from hazelbend.transport.http.asgi_server import AsgiServer, HttpAnswer, HttpCall
+from hazelbend.transport.http.request_listener import RequestListener
+from hazelbend.transport.http.worker_client import HttpWorkerClient
+from hazelbend.transport.peer.frame_link import FrameConnection, FrameLink, FrameServer
+from hazelbend.transport.storage.control_store import DAMAGED, DATABASE, ControlStore
+from hazelbend.transport.storage.soft_state_file import read_soft_state, write_soft_state
 
 pytestmark = pytest.mark.anyio
 HOST = "127.0.0.1"
@@ -48,8 +48,8 @@
 # --- the store ---
 
 
-def memory(identity: str = "a@10.0.0.1:7", entries: int = 3) -> Memory:
-    made = Memory(identity, epoch=5, term=2, vote="b")
+def memory(identity: str = "a@10.0.0.1:7", entries: int = 3) -> PersistentState:
+    made = PersistentState(identity, epoch=5, term=2, vote="b")
     made.entries = [Entry(1, ("a", "b") if n == 0 else None, b"op%d" % n) for n in range(entries)]
     return made
 
@@ -57,7 +57,7 @@
 async def test_a_memory_is_found_again_as_it_was(tmp_path):
     store = ControlStore(tmp_path / "new" / "folder")
     assert await store.open("10.0.0.1:7") is None
-    await store.save(memory_file.whole_parts(memory()), 2)
+    await store.save(state_codec.whole_parts(memory()), 2)
     await store.close()
     again = ControlStore(tmp_path / "new" / "folder")
     assert await again.open("10.0.0.1:7") == (memory(), 2)
@@ -67,7 +67,7 @@
 async def test_the_memory_of_another_address_is_not_taken(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(memory_file.whole_parts(memory()), 0)
+    await store.save(state_codec.whole_parts(memory()), 0)
     assert await store.open("10.0.0.2:7") is None
     await store.close()
 
@@ -75,14 +75,14 @@
 async def test_later_parts_take_the_place_of_earlier_ones_and_another_epoch_begins_with_nothing(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(memory_file.whole_parts(memory()), 0)
-    await store.save([memory_file.Entries(2, (Entry(2, None, b"new"),))], 1)
+    await store.save(state_codec.whole_parts(memory()), 0)
+    await store.save([state_codec.Entries(2, (Entry(2, None, b"new"),))], 1)
     found, commit = await store.open("10.0.0.1:7")
     assert [each.op for each in found.entries] == [b"op0", b"new"] and commit == 1
-    await store.save([memory_file.Base(2, 2, ("a",), b"state")], 2)
+    await store.save([state_codec.Base(2, 2, ("a",), b"state")], 2)
     found, _ = await store.open("10.0.0.1:7")
     assert (found.base, found.base_state, found.entries) == (2, b"state", [])
-    await store.save([memory_file.Promise("a@10.0.0.1:7", 6, 0, "")], 0)
+    await store.save([state_codec.Promise("a@10.0.0.1:7", 6, 0, "")], 0)
     found, _ = await store.open("10.0.0.1:7")
     assert (found.epoch, found.base, found.entries) == (6, 0, [])
     await store.close()
@@ -91,11 +91,11 @@
 async def test_a_save_that_fails_changes_nothing_and_the_next_one_works(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(memory_file.whole_parts(memory()), 1)
+    await store.save(state_codec.whole_parts(memory()), 1)
     with pytest.raises((sqlite3.Error, AttributeError, TypeError)):
-        await store.save([memory_file.Entries(1, (Entry(9, None, b"x"),)), None], 9)
+        await store.save([state_codec.Entries(1, (Entry(9, None, b"x"),)), None], 9)
     assert await store.open("10.0.0.1:7") == (memory(), 1)
-    await store.save([memory_file.Entries(4, (Entry(2, None, b"x"),))], 3)
+    await store.save([state_codec.Entries(4, (Entry(2, None, b"x"),))], 3)
     found, _ = await store.open("10.0.0.1:7")
     assert len(found.entries) == 4
     await store.close()
@@ -104,12 +104,12 @@
 async def test_what_was_not_committed_when_the_process_died_is_not_there(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(memory_file.whole_parts(memory()), 1)
+    await store.save(state_codec.whole_parts(memory()), 1)
     await store.close()
     log = tmp_path / (DATABASE + "-wal")
     other = ControlStore(tmp_path)
     await other.open("10.0.0.1:7")
-    await other.save([memory_file.Entries(4, (Entry(2, None, b"x" * 9_000),))], 2)
+    await other.save([state_codec.Entries(4, (Entry(2, None, b"x" * 9_000),))], 2)
     content = log.read_bytes()
     copy = tmp_path / "after"
     copy.mkdir()
@@ -127,7 +127,7 @@
     store = ControlStore(tmp_path)
     assert await store.open("10.0.0.1:7") is None
     assert (tmp_path / DAMAGED).exists()
-    await store.save(memory_file.whole_parts(memory()), 0)
+    await store.save(state_codec.whole_parts(memory()), 0)
     await store.close()
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from hazelbend.program import config
 from hazelbend.program.console_server import ConsoleServer
-from hazelbend.transport.http_listener import passed_listener
+from hazelbend.transport.http.http_listener import passed_listener
 
 
 def run_beside(begin, tmp_path, listener, name, **more):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -11,7 +11,7 @@
 from hazelbend.control.load_table import CachedPart, Load, LoadNews, RouterLoad
 from hazelbend.system import watch
 from hazelbend.system.watch import Watches
-from hazelbend.transport.frame_link import FrameConnection, FrameServer
+from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
 
 pytestmark = pytest.mark.anyio
 SOON = 5.0
--- a/tests/test_worker_calls.py
+++ b/tests/test_worker_calls.py
@@ -15,8 +15,8 @@
 import pytest
 
 from hazelbend.forwarding.ports import BrokenError, ClientRequest, NotSentError, WorkerCall
-from hazelbend.transport import aiohttp_client, worker_client
-from hazelbend.transport.worker_client import HttpWorkerClient
+from hazelbend.transport.http import aiohttp_client, worker_client
+from hazelbend.transport.http.worker_client import HttpWorkerClient
 
 pytestmark = pytest.mark.anyio
 HOST = "127.0.0.1"
