--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -25,6 +25,7 @@
 
 import hazelbend
 from benchmarks import quota_sim
+from benchmarks.control import fleet as control_fleet
 from benchmarks.control import history
 from hazelbend.consensus import state_codec
 from hazelbend.control import messages
@@ -42,6 +43,7 @@
 from hazelbend.placement.reliability import SendEnd, Stakes
 from hazelbend.placement.routes import read_table
 from hazelbend.quotas import book
+from hazelbend.system.control_status import control_status
 from hazelbend.waiting import terms
 from hazelbend.waiting.engine import Engine
 
@@ -116,6 +118,31 @@
     return trace
 
 
+def control_answers() -> list[Any]:
+    """What `GET /status` of each control process tells, some seconds after the start; one is cut off."""
+    fleet = control_fleet.Fleet(3, machines=4, observers=1)
+    fleet.run(8 * S)
+    first = fleet.addresses[0]
+    for n, state in enumerate(WorkerState):
+        record = WorkerRecord(
+            f"w{n}", "chat", f"127.0.0.1:800{n}", "a", state, n, 8, ("", "prefill", "decode")[n]
+        )
+        fleet.worker(first, record, lambda held: None)
+    leader = fleet.leader
+    assert leader is not None
+    fleet.put(leader.address, 0, 7, b'{"version": 7}', lambda result: None)
+    fleet.run(2 * S)
+    away = next(each for each in fleet.addresses if each != leader.address)
+    for other in fleet.addresses:
+        if other != away:
+            fleet.cut(away, other)
+    fleet.run(3 * S)
+    return [
+        json.loads(msgspec.json.encode(control_status(each.engine, each.published, fleet.now)))
+        for each in fleet.alive
+    ]
+
+
 def quota_run() -> Trace:
     """Dispatchers that draw units from a book, which loses and gets requests late."""
     trace = Trace()
@@ -496,7 +523,8 @@
 
 
 def run_all() -> dict[str, Any]:
-    return {name: run().result() for name, run in ALL.items()} | {"learnt": learnt()}
+    found: dict[str, Any] = {name: run().result() for name, run in ALL.items()}
+    return found | {"learnt": learnt(), "control status": control_answers()}
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_runs.py
+++ b/tests/test_golden_runs.py
@@ -38,7 +38,7 @@
     return dict(json.loads(done.stdout))
 
 
-@pytest.mark.parametrize("name", [*golden_runs.ALL, "learnt"])
+@pytest.mark.parametrize("name", [*golden_runs.ALL, "learnt", "control status"])
 def test_a_run_goes_as_before(name: str, found: dict[str, Any]) -> None:
     assert found[name] == GOLDEN[name]
 
