--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -19,7 +19,7 @@
 from hazelbend.program.console_server import ConsoleServer
 from hazelbend.program.drain import KEPT, Drain
 from hazelbend.program.log import RecentLines, Sparing, set_up
-from hazelbend.protocol.handover import State
+from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.overview import Figures, Overview, take_figures, take_overview
 from hazelbend.routing.ports import EndpointList
@@ -204,27 +204,27 @@
         for key, text in said.doubts:
             log.warning("settings: %s: %s", key, text)
 
-    def _begin(self, state: State | None) -> None:
+    def _begin(self, state: HandoverState | None) -> None:
         """From the configuration; or from where the process before this one stands."""
-        known = state.known if state is not None and state.known.entries else self.conf.known
+        known = state.endpoints if state is not None and state.endpoints.entries else self.conf.known
         if known.whole and known.entries and self.conf.passed_socket is None and self.conf.srv is None:
             # An upgrade waits for the whole list, and where lists are merged it is what one of them says.
             self.watch.held = known.seq
         for name, part in self.parts.items():
-            known = part.begin(known, state.parts.get(name, {}) if state is not None else {})
+            known = part.begin(known, state.component_states.get(name, {}) if state is not None else {})
         self.router.begin(known)
         if state is None:
             return
-        for host in state.held_back:
+        for host in state.drained_hosts:
             self.router.hold_back(host, True)
-        if list(state.classes) != self._class_names:
+        if list(state.class_names) != self._class_names:
             return
         try:
-            remember(self.module, state.learnt, self.router.clock.now())
+            remember(self.module, state.learned, self.router.clock.now())
         except ValueError as error:
             log.warning("what the process before has learnt cannot be used: %s", error)
         else:
-            log.info("going on from the process before: %d servers", len(state.known.entries))
+            log.info("going on from the process before: %d servers", len(state.endpoints.entries))
 
     def _rejoin(self, name: str) -> None:
         """After a reload: this part's settings have come, gone or changed, or what they rest on has."""
@@ -247,11 +247,11 @@
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
-    def state(self) -> State:
+    def state(self) -> HandoverState:
         """Where this process stands, for the next one."""
         table, now = self.router.table, self.router.clock.now()
         heard = [each for part in self.parts.values() if (each := part.listed()) is not None]
-        return State(
+        return HandoverState(
             tuple(self._class_names),
             heard[0] if heard else table.listed(),
             table.held_back(),
--- a/hazelbend/program/config.py
+++ b/hazelbend/program/config.py
@@ -21,9 +21,9 @@
 from hazelbend.decisions.interface import Effect, Settings
 from hazelbend.decisions.settings import SettingsError, report_fields, settings_from
 from hazelbend.program.understanding import Noted, Understanding, understand
-from hazelbend.protocol.discovery import ListReader
-from hazelbend.protocol.http_fields import Catalogue, ClassRow
-from hazelbend.protocol.worker_lines import LoadFields
+from hazelbend.protocol.discovery import EndpointListCodec
+from hazelbend.protocol.http_fields import Catalogue, RequestClass
+from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.ports import EndpointList
 from hazelbend.transport.stomp.stomp_clients import Bounds
 from hazelbend.transport.stomp.stomp_listener import ClientAccount, StompSettings
@@ -60,8 +60,8 @@
     known: EndpointList
     settings: Settings
     catalogue: Catalogue
-    reader: ListReader
-    load_fields: LoadFields
+    reader: EndpointListCodec
+    load_fields: LoadReportFields
     connect_timeout: float  # seconds
     keepalive: float  # seconds
     understanding: Understanding = field(compare=False)  # of the settings, for people
@@ -198,7 +198,7 @@
         raise ConfigError(str(error)) from None
     names |= {"inflight": names["outstanding"], "queue": names["backlog"]}
     classes = tuple(
-        ClassRow(
+        RequestClass(
             lane.get("name", str),
             lane.number("deadline_us", 5_000_000, 1, 3_600_000_000) // 1_000,
             job.effect is Effect.KEYED,
@@ -208,7 +208,7 @@
     if not classes:
         raise raw.fault("lanes", "names no class")
     tenants = tuple(org.get("name", str) for org in raw.rows("orgs"))
-    reader = ListReader(raw.texts("azs"), raw.texts("machine_types"))
+    reader = EndpointListCodec(raw.texts("azs"), raw.texts("machine_types"))
     try:
         known = reader.from_object(conf.get("known", {"seq": 0, "whole": True, "hosts": []}))
     except ValueError as error:
@@ -226,7 +226,7 @@
         settings=settings,
         catalogue=Catalogue(classes, tenants),
         reader=reader,
-        load_fields=LoadFields(names),
+        load_fields=LoadReportFields(names),
         connect_timeout=connect_timeout,
         keepalive=keepalive,
         ops=keys.address("ops") if keys.get("ops", str, "") else None,
@@ -237,7 +237,7 @@
 def fixed(old: Config, new: Config) -> list[str]:
     """What differs but can only be taken over at a start."""
     # Servers and open flows know zones, kinds, classes and tenants by their places: new ones may only follow.
-    extends = new.catalogue.extends(old.catalogue) and new.reader.take_over(old.reader)
+    extends = new.catalogue.extends(old.catalogue) and new.reader.adopt_numbers(old.reader)
     names = () if extends else ("settings", "catalogue", "reader")
     return [
         name
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -169,7 +169,7 @@
             told = self.membership.hear_name(name, {}, now)
             self.membership.open_to(name, None, now)
             return told
-        zone, kind = self._reader.place(conf.zone, conf.kind)
+        zone, kind = self._reader.zone_and_kind(conf.zone, conf.kind)
         claims = {
             key: Claim(
                 rank, addresses, zone, kind, conf.cell, max(rank.weight, LEAST_WEIGHT) * conf.weight_scale
--- a/hazelbend/program/waiting.py
+++ b/hazelbend/program/waiting.py
@@ -9,7 +9,7 @@
 from multidict import MultiMapping
 
 from hazelbend.program.parts import CommandError, Ground, Part, Show, table
-from hazelbend.protocol.http_fields import BadRequestError, patience
+from hazelbend.protocol.http_fields import BadRequestError, timeout_us
 from hazelbend.protocol.stomp import Frame
 from hazelbend.protocol.stomp_jobs import request_id
 from hazelbend.protocol.waiting_terms import read_terms
@@ -129,7 +129,7 @@
         catalogue, wait = self._ground.conf.catalogue, job.patience
         if terms.waits and said is not None:
             # A job that waits may do so for longer than its class may run.
-            wait = patience(said, round(self.settings.limits.longest_s * 1e3), catalogue.margin)
+            wait = timeout_us(said, round(self.settings.limits.longest_s * 1e3), catalogue.margin_us)
         try:
             return self.gate.take(job, (client, own_id), terms, wait)
         except TermsError as error:
--- a/hazelbend/protocol/discovery.py
+++ b/hazelbend/protocol/discovery.py
@@ -1,4 +1,9 @@
-"""Discovery's lists: JSON to service entries. A list that is not what it should be raises ValueError."""
+"""The endpoint lists of service discovery: JSON to `EndpointList` and back.
+
+In JSON an entry names its zone, its machine kind and its state (`site`, `class`, `health`). In memory zones
+and kinds are numbers, which `EndpointListCodec` assigns: the place in the settings, then further numbers as
+unknown names turn up.
+"""
 
 from __future__ import annotations
 
@@ -10,113 +15,153 @@
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.routing.ports import Endpoint, EndpointList
 
-_STATES = {"SERVING": WorkerState.READY, "DRAINING": WorkerState.DRAINING, "DELETED": WorkerState.GONE}
+MAX_PORT = 65_535
+US_PER_MS = 1_000
 
+_STATES = {"SERVING": WorkerState.READY, "DRAINING": WorkerState.DRAINING, "DELETED": WorkerState.GONE}
 _HEALTH = {state: health for health, state in _STATES.items()}
 
 
-class Names:
-    """Numbers for the names of zones or kinds: the settings' places, and further ones as they turn up."""
+class EndpointListError(ValueError):
+    """A list that cannot be read; the text names the faulty key."""
 
-    def __init__(self, names: tuple[str, ...]) -> None:
-        self.listed = names
-        self._numbers = {name: number for number, name in enumerate(names)}
 
-    def number(self, name: str) -> int:
+class NameTable:
+    """Numbers for names: those of the settings by their places, others in order of first appearance."""
+
+    def __init__(self, configured: tuple[str, ...]) -> None:
+        self.configured = configured
+        self._numbers = {name: number for number, name in enumerate(configured)}
+
+    def number_of(self, name: str) -> int:
+        """The number of this name; an unknown name gets the next free one."""
         return self._numbers.setdefault(name, len(self._numbers))
 
-    def names(self) -> dict[int, str]:
+    def by_number(self) -> dict[int, str]:
+        """All known names by their numbers."""
         return {number: name for name, number in self._numbers.items()}
 
-    def joined(self, old: Names) -> Names | None:
-        """These names beside the numbers that are in use; None where a number would change its meaning."""
-        numbers = old._numbers | self._numbers
-        if not old._numbers.items() <= numbers.items() or len(set(numbers.values())) < len(numbers):
+    def merged_with(self, older: NameTable) -> NameTable | None:
+        """This table with the older one's numbers added.
+
+        None where a number would change its meaning.
+        """
+        numbers = older._numbers | self._numbers
+        keeps_older = older._numbers.items() <= numbers.items()
+        is_unique = len(set(numbers.values())) == len(numbers)
+        if not keeps_older or not is_unique:
             return None
-        names = Names(self.listed)
-        names._numbers = numbers
-        return names
+        merged = NameTable(self.configured)
+        merged._numbers = numbers
+        return merged
 
 
-class ListReader:
+class EndpointListCodec:
+    """Reads and writes endpoint lists. One that has read a list can write it."""
+
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self._zones, self._kinds = Names(zones), Names(kinds)
+        """`zones`, `kinds`: names in the settings, in their order."""
+        self._zones = NameTable(zones)
+        self._kinds = NameTable(kinds)
 
     def __eq__(self, other: object) -> bool:
-        """Whether the settings named the same."""
-        return isinstance(other, ListReader) and (self._zones.listed, self._kinds.listed) == (
-            other._zones.listed,
-            other._kinds.listed,
+        """Whether the settings named the same zones and kinds."""
+        return isinstance(other, EndpointListCodec) and (self._zones.configured, self._kinds.configured) == (
+            other._zones.configured,
+            other._kinds.configured,
         )
 
     __hash__ = None  # type: ignore[assignment]
 
-    def take_over(self, old: ListReader) -> bool:
-        """Go on for another reader, with the numbers that it gave; False where that cannot be."""
-        zones, kinds = self._zones.joined(old._zones), self._kinds.joined(old._kinds)
+    def adopt_numbers(self, older: EndpointListCodec) -> bool:
+        """Replace another codec, keeping the numbers that it assigned.
+
+        False, and nothing changed, where a number would change its meaning.
+        """
+        zones = self._zones.merged_with(older._zones)
+        kinds = self._kinds.merged_with(older._kinds)
         if zones is None or kinds is None:
             return False
-        self._zones, self._kinds = zones, kinds
+        self._zones = zones
+        self._kinds = kinds
         return True
 
-    def place(self, zone: str, kind: str) -> tuple[int, int]:
-        """The numbers of a zone and a kind, as entries of lists have them."""
-        return self._zones.number(zone), self._kinds.number(kind)
+    def zone_and_kind(self, zone: str, kind: str) -> tuple[int, int]:
+        """The numbers of a zone and a kind, as entries have them."""
+        return self._zones.number_of(zone), self._kinds.number_of(kind)
+
+    def decode(self, text: bytes) -> EndpointList:
+        """The list in this JSON text.
 
-    def read(self, text: bytes) -> EndpointList:
+        Raises:
+            EndpointListError: it is none.
+        """
         try:
             return self.from_object(orjson.loads(text))
         except orjson.JSONDecodeError as error:
-            raise ValueError(f"list: not JSON ({error})") from None
+            raise EndpointListError(f"list: not JSON ({error})") from None
 
     def from_object(self, value: object) -> EndpointList:
+        """The list in a decoded JSON object.
+
+        Raises:
+            EndpointListError: it is none.
+        """
         if not isinstance(value, Mapping) or not isinstance(hosts := value.get("hosts"), list):
-            raise ValueError("list: no object with 'hosts'")
+            raise EndpointListError("list: no object with 'hosts'")
         seq = _typed(value, "seq", int)
-        return EndpointList(tuple(self._entry(each) for each in hosts), value.get("whole") is True, seq=seq)
+        return EndpointList(tuple(self._entry(host) for host in hosts), value.get("whole") is True, seq=seq)
 
-    def to_object(self, news: EndpointList) -> dict[str, Any]:
-        """The list in discovery's form, as `from_object` reads it."""
-        zones, kinds = self._zones.names(), self._kinds.names()
+    def to_object(self, endpoints: EndpointList) -> dict[str, Any]:
+        """The list as `from_object` reads it."""
+        zones = self._zones.by_number()
+        kinds = self._kinds.by_number()
         hosts = [
             {
-                "host": each.host,
-                "dial": each.dial,
-                "site": zones[each.zone],
-                "class": kinds[each.kind],
-                "block": each.cell,
-                "health": _HEALTH[each.state],
-                "share": each.weight,
-                "born_ms": each.started_at // 1_000,
+                "host": entry.host,
+                "dial": entry.dial,
+                "site": zones[entry.zone],
+                "class": kinds[entry.kind],
+                "block": entry.cell,
+                "health": _HEALTH[entry.state],
+                "share": entry.weight,
+                "born_ms": entry.started_at // US_PER_MS,
             }
-            for each in news.entries
+            for entry in endpoints.entries
         ]
-        return {"seq": news.seq, "whole": news.whole, "hosts": hosts}
+        return {"seq": endpoints.seq, "whole": endpoints.whole, "hosts": hosts}
 
     def _entry(self, value: object) -> Endpoint:
         if not isinstance(value, Mapping):
-            raise ValueError("list: an entry is no object")
+            raise EndpointListError("list: an entry is no object")
         state = _STATES.get(_typed(value, "health", str))
         if state is None:
-            raise ValueError(f"list: unknown health {value['health']!r}")
-        host, dial = _typed(value, "host", str), _typed(value, "dial", str)
-        name, _, port = dial.rpartition(":")
-        if not host or not name or not port.isascii() or not port.isdecimal() or not 0 < int(port) < 65_536:
-            raise ValueError(f"list: {host!r} has no usable 'dial': {dial!r}")
+            raise EndpointListError(f"list: unknown health {value['health']!r}")
+        host = _typed(value, "host", str)
+        dial = _typed(value, "dial", str)
+        if not host or not _is_dialable(dial):
+            raise EndpointListError(f"list: {host!r} has no usable 'dial': {dial!r}")
         return Endpoint(
             host=host,
             dial=dial,
-            zone=self._zones.number(_typed(value, "site", str, "")),
-            kind=self._kinds.number(_typed(value, "class", str, "")),
+            zone=self._zones.number_of(_typed(value, "site", str, "")),
+            kind=self._kinds.number_of(_typed(value, "class", str, "")),
             cell=_typed(value, "block", int, 0),
             state=state,
             weight=float(_typed(value, "share", (int, float), 1.0)),
-            started_at=_typed(value, "born_ms", int, 0) * 1_000,
+            started_at=_typed(value, "born_ms", int, 0) * US_PER_MS,
         )
 
 
+def _is_dialable(address: str) -> bool:
+    """Whether it is `name:port` with a port that can be connected to."""
+    name, _, port = address.rpartition(":")
+    return bool(name) and port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
+
+
 def _typed(value: Mapping[str, Any], key: str, kind: Any, default: Any = None) -> Any:
-    each = value.get(key, default)
-    if isinstance(each, bool) or not isinstance(each, kind):
-        raise ValueError(f"list: {key!r} is missing or of a wrong type")
-    return each
+    """The value of a key, which must be of this type. A bool counts as no number."""
+    found = value.get(key, default)
+    if isinstance(found, bool) or not isinstance(found, kind):
+        raise EndpointListError(f"list: {key!r} is missing or of a wrong type")
+    return found
--- a/hazelbend/protocol/handover.py
+++ b/hazelbend/protocol/handover.py
@@ -1,7 +1,7 @@
-"""What two processes of one dispatcher tell each other in an upgrade: JSON, an object a line.
+"""What two processes of one dispatcher tell each other during an upgrade: JSON, one object a line.
 
-First the older one's state, then from either side the ids that it takes and ends. What one of another version
-does not know it skips; what cannot be read raises ValueError.
+The older process sends its state first. After that each side sends the ids of the flows that it takes on and
+ends. Keys that are not known are skipped, since the other process may be of another version.
 """
 
 from __future__ import annotations
@@ -11,74 +11,94 @@
 
 import orjson
 
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.routing.ports import EndpointList
 
-LINE_LIMIT = 4 * 1024 * 1024
-MOST_ID = 1_024  # characters of an id
+MAX_LINE_BYTES = 4 * 1024 * 1024
+MAX_FLOW_ID_LENGTH = 1_024  # characters
+
+
+class HandoverError(ValueError):
+    """A line that cannot be read; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
-class State:
-    """A dispatcher at a moment, for the process that takes its place."""
+class HandoverState:
+    """A dispatcher at one moment, for the process that replaces it."""
 
-    classes: tuple[str, ...]  # the names of the settings, by their places
-    known: EndpointList
-    held_back: tuple[str, ...] = ()  # servers drained by hand
-    ids: tuple[str, ...] = ()  # of open flows
-    learnt: dict[str, Any] = field(default_factory=dict)
-    parts: dict[str, dict[str, Any]] = field(default_factory=dict)  # what parts of the program know, by name
+    class_names: tuple[str, ...]  # in the order of the settings
+    endpoints: EndpointList
+    drained_hosts: tuple[str, ...] = ()  # that an operator drains
+    flow_ids: tuple[str, ...] = ()  # of open flows
+    learned: dict[str, Any] = field(default_factory=dict)  # the decision module's state
+    component_states: dict[str, dict[str, Any]] = field(default_factory=dict)  # by name of the component
 
 
 @dataclass(slots=True, frozen=True)
-class IdNews:
-    """A flow of this id was taken, or is over."""
+class FlowIdUpdate:
+    """A flow of this id was opened, or has ended."""
 
-    id: str
-    taken: bool
+    flow_id: str
+    is_open: bool
 
 
-def write_state(state: State, reader: ListReader) -> bytes:
+def encode_state(state: HandoverState, codec: EndpointListCodec) -> bytes:
+    """The line with a process's state."""
+    components = {"parts": state.component_states} if state.component_states else {}
     return orjson.dumps(
         {
-            "classes": state.classes,
-            "known": reader.to_object(state.known),
-            "held_back": state.held_back,
-            "ids": state.ids,
-            "learnt": state.learnt,
-            **({"parts": state.parts} if state.parts else {}),
+            "classes": state.class_names,
+            "known": codec.to_object(state.endpoints),
+            "held_back": state.drained_hosts,
+            "ids": state.flow_ids,
+            "learnt": state.learned,
+            **components,
         },
         option=orjson.OPT_APPEND_NEWLINE,
     )
 
 
-def read_state(line: bytes, reader: ListReader) -> State:
+def decode_state(line: bytes, codec: EndpointListCodec) -> HandoverState:
+    """The state in a line.
+
+    Raises:
+        HandoverError: it holds none.
+        EndpointListError: its endpoint list cannot be read.
+    """
     value = _object(line)
-    learnt = value.get("learnt", {})
-    parts = value.get("parts", {})
-    if not isinstance(learnt, dict) or not isinstance(parts, dict):
-        raise ValueError("state: 'learnt' or 'parts' is no object")
-    if not all(isinstance(each, dict) for each in parts.values()):
-        raise ValueError("state: 'parts' has something that is no object")
-    return State(
-        _texts(value, "classes"),
-        reader.from_object(value.get("known")),
-        _texts(value, "held_back"),
-        _texts(value, "ids"),
-        learnt,
-        parts,
+    learned = value.get("learnt", {})
+    components = value.get("parts", {})
+    if not isinstance(learned, dict) or not isinstance(components, dict):
+        raise HandoverError("state: 'learnt' or 'parts' is no object")
+    if not all(isinstance(component, dict) for component in components.values()):
+        raise HandoverError("state: 'parts' has something that is no object")
+    return HandoverState(
+        class_names=_texts(value, "classes"),
+        endpoints=codec.from_object(value.get("known")),
+        drained_hosts=_texts(value, "held_back"),
+        flow_ids=_texts(value, "ids"),
+        learned=learned,
+        component_states=components,
     )
 
 
-def write_news(news: IdNews) -> bytes:
-    return orjson.dumps({"taken" if news.taken else "over": news.id}, option=orjson.OPT_APPEND_NEWLINE)
+def encode_update(update: FlowIdUpdate) -> bytes:
+    """The line with an update."""
+    key = "taken" if update.is_open else "over"
+    return orjson.dumps({key: update.flow_id}, option=orjson.OPT_APPEND_NEWLINE)
+
 
+def decode_update(line: bytes) -> FlowIdUpdate | None:
+    """The update in a line; None if it holds none that is known.
 
-def read_news(line: bytes) -> IdNews | None:
+    Raises:
+        HandoverError: it is no JSON object.
+    """
     value = _object(line)
     for key in ("taken", "over"):
-        if isinstance(name := value.get(key), str) and len(name) <= MOST_ID:
-            return IdNews(name, key == "taken")
+        flow_id = value.get(key)
+        if isinstance(flow_id, str) and len(flow_id) <= MAX_FLOW_ID_LENGTH:
+            return FlowIdUpdate(flow_id, is_open=key == "taken")
     return None
 
 
@@ -86,14 +106,14 @@
     try:
         value = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise ValueError(f"handover: not JSON ({error})") from None
+        raise HandoverError(f"handover: not JSON ({error})") from None
     if not isinstance(value, dict):
-        raise ValueError("handover: no object")
+        raise HandoverError("handover: no object")
     return value
 
 
 def _texts(value: dict[str, Any], key: str) -> tuple[str, ...]:
     found = value.get(key, [])
-    if not isinstance(found, list) or not all(isinstance(each, str) for each in found):
-        raise ValueError(f"state: {key!r} is no list of texts")
+    if not isinstance(found, list) or not all(isinstance(text, str) for text in found):
+        raise HandoverError(f"state: {key!r} is no list of texts")
     return tuple(found)
--- a/hazelbend/protocol/http_fields.py
+++ b/hazelbend/protocol/http_fields.py
@@ -1,4 +1,8 @@
-"""The fields of a client's HTTP request that the decisions need. Bad input raises BadRequestError."""
+"""Reads a job from the header fields of a client's HTTP request.
+
+The fields are X-Request-ID, X-Priority-Class, X-Tenant-Id, X-Timeout-Ms, X-Attrs, X-Cost and Idempotency-Key
+(draft-ietf-httpapi-idempotency-key-header). What cannot be used raises BadRequestError.
+"""
 
 from __future__ import annotations
 
@@ -10,121 +14,166 @@
 
 from hazelbend.routing.ports import Job
 
-TARGET_LIMIT = 8_190
+MAX_TARGET_LENGTH = 8_190  # characters
+MAX_REQUEST_ID_LENGTH = 128
+MAX_IDEMPOTENCY_KEY_LENGTH = 256
+MAX_TIMEOUT_DIGITS = 9
+MAX_COST_DIGITS = 9
+MAX_SLOTS = 1_000
+SHOWN_LENGTH = 40  # characters of a client's own text in an error
+ANSWER_MARGIN_US = 25_000
+ANSWER_MARGIN_DIVISOR = 10  # the margin is at most this part of the timeout
+US_PER_MS = 1_000
+AFFINITY_KEY_BYTES = 8
 
 
 class BadRequestError(Exception):
-    """What a client sent cannot be taken; the text tells the client why."""
+    """A client's request cannot be accepted; the text tells the client why."""
 
 
 @dataclass(slots=True, frozen=True)
-class ClassRow:
-    """What a front needs to know of a class."""
+class RequestClass:
+    """What a front needs to know of a request class."""
 
     name: str
     deadline_ms: int
-    keyed: bool
+    needs_idempotency_key: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Catalogue:
-    """The names that requests use, by their places in the settings."""
+    """The names of classes and tenants that requests may use, in the order of the settings."""
 
-    classes: tuple[ClassRow, ...]
+    classes: tuple[RequestClass, ...]
     tenants: tuple[str, ...]
-    margin: int = 25_000  # microseconds kept of the client's time for the way there and back
+    margin_us: int = ANSWER_MARGIN_US  # kept of a client's timeout for the way there and back
 
-    def extends(self, old: Catalogue) -> bool:
-        """Whether every name that the old one had keeps its place."""
-        names, held = tuple(row.name for row in self.classes), tuple(row.name for row in old.classes)
-        return names[: len(held)] == held and self.tenants[: len(old.tenants)] == old.tenants
+    def extends(self, older: Catalogue) -> bool:
+        """Whether every name of the older catalogue keeps its place."""
+        names = tuple(row.name for row in self.classes)
+        older_names = tuple(row.name for row in older.classes)
+        older_tenants = older.tenants
+        return (
+            names[: len(older_names)] == older_names and self.tenants[: len(older_tenants)] == older_tenants
+        )
 
     def class_index(self, name: str) -> int:
+        """The place of a class.
+
+        Raises:
+            BadRequestError: there is none of this name.
+        """
         for index, row in enumerate(self.classes):
             if row.name == name:
                 return index
-        raise BadRequestError(f"unknown class {name[:40]!r}")
+        raise BadRequestError(f"unknown class {name[:SHOWN_LENGTH]!r}")
 
     def tenant_index(self, name: str | None) -> int:
+        """The place of a tenant; 0 where the settings name none.
+
+        Raises:
+            BadRequestError: there is none of this name.
+        """
         if not self.tenants:
             return 0
         if name not in self.tenants:
-            raise BadRequestError(f"unknown tenant {(name or '')[:40]!r}")
+            raise BadRequestError(f"unknown tenant {(name or '')[:SHOWN_LENGTH]!r}")
         return self.tenants.index(name)
 
 
-def key_number(text: str) -> int:
-    """A 64-bit number for what a request is about, alike on all dispatchers; 0 for nothing."""
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) or 1 if text else 0
+def affinity_key(text: str) -> int:
+    """A 64-bit number for what a request is about, the same on all dispatchers; 0 for an empty text."""
+    if not text:
+        return 0
+    return int.from_bytes(blake2b(text.encode(), digest_size=AFFINITY_KEY_BYTES).digest()) or 1
 
 
-def patience(text: str | None, class_ms: int, margin: int) -> int:
-    """The microseconds that a client still waits, no more than its class allows, so that a planned end is
-    never kept waiting for one flow; less a margin, so that the answer is there in time."""
+def timeout_us(text: str | None, class_deadline_ms: int, margin_us: int) -> int:
+    """Microseconds until an answer is due, for a client's timeout in milliseconds.
+
+    A margin for the way there and back is taken off. The class's deadline is the most, so that a planned
+    shutdown never waits longer for one flow. It also counts where the client says nothing (None).
+
+    Raises:
+        BadRequestError: the text is no whole number of milliseconds.
+    """
     if text is None:
-        milliseconds = class_ms
-    elif text.isascii() and text.isdecimal() and len(text) <= 9:
-        milliseconds = min(int(text), class_ms)
+        milliseconds = class_deadline_ms
+    elif text.isascii() and text.isdecimal() and len(text) <= MAX_TIMEOUT_DIGITS:
+        milliseconds = min(int(text), class_deadline_ms)
     else:
         raise BadRequestError("the time-out is no whole number of milliseconds")
-    whole = milliseconds * 1_000
-    return whole - min(margin, whole // 10)
+    total_us = milliseconds * US_PER_MS
+    return total_us - min(margin_us, total_us // ANSWER_MARGIN_DIVISOR)
+
 
+def parse_slots(text: str | None) -> float:
+    """The job's slots from `name=value,name=value`; 1 where it has no `slots`.
 
-def slots(text: str | None) -> float:
-    """The job's slots from `name=value,name=value`; 1 if it is not said."""
-    for part in (text or "").split(","):
-        name, _, value = part.partition("=")
+    Raises:
+        BadRequestError: it is no number of slots.
+    """
+    for attribute in (text or "").split(","):
+        name, _, value = attribute.partition("=")
         if name.strip() == "slots":
             try:
                 number = float(value)
             except ValueError:
                 number = 0.0
-            if not isfinite(number) or not 0 < number <= 1_000:
+            if not isfinite(number) or not 0 < number <= MAX_SLOTS:
                 raise BadRequestError("slots is no number that a job can have")
             return number
     return 1.0
 
 
-def _one(headers: MultiMapping[str], name: str) -> str | None:
-    """A field that stands there once or not at all: of two, a server might go by the other one."""
-    values = headers.getall(name, [])
-    if len(values) > 1:
-        raise BadRequestError(f"{name} stands there more than once")
-    return values[0] if values else None
-
-
-def _is_plain(text: str, most: int) -> bool:
-    """Whether it can go on in a field as it came."""
-    return 0 < len(text) <= most and text.isascii() and text.isprintable()
-
-
 def read_job(target: str, headers: MultiMapping[str], body: bytes, catalogue: Catalogue) -> Job:
-    if not target.startswith("/") or not _is_plain(target, TARGET_LIMIT) or "#" in target:
+    """The job of a request for `target` (path and query as they came).
+
+    Raises:
+        BadRequestError: it cannot be accepted.
+    """
+    if not target.startswith("/") or not _is_forwardable(target, MAX_TARGET_LENGTH) or "#" in target:
         raise BadRequestError("the target is no plain path")
-    parts = target.partition("?")[0].split("/")
-    job_id = _one(headers, "X-Request-ID") or ""
-    if not _is_plain(job_id, 128):
+    segments = target.partition("?")[0].split("/")
+    request_id = _single_value(headers, "X-Request-ID") or ""
+    if not _is_forwardable(request_id, MAX_REQUEST_ID_LENGTH):
         raise BadRequestError("X-Request-ID is missing or unusable")
-    name = _one(headers, "X-Priority-Class")
-    index = catalogue.class_index(parts[1] if name is None else name)
-    if parts[1] != catalogue.classes[index].name:
+    class_name = _single_value(headers, "X-Priority-Class")
+    index = catalogue.class_index(segments[1] if class_name is None else class_name)
+    request_class = catalogue.classes[index]
+    if segments[1] != request_class.name:
         raise BadRequestError("the path is of another class")  # servers go by the path
-    row, key = catalogue.classes[index], _one(headers, "Idempotency-Key")
-    if row.keyed and not key:
+    idempotency_key = _single_value(headers, "Idempotency-Key")
+    if request_class.needs_idempotency_key and not idempotency_key:
         raise BadRequestError("Idempotency-Key is missing")
-    if key is not None and not _is_plain(key, 256):
+    if idempotency_key is not None and not _is_forwardable(idempotency_key, MAX_IDEMPOTENCY_KEY_LENGTH):
         raise BadRequestError("Idempotency-Key is unusable")
     cost = headers.get("X-Cost", "")
+    has_cost = cost.isascii() and cost.isdecimal() and len(cost) <= MAX_COST_DIGITS
     return Job(
-        id=job_id,
+        id=request_id,
         class_index=index,
-        tenant=catalogue.tenant_index(_one(headers, "X-Tenant-Id")),
-        patience=patience(_one(headers, "X-Timeout-Ms"), row.deadline_ms, catalogue.margin),
-        key=key_number(parts[-1]) if len(parts) > 2 else 0,
-        slots=slots(_one(headers, "X-Attrs")),
-        expected_work=int(cost) if cost.isascii() and cost.isdecimal() and len(cost) < 10 else 0,
+        tenant=catalogue.tenant_index(_single_value(headers, "X-Tenant-Id")),
+        patience=timeout_us(
+            _single_value(headers, "X-Timeout-Ms"), request_class.deadline_ms, catalogue.margin_us
+        ),
+        key=affinity_key(segments[-1]) if len(segments) > 2 else 0,
+        slots=parse_slots(_single_value(headers, "X-Attrs")),
+        expected_work=int(cost) if has_cost else 0,
         target=target,
         body=body,
-        idempotency_key=key,
+        idempotency_key=idempotency_key,
     )
+
+
+def _single_value(headers: MultiMapping[str], name: str) -> str | None:
+    """A field's value, None without it. Of two values a server might go by the other one: rejected."""
+    values = headers.getall(name, [])
+    if len(values) > 1:
+        raise BadRequestError(f"{name} stands there more than once")
+    return values[0] if values else None
+
+
+def _is_forwardable(text: str, max_length: int) -> bool:
+    """Whether it can go on to a server in a header field as it came."""
+    return 0 < len(text) <= max_length and text.isascii() and text.isprintable()
--- a/hazelbend/protocol/stomp.py
+++ b/hazelbend/protocol/stomp.py
@@ -1,6 +1,7 @@
-"""STOMP frames, versions 1.1 and 1.2: bytes to frames and back. No sockets, no meaning.
+"""STOMP 1.1 and 1.2 frames: bytes to frames and back, without sockets (https://stomp.github.io).
 
-The reader takes bytes as they come, however they are cut, and keeps no more of them than its limits allow.
+`FrameReader` takes bytes in pieces of any size, and keeps no more of them than its limits allow. What the
+headers of a frame mean is said in stomp_jobs.py.
 """
 
 from __future__ import annotations
@@ -9,9 +10,14 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-HEAD_LIMIT = 16 * 1024  # bytes of a command and its headers
-HEADERS_LIMIT = 64
-BODY_LIMIT = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024  # of a command and its headers
+MAX_HEADERS = 64
+MAX_BODY_BYTES = 64 * 1024
+MAX_DIGITS = 9  # of a number in a header
+COMMAND_BYTES = 16  # more than any command has
+SHOWN_LENGTH = 40  # characters of a peer's own text in an error
+DEFAULT_VERSION = "1.2"
+VERSIONS = ("1.2", "1.1")  # the newest first
 
 CLIENT_COMMANDS = frozenset(
     [
@@ -30,8 +36,8 @@
 )
 SERVER_COMMANDS = frozenset(["CONNECTED", "MESSAGE", "RECEIPT", "ERROR"])
 BODY_ALLOWED = frozenset({"SEND", "MESSAGE", "ERROR"})
-# The specification leaves these unescaped, so that they are read alike by clients of version 1.0.
-PLAIN_COMMANDS = frozenset({"CONNECT", "CONNECTED"})
+# The specification leaves their headers unescaped, so that clients of version 1.0 read them alike.
+UNESCAPED_COMMANDS = frozenset({"CONNECT", "CONNECTED"})
 
 _UNESCAPED = {"\\n": "\n", "\\c": ":", "\\\\": "\\", "\\r": "\r"}
 _ESCAPED = {value: key for key, value in _UNESCAPED.items()}
@@ -45,51 +51,70 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
+    """One STOMP frame."""
+
     command: str
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
+        """The value of a header."""
         return self.headers.get(name, default)
 
 
-class Beat:
+class HeartBeat:
     """A heart-beat: an end of line between frames."""
 
 
+@dataclass(slots=True, frozen=True)
+class _Head:
+    command: str
+    headers: dict[str, str]
+    content_length: int | None
+
+
 class FrameReader:
-    """`feed` gives the whole frames, and the heart-beats between them, that the bytes so far complete."""
+    """Decodes a stream of bytes. `version` is to be set once it is negotiated."""
 
-    def __init__(self, commands: frozenset[str] = CLIENT_COMMANDS, body_limit: int = BODY_LIMIT) -> None:
-        self._commands, self._body_limit = commands, body_limit
+    def __init__(
+        self, commands: frozenset[str] = CLIENT_COMMANDS, max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None:
+        self._commands = commands
+        self._max_body_bytes = max_body_bytes
         self._data = bytearray()
-        self._head: tuple[str, dict[str, str], int | None] | None = None
-        self._searched = 0
-        self.version = "1.2"
+        self._head: _Head | None = None  # of the frame whose body is to come
+        self._searched = 0  # bytes of `_data` that hold no end of the head or body
+        self.version = DEFAULT_VERSION
+
+    def feed(self, data: bytes) -> Iterator[Frame | HeartBeat]:
+        """Take bytes, and give the frames and heart-beats that they complete.
 
-    def feed(self, data: bytes) -> Iterator[Frame | Beat]:
+        Raises:
+            StompError: the bytes are no frame.
+        """
         self._data += data
         while (item := self._next()) is not None:
             yield item
 
-    def _next(self) -> Frame | Beat | None:
+    def _next(self) -> Frame | HeartBeat | None:
         if self._head is None:
             if self._data[:1] == b"\n":
                 del self._data[:1]
-                return Beat()
+                return HeartBeat()
             if self._data[:2] == b"\r\n":
                 del self._data[:2]
-                return Beat()
+                return HeartBeat()
             if not self._read_head():
                 return None
         return self._read_body()
 
     def _read_head(self) -> bool:
+        """Whether the head is complete."""
         # A blank line ends the head; lines may end in \r\n, so the blank one may hold a \r.
         ends = [at for mark in (b"\n\n", b"\n\r\n") if (at := self._data.find(mark, self._searched)) >= 0]
         size = min(ends, default=len(self._data))
-        if size > HEAD_LIMIT:
-            raise StompError(f"the head of a frame is over {HEAD_LIMIT} bytes")
+        if size > MAX_HEAD_BYTES:
+            raise StompError(f"the head of a frame is over {MAX_HEAD_BYTES} bytes")
         if not ends:
             self._check_start()
             self._searched = max(len(self._data) - 2, 0)
@@ -102,56 +127,59 @@
         self._searched = 0
         command = command.removesuffix("\r")
         if command not in self._commands:
-            raise StompError(f"unknown command {command[:40]!r}")
+            raise StompError(f"unknown command {command[:SHOWN_LENGTH]!r}")
         headers = self._headers(command, lines)
-        self._head = command, headers, self._length(headers)
+        self._head = _Head(command, headers, self._content_length(headers))
         return True
 
     def _check_start(self) -> None:
-        """Bytes that cannot become a command are told at once, not after the limit is full."""
-        start = bytes(self._data[:16]).partition(b"\n")[0].removesuffix(b"\r")
+        """Reject bytes that cannot become a command at once, not after the limit is full."""
+        start = bytes(self._data[:COMMAND_BYTES]).partition(b"\n")[0].removesuffix(b"\r")
         if not any(command.encode().startswith(start) for command in self._commands):
             raise StompError("no STOMP frame begins like this")
 
     def _headers(self, command: str, lines: list[str]) -> dict[str, str]:
-        if len(lines) > HEADERS_LIMIT:
-            raise StompError(f"a frame has over {HEADERS_LIMIT} headers")
+        if len(lines) > MAX_HEADERS:
+            raise StompError(f"a frame has over {MAX_HEADERS} headers")
         headers: dict[str, str] = {}
         for line in lines:
             name, colon, value = line.removesuffix("\r").partition(":")
             if not colon or not name:
-                raise StompError(f"no header: {line[:40]!r}")
-            if command not in PLAIN_COMMANDS:
-                name, value = self._unescape(name), self._unescape(value)
+                raise StompError(f"no header: {line[:SHOWN_LENGTH]!r}")
+            if command not in UNESCAPED_COMMANDS:
+                name = self._unescape(name)
+                value = self._unescape(value)
             headers.setdefault(name, value)  # of repeated headers the first counts
         return headers
 
     def _unescape(self, text: str) -> str:
         def plain(match: re.Match[str]) -> str:
-            each = match.group()
-            if each not in _UNESCAPED or (each == "\\r" and self.version == "1.1"):
-                raise StompError(f"undefined escape {each!r} in a header")
-            return _UNESCAPED[each]
+            escape = match.group()
+            if escape not in _UNESCAPED or (escape == "\\r" and self.version == "1.1"):
+                raise StompError(f"undefined escape {escape!r} in a header")
+            return _UNESCAPED[escape]
 
         return _ESCAPE.sub(plain, text) if "\\" in text else text
 
-    def _length(self, headers: Mapping[str, str]) -> int | None:
+    def _content_length(self, headers: Mapping[str, str]) -> int | None:
         text = headers.get("content-length")
         if text is None:
             return None
-        if not text.isascii() or not text.isdecimal() or len(text) > 9:
+        if not text.isascii() or not text.isdecimal() or len(text) > MAX_DIGITS:
             raise StompError("content-length is no whole number")
-        if int(text) > self._body_limit:
-            raise StompError(f"a body is over {self._body_limit} bytes")
+        if int(text) > self._max_body_bytes:
+            raise StompError(f"a body is over {self._max_body_bytes} bytes")
         return int(text)
 
     def _read_body(self) -> Frame | None:
+        """The frame, once its body is complete: by its content-length, else up to a NUL byte."""
         assert self._head is not None
-        command, headers, length = self._head
+        head = self._head
+        length = head.content_length
         if length is None:
             end = self._data.find(b"\0", self._searched)
-            if max(end, len(self._data) if end < 0 else 0) > self._body_limit:
-                raise StompError(f"a body is over {self._body_limit} bytes")
+            if max(end, len(self._data) if end < 0 else 0) > self._max_body_bytes:
+                raise StompError(f"a body is over {self._max_body_bytes} bytes")
             if end < 0:
                 self._searched = len(self._data)
                 return None
@@ -162,17 +190,18 @@
             raise StompError("a body does not end where its content-length says")
         body = bytes(self._data[:length])
         del self._data[: length + 1]
-        self._head, self._searched = None, 0
-        if body and command not in BODY_ALLOWED:
-            raise StompError(f"{command} has no body")
-        return Frame(command, headers, body)
+        self._head = None
+        self._searched = 0
+        if body and head.command not in BODY_ALLOWED:
+            raise StompError(f"{head.command} has no body")
+        return Frame(head.command, head.headers, body)
 
 
-def encode(frame: Frame, version: str = "1.2") -> bytes:
-    """A frame as it goes out. What version 1.1 cannot say in a header, a carriage return, is left out."""
+def encode(frame: Frame, version: str = DEFAULT_VERSION) -> bytes:
+    """A frame's bytes. Version 1.1 cannot say a carriage return in a header: it is left out."""
 
     def escape(text: str) -> str:
-        if frame.command in PLAIN_COMMANDS:
+        if frame.command in UNESCAPED_COMMANDS:
             return text
         if version == "1.1":
             text = text.replace("\r", "")
@@ -185,20 +214,28 @@
     return "\n".join(lines).encode() + b"\n\n" + frame.body + b"\0"
 
 
-def choose_version(accepted: str) -> str | None:
-    """The highest version that both sides know."""
-    offered = {each.strip() for each in accepted.split(",")}
-    return next((version for version in ("1.2", "1.1") if version in offered), None)
+def choose_version(accept_version: str) -> str | None:
+    """The newest version that both sides know; None without one. See CONNECT's `accept-version`."""
+    accepted = {version.strip() for version in accept_version.split(",")}
+    return next((version for version in VERSIONS if version in accepted), None)
+
+
+def heart_beat_intervals(header: str, own: tuple[int, int]) -> tuple[int, int]:
+    """The intervals in which to send and to expect heart-beats, in milliseconds; 0: none.
 
+    `header`: the peer's `heart-beat`; `own`: the least interval to send in, and the interval wanted.
 
-def beat_intervals(header: str, own: tuple[int, int]) -> tuple[int, int]:
-    """From the client's heart-beat header: after how many ms to send one, and to expect one; 0 is never."""
-    parts = header.split(",") if header else ["0", "0"]
-    if len(parts) != 2 or not all(each.isascii() and each.isdecimal() and len(each) < 10 for each in parts):
+    Raises:
+        StompError: the header is no pair of whole numbers.
+    """
+    numbers = header.split(",") if header else ["0", "0"]
+    if len(numbers) != 2 or not all(
+        number.isascii() and number.isdecimal() and len(number) <= MAX_DIGITS for number in numbers
+    ):
         raise StompError("heart-beat is not two whole numbers")
-    theirs_out, theirs_in = map(int, parts)
-    own_out, own_in = own
+    peer_sends, peer_expects = map(int, numbers)
+    own_sends, own_expects = own
     return (
-        max(own_out, theirs_in) if own_out and theirs_in else 0,
-        max(own_in, theirs_out) if own_in and theirs_out else 0,
+        max(own_sends, peer_expects) if own_sends and peer_expects else 0,
+        max(own_expects, peer_sends) if own_expects and peer_sends else 0,
     )
--- a/hazelbend/protocol/stomp_jobs.py
+++ b/hazelbend/protocol/stomp_jobs.py
@@ -1,4 +1,4 @@
-"""What our STOMP destinations carry: a client's job, a flow's answer, a box's work."""
+"""The STOMP front's destinations, and the headers of the frames that go over them."""
 
 from __future__ import annotations
 
@@ -6,50 +6,69 @@
 from hashlib import blake2b
 from urllib.parse import quote
 
-from hazelbend.protocol.http_fields import BadRequestError, Catalogue, key_number, patience, slots
+from hazelbend.protocol.http_fields import BadRequestError, Catalogue, affinity_key, parse_slots, timeout_us
 from hazelbend.protocol.stomp import Frame
 from hazelbend.routing.ports import Answer, Job, Verdict
 
-JOBS = "/hazelbend/jobs"  # clients SEND their jobs here
-ANSWERS = "/hazelbend/answers"  # and SUBSCRIBE here for the final answers
-WORK = "/hazelbend/work"  # boxes SUBSCRIBE here for jobs
-CANCEL = "/hazelbend/cancel"  # and SEND here, by request-id, to take a waiting job back
-NEWS = "/hazelbend/news"  # and SEND here what becomes of them
+JOBS_DESTINATION = "/hazelbend/jobs"  # a client sends jobs here
+ANSWERS_DESTINATION = "/hazelbend/answers"  # and subscribes here for their answers
+CANCEL_DESTINATION = "/hazelbend/cancel"  # and sends the request-id of a waiting job here to take it back
+WORK_DESTINATION = "/hazelbend/work"  # a server subscribes here for jobs
+UPDATES_DESTINATION = "/hazelbend/news"  # and sends their progress and ends here
+
+MAX_REQUEST_ID_LENGTH = 128  # characters
+MAX_KEY_LENGTH = 256
+JOB_ID_BYTES = 16
+US_PER_MS = 1_000
+MS_PER_S = 1_000
 
 
 def request_id(frame: Frame) -> str:
+    """The client's own id of a job.
+
+    Raises:
+        BadRequestError: it has none, or one that cannot be used.
+    """
     text = frame.get("request-id")
-    if not text or len(text) > 128 or not text.isprintable():
+    if not text or len(text) > MAX_REQUEST_ID_LENGTH or not text.isprintable():
         raise BadRequestError("request-id is missing or unusable")
     return text
 
 
 def read_job(frame: Frame, identity: str, catalogue: Catalogue) -> Job:
-    """The job of a SEND. Its id towards the servers is made of the client and the client's own id for it."""
-    own_id, key = request_id(frame), frame.get("key")
+    """The job of a client's SEND. Its id towards servers is a digest of the client and the client's own id.
+
+    Raises:
+        BadRequestError: it cannot be accepted.
+    """
+    own_id = request_id(frame)
+    key = frame.get("key")
     index = catalogue.class_index(frame.get("class"))
-    row = catalogue.classes[index]
-    if len(key) > 256:
-        raise BadRequestError("key is over 256 characters")
-    job_id = blake2b(f"{identity}\0{own_id}".encode(), digest_size=16).hexdigest()
-    path = f"/{quote(row.name, safe='')}/{quote(key, safe='')}" if key else f"/{quote(row.name, safe='')}"
+    request_class = catalogue.classes[index]
+    if len(key) > MAX_KEY_LENGTH:
+        raise BadRequestError(f"key is over {MAX_KEY_LENGTH} characters")
+    job_id = blake2b(f"{identity}\0{own_id}".encode(), digest_size=JOB_ID_BYTES).hexdigest()
+    path = f"/{quote(request_class.name, safe='')}"
+    quoted_key = quote(key, safe="")
     return Job(
         id=job_id,
         class_index=index,
         tenant=catalogue.tenant_index(frame.get("tenant") or None),
-        patience=patience(frame.headers.get("deadline"), row.deadline_ms, catalogue.margin),
-        key=key_number(quote(key, safe="")),
-        slots=slots(f"slots={frame.get('slots', '1')}"),
-        target=path,
+        patience=timeout_us(frame.headers.get("deadline"), request_class.deadline_ms, catalogue.margin_us),
+        key=affinity_key(quoted_key),
+        slots=parse_slots(f"slots={frame.get('slots', '1')}"),
+        target=f"{path}/{quoted_key}" if key else path,
         body=frame.body,
-        idempotency_key=job_id if row.keyed else None,
+        idempotency_key=job_id if request_class.needs_idempotency_key else None,
     )
 
 
 def answer_headers(answer: Answer) -> dict[str, str]:
+    """What a client is told of its job's answer; `retry-after` is in seconds."""
     headers = {"status": answer.verdict.value}
     if answer.verdict is Verdict.REFUSED and answer.retry_after > 0:
-        headers["retry-after"] = f"{math.ceil(answer.retry_after / 1_000) / 1_000:.3f}"
+        milliseconds = math.ceil(answer.retry_after / US_PER_MS)
+        headers["retry-after"] = f"{milliseconds / MS_PER_S:.3f}"
     if answer.verdict is Verdict.FAILED and answer.overdue:
         headers["reason"] = "deadline"
     if answer.reason:
@@ -57,12 +76,12 @@
     return headers
 
 
-def work_headers(job: Job, wait: int, catalogue: Catalogue) -> dict[str, str]:
-    """What a box is told of a job; the body goes with it as it came."""
+def work_headers(job: Job, remaining_us: int, catalogue: Catalogue) -> dict[str, str]:
+    """What a server is told of a job. `remaining_us`: until the client gives up."""
     headers = {
         "request-id": job.id,
         "class": catalogue.classes[job.class_index].name,
-        "deadline": str(max(wait // 1_000, 1)),
+        "deadline": str(max(remaining_us // US_PER_MS, 1)),
         "target": job.target,
     }
     if catalogue.tenants:
--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -1,11 +1,11 @@
-"""Terms of waiting jobs as clients write them, alike on both fronts. Bad ones raise BadRequestError.
+"""Reads the terms of a waiting job, which are written alike on both fronts.
 
-    after        `id, id;ended`: ids of the same client, each to be served, or only to have ended
-    not-before   Unix time in milliseconds
-    wanted       milliseconds from now until when the answer is wanted
-    take-results `1`: the results of those it waits for go with it
+    after         `id, id;ended`: ids of the same client's jobs; each must be served, or only have ended
+    not-before    Unix time in milliseconds before which the job does not start
+    wanted        milliseconds from now until the answer is wanted
+    take-results  `1`: the results of the jobs in `after` go with the job
 
-HTTP writes them X-After, X-Not-Before, X-Wanted-Ms and X-Take-Results.
+Over HTTP they are X-After, X-Not-Before, X-Wanted-Ms and X-Take-Results.
 """
 
 from __future__ import annotations
@@ -13,36 +13,48 @@
 from hazelbend.protocol.http_fields import BadRequestError
 from hazelbend.waiting.terms import After, Edge, Terms
 
-MOST_AFTER = 16_384  # characters
+MAX_AFTER_LENGTH = 16_384  # characters
+MAX_ID_LENGTH = 128
+MAX_UNIX_TIME_DIGITS = 15
+MAX_WANTED_DIGITS = 9
+SHOWN_LENGTH = 40  # characters of a client's own text in an error
+US_PER_MS = 1_000
 
 
 def read_terms(after: str, not_before: str, wanted: str, take_results: str, now: int) -> Terms:
-    """`now`: the core's clock, in microseconds. Empty texts are terms that are not there."""
-    return Terms(
-        _after(after),
-        _number(not_before, "not-before", 15) * 1_000 if not_before else None,
-        now + _number(wanted, "wanted", 9) * 1_000 if wanted else 0,
-        _flag(take_results),
-    )
+    """The terms in these texts; an empty text is a term that is not given.
+
+    `now`: microseconds of the monotonic clock.
+
+    Raises:
+        BadRequestError: a text cannot be read.
+    """
+    starts_at = None
+    if not_before:
+        starts_at = _number(not_before, "not-before", MAX_UNIX_TIME_DIGITS) * US_PER_MS
+    wanted_by = 0
+    if wanted:
+        wanted_by = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
+    return Terms(_after(after), starts_at, wanted_by, _flag(take_results))
 
 
 def _after(text: str) -> tuple[After, ...]:
-    if len(text) > MOST_AFTER:
+    if len(text) > MAX_AFTER_LENGTH:
         raise BadRequestError("after is too long")
     found = []
-    for part in text.split(",") if text else ():
-        name, _, edge = (each.strip() for each in part.partition(";"))
-        if not name or len(name) > 128 or not name.isprintable():
+    for dependency in text.split(",") if text else ():
+        name, _, edge = (part.strip() for part in dependency.partition(";"))
+        if not name or len(name) > MAX_ID_LENGTH or not name.isprintable():
             raise BadRequestError("after: an id is missing or unusable")
         try:
             found.append(After(name, Edge(edge) if edge else Edge.SERVED))
         except ValueError:
-            raise BadRequestError(f"after: {edge[:40]!r} is neither served nor ended") from None
+            raise BadRequestError(f"after: {edge[:SHOWN_LENGTH]!r} is neither served nor ended") from None
     return tuple(found)
 
 
-def _number(text: str, name: str, digits: int) -> int:
-    if not text.isascii() or not text.isdecimal() or len(text) > digits:
+def _number(text: str, name: str, max_digits: int) -> int:
+    if not text.isascii() or not text.isdecimal() or len(text) > max_digits:
         raise BadRequestError(f"{name} is no whole number of milliseconds")
     return int(text)
 
--- a/hazelbend/protocol/worker_lines.py
+++ b/hazelbend/protocol/worker_lines.py
@@ -1,9 +1,10 @@
-"""What a real server says of a job, line by line, and its load reports. Bad input raises ValueError."""
+"""What a server reports of a job, one JSON object a line, and its load reports."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 from math import isfinite
 
 import orjson
@@ -11,7 +12,8 @@
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.routing.ports import AttemptResult, News
 
-LINE_LIMIT = 128 * 1024  # a result is at most 64 KiB, and JSON may double what it holds
+MAX_LINE_BYTES = 128 * 1024  # a result is at most 64 KiB, and JSON may double what it holds
+RETRYABLE_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 _ENDINGS = {
     "done": Outcome.SERVED,
@@ -21,14 +23,18 @@
 }
 
 
+class WorkerLineError(ValueError):
+    """A line that does not report on the job, or leaves out what it must have."""
+
+
 @dataclass(slots=True, frozen=True)
-class LoadFields:
-    """Which field of the report a name in the JSON stands for."""
+class LoadReportFields:
+    """Reads load reports. `names`: the field of `LoadReport` that each JSON key stands for."""
 
     names: Mapping[str, str]
 
     def read(self, value: object) -> LoadReport | None:
-        """None where there is nothing that the module knows; a value that is no number is skipped."""
+        """The report in a decoded value; None where it holds nothing known. What is no number is skipped."""
         if not isinstance(value, Mapping):
             return None
         known: dict[str, float] = {}
@@ -39,6 +45,7 @@
         return LoadReport(**known) if known else None
 
     def read_text(self, text: str | None) -> LoadReport | None:
+        """The report in a JSON text, as in a header field; None where it holds nothing known."""
         if not text:
             return None
         try:
@@ -47,11 +54,15 @@
             return None
 
 
-def read_line(line: bytes, job_id: str, fields: LoadFields) -> News | AttemptResult | None:
-    """One line: news, or the end of the attempt; None for a state that is not known."""
+def read_line(line: bytes, job_id: str, fields: LoadReportFields) -> News | AttemptResult | None:
+    """What a line says of the job: its progress or its end. None for a state that is not known.
+
+    Raises:
+        ValueError: the line is no JSON, or no line on this job (`WorkerLineError`).
+    """
     value = orjson.loads(line)
     if not isinstance(value, dict) or value.get("id") != job_id:
-        raise ValueError("a line that does not speak of this job")
+        raise WorkerLineError("a line that does not speak of this job")
     state = value.get("state")
     if state == "started":
         return News()
@@ -63,11 +74,14 @@
         return None
     result = value.get("result")
     if outcome is Outcome.SERVED and result is None:
-        raise ValueError("done, but without a result")
+        raise WorkerLineError("done, but without a result")
     body = result.encode() if isinstance(result, str) else orjson.dumps(result)
     return AttemptResult(outcome, body if outcome is Outcome.SERVED else b"", fields.read(value.get("load")))
 
 
-def read_status(status: int, not_run: bool) -> Outcome:
-    """An answer that is not 200 ends the attempt; only the server's own mark proves that it never ran."""
-    return Outcome.FULL if status in (503, 504) and not_run else Outcome.ERROR
+def outcome_of_status(status: int, not_executed: bool) -> Outcome:
+    """How an attempt ended whose HTTP status is not 200.
+
+    Only the server's own mark (`not_executed`) proves that the job never ran there.
+    """
+    return Outcome.FULL if status in RETRYABLE_STATUSES and not_executed else Outcome.ERROR
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -12,7 +12,7 @@
 from yarl import URL
 
 from hazelbend.decisions.interface import Outcome
-from hazelbend.protocol.worker_lines import LINE_LIMIT, LoadFields, read_line, read_status
+from hazelbend.protocol.worker_lines import MAX_LINE_BYTES, LoadReportFields, outcome_of_status, read_line
 from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Forwarded, Job, News
 from hazelbend.transport.http.aiohttp_client import (
     CheckedRequest,
@@ -41,7 +41,7 @@
     connect_timeout: float  # seconds
     keepalive: float  # seconds
     connections: int  # at most so many at once
-    fields: LoadFields
+    fields: LoadReportFields
 
 
 class ConnectionPool:
@@ -90,7 +90,7 @@
             auto_decompress=False,
             request_class=CheckedRequest,
             skip_auto_headers=UNUSED_HEADERS,
-            read_bufsize=2 * LINE_LIMIT,
+            read_bufsize=2 * MAX_LINE_BYTES,
             trace_configs=[writing_trace()],
         )
 
@@ -171,7 +171,7 @@
         self, response: aiohttp.ClientResponse, job: Job, tell: Callable[[News | Forwarded], None]
     ) -> AttemptResult:
         if response.status != 200:
-            outcome = read_status(response.status, response.headers.get("X-Not-Processed") == "1")
+            outcome = outcome_of_status(response.status, response.headers.get("X-Not-Processed") == "1")
             load = self._pool.settings.fields.read_text(response.headers.get("X-Server-Load"))
             await self._finish(response)
             return AttemptResult(outcome, load=load)
@@ -206,7 +206,7 @@
                 asyncio.timeout(patience / 1e6),
                 self._pool.session.get(url, allow_redirects=False) as response,
             ):
-                text = (await response.content.read(LINE_LIMIT)).decode("utf-8", "replace")
+                text = (await response.content.read(MAX_LINE_BYTES)).decode("utf-8", "replace")
                 outcome = Outcome.SERVED if response.status == 200 else Outcome.ERROR
                 return AttemptResult(outcome, load=self._pool.settings.fields.read_text(text))
         except TimeoutError:
--- a/hazelbend/transport/http/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -15,7 +15,7 @@
 from yarl import URL
 
 from hazelbend.decisions import discovery_retry
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.routing.ports import EndpointList
 from hazelbend.transport.http.aiohttp_client import open_session
 
@@ -29,7 +29,9 @@
 class DiscoveryWatch:
     """Where discovery is may change: the list stays in force until the new address has answered."""
 
-    def __init__(self, address: str | None, reader: ListReader, fleet: int = 1, pushed: bool = False) -> None:
+    def __init__(
+        self, address: str | None, reader: EndpointListCodec, fleet: int = 1, pushed: bool = False
+    ) -> None:
         self.address, self._reader, self.fleet, self.pushed = address, reader, fleet, pushed
         # The version of the list that is held; None: none is, or one of another service.
         self.held: int | None = None
@@ -44,7 +46,7 @@
         if self._task is None or self._task.done():
             self._open()
 
-    def move(self, address: str | None, reader: ListReader) -> None:
+    def move(self, address: str | None, reader: EndpointListCodec) -> None:
         """Watch there from now on. It may be another service, so its whole list is asked for."""
         self.address, self._reader, self.held = address, reader, None
         if self._tell is not None:
@@ -110,7 +112,7 @@
             self.held = None  # it knows nothing of that version
         if status != 200:
             raise ValueError(f"status {status}")
-        news = self._reader.read(text)
+        news = self._reader.decode(text)
         if held is not None and news.seq < held and not news.whole:
             self.held = None  # it has started anew: what changed since cannot be told
             raise ValueError(f"changes up to {news.seq}, older than the {held} held")
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -15,15 +15,15 @@
 from pathlib import Path
 from typing import Protocol
 
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    LINE_LIMIT,
-    IdNews,
-    State,
-    read_news,
-    read_state,
-    write_news,
-    write_state,
+    MAX_LINE_BYTES,
+    FlowIdUpdate,
+    HandoverState,
+    decode_state,
+    decode_update,
+    encode_state,
+    encode_update,
 )
 
 log = logging.getLogger("hazelbend.handover")
@@ -35,13 +35,13 @@
 class Dispatcher(Protocol):
     """What is handed over, and who hears of it."""
 
-    def state(self) -> State: ...
+    def state(self) -> HandoverState: ...
 
     def siblings_changed(self, count: int) -> None: ...
 
 
 class Handover:
-    def __init__(self, path: Path, dispatcher: Dispatcher, reader: Callable[[], ListReader]) -> None:
+    def __init__(self, path: Path, dispatcher: Dispatcher, reader: Callable[[], EndpointListCodec]) -> None:
         self.path, self._dispatcher, self._reader = path, dispatcher, reader
         self._siblings: dict[asyncio.StreamWriter, set[str]] = {}  # and the ids that are open there
         self._server: asyncio.Server | None = None
@@ -58,15 +58,15 @@
             if writer.transport.get_write_buffer_size() > UNREAD:
                 self._part(writer)
             else:
-                writer.write(write_news(IdNews(job_id, taken)))
+                writer.write(encode_update(FlowIdUpdate(job_id, taken)))
 
-    async def fetch(self) -> State | None:
+    async def fetch(self) -> HandoverState | None:
         """The state of the process before, if there is one; from then on the two are siblings."""
         writer = None
         try:
             async with asyncio.timeout(FETCH_WAIT):
-                reader, writer = await asyncio.open_unix_connection(str(self.path), limit=LINE_LIMIT)
-                state = read_state(await reader.readline(), self._reader())
+                reader, writer = await asyncio.open_unix_connection(str(self.path), limit=MAX_LINE_BYTES)
+                state = decode_state(await reader.readline(), self._reader())
         except (FileNotFoundError, ConnectionRefusedError):
             return None  # nobody was here before, or it was killed
         except (OSError, ValueError, TimeoutError) as error:
@@ -74,7 +74,7 @@
             if writer is not None:
                 writer.close()
             return None
-        self._join(reader, writer, set(state.ids))
+        self._join(reader, writer, set(state.flow_ids))
         return state
 
     async def listen(self) -> None:
@@ -88,7 +88,7 @@
             listener.bind(str(own))
             self._own = own.stat().st_ino
             own.replace(self.path)
-            self._server = await asyncio.start_unix_server(self._asked, sock=listener, limit=LINE_LIMIT)
+            self._server = await asyncio.start_unix_server(self._asked, sock=listener, limit=MAX_LINE_BYTES)
         except OSError as error:
             listener.close()  # too long a path, or no room: the next process starts from what is known
             log.warning("no socket for the next process: %s", error)
@@ -108,7 +108,7 @@
 
     async def _asked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            writer.write(write_state(self._dispatcher.state(), self._reader()))
+            writer.write(encode_state(self._dispatcher.state(), self._reader()))
         except Exception:
             log.exception("the state cannot be told")
             writer.close()
@@ -125,8 +125,8 @@
     async def _hear(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ids: set[str]) -> None:
         try:
             while line := await reader.readline():
-                if (news := read_news(line)) is not None:
-                    (ids.add if news.taken else ids.discard)(news.id)
+                if (update := decode_update(line)) is not None:
+                    (ids.add if update.is_open else ids.discard)(update.flow_id)
         except (OSError, ValueError) as error:
             log.warning("the other process: %s", error)
         finally:
--- a/hazelbend/transport/stomp/stomp_clients.py
+++ b/hazelbend/transport/stomp/stomp_clients.py
@@ -218,7 +218,7 @@
         headers = {
             "subscription": subscription.id,
             "message-id": entry.message_id,
-            "destination": stomp_jobs.ANSWERS,
+            "destination": stomp_jobs.ANSWERS_DESTINATION,
             "request-id": entry.request_id,
             **stomp_jobs.answer_headers(entry.answer),
         }
--- a/hazelbend/transport/stomp/stomp_listener.py
+++ b/hazelbend/transport/stomp/stomp_listener.py
@@ -13,13 +13,13 @@
 from hazelbend.protocol import stomp_jobs
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue
 from hazelbend.protocol.stomp import (
-    Beat,
     Frame,
     FrameReader,
+    HeartBeat,
     StompError,
-    beat_intervals,
     choose_version,
     encode,
+    heart_beat_intervals,
 )
 from hazelbend.routing.router import Router
 from hazelbend.transport.stomp.stomp_clients import Bounds, Mailbox, StompGate, Subscription, Usage
@@ -291,7 +291,7 @@
             if not data:
                 return
             for item in self._frames.feed(data):
-                if not isinstance(item, Beat):
+                if not isinstance(item, HeartBeat):
                     yield item
                     if not self._open:
                         return
@@ -304,7 +304,7 @@
             raise StompError("versions 1.1 and 1.2 are spoken here")
         self._version = self._frames.version = version
         self._account = account = self._front.account(frame)
-        out_ms, in_ms = beat_intervals(frame.get("heart-beat"), self._front.settings.heart_beat_ms)
+        out_ms, in_ms = heart_beat_intervals(frame.get("heart-beat"), self._front.settings.heart_beat_ms)
         if isinstance(account, ClientAccount):
             client_id = frame.get("client-id")
             name = f"{account.login}/{client_id}" if client_id else account.login
@@ -357,13 +357,15 @@
         if "transaction" in frame.headers:
             raise StompError("SEND: transactions are not supported")
         destination = frame.get("destination")
-        if destination == stomp_jobs.JOBS and isinstance(self._account, ClientAccount):
+        if destination == stomp_jobs.JOBS_DESTINATION and isinstance(self._account, ClientAccount):
             assert self._mailbox is not None
             self._mailbox.send(frame, self._account.tenants)
-        elif destination == stomp_jobs.CANCEL and self._mailbox is not None and self._front.cancel:
+        elif (
+            destination == stomp_jobs.CANCEL_DESTINATION and self._mailbox is not None and self._front.cancel
+        ):
             # One that runs, or is not known, goes on: its answer says how it ended.
             self._front.cancel(self._mailbox.identity, stomp_jobs.request_id(frame))
-        elif destination == stomp_jobs.NEWS and isinstance(self._account, BoxAccount):
+        elif destination == stomp_jobs.UPDATES_DESTINATION and isinstance(self._account, BoxAccount):
             if self._link is not None:
                 self._link.news(frame)
         else:
@@ -375,12 +377,12 @@
             raise StompError("SUBSCRIBE: id is missing, or ack is unknown")
         if number in self._subscriptions or number == self._work_id:
             raise StompError(f"SUBSCRIBE: id {number[:40]!r} is in use")
-        if destination == stomp_jobs.ANSWERS and self._mailbox is not None:
+        if destination == stomp_jobs.ANSWERS_DESTINATION and self._mailbox is not None:
             if len(self._subscriptions) >= MOST_SUBSCRIPTIONS:
                 raise StompError("SUBSCRIBE: too many subscriptions")
             subscription = self._subscriptions[number] = Subscription(number, mode, self)
             self._mailbox.subscribe(subscription)
-        elif destination == stomp_jobs.WORK and isinstance(self._account, BoxAccount):
+        elif destination == stomp_jobs.WORK_DESTINATION and isinstance(self._account, BoxAccount):
             if self._work_id is not None:
                 raise StompError("SUBSCRIBE: this box has its subscription for work")
             self._work_id = number
--- a/hazelbend/transport/stomp/stomp_workers.py
+++ b/hazelbend/transport/stomp/stomp_workers.py
@@ -12,7 +12,7 @@
 from hazelbend.protocol import stomp_jobs
 from hazelbend.protocol.http_fields import Catalogue
 from hazelbend.protocol.stomp import Frame
-from hazelbend.protocol.worker_lines import LoadFields, read_line
+from hazelbend.protocol.worker_lines import LoadReportFields, read_line
 from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Endpoint, Forwarded, Job, News
 from hazelbend.routing.router import Router
 from hazelbend.transport.stomp.stomp_clients import Outlet
@@ -43,13 +43,15 @@
 class StompBackendClient:
     """One connected box. Jobs go out as MESSAGEs of its subscription; its news come back as SENDs."""
 
-    def __init__(self, outlet: Outlet, subscription: str, catalogue: Catalogue, fields: LoadFields) -> None:
+    def __init__(
+        self, outlet: Outlet, subscription: str, catalogue: Catalogue, fields: LoadReportFields
+    ) -> None:
         self.outlet, self.subscription = outlet, subscription
         self._catalogue, self._fields = catalogue, fields
         self._work: dict[str, _Work] = {}
         self._lost = False
 
-    def change(self, catalogue: Catalogue, fields: LoadFields) -> None:
+    def change(self, catalogue: Catalogue, fields: LoadReportFields) -> None:
         self._catalogue, self._fields = catalogue, fields
 
     @property
@@ -125,7 +127,7 @@
         return {
             "subscription": self.subscription,
             "message-id": message_id,
-            "destination": stomp_jobs.WORK,
+            "destination": stomp_jobs.WORK_DESTINATION,
             "ack": message_id,
             "type": kind,
         }
@@ -134,11 +136,11 @@
 class Boxes:
     """Which of the listed boxes are connected. A second connection of a box takes the place of the first."""
 
-    def __init__(self, router: Router, catalogue: Catalogue, fields: LoadFields) -> None:
+    def __init__(self, router: Router, catalogue: Catalogue, fields: LoadReportFields) -> None:
         self._router, self._catalogue, self._fields = router, catalogue, fields
         self._links: dict[str, StompBackendClient] = {}
 
-    def change(self, catalogue: Catalogue, fields: LoadFields) -> None:
+    def change(self, catalogue: Catalogue, fields: LoadReportFields) -> None:
         self._catalogue, self._fields = catalogue, fields
         for link in self._links.values():
             link.change(catalogue, fields)
--- a/tests/crossing_kit.py
+++ b/tests/crossing_kit.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager, contextmanager
 from dataclasses import dataclass, field, replace
 
-from hazelbend.protocol.worker_lines import LoadFields
+from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import Endpoint, EndpointList
 from hazelbend.routing.router import Decider, Router
@@ -145,7 +145,7 @@
 ) -> AsyncIterator[Core]:
     """The core with a connection pool before this backend, whose entry gets its port."""
     await backend.listen()
-    pool = ConnectionPool(PoolSettings(connect_timeout, 60.0, 8, LoadFields({})))
+    pool = ConnectionPool(PoolSettings(connect_timeout, 60.0, 8, LoadReportFields({})))
     router = Router(decider, Clock(), BackendTable(lambda each: pool.client(each.dial)))
     listed = replace(entry, dial=f"127.0.0.1:{backend.port}")
     router.begin(EndpointList((listed,), whole=True))
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -37,7 +37,7 @@
 from hazelbend.placement import routes
 from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.quotas import book
 from hazelbend.transport.http import worker_orders
 from hazelbend.transport.storage.control_store import ControlStore
@@ -79,7 +79,7 @@
 
 
 # It gives numbers to names that it meets, so what one has read the same one writes.
-LISTS = ListReader(("east", "west"), ("small", "large"))
+LISTS = EndpointListCodec(("east", "west"), ("small", "large"))
 
 
 def lease_machine(content: bytes) -> lease_table.Leases:
@@ -116,10 +116,10 @@
     "quota_snapshot": Form(quota_machine, lambda machine: machine.snapshot()),
     "srv_snapshot": json_form(srv_snapshot, snapshot.encode),
     "handover_state": json_form(
-        lambda line: handover.read_state(line, LISTS), lambda state: handover.write_state(state, LISTS)
+        lambda line: handover.decode_state(line, LISTS), lambda state: handover.encode_state(state, LISTS)
     ),
-    "handover_news": json_form(handover.read_news, handover.write_news),
-    "endpoint_list": json_form(LISTS.read, lambda found: msgspec.json.encode(LISTS.to_object(found))),
+    "handover_news": json_form(handover.decode_update, handover.encode_update),
+    "endpoint_list": json_form(LISTS.decode, lambda found: msgspec.json.encode(LISTS.to_object(found))),
     "heartbeat": json_form(
         lambda body: control_calls.read_heartbeat("w-1", body), lambda record: msgspec.json.encode(record)
     ),
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -495,7 +495,7 @@
 
 # --- protocols ---
 
-CLASSES = (http_fields.ClassRow("nearby", 5_000, False), http_fields.ClassRow("reserve", 7_500, True))
+CLASSES = (http_fields.RequestClass("nearby", 5_000, False), http_fields.RequestClass("reserve", 7_500, True))
 CATALOGUE = http_fields.Catalogue(CLASSES, ("ege-volt", "toros-sarj"))
 
 
@@ -507,7 +507,7 @@
     send = stomp.Frame(
         "SEND",
         {
-            "destination": stomp_jobs.JOBS,
+            "destination": stomp_jobs.JOBS_DESTINATION,
             "request-id": "r1",
             "class": "reserve",
             "tenant": "toros-sarj",
@@ -525,11 +525,11 @@
     )
     found = {
         "destinations": [
-            stomp_jobs.JOBS,
-            stomp_jobs.ANSWERS,
-            stomp_jobs.WORK,
-            stomp_jobs.CANCEL,
-            stomp_jobs.NEWS,
+            stomp_jobs.JOBS_DESTINATION,
+            stomp_jobs.ANSWERS_DESTINATION,
+            stomp_jobs.WORK_DESTINATION,
+            stomp_jobs.CANCEL_DESTINATION,
+            stomp_jobs.UPDATES_DESTINATION,
         ],
         "frame": [stomp.encode(send, version).decode() for version in ("1.1", "1.2")],
         "escaped": stomp.encode(stomp.Frame("MESSAGE", {"a:b": "c\n\\d"}, b"")).decode(),
@@ -537,7 +537,10 @@
         "answers": [stomp_jobs.answer_headers(each) for each in answers],
         "work": [stomp_jobs.work_headers(plain_job(keyed), 4_000_000, CATALOGUE) for keyed in (True, False)],
         "versions": [stomp.choose_version(each) for each in ("1.0,1.1", "1.2,1.1", "1.0")],
-        "beats": [stomp.beat_intervals("100,200", (50, 400)), stomp.beat_intervals("", (50, 400))],
+        "beats": [
+            stomp.heart_beat_intervals("100,200", (50, 400)),
+            stomp.heart_beat_intervals("", (50, 400)),
+        ],
     }
     reader = stomp.FrameReader()
     items = list(reader.feed(b"\n" + stomp.encode(send) + b"DISCONNECT\nreceipt:1\n\n\0"))
@@ -580,18 +583,18 @@
     lines = [{"id": "j", "state": state, "share": 0.5, "result": {"a": 1}, "load": load} for state in states]
     found = [values_of(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
     statuses = [
-        worker_lines.read_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
+        worker_lines.outcome_of_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
     ]
     return as_lines([found, statuses, values_of(read.read_text('{"inflight": 4}')), values_of(LoadReport())])
 
 
 def upgrade_lines() -> str:
-    reader = discovery.ListReader(("east",), ("big",))
-    state = handover.State(
+    reader = discovery.EndpointListCodec(("east",), ("big",))
+    state = handover.HandoverState(
         ("nearby",), reader.from_object(kit.ENDPOINT_LIST), ("h1",), ("f1",), {"a": 1}, {"srv": {"b": 2}}
     )
-    news = (handover.IdNews("f1", True), handover.IdNews("f1", False))
-    lines = [handover.write_state(state, reader), *map(handover.write_news, news)]
+    news = (handover.FlowIdUpdate("f1", True), handover.FlowIdUpdate("f1", False))
+    lines = [handover.encode_state(state, reader), *map(handover.encode_update, news)]
     return "".join(line.decode() for line in lines)
 
 
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -11,7 +11,7 @@
 from site_kit import until
 
 from hazelbend.decisions.interface import LoadReport, Outcome
-from hazelbend.protocol.worker_lines import LoadFields
+from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.ports import Forwarded, Job, News
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
@@ -47,7 +47,7 @@
 @asynccontextmanager
 async def linked(script: Script, keepalive: float = 60.0, places: int = 4):
     server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
-    pool = ConnectionPool(PoolSettings(0.25, keepalive, places, LoadFields({"inflight": "in_flight"})))
+    pool = ConnectionPool(PoolSettings(0.25, keepalive, places, LoadReportFields({"inflight": "in_flight"})))
     try:
         yield pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), server
     finally:
@@ -179,7 +179,7 @@
             closed.set()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadFields({})))
+        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
         link, started = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), asyncio.Event()
         task = asyncio.create_task(link.attempt(JOB, lambda: 500_000, lambda news: started.set()))
         await asyncio.wait_for(started.wait(), 10)
@@ -236,7 +236,7 @@
     async def run():
         backend = ScriptedBackend()
         await backend.listen()
-        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadFields({})))
+        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
         client = pool.client(f"127.0.0.1:{backend.port}")
         first = await client.attempt(JOB, lambda: 500_000, lambda news: None)
         backend.writers[0].write(REFUSED)
@@ -268,7 +268,7 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadFields({})))
+        pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
         client, told = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), []
         ending = await client.attempt(replace(JOB, body=b"x" * size), lambda: 500_000, told.append)
         server.close()
@@ -284,7 +284,7 @@
 
     async def run():
         backends = [ScriptedBackend() for _ in range(5)]
-        pool = ConnectionPool(PoolSettings(0.25, 60.0, 3, LoadFields({})))
+        pool = ConnectionPool(PoolSettings(0.25, 60.0, 3, LoadReportFields({})))
         for backend in backends:
             await backend.listen()
             client = pool.client(f"127.0.0.1:{backend.port}")
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -8,7 +8,7 @@
 from site_kit import host_entry, site, until
 
 from hazelbend.decisions import discovery_retry
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.transport.http import discovery_watch
 
 
@@ -47,7 +47,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        each = discovery_watch.DiscoveryWatch(address, ListReader(("ankara-1",), ("big-box",)), fleet)
+        each = discovery_watch.DiscoveryWatch(address, EndpointListCodec(("ankara-1",), ("big-box",)), fleet)
         each.held = held
         for _ in range(subscriptions):
             each.subscribe(told.append)
@@ -196,7 +196,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        each = discovery_watch.DiscoveryWatch(address, ListReader((), ()))
+        each = discovery_watch.DiscoveryWatch(address, EndpointListCodec((), ()))
         for number in (1, 2):
             each.subscribe(told.append)
             await until(lambda number=number: len(told) == number)
@@ -231,7 +231,7 @@
                 asked.append(b"closed")
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        reader = ListReader(("ankara-1",), ("big-box",))
+        reader = EndpointListCodec(("ankara-1",), ("big-box",))
         each = discovery_watch.DiscoveryWatch("127.0.0.1:1", reader)
         each.subscribe(told.append)
         await until(lambda: told)
@@ -260,12 +260,12 @@
             return await body
 
         asked: list[str] = []
-        each = discovery_watch.DiscoveryWatch("127.0.0.1:1", ListReader(("ankara-1",), ("big-box",)))
+        each = discovery_watch.DiscoveryWatch("127.0.0.1:1", EndpointListCodec(("ankara-1",), ("big-box",)))
         each._fetch = fetch
         each.subscribe(told.append)
         await until(lambda: asked)
         body.set_result((200, answer(7, True, "old").partition(b"\r\n\r\n")[2]))
-        each.move(None, ListReader((), ()))
+        each.move(None, EndpointListCodec((), ()))
         await until(lambda: told)
         await turns()
         assert [news.seq for news in told] == [0], "what a site without discovery is told"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,8 +15,15 @@
 from hazelbend.decisions import Dispatcher, Settings
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.memory import recall, remember
-from hazelbend.protocol.discovery import ListReader
-from hazelbend.protocol.handover import IdNews, State, read_news, read_state, write_news, write_state
+from hazelbend.protocol.discovery import EndpointListCodec
+from hazelbend.protocol.handover import (
+    FlowIdUpdate,
+    HandoverState,
+    decode_state,
+    decode_update,
+    encode_state,
+    encode_update,
+)
 from hazelbend.transport.peer import handover
 from hazelbend.transport.peer.handover import Handover
 
@@ -122,26 +129,29 @@
     assert any(isinstance(each, face.Send) for each in actions) or new.held, "it goes on deciding"
 
 
-READER = ListReader(("ankara-1", "konya-1"), ("big-box",))
+READER = EndpointListCodec(("ankara-1", "konya-1"), ("big-box",))
 KNOWN = READER.from_object({"seq": 0, "whole": True, "hosts": [host_entry("s-1", "127.0.0.1:9")]})
-STATE = State(("nearby", "reserve"), KNOWN, ("s-1",), ("a", "b"), {"means": {}})
+STATE = HandoverState(("nearby", "reserve"), KNOWN, ("s-1",), ("a", "b"), {"means": {}})
 
 
 @given(SEEDS)
 def test_any_line_is_read_or_refused(seed):
-    survives(lambda line: read_state(line, READER), garbage(write_state(STATE, READER), seed), ValueError)
-    survives(read_news, garbage(write_news(IdNews("9b", True)), seed), ValueError)
+    survives(lambda line: decode_state(line, READER), garbage(encode_state(STATE, READER), seed), ValueError)
+    survives(decode_update, garbage(encode_update(FlowIdUpdate("9b", True)), seed), ValueError)
 
 
 def test_a_state_and_news_are_read_as_they_were_written():
-    assert read_state(write_state(STATE, READER), ListReader(("konya-1",), ())).known.entries[0].zone == 1, (
-        "zones go by name: the next process may have them in another order"
-    )
-    assert read_state(write_state(STATE, READER), READER) == STATE
-    assert [read_news(write_news(IdNews("9b", taken))) for taken in (True, False)] == [
-        IdNews("9b", True), IdNews("9b", False)
+    assert (
+        decode_state(encode_state(STATE, READER), EndpointListCodec(("konya-1",), ()))
+        .endpoints.entries[0]
+        .zone
+        == 1
+    ), "zones go by name: the next process may have them in another order"
+    assert decode_state(encode_state(STATE, READER), READER) == STATE
+    assert [decode_update(encode_update(FlowIdUpdate("9b", taken))) for taken in (True, False)] == [
+        FlowIdUpdate("9b", True), FlowIdUpdate("9b", False)
     ]  # fmt: skip
-    assert read_news(b'{"something": "later versions say"}') is None
+    assert decode_update(b'{"something": "later versions say"}') is None
 
 
 class Told:
@@ -255,7 +265,7 @@
             )
             await until(lambda: toy.holds)
             state = await there.fetch()
-            assert state.ids == ("a",) and [each.host for each in state.known.entries] == ["toy-0"]
+            assert state.flow_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
             assert app.client_listener.limit < whole / 2 and app.pool.settings.connections < whole / 2
             there.tell("b", True)
             await until(lambda: here.holds("b"))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,13 +14,15 @@
 from hazelbend.decisions.settings import SettingsError, settings_from
 from hazelbend.program.config import ConfigError, from_object
 from hazelbend.protocol import stomp, stomp_jobs
-from hazelbend.protocol.discovery import ListReader
-from hazelbend.protocol.http_fields import BadRequestError, Catalogue, ClassRow, read_job
-from hazelbend.protocol.worker_lines import LoadFields, read_line
+from hazelbend.protocol.discovery import EndpointListCodec
+from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
+from hazelbend.protocol.worker_lines import LoadReportFields, read_line
 from hazelbend.routing.ports import AttemptResult, News
 
-FIELDS = LoadFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
-CATALOGUE = Catalogue((ClassRow("nearby", 5_000, False), ClassRow("reserve", 7_500, True)), ("ege-volt",))
+FIELDS = LoadReportFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
+CATALOGUE = Catalogue(
+    (RequestClass("nearby", 5_000, False), RequestClass("reserve", 7_500, True)), ("ege-volt",)
+)
 LIST = {
     "seq": 41,
     "whole": True,
@@ -45,7 +47,7 @@
 )
 
 
-def read_frames(data: bytes) -> list[stomp.Frame | stomp.Beat]:
+def read_frames(data: bytes) -> list[stomp.Frame | stomp.HeartBeat]:
     return list(stomp.FrameReader().feed(data))
 
 
@@ -83,12 +85,12 @@
         BadRequestError,
     ),
     "heart-beat": (
-        lambda data: stomp.beat_intervals(data.decode("latin-1"), (1, 1)),
+        lambda data: stomp.heart_beat_intervals(data.decode("latin-1"), (1, 1)),
         b"10,20",
         stomp.StompError,
     ),
     "http fields": (read_http, HEAD, BadRequestError),
-    "lists": (ListReader(("a",), ("k",)).read, orjson.dumps(LIST), ValueError),
+    "lists": (EndpointListCodec(("a",), ("k",)).decode, orjson.dumps(LIST), ValueError),
     "worker lines": (lambda data: read_line(data, "9b", FIELDS), orjson.dumps(LINE), ValueError),
     "load reports": (
         lambda data: FIELDS.read_text(data.decode("latin-1")),
@@ -126,7 +128,7 @@
     reader.version = version
     data = b"\n".join(stomp.encode(frame, version) for frame in frames) + b"\r\n"
     items = [item for piece in pieces(data, seed) for item in reader.feed(piece)]
-    assert sum(isinstance(item, stomp.Beat) for item in items) == len(frames)
+    assert sum(isinstance(item, stomp.HeartBeat) for item in items) == len(frames)
     got = [item for item in items if isinstance(item, stomp.Frame)]
     for frame, back in zip(frames, got, strict=True):
         headers = {name: back.headers[name] for name in back.headers if name != "content-length"}
@@ -146,10 +148,10 @@
     ("data", "words"),
     [
         (b"GET / HTTP/1.1\r\n", "begins"),
-        (b"SEND\n" + b"a:" + b"b" * stomp.HEAD_LIMIT, "over"),
+        (b"SEND\n" + b"a:" + b"b" * stomp.MAX_HEAD_BYTES, "over"),
         (b"SEND\n" + b"a:b\n" * 65 + b"\n\0", "headers"),
         (b"SEND\ncontent-length:99999\n\n", "body"),
-        (b"SEND\n\n" + b"x" * (stomp.BODY_LIMIT + 1), "body"),
+        (b"SEND\n\n" + b"x" * (stomp.MAX_BODY_BYTES + 1), "body"),
         (b"SEND\ncontent-length:1\n\nxy", "content-length"),
         (b"SEND\na:\\t\n\n\0", "escape"),
         (b"SEND\na\n\n\0", "header"),
@@ -168,15 +170,15 @@
 
 
 def test_heart_beats_are_the_slower_of_both_sides_wishes():
-    assert stomp.beat_intervals("50,2000", (1_000, 1_000)) == (2_000, 1_000)
-    assert stomp.beat_intervals("0,0", (1_000, 1_000)) == (0, 0)
+    assert stomp.heart_beat_intervals("50,2000", (1_000, 1_000)) == (2_000, 1_000)
+    assert stomp.heart_beat_intervals("0,0", (1_000, 1_000)) == (0, 0)
 
 
 def test_a_list_is_read_with_its_names_as_places():
-    news = ListReader(("konya-1", "ankara-1"), ("big-box",)).read(orjson.dumps(LIST))
+    news = EndpointListCodec(("konya-1", "ankara-1"), ("big-box",)).decode(orjson.dumps(LIST))
     assert (news.seq, news.whole, news.entries[0].zone, news.entries[0].kind) == (41, True, 1, 0)
     other = LIST | {"hosts": [LIST["hosts"][0] | {"born_ms": 5, "site": "izmir-1"}]}
-    [entry] = ListReader(("a", "b"), ()).read(orjson.dumps(other)).entries
+    [entry] = EndpointListCodec(("a", "b"), ()).decode(orjson.dumps(other)).entries
     assert (entry.zone, entry.started_at) == (2, 5_000), "a zone that no setting names is a zone of its own"
 
 
@@ -193,7 +195,7 @@
 )
 def test_a_list_with_a_bad_entry_is_a_failed_list(change):
     with pytest.raises(ValueError, match="list"):
-        ListReader((), ()).read(orjson.dumps(LIST | {"hosts": [LIST["hosts"][0] | change]}))
+        EndpointListCodec((), ()).decode(orjson.dumps(LIST | {"hosts": [LIST["hosts"][0] | change]}))
 
 
 def test_lines_are_news_or_the_end():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 from test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
 
 from hazelbend.program import config
-from hazelbend.protocol.discovery import ListReader
+from hazelbend.protocol.discovery import EndpointListCodec
 
 
 class Service:
@@ -123,12 +123,16 @@
 
 
 def test_zones_keep_their_numbers_or_wait():
-    old = ListReader(("a", "b"), ("k",))
-    old._zones.number("z")  # one that only a list has named
-    further, moved = ListReader(("a", "b", "z", "c"), ("k",)), ListReader(("b", "a"), ("k",))
-    assert further.take_over(old) and further._zones.number("z") == 2 and further._zones.number("d") == 4
-    assert not moved.take_over(old)
-    assert ListReader(("a",), ("k",)) != old == ListReader(("a", "b"), ("k",))
+    old = EndpointListCodec(("a", "b"), ("k",))
+    old._zones.number_of("z")  # one that only a list has named
+    further, moved = EndpointListCodec(("a", "b", "z", "c"), ("k",)), EndpointListCodec(("b", "a"), ("k",))
+    assert (
+        further.adopt_numbers(old)
+        and further._zones.number_of("z") == 2
+        and further._zones.number_of("d") == 4
+    )
+    assert not moved.adopt_numbers(old)
+    assert EndpointListCodec(("a",), ("k",)) != old == EndpointListCodec(("a", "b"), ("k",))
 
 
 def test_sighup_as_a_process(start, tmp_path):  # noqa: F811
