--- a/hazelbend/cli/__init__.py
+++ b/hazelbend/cli/__init__.py
@@ -1,2 +1,4 @@
-"""The command line: `python -m hazelbend COMMAND`. Without a command the dispatcher runs, and nothing of this
-is imported."""
+"""The command line: `python -m hazelbend COMMAND`.
+
+Without a command the dispatcher runs, and nothing of this package is imported.
+"""
--- a/hazelbend/cli/check.py
+++ b/hazelbend/cli/check.py
@@ -12,7 +12,10 @@
 from hazelbend.program import config
 from hazelbend.program.parts import table
 
-PARTS = {  # what a file of our own turns on, by the field of the configuration that it fills
+EXIT_OK = 0
+EXIT_DOUBTS = 1
+EXIT_UNUSABLE = 2
+FEATURES = {  # what a deploy file or a setting turns on, by the field of `Config` that it fills
     "stomp": "the STOMP front",
     "snmp": "the SNMP agent",
     "console": "the console",
@@ -23,46 +26,56 @@
 
 
 def run(path: str, as_json: bool) -> int:
+    """Print the report on the configuration at `path`; the exit status."""
     try:
         conf = config.load(os.environ | {"RELAY_CONFIG": path})
     except config.ConfigError as error:
         print(f"hazelbend check: {error}", file=sys.stderr)
-        return 2
-    said = conf.understanding.plain()
-    said["on"] = [name for field, name in PARTS.items() if getattr(conf, field) is not None]
-    said["off"] = [name for field, name in PARTS.items() if getattr(conf, field) is None]
-    said["servers_known"] = len(conf.known.entries)
-    said["discovery"] = conf.discovery
+        return EXIT_UNUSABLE
+    report = _report(conf)
     if as_json:
-        print(orjson.dumps(said, option=orjson.OPT_INDENT_2).decode())
+        print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
     else:
-        print("\n".join(_page(said)))
-    return 1 if said["doubts"] else 0
+        print("\n".join(_page(report)))
+    return EXIT_DOUBTS if report["doubts"] else EXIT_OK
 
 
-def _page(said: dict[str, Any]) -> Iterator[str]:
-    goes_by = dict(said["goes_by"])
-    classes = goes_by.pop("classes")
+def _report(conf: config.Config) -> dict[str, Any]:
+    """Plain values for JSON."""
+    report = conf.understanding.plain()
+    report["on"] = [name for field, name in FEATURES.items() if getattr(conf, field) is not None]
+    report["off"] = [name for field, name in FEATURES.items() if getattr(conf, field) is None]
+    report["servers_known"] = len(conf.known.entries)
+    report["discovery"] = conf.discovery
+    return report
+
+
+def _page(report: dict[str, Any]) -> Iterator[str]:
+    """The report as paragraphs and tables."""
+    settings = dict(report["goes_by"])
+    classes = settings.pop("classes")
     yield "It goes by:"
-    yield table([("SETTING", "TAKEN AS"), *_rows(goes_by)])
+    yield table([("SETTING", "TAKEN AS"), *_rows(settings)])
     columns = tuple(next(iter(classes.values())))
-    head = ("CLASS", *(name.upper().replace("_", " ") for name in columns))
+    head = ("CLASS", *(column.upper().replace("_", " ") for column in columns))
     yield "\n" + table([head, *((name, *map(_text, row.values())) for name, row in classes.items())])
-    known, discovery = said["servers_known"], said["discovery"] or "none"
+    known = report["servers_known"]
+    discovery = report["discovery"] or "none"
     yield f"\nServers known from the start: {known}. Discovery: {discovery}."
-    yield f"On: {_text(said['on'])}. Off: {_text(said['off'])}."
-    yield f"\nNot used: {_text(said['not_used'])}."
-    if said["doubts"]:
+    yield f"On: {_text(report['on'])}. Off: {_text(report['off'])}."
+    yield f"\nNot used: {_text(report['not_used'])}."
+    if report["doubts"]:
         yield "\nHardly meant so:"
-        yield table([("KEY", "READ AS"), *((each["key"], each["text"]) for each in said["doubts"])])
+        yield table([("KEY", "READ AS"), *((doubt["key"], doubt["text"]) for doubt in report["doubts"])])
 
 
-def _rows(values: dict[str, Any], before: str = "") -> Iterator[tuple[str, str]]:
+def _rows(values: dict[str, Any], prefix: str = "") -> Iterator[tuple[str, str]]:
+    """Nested settings as rows with dotted keys."""
     for key, value in values.items():
         if isinstance(value, dict):
-            yield from _rows(value, f"{before}{key}.")
+            yield from _rows(value, f"{prefix}{key}.")
         else:
-            yield f"{before}{key}", _text(value)
+            yield f"{prefix}{key}", _text(value)
 
 
 def _text(value: Any) -> str:
--- a/hazelbend/cli/main.py
+++ b/hazelbend/cli/main.py
@@ -1,4 +1,7 @@
-"""The commands, by click."""
+"""The command line, by click.
+
+Each command imports its own module when it runs: a command needs only the packages of its part.
+"""
 
 from __future__ import annotations
 
@@ -46,24 +49,26 @@
     raise SystemExit(run(config, as_json))
 
 
-UNITS = {"ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3_600.0, "": 1.0}
+SECONDS_BY_UNIT = {"ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3_600.0, "": 1.0}
+UNIT_LETTERS = "smh"
 
 
-class Time(click.ParamType[float]):
-    """`10s`, `1m`, `500ms`, or seconds."""
+class Duration(click.ParamType[float]):
+    """Seconds, from `10s`, `1m`, `500ms` or a bare number."""
 
     name = "time"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
+        """See the class. What is none ends the command with a usage error."""
         text = str(value).strip()
-        number = text.rstrip("smh")
+        number = text.rstrip(UNIT_LETTERS)
         try:
-            return float(number) * UNITS[text[len(number) :]]
+            return float(number) * SECONDS_BY_UNIT[text[len(number) :]]
         except (ValueError, KeyError):
             self.fail(f"{text!r} is no time such as 10s, 1m or 500ms", param, ctx)
 
 
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 
 
 @main.group()
@@ -75,12 +80,12 @@
 
 
 @fleet.command("status")
-@JSON
+@JSON_OPTION
 def fleet_status(as_json: bool) -> None:
     """Members, voters and who leads. Status 1 if nobody does."""
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
-    raise SystemExit(part.main(lambda conf, peers: part.status(conf, peers, as_json)))
+    raise SystemExit(commands.main(lambda conf, peers: commands.status(conf, peers, as_json)))
 
 
 @fleet.command("start")
@@ -90,9 +95,9 @@
 
     While a majority lives behind a cut, this makes two fleets until they hear of each other.
     """
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
-    raise SystemExit(part.main(lambda conf, peers: part.start(conf, peers, anyway)))
+    raise SystemExit(commands.main(lambda conf, peers: commands.start(conf, peers, anyway)))
 
 
 @main.group()
@@ -102,8 +107,8 @@
 
 @lease.command("run", options_metavar="[--ttl TIME] [--wait TIME] --")
 @click.argument("name")
-@click.option("--ttl", type=Time(), default=10.0, help="How long the lease outlives its holder. [10s]")
-@click.option("--wait", type=Time(), default=0.0, help="How long to queue for it. [0]")
+@click.option("--ttl", type=Duration(), default=10.0, help="How long the lease outlives its holder. [10s]")
+@click.option("--wait", type=Duration(), default=0.0, help="How long to queue for it. [0]")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def lease_run(name: str, ttl: float, wait: float, command: tuple[str, ...]) -> None:
     """Run COMMAND while the lease NAME is held, with its token in HAZELBEND_TOKEN.
@@ -111,28 +116,30 @@
     Ends with COMMAND's status, with 75 if the lease was not to be had, and with 76 if it was lost: COMMAND
     then got SIGTERM, and SIGKILL before the lease's time was over.
     """
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
-    raise SystemExit(part.main(lambda conf, peers: part.run_command(conf, peers, name, ttl, wait, command)))
+    raise SystemExit(
+        commands.main(lambda conf, peers: commands.run_command(conf, peers, name, ttl, wait, command))
+    )
 
 
 @lease.command("list")
-@JSON
+@JSON_OPTION
 def lease_list(as_json: bool) -> None:
     """All leases, their holders and who waits."""
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
-    raise SystemExit(part.main(lambda conf, peers: part.show(conf, peers, None, as_json)))
+    raise SystemExit(commands.main(lambda conf, peers: commands.show(conf, peers, None, as_json)))
 
 
 @lease.command("show")
 @click.argument("name")
-@JSON
+@JSON_OPTION
 def lease_show(name: str, as_json: bool) -> None:
     """One lease. Status 1 if it is free."""
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
-    raise SystemExit(part.main(lambda conf, peers: part.show(conf, peers, name, as_json)))
+    raise SystemExit(commands.main(lambda conf, peers: commands.show(conf, peers, name, as_json)))
 
 
 @lease.command("release")
@@ -140,7 +147,7 @@
 @click.option("--force", is_flag=True, required=True, help="Its holder is not asked, and may act on.")
 def lease_release(name: str, force: bool) -> None:
     """Take a lease from its holder. The next one's token is higher."""
-    from hazelbend.cli import fleet as part
+    from hazelbend.cli import fleet as commands
 
     assert force
-    raise SystemExit(part.main(lambda conf, peers: part.force(conf, peers, name)))
+    raise SystemExit(commands.main(lambda conf, peers: commands.force(conf, peers, name)))
--- a/hazelbend/console/client.py
+++ b/hazelbend/console/client.py
@@ -1,4 +1,7 @@
-"""The operator's side of the console: a prompt, or one command for a script."""
+"""The operator's side of the console: an interactive prompt, or single commands for scripts.
+
+It speaks with `hazelbend.program.console_server` over a Unix socket: one JSON object a line, each way.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +14,62 @@
 
 from hazelbend.program.config import ConfigError, console_socket
 
-TIMEOUT = 10.0
+TIMEOUT_S = 10.0
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_UNUSABLE_SETTINGS = 2
+PROMPT = "hazelbend> "
+# What the prompt completes; "help" lists all commands.
+SHOW_SUBJECTS = ("status", "figures", "servers", "flows", "fronts", "sources", "names", "waiting", "log")
+COMMANDS = ("drain", "undrain", "cancel", "shutdown", "help", "quit")
+LEAVE_COMMANDS = ("quit", "exit")  # of the prompt itself
 
 
-class Line:
-    """The connection to the program."""
+class ConsoleConnection:
+    """A connection to the program's console socket."""
 
     def __init__(self, path: Path) -> None:
+        """Connect.
+
+        Raises:
+            OSError: nobody listens there.
+        """
         self._socket = socket.socket(socket.AF_UNIX)
-        self._socket.settimeout(TIMEOUT)
+        self._socket.settimeout(TIMEOUT_S)
         self._socket.connect(str(path))
         self._file = self._socket.makefile("rb")
 
-    def ask(self, command: str) -> tuple[bool, str]:
+    def run(self, command: str) -> tuple[bool, str]:
+        """Whether the program carried the command out, and its text.
+
+        Raises:
+            OSError: the connection is lost, or there was no answer in time.
+        """
         self._socket.sendall(orjson.dumps({"command": command}, option=orjson.OPT_APPEND_NEWLINE))
-        answer = self._file.readline()
-        if not answer:
+        line = self._file.readline()
+        if not line:
             raise ConnectionError("the program closed the connection")
-        said = orjson.loads(answer)
-        return said["ok"], said["text"]
+        answer = orjson.loads(line)
+        return answer["ok"], answer["text"]
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the commands of the command line, or else the prompt; the exit status."""
+    options = _parse(arguments)
+    try:
+        connection = ConsoleConnection(options.socket or console_socket())
+        if options.command is None:
+            return run_prompt(connection)
+        return _run_commands(connection, options.command)
+    except ConfigError as error:
+        print(f"hazelbend.console: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE_SETTINGS
+    except OSError as error:
+        print(f"hazelbend.console: the program cannot be reached: {error}", file=sys.stderr)
+        return EXIT_FAILED
+
+
+def _parse(arguments: list[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="hazelbend.console", description="The console of a running hazelbend."
     )
@@ -40,48 +77,41 @@
     parser.add_argument(
         "-c", dest="command", action="append", help="run this command and end; may be repeated"
     )
-    options = parser.parse_args(arguments)
-    try:
-        line = Line(options.socket or console_socket())
-        if options.command is None:
-            return prompt(line)
-        for command in options.command:
-            good, text = line.ask(command)
-            print(text, file=sys.stdout if good else sys.stderr)
-            if not good:
-                return 1
-    except ConfigError as error:
-        print(f"hazelbend.console: {error}", file=sys.stderr)
-        return 2
-    except OSError as error:
-        print(f"hazelbend.console: the program cannot be reached: {error}", file=sys.stderr)
-        return 1
-    return 0
+    return parser.parse_args(arguments)
+
+
+def _run_commands(connection: ConsoleConnection, commands: list[str]) -> int:
+    """Run them in their order, up to the first that fails."""
+    for command in commands:
+        is_done, text = connection.run(command)
+        print(text, file=sys.stdout if is_done else sys.stderr)
+        if not is_done:
+            return EXIT_FAILED
+    return EXIT_OK
 
 
-def prompt(line: Line) -> int:
-    """Read commands until the operator leaves. `shutdown` is asked about once more."""
+def run_prompt(connection: ConsoleConnection) -> int:
+    """Read and run commands until the operator leaves. `shutdown` has to be confirmed."""
     from prompt_toolkit import PromptSession
     from prompt_toolkit.completion import NestedCompleter
     from prompt_toolkit.shortcuts import confirm
 
-    shows: dict[str, None] = dict.fromkeys(
-        ["status", "figures", "servers", "flows", "fronts", "sources", "names", "waiting", "log"]
-    )
-    words = {"show": shows, **dict.fromkeys(["drain", "undrain", "cancel", "shutdown", "help", "quit"])}
+    words = {"show": dict.fromkeys(SHOW_SUBJECTS), **dict.fromkeys(COMMANDS)}
     session: PromptSession[str] = PromptSession(
         completer=NestedCompleter.from_nested_dict(words), bottom_toolbar="help: the commands   quit: leave"
     )
     while True:
         try:
-            command = session.prompt("hazelbend> ").strip()
+            command = session.prompt(PROMPT).strip()
         except KeyboardInterrupt:
             continue
         except EOFError:
-            return 0
-        if command in ("quit", "exit"):
-            return 0
-        if not command or (command == "shutdown" and not confirm("Finish all that was taken, then end?")):
+            return EXIT_OK
+        if command in LEAVE_COMMANDS:
+            return EXIT_OK
+        if not command:
+            continue
+        if command == "shutdown" and not confirm("Finish all that was taken, then end?"):
             continue
-        _, text = line.ask(command)
+        _, text = connection.run(command)
         print(text)
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -16,7 +16,7 @@
 
 from benchmarks.fleet_faults import LEASES, Play, Store
 from benchmarks.fleet_rig import ACT, Site, acts, free_port, wait_for
-from hazelbend.cli.main import Time
+from hazelbend.cli.main import Duration
 from hazelbend.gossip.swim import Packet, Whole
 from hazelbend.leases.lease_table import TOKEN_BITS, Acquire
 from hazelbend.program.console_server import CommandError, Commands
@@ -226,8 +226,8 @@
 @pytest.mark.parametrize("text", ["5hm", "x", "", "10 parsecs"])
 def test_what_is_no_time_is_told(text):
     with pytest.raises(click.BadParameter, match="is no time"):
-        Time().convert(text, None, None)
-    assert [Time().convert(each, None, None) for each in ("10s", "1m", "500ms", 2.5)] == [
+        Duration().convert(text, None, None)
+    assert [Duration().convert(each, None, None) for each in ("10s", "1m", "500ms", 2.5)] == [
         10.0,
         60.0,
         0.5,
