--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -1,11 +1,10 @@
-"""Members of a fleet on virtual time: what it costs to know them, and how soon a death is known and a false
-alarm ends.
+"""Gossip membership on virtual time: its cost, and how soon a crash is detected.
 
     python -m benchmarks.fleet_members --sizes 3,50,200 --seconds 60 --seed 1
 
 Prints a line for each size: packets and bytes (msgpack) a second of each process when nothing happens, CPU of
-the engine as part of a core, and after one process is killed: when the first and the last of the others hold
-it dead.
+the engine as part of a core, and after one process is killed: when the first and the last of the others
+declare it dead.
 """
 
 from __future__ import annotations
@@ -20,33 +19,35 @@
 import msgspec
 
 from hazelbend.consensus.identity import address_of
-from hazelbend.gossip.swim import Members, Packet, Status, Timing
+from hazelbend.gossip.messages import MemberStatus, Packet
+from hazelbend.gossip.swim import SwimNode
+from hazelbend.gossip.timing import GossipTiming
 
 S = 1_000_000
 
 
-class Crowd:
-    """Processes that know each other only by what they tell each other. Time is one clock's."""
+class GossipCluster:
+    """Processes on one virtual clock that know each other only by gossip."""
 
     def __init__(self, size: int, seed: int, fleet: str = "f") -> None:
-        self.random, self.timing, self.fleet = random.Random(seed), Timing(), fleet
+        self.random, self.timing, self.fleet = random.Random(seed), GossipTiming(), fleet
         self.now, self.sequence = 0, 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.by_address: dict[str, Members] = {}
+        self.by_address: dict[str, SwimNode] = {}
         self.paused: dict[str, list[Packet]] = {}
-        self.cuts: Callable[[str, str], bool] = lambda source, to: False
+        self.is_cut: Callable[[str, str], bool] = lambda source, to: False
         self.loss = 0.0
         self.packets = self.bytes = 0
         self.encoder = msgspec.msgpack.Encoder()
-        self.dead_at: dict[tuple[str, str], int] = {}  # who holds whom dead, and since when
-        self.alarms = 0  # times that somebody was held dead
+        self.dead_at: dict[tuple[str, str], int] = {}  # by observer and member
+        self.deaths_declared = 0  # by any member, of any other
         self.seeds = tuple(f"10.0.0.{n}:1" for n in range(3))
         for number in range(size):
             self.start(f"10.0.0.{number}:1")
 
-    def start(self, address: str, life: str = "a", fleet: str = "") -> Members:
-        made = Members(
-            f"n{life}@{address}",
+    def start(self, address: str, incarnation: str = "a", fleet: str = "") -> SwimNode:
+        made = SwimNode(
+            f"n{incarnation}@{address}",
             fleet or self.fleet,
             self.seeds,
             self.timing,
@@ -63,7 +64,7 @@
     def pause(self, address: str) -> None:
         self.paused[address] = []
 
-    def go_on(self, address: str) -> None:
+    def resume(self, address: str) -> None:
         waiting = self.paused.pop(address)
         member = self.by_address[address]
         self._pump(member)
@@ -82,40 +83,40 @@
             act()
         self.now = end
 
-    def until(self, done: Callable[[], bool], seconds: float) -> float:
-        """How long it took; AssertionError if it did not come about."""
+    def run_until(self, done: Callable[[], bool], seconds: float) -> float:
+        """Seconds until `done`; AssertionError if it takes longer."""
         began = self.now
         while not done():
             assert self.now < began + seconds * S, "it did not come about"
             self.run(0.1)
         return (self.now - began) / S
 
-    def _wake(self, member: Members) -> None:
-        self.at(max(member.due - self.now, 1_000), lambda: self._due(member))
+    def _wake(self, member: SwimNode) -> None:
+        self.at(max(member.next_at - self.now, 1_000), lambda: self._due(member))
 
-    def _due(self, member: Members) -> None:
+    def _due(self, member: SwimNode) -> None:
         address = address_of(member.me)
         if self.by_address.get(address) is member and address not in self.paused:
             self._pump(member)
             self._wake(member)
 
-    def _pump(self, member: Members) -> None:
+    def _pump(self, member: SwimNode) -> None:
         member.tick(self.now)
         self._send(member)
 
-    def _send(self, member: Members) -> None:
-        for packet in member.out:
+    def _send(self, member: SwimNode) -> None:
+        for packet in member.outbox:
             self.packets += 1
             self.bytes += len(self.encoder.encode(packet))
             to = address_of(packet.to) or packet.to
-            if not self.cuts(address_of(packet.sender), to) and self.random.random() >= self.loss:
+            if not self.is_cut(address_of(packet.sender), to) and self.random.random() >= self.loss:
                 self.at(self.random.expovariate(1 / 3_000), lambda packet=packet: self._arrive(packet))
-        member.out.clear()
-        for change in member.changes:
-            if change.status is Status.DEAD:
-                self.alarms += 1
+        member.outbox.clear()
+        for change in member.table.status_changes:
+            if change.status is MemberStatus.DEAD:
+                self.deaths_declared += 1
                 self.dead_at.setdefault((member.me, change.identity), self.now)
-        member.changes.clear()
+        member.table.status_changes.clear()
 
     def _arrive(self, packet: Packet) -> None:
         address = address_of(packet.to) or packet.to
@@ -125,26 +126,26 @@
             member.receive(packet, self.now)
             self._send(member)
 
-    def agreed(self) -> bool:
-        """Whether all that run know all that run, and nobody else."""
+    def converged(self) -> bool:
+        """Whether every running process knows exactly the running processes."""
         running = {each.me for each in self.by_address.values()}
-        return all(set(each.well()) == running for each in self.by_address.values())
+        return all(set(each.table.active()) == running for each in self.by_address.values())
 
 
 def measure(size: int, seconds: float, seed: int) -> dict[str, float]:
-    crowd = Crowd(size, seed)
-    joined = crowd.until(crowd.agreed, 120.0)
-    crowd.run(40.0)  # what joining has to tell is told
-    crowd.packets = crowd.bytes = 0
+    cluster = GossipCluster(size, seed)
+    joined = cluster.run_until(cluster.converged, 120.0)
+    cluster.run(40.0)  # until the updates of joining are disseminated
+    cluster.packets = cluster.bytes = 0
     began = time.process_time()
-    crowd.run(seconds)
+    cluster.run(seconds)
     cpu = time.process_time() - began
-    calm, bytes_, alarms = crowd.packets, crowd.bytes, crowd.alarms
-    gone = crowd.by_address["10.0.0.1:1"].me
-    killed = crowd.now
-    crowd.kill("10.0.0.1:1")
-    crowd.until(crowd.agreed, 300.0)
-    known = sorted(at - killed for (_, whom), at in crowd.dead_at.items() if whom == gone)
+    calm, bytes_, alarms = cluster.packets, cluster.bytes, cluster.deaths_declared
+    gone = cluster.by_address["10.0.0.1:1"].me
+    killed = cluster.now
+    cluster.kill("10.0.0.1:1")
+    cluster.run_until(cluster.converged, 300.0)
+    known = sorted(at - killed for (_, whom), at in cluster.dead_at.items() if whom == gone)
     return {
         "size": size,
         "all_know_all_s": round(joined, 1),
--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -64,7 +64,7 @@
     for each in view.members:
         votes = "votes" if each.identity in view.voters else ""
         print(f"  {each.identity:50} {each.status:8} {each.for_s:8.1f} s  {votes}")
-    for address, fleet in view.strangers.items():
+    for address, fleet in view.foreign_fleets.items():
         print(f"  {address} is of another fleet, {fleet}, and is not listened to")
     return OK if view.leader else NOTHING
 
--- a/hazelbend/gossip/__init__.py
+++ b/hazelbend/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Membership by gossip (SWIM). Engines without I/O."""
+"""Membership and failure detection by gossip (SWIM with Lifeguard). Engines without I/O."""
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -1,417 +1,333 @@
-"""Who is in the fleet: failure detection and its news, by SWIM (Das, Gupta, Motivala 2002) with Lifeguard's
-local health, suspicion times and buddy rule (Dadgar, Phillips, Currey 2018), told the time and without I/O.
-
-State of a member as one process sees it (`Status`), by the news that it takes:
-
-    unknown           --alive-->                    ALIVE
-    ALIVE             --suspect of its incarnation-->   SUSPECT, its time runs; each other that suspects
-    shortens it SUSPECT           --alive of a higher incarnation--> ALIVE: it has denied it SUSPECT
-    --its time is over, or dead--> DEAD ALIVE, SUSPECT    --left, by itself-->          LEFT DEAD
-    --alive of a higher incarnation--> ALIVE: it was cut off, or stopped, and goes on any
-    --another identity alive at its address--> DEAD: an address has one process LEFT
-    --anything-->                 LEFT
-
-A process that hears itself suspected or dead denies it with a higher incarnation. An identity is one memory
-of one process, as in record.py: one that starts again is somebody else.
-
-A slow detector distrusts itself first: each probe without an answer, and each suspicion of itself, makes its
-own probes slower and its suspicions longer (`doubt`), and a probe that ran while the process itself stood
-still, which its own late clock shows, says nothing about anybody.
-
-Each period a process probes one member: directly, then through `helpers` others, so a cut between two is no
-death. News rides on probes and answers, each so many times as the logarithm of the fleet's size. So the cost
-for a process does not grow with the fleet, but for the length of the list that it exchanges whole now and
-then, with a random member: that heals splits, together with a knock at a seed or at one held dead.
-
-Invariants, checked by the tests: news of a member only goes up in (incarnation, status); nobody holds itself
-to be other than alive, or left; an identity's address has one that is not dead; a fleet of another id changes
-nothing.
-"""
-
-from __future__ import annotations
-
-import random
-from dataclasses import dataclass, field
-from enum import IntEnum
-from math import ceil, log, log10
-
-import msgspec
-
-from hazelbend.consensus.identity import address_of
-
-
-class Status(IntEnum):
-    ALIVE = 0
-    SUSPECT = 1
-    DEAD = 2
-    LEFT = 3
-
-
-class News(msgspec.Struct, frozen=True, array_like=True):
-    """`by`: who suspects, as several make it surer."""
+"""Failure detector and membership protocol of a fleet: SWIM with Lifeguard's extensions, without I/O.
 
-    member: str
-    incarnation: int
-    status: Status
-    by: str = ""
+Sources: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+Membership Protocol", DSN 2002; A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More
+Accurate Failure Detection", DSN 2018.
 
+In each probe interval a process pings one member, in a shuffled round-robin order. Without an ack in time it
+asks some others to ping that member (`ping-req`), so that a broken link between two is not taken for a death.
+Without an ack from those either, the member becomes a suspect, and dead after a time-out unless it refutes.
 
-class Probe(msgspec.Struct, frozen=True, tag=True):
-    """Answer, or ask `through`'s target for me. `number` is the asker's own."""
+A process that hears itself suspected, or declared dead, refutes with a higher incarnation. An identity stands
+for one persistent state of one process: a process that restarts without it is another member.
 
-    number: int
-    target: str = ""  # probe this one on the sender's behalf; empty: the receiver itself
+Lifeguard: a process first doubts itself. Each probe without an ack, and each suspicion of itself, raises its
+health score, which makes its probes slower and its suspicions longer. A probe that ran while the process
+itself was stopped, which shows in its own late clock, says nothing about anybody.
 
+Updates ride on pings and acks, each on a number of packets that is logarithmic in the fleet's size. So a
+process's cost does not grow with the fleet, but for the complete table, which it exchanges with one random
+member now and then. That, and attempts to reach seeds and dead members, heals partitions.
 
-class Answer(msgspec.Struct, frozen=True, tag=True):
-    """`ok` False: the one asked for another says that it has no answer yet, and is itself well."""
-
-    number: int
-    ok: bool = True
-
-
-class Whole(msgspec.Struct, frozen=True, tag=True):
-    """The whole list. `answer`: the receiver is to send its own."""
+Invariants, checked by the tests: a process never holds itself suspect or dead; a packet of another fleet
+changes no member. member_table.py has those of the table.
+"""
 
-    answer: bool
+from __future__ import annotations
 
+import random
+from dataclasses import dataclass
 
-Head = tuple[int, int, str]  # an epoch and a term of it, and who leads there
-NOBODY: Head = (0, 0, "")
+from hazelbend.consensus.identity import address_of
+from hazelbend.gossip.dissemination import DisseminationQueue
+from hazelbend.gossip.member_table import Member, MemberTable
+from hazelbend.gossip.messages import (
+    NO_LEADER,
+    Ack,
+    FullState,
+    MembershipUpdate,
+    MemberStatus,
+    Packet,
+    PacketBody,
+    Ping,
+)
+from hazelbend.gossip.timing import GossipTiming
+
+FULL_STATE_JITTER = (0.75, 1.25)  # factors of the interval, so that members do not exchange in step
 
 
-class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """`to`: an identity, or only an address where nobody there is known."""
+@dataclass(slots=True)
+class PendingProbe:
+    """The probe of this interval: first a direct ping, then indirect ones through relays."""
 
-    fleet: str
-    sender: str
-    to: str
-    body: Probe | Answer | Whole
-    news: tuple[News, ...] = ()
-    head: Head = NOBODY
+    target: str
+    sequence_number: int
+    started_at: int
+    indirect: bool = False
+    relays: int = 0  # members that were asked to ping the target
+    nacks: int = 0  # relays that are reachable and have no ack either
 
 
 @dataclass(slots=True, frozen=True)
-class Timing:
-    """Microseconds."""
-
-    period: int = 1_000_000
-    answer: int = 300_000  # to a probe; then others are asked to try
-    helpers: int = 3
-    suspicion: float = 4.0  # periods, times the logarithm to ten of the fleet's size, at least one
-    longest: float = 6.0  # times that, while nobody else suspects
-    surer: int = 3  # others that make it the shortest
-    exchange: int = 30_000_000
-    knock: int = 10_000_000  # at a seed, or one that is held dead
-    forget: int = 300_000_000  # the dead and those that left
-    news: int = 12  # in a packet
-    repeats: float = 3.0  # of a piece of news, times the logarithm of the fleet's size
-    most_doubt: int = 8
-
-
-@dataclass(slots=True)
-class Member:
-    identity: str
-    incarnation: int
-    status: Status
-    since: int  # in this status
-    joined: int  # known here
-    suspected_by: set[str] = field(default_factory=set)
+class RelayedProbe:
+    """A ping that this process sent because of another's `ping-req`."""
 
+    requester: str
+    requester_sequence_number: int
+    nack_at: int
 
-@dataclass(slots=True)
-class Trial:
-    """A probe that is under way."""
 
-    target: str
-    number: int
-    began: int
-    asked: bool = False  # others were asked to try
-    helpers: int = 0
-    heard: int = 0  # helpers that said that they are well
+class SwimNode:
+    """One process's member of the gossip protocol.
 
+    The driver calls `tick` when `next_at` has come and `receive` for each packet, and sends what `outbox`
+    then holds. Times are microseconds of one clock that never goes back.
+    """
 
-class Members:
     def __init__(
-        self, me: str, fleet: str, seeds: tuple[str, ...], timing: Timing, seed: int, now: int
+        self, me: str, fleet: str, seeds: tuple[str, ...], timing: GossipTiming, seed: int, now: int
     ) -> None:
-        """`seeds`: addresses to knock at."""
-        self.me, self.fleet, self.timing = me, fleet, timing
-        self.seeds = [each for each in seeds if each != address_of(me)]
+        """`seeds`: addresses at which to join the fleet. `seed`: of the random numbers."""
+        self.me = me
+        self.fleet = fleet
+        self.timing = timing
+        self.seeds = [address for address in seeds if address != address_of(me)]
         self.random = random.Random(seed)
-        self.table = {me: Member(me, 1, Status.ALIVE, now, now)}
-        self.living: dict[str, str] = {}  # by address
-        self.out: list[Packet] = []
-        self.strangers: dict[str, str] = {}  # address and id of other fleets that spoke here
-        self.changes: list[Member] = []  # of status, for whoever watches; to be cleared by it
-        self.doubt = 0  # Lifeguard's local health: 0 is well
-        self.queue: dict[str, tuple[News, int]] = {}  # by member: news to pass on, and how often it was
-        self.order: list[str] = []
-        self.trial: Trial | None = None
-        self.errands: dict[int, tuple[str, int, int]] = {}  # own number: for whom, its number, until
-        self.number = 0
-        self.next_probe = now + self.random.randrange(timing.period)
-        self.next_exchange = now
-        self.next_knock = now
+        self.updates = DisseminationQueue()
+        self.table = MemberTable(me, timing.suspicion_confirmations, self.updates, now)
+        self.outbox: list[Packet] = []
+        self.foreign_fleets: dict[str, str] = {}  # by address: the id of another fleet that sent packets here
+        self.leader_hint = NO_LEADER
+        self.health_score = 0  # Lifeguard's local health multiplier; 0 is healthy
         self.leaving = False
-        self.head = NOBODY  # the newest that was heard of: for those that do not vote
-
-    # --- what its owner asks ---
-
-    def well(self) -> list[str]:
-        """Those in the fleet, the longest there first; a suspect is in it still."""
-        found = [each for each in self.table.values() if each.status <= Status.SUSPECT]
-        return [each.identity for each in sorted(found, key=lambda each: (each.joined, each.identity))]
-
-    def lost(self) -> set[str]:
-        return {each.identity for each in self.table.values() if each.status > Status.SUSPECT}
+        self.probe_order: list[str] = []  # from its end
+        self.pending_probe: PendingProbe | None = None
+        self.relayed_probes: dict[int, RelayedProbe] = {}  # by own sequence number
+        self.sequence_number = 0
+        self.next_probe_at = now + self.random.randrange(timing.probe_interval_us)
+        self.next_full_state_at = now
+        self.next_join_at = now
 
     @property
-    def size(self) -> int:
-        return sum(each.status <= Status.SUSPECT for each in self.table.values())
-
-    @property
-    def due(self) -> int:
-        times = [self.next_probe, self.next_exchange, self.next_knock]
-        if self.trial is not None:
-            times.append(self._step())
-        times += [self._over(each) for each in self.table.values() if each.status is Status.SUSPECT]
-        times += [until for _, _, until in self.errands.values()]
+    def next_at(self) -> int:
+        """When `tick` has something to do."""
+        times = [self.next_probe_at, self.next_full_state_at, self.next_join_at]
+        if self.pending_probe is not None:
+            times.append(self._probe_deadline(self.pending_probe))
+        times += [
+            self._suspicion_deadline(suspect) for suspect in self.table.with_status(MemberStatus.SUSPECT)
+        ]
+        times += [relayed.nack_at for relayed in self.relayed_probes.values()]
         return min(times)
 
     def leave(self, now: int) -> None:
-        """Tell some at once; the rest hear it from them."""
+        """Announce to some members that this process leaves; they tell the others."""
         self.leaving = True
-        self._take(News(self.me, self.table[self.me].incarnation, Status.LEFT), now)
-        for other in self._some(self.timing.helpers, set()):
-            self._send(other, Whole(answer=False))
+        me = self.table.members[self.me]
+        self._apply(MembershipUpdate(self.me, me.incarnation, MemberStatus.LEFT), now)
+        for member in self._random_alive(self.timing.indirect_probes, without=set()):
+            self._send(member, FullState(reply_wanted=False))
 
-    # --- time ---
+    # --- timers ---
 
     def tick(self, now: int) -> None:
-        timing = self.timing
+        """Do all that is due."""
         if self.leaving:
             return
-        if now - self.due > timing.period:
-            self._stood_still(now, now - self.due)
-        if self.trial is not None and now >= self._step():
-            self._no_answer(self.trial, now)
-        for number, (whom, its, until) in list(self.errands.items()):
-            if now >= until:
-                self._send(whom, Answer(its, ok=False))
-                del self.errands[number]
-        for each in [each for each in self.table.values() if each.status is Status.SUSPECT]:
-            if now >= self._over(each):
-                self._take(News(each.identity, each.incarnation, Status.DEAD, self.me), now)
-        if now >= self.next_probe:
-            self.next_probe = now + timing.period * (1 + self.doubt)
-            self._probe(now)
-        if now >= self.next_exchange:
-            self.next_exchange = now + round(timing.exchange * self.random.uniform(0.75, 1.25))
-            for other in self._some(1, set()):
-                self._send(other, Whole(answer=True))
-            self._forget(now)
-        if now >= self.next_knock:
-            alone = self.size == 1
-            self.next_knock = now + (timing.period if alone else timing.knock)
-            self._knock()
-
-    def _stood_still(self, now: int, gap: int) -> None:
-        """This process did not run for a while: what did not come meanwhile says nothing."""
-        self.trial = None
-        self.errands.clear()
-        self._doubt(1)
-        for each in self.table.values():
-            if each.status is Status.SUSPECT:
-                each.since += gap
-
-    def _probe(self, now: int) -> None:
-        if not self.order:
-            self.order = [each for each in self.well() if each != self.me]
-            self.random.shuffle(self.order)
-        while self.order:
-            target = self.order.pop()
-            member = self.table.get(target)  # it may have been forgotten since the order was drawn
-            if member is not None and member.status <= Status.SUSPECT:
-                self.number += 1
-                self.trial = Trial(target, self.number, now)
-                self._send(target, Probe(self.number))
+        if now - self.next_at > self.timing.probe_interval_us:
+            self._resume_after_stall(now - self.next_at)
+        self._check_pending_probe(now)
+        self._send_due_nacks(now)
+        self._expire_suspicions(now)
+        if now >= self.next_probe_at:
+            self.next_probe_at = now + self.timing.probe_interval_us * (1 + self.health_score)
+            self._start_probe(now)
+        if now >= self.next_full_state_at:
+            self._exchange_full_state(now)
+        if now >= self.next_join_at:
+            interval = self.timing.probe_interval_us if self.table.size == 1 else self.timing.join_interval_us
+            self.next_join_at = now + interval
+            self._try_to_join()
+
+    def _resume_after_stall(self, gap: int) -> None:
+        """This process did not run for a while: acks that did not come meanwhile say nothing."""
+        self.pending_probe = None
+        self.relayed_probes.clear()
+        self._change_health(1)
+        for suspect in self.table.with_status(MemberStatus.SUSPECT):
+            suspect.since += gap
+
+    def _check_pending_probe(self, now: int) -> None:
+        probe = self.pending_probe
+        if probe is None or now < self._probe_deadline(probe):
+            return
+        if probe.indirect:
+            self._probe_failed(probe, now)
+        else:
+            self._send_indirect_probes(probe)
+
+    def _probe_deadline(self, probe: PendingProbe) -> int:
+        """When the probe takes its next step."""
+        timeout = self.timing.probe_interval_us if probe.indirect else self.timing.ack_timeout_us
+        return probe.started_at + timeout * (1 + self.health_score)
+
+    def _send_indirect_probes(self, probe: PendingProbe) -> None:
+        probe.indirect = True
+        for relay in self._random_alive(self.timing.indirect_probes, without={probe.target}):
+            probe.relays += 1
+            self._send(relay, Ping(probe.sequence_number, probe.target))
+
+    def _probe_failed(self, probe: PendingProbe, now: int) -> None:
+        self.pending_probe = None
+        # A process that has no nacks from its relays either may itself be partitioned or slow.
+        missing_nacks = probe.relays - probe.nacks
+        self._change_health(missing_nacks if probe.relays else 1)
+        member = self.table.members.get(probe.target)
+        if member is not None and member.is_active:
+            self._declare(member, MemberStatus.SUSPECT, now)
+
+    def _send_due_nacks(self, now: int) -> None:
+        for sequence_number, relayed in list(self.relayed_probes.items()):
+            if now >= relayed.nack_at:
+                self._send(relayed.requester, Ack(relayed.requester_sequence_number, ok=False))
+                del self.relayed_probes[sequence_number]
+
+    def _expire_suspicions(self, now: int) -> None:
+        for suspect in self.table.with_status(MemberStatus.SUSPECT):
+            if now >= self._suspicion_deadline(suspect):
+                self._declare(suspect, MemberStatus.DEAD, now)
+
+    def _suspicion_deadline(self, suspect: Member) -> int:
+        confirmations = len(suspect.suspected_by) - 1
+        return suspect.since + self.timing.suspicion_timeout_us(
+            self.table.size, confirmations, self.health_score
+        )
+
+    def _declare(self, member: Member, status: MemberStatus, now: int) -> None:
+        self._apply(MembershipUpdate(member.identity, member.incarnation, status, self.me), now)
+
+    def _start_probe(self, now: int) -> None:
+        if not self.probe_order:
+            self.probe_order = [identity for identity in self.table.active() if identity != self.me]
+            self.random.shuffle(self.probe_order)
+        while self.probe_order:
+            target = self.probe_order.pop()
+            member = self.table.members.get(target)  # it may have been forgotten since the shuffle
+            if member is not None and member.is_active:
+                self.sequence_number += 1
+                self.pending_probe = PendingProbe(target, self.sequence_number, now)
+                self._send(target, Ping(self.sequence_number))
                 break
 
-    def _step(self) -> int:
-        """When the probe under way goes on to its next step."""
-        trial, timing = self.trial, self.timing
-        assert trial is not None
-        return trial.began + (timing.period if trial.asked else timing.answer) * (1 + self.doubt)
-
-    def _no_answer(self, trial: Trial, now: int) -> None:
-        if not trial.asked:
-            trial.asked = True
-            for helper in self._some(self.timing.helpers, {trial.target}):
-                trial.helpers += 1
-                self._send(helper, Probe(trial.number, trial.target))
-            return
-        self.trial = None
-        # Who hears not even from its helpers may be the one that is cut off or slow.
-        self._doubt(trial.helpers - trial.heard if trial.helpers else 1)
-        member = self.table.get(trial.target)
-        if member is not None and member.status <= Status.SUSPECT:
-            self._take(News(member.identity, member.incarnation, Status.SUSPECT, self.me), now)
-
-    def _doubt(self, by: int) -> None:
-        self.doubt = min(max(self.doubt + by, 0), self.timing.most_doubt)
-
-    def _over(self, member: Member) -> int:
-        """When a suspect counts as dead: the longest time, shorter with each other that suspects it."""
-        timing = self.timing
-        least = timing.suspicion * max(log10(max(self.size, 1)), 1.0) * timing.period
-        most, others = timing.longest * least, len(member.suspected_by) - 1
-        wait = most - (most - least) * log(others + 1) / log(timing.surer + 1) if others > 0 else most
-        if self.size <= timing.surer + 1:
-            wait = least  # too few to make it surer
-        return member.since + round(max(wait, least) * (1 + self.doubt / timing.most_doubt))
-
-    def _knock(self) -> None:
-        """At a seed where nobody is known, or at one held dead: a split heals only if somebody tries."""
-        known = {address_of(each) for each in self.well()}
-        doors = list(self.seeds)
-        doors += [address_of(each.identity) for each in self.table.values() if each.status is Status.DEAD]
-        doors = [each for each in doors if each not in known]
-        if doors:
-            self._send(self.random.choice(doors), Whole(answer=True))
-
-    def _forget(self, now: int) -> None:
-        for each in list(self.table.values()):
-            if each.status > Status.SUSPECT and now > each.since + self.timing.forget:
-                del self.table[each.identity]
-
-    # --- what comes ---
+    def _exchange_full_state(self, now: int) -> None:
+        interval = self.timing.full_state_interval_us * self.random.uniform(*FULL_STATE_JITTER)
+        self.next_full_state_at = now + round(interval)
+        for member in self._random_alive(1, without=set()):
+            self._send(member, FullState(reply_wanted=True))
+        self.table.forget_inactive(before=now - self.timing.forget_after_us)
+
+    def _try_to_join(self) -> None:
+        """Contact a seed whose address has no active member, or a dead member: that heals partitions."""
+        known = {address_of(identity) for identity in self.table.active()}
+        addresses = list(self.seeds)
+        addresses += [address_of(member.identity) for member in self.table.with_status(MemberStatus.DEAD)]
+        addresses = [address for address in addresses if address not in known]
+        if addresses:
+            self._send(self.random.choice(addresses), FullState(reply_wanted=True))
+
+    def _change_health(self, by: int) -> None:
+        self.health_score = min(max(self.health_score + by, 0), self.timing.max_health_score)
+
+    # --- packets in ---
 
     def receive(self, packet: Packet, now: int) -> None:
-        """Of whatever age, as often as it comes. What is meant for another process, or fleet, changes
-        nothing."""
+        """Take in one packet. It may be old or repeated; one for another process or fleet changes nothing."""
         if packet.fleet != self.fleet:
-            self.strangers[address_of(packet.sender)] = packet.fleet
+            self.foreign_fleets[address_of(packet.sender)] = packet.fleet
             return
         if packet.to not in (self.me, address_of(self.me)) or packet.sender == self.me:
             return
+        if packet.leader_hint[:2] > self.leader_hint[:2]:
+            self.leader_hint = packet.leader_hint
+        if packet.sender not in self.table.members:
+            self._apply(MembershipUpdate(packet.sender, 1, MemberStatus.ALIVE), now)
+        for update in packet.updates:
+            self._apply(update, now)
         body = packet.body
-        if packet.head[:2] > self.head[:2]:
-            self.head = packet.head
-        if packet.sender not in self.table:
-            self._take(News(packet.sender, 1, Status.ALIVE), now)
-        for news in packet.news:
-            self._take(news, now)
-        if isinstance(body, Answer):
-            self._answered(body)
+        if isinstance(body, Ack):
+            self._receive_ack(body)
         elif self.leaving:
             return
-        elif isinstance(body, Whole):
-            if body.answer:
-                self._send(packet.sender, Whole(answer=False))
-        elif not body.target:
-            self._send(packet.sender, Answer(body.number))
+        elif isinstance(body, FullState):
+            if body.reply_wanted:
+                self._send(packet.sender, FullState(reply_wanted=False))
+        elif body.target:
+            self._relay_ping(packet.sender, body, now)
         else:
-            self.number += 1
-            self.errands[self.number] = (packet.sender, body.number, now + self.timing.answer)
-            self._send(body.target, Probe(self.number))
-
-    def _answered(self, answer: Answer) -> None:
-        errand = self.errands.get(answer.number)
-        if errand is not None:
-            del self.errands[answer.number]
-            self._send(errand[0], Answer(errand[1]))
-        elif self.trial is not None and answer.number == self.trial.number:
-            if not answer.ok:
-                self.trial.heard += 1
-            else:  # through a helper it is well too
-                self.trial = None
-                self._doubt(-1)
-
-    def _take(self, news: News, now: int) -> None:
-        if news.member == self.me:
-            self._about_me(news, now)
-            return
-        address = address_of(news.member)
-        other = self.living.get(address, news.member)
-        taken = address == address_of(self.me) or (other != news.member and news.status is Status.SUSPECT)
-        if taken and news.status < Status.DEAD:
-            news = News(news.member, news.incarnation, Status.DEAD, self.me)  # one address, one process
-        member = self.table.get(news.member)
-        if member is None:
-            # The dead are taken in as well: older news is not to bring them back.
-            member = self.table[news.member] = Member(news.member, news.incarnation, news.status, now, now)
-            self._changed(member, news, now)
-            return
-        if member.status is Status.LEFT and news.incarnation <= member.incarnation:
-            return
-        if news.status is member.status is Status.SUSPECT and news.incarnation == member.incarnation:
-            if news.by not in member.suspected_by and len(member.suspected_by) <= self.timing.surer:
-                member.suspected_by.add(news.by)
-                self.queue[member.identity + "|" + news.by] = (news, 0)
+            self._send(packet.sender, Ack(body.sequence_number))
+
+    def _receive_ack(self, ack: Ack) -> None:
+        relayed = self.relayed_probes.get(ack.sequence_number)
+        if relayed is not None:
+            del self.relayed_probes[ack.sequence_number]
+            self._send(relayed.requester, Ack(relayed.requester_sequence_number))
             return
-        newer = (news.incarnation, news.status) > (member.incarnation, member.status)
-        if member.status is Status.DEAD and news.status is not Status.LEFT:
-            newer = news.incarnation > member.incarnation
-        if newer or (news.status is Status.LEFT and news.incarnation >= member.incarnation):
-            member.incarnation, member.status, member.since = news.incarnation, news.status, now
-            self._changed(member, news, now)
-
-    def _changed(self, member: Member, news: News, now: int) -> None:
-        member.suspected_by = {news.by} if news.status is Status.SUSPECT else set()
-        self.queue[member.identity] = (news, 0)
-        self.changes.append(member)
-        address = address_of(member.identity)
-        if news.status > Status.SUSPECT:
-            if self.living.get(address) == member.identity:
-                del self.living[address]
+        probe = self.pending_probe
+        if probe is None or ack.sequence_number != probe.sequence_number:
             return
-        before = self.living.get(address, member.identity)
-        self.living[address] = member.identity
-        if before != member.identity:  # of two at one address the one that has just been heard of lives
-            self._take(News(before, self.table[before].incarnation, Status.DEAD, self.me), now)
-
-    def _about_me(self, news: News, now: int) -> None:
-        me = self.table[self.me]
-        if news.status is Status.LEFT and self.leaving:
-            me.status, me.since = Status.LEFT, now
-            self.queue[self.me] = (news, 0)
-        elif news.status is not Status.ALIVE and news.incarnation >= me.incarnation and not self.leaving:
-            me.incarnation = news.incarnation + 1
-            self.queue[self.me] = (News(self.me, me.incarnation, Status.ALIVE), 0)
-            self._doubt(1)  # somebody had no answer from here in time
-        elif news.incarnation > me.incarnation:
-            me.incarnation = news.incarnation
-
-    # --- what goes ---
-
-    def _some(self, count: int, without: set[str]) -> list[str]:
-        """Of those that nobody suspects: a helper that is cut off as well would say nothing of the other."""
-        well = [each.identity for each in self.table.values() if each.status is Status.ALIVE]
-        others = [each for each in well if each != self.me and each not in without]
-        return self.random.sample(others, min(count, len(others)))
+        if ack.ok:
+            self.pending_probe = None
+            self._change_health(-1)
+        else:
+            probe.nacks += 1
+
+    def _relay_ping(self, requester: str, ping: Ping, now: int) -> None:
+        self.sequence_number += 1
+        nack_at = now + self.timing.ack_timeout_us
+        self.relayed_probes[self.sequence_number] = RelayedProbe(requester, ping.sequence_number, nack_at)
+        self._send(ping.target, Ping(self.sequence_number))
 
-    def _send(self, to: str, body: Probe | Answer | Whole) -> None:
-        if isinstance(body, Whole):
-            news = tuple(
-                News(each.identity, each.incarnation, each.status, self.me) for each in self.table.values()
-            )
+    def _apply(self, update: MembershipUpdate, now: int) -> None:
+        if update.member == self.me:
+            self._apply_about_self(update, now)
         else:
-            news = self._gossip(to)
-        self.out.append(Packet(self.fleet, self.me, to, body, news, self.head))
-
-    def _gossip(self, to: str) -> tuple[News, ...]:
-        """The least told first; who is suspected, or held dead, hears of it before all else, and can deny
-        it."""
-        chosen: list[News] = []
-        member = self.table.get(to)
-        if member is not None and member.status is not Status.ALIVE:
-            chosen.append(News(to, member.incarnation, member.status, self.me))
-        most = ceil(self.timing.repeats * log(self.size + 1))
-        for key, (news, told) in sorted(self.queue.items(), key=lambda item: item[1][1])[: self.timing.news]:
-            chosen.append(news)
-            if told + 1 >= most:
-                del self.queue[key]
-            else:
-                self.queue[key] = (news, told + 1)
-        return tuple(chosen)
+            self.table.apply(update, now)
+
+    def _apply_about_self(self, update: MembershipUpdate, now: int) -> None:
+        me = self.table.members[self.me]
+        if update.status is MemberStatus.LEFT and self.leaving:
+            me.status = MemberStatus.LEFT
+            me.since = now
+            self.updates.add(update)
+        elif (
+            update.status is not MemberStatus.ALIVE
+            and update.incarnation >= me.incarnation
+            and not self.leaving
+        ):
+            self._refute(me, update)
+        elif update.incarnation > me.incarnation:
+            me.incarnation = update.incarnation
+
+    def _refute(self, me: Member, update: MembershipUpdate) -> None:
+        me.incarnation = update.incarnation + 1
+        self.updates.add(MembershipUpdate(self.me, me.incarnation, MemberStatus.ALIVE))
+        self._change_health(1)  # somebody had no ack from here in time
+
+    # --- packets out ---
+
+    def _random_alive(self, count: int, without: set[str]) -> list[str]:
+        """Other members without suspicion. A suspect relay may be partitioned like the target."""
+        alive = [member.identity for member in self.table.with_status(MemberStatus.ALIVE)]
+        others = [identity for identity in alive if identity != self.me and identity not in without]
+        return self.random.sample(others, min(count, len(others)))
+
+    def _send(self, to: str, body: PacketBody) -> None:
+        updates = self._all_updates() if isinstance(body, FullState) else self._piggybacked_updates(to)
+        self.outbox.append(Packet(self.fleet, self.me, to, body, updates, self.leader_hint))
+
+    def _all_updates(self) -> tuple[MembershipUpdate, ...]:
+        return tuple(
+            MembershipUpdate(member.identity, member.incarnation, member.status, self.me)
+            for member in self.table.members.values()
+        )
+
+    def _piggybacked_updates(self, to: str) -> tuple[MembershipUpdate, ...]:
+        """Queued updates. A receiver that is suspected or dead hears of that first, so that it can refute
+        (Lifeguard's buddy system)."""
+        updates: list[MembershipUpdate] = []
+        member = self.table.members.get(to)
+        if member is not None and member.status is not MemberStatus.ALIVE:
+            updates.append(MembershipUpdate(to, member.incarnation, member.status, self.me))
+        transmit_limit = self.timing.transmit_limit(self.table.size)
+        updates += self.updates.take(self.timing.updates_per_packet, transmit_limit)
+        return tuple(updates)
--- a/hazelbend/leases/engine.py
+++ b/hazelbend/leases/engine.py
@@ -24,7 +24,9 @@
 from hazelbend.consensus.persistent_state import PersistentState, epoch_number
 from hazelbend.consensus.raft import RaftNode
 from hazelbend.consensus.voters import next_voters
-from hazelbend.gossip import swim as mb
+from hazelbend.gossip.messages import LeaderHint, Packet
+from hazelbend.gossip.swim import SwimNode
+from hazelbend.gossip.timing import GossipTiming
 from hazelbend.leases.client import parked
 from hazelbend.leases.lease_table import Acquire, Answer, Leases, Limits, Operation, Watch, encode
 
@@ -79,11 +81,11 @@
     open: bool
     commit: int
     lag: int  # entries that it holds and knows not to be committed
-    doubt: int
+    health_score: int = msgspec.field(name="doubt")
     voters: tuple[str, ...]
     members: tuple[MemberView, ...]
     leases: tuple[LeaseView, ...]
-    strangers: dict[str, str]
+    foreign_fleets: dict[str, str] = msgspec.field(name="strangers")  # by address
 
 
 class Fleet:
@@ -92,11 +94,11 @@
     ) -> None:
         self.plan = plan
         self.leases, self.watch = Leases(plan.limits), Watch(plan.limits)
-        self.members = mb.Members(identity, plan.fleet, plan.seeds, mb.Timing(), seed, now)
+        self.members = SwimNode(identity, plan.fleet, plan.seeds, GossipTiming(), seed, now)
         self.raft = RaftNode(memory or PersistentState(identity), self.leases, rc.Timing(), seed, now)
         self.raft.watcher = lambda at: self.watch.look(self.leases, at)
         self.raft.watcher(now)
-        self.out: list[tuple[str, mb.Packet | Message]] = []  # to an address
+        self.out: list[tuple[str, Packet | Message]] = []  # to an address
         self.answers: list[tuple[int, Reply]] = []
         self._tickets: dict[int, tuple[int, Operation]] = {}  # of the record's: the driver's number, the wish
         self._parked: dict[int, tuple[Acquire, Answer, int]] = {}  # by the driver's number: until when
@@ -113,7 +115,7 @@
         record = self.raft
         return bool(self.out or self.answers or record.promise_changed or record.unsaved is not None)
 
-    def take(self) -> tuple[list[tuple[str, mb.Packet | Message]], list[tuple[int, Reply]]]:
+    def take(self) -> tuple[list[tuple[str, Packet | Message]], list[tuple[int, Reply]]]:
         """What is to be sent, and answered, once what it rests on is saved."""
         taken = self.out, self.answers
         self.out, self.answers = [], []
@@ -121,7 +123,7 @@
 
     @property
     def due(self) -> int:
-        times = [self.members.due, self.raft.due]
+        times = [self.members.next_at, self.raft.due]
         if self.raft.leads:
             times += [self._tend_at, self.watch.due(self.leases)]
         times += [until for _, _, until in self._parked.values()]
@@ -130,14 +132,19 @@
     @property
     def leader(self) -> str:
         """Who leads, as the record says; to one that does not vote, as the members tell each other."""
-        record, (epoch, _, told) = self.raft, self.members.head
-        if record.leader or record.is_voter or epoch < record.persistent.epoch or told in self.members.lost():
+        record, (epoch, _, told) = self.raft, self.members.leader_hint
+        if (
+            record.leader
+            or record.is_voter
+            or epoch < record.persistent.epoch
+            or told in self.members.table.inactive()
+        ):
             return record.leader
         return told
 
     def tick(self, now: int) -> None:
         self._now = now
-        if now >= self.members.due:
+        if now >= self.members.next_at:
             self.members.tick(now)
         if now >= self.raft.due:
             self.raft.tick(now)
@@ -148,9 +155,9 @@
                 self._unpark(number, answer)
         self._collect()
 
-    def receive(self, item: mb.Packet | Message, now: int) -> None:
+    def receive(self, item: Packet | Message, now: int) -> None:
         self._now = now
-        if isinstance(item, mb.Packet):
+        if isinstance(item, Packet):
             self.members.receive(item, now)
         elif item.to == self.me:  # an address that was another's: what was meant for it is not for us
             self.raft.receive(item, now)
@@ -194,7 +201,7 @@
     def hand_over(self, now: int) -> bool:
         """Let another voter lead, if there is one that is well; call it again until it is False: then it does
         not lead, or nobody else can."""
-        well = self.members.well()
+        well = self.members.table.active()
         others = [each for each in self.raft.voters if each in well and each != self.me]
         if not self.raft.leads or not others:
             return False
@@ -216,13 +223,13 @@
             open=self.leases.state.open,
             commit=record.commit,
             lag=record.persistent.last - record.commit,
-            doubt=members.doubt,
+            health_score=members.health_score,
             voters=record.voters,
             members=tuple(
                 MemberView(
                     each.identity, each.status.name.lower(), each.incarnation, (now - each.since) / 1e6
                 )
-                for each in sorted(members.table.values(), key=lambda each: each.identity)
+                for each in sorted(members.table.members.values(), key=lambda each: each.identity)
             ),
             leases=tuple(
                 LeaseView(
@@ -236,7 +243,7 @@
                 )
                 for name, each in sorted(self.leases.state.leases.items())
             ),
-            strangers=dict(members.strangers),
+            foreign_fleets=dict(members.foreign_fleets),
         )
 
     def _lead(self, now: int) -> None:
@@ -245,7 +252,7 @@
             record.propose(encode(operation), now)
         if now >= self._tend_at:
             self._tend_at = now + TEND
-            well = self.members.well()
+            well = self.members.table.active()
             lost = {each for each in record.voters if each not in well}
             wish = next_voters(record.voters, self.me, well, lost, self.plan.voters)
             record.set_learners(set(wish or ()) - set(record.voters), now)
@@ -255,11 +262,11 @@
     def _collect(self) -> None:
         record = self.raft
         if record.leader:
-            head = (record.persistent.epoch, record.persistent.term, record.leader)
-            self.members.head = max(self.members.head, head)
-        for packet in self.members.out:
+            hint = LeaderHint(record.persistent.epoch, record.persistent.term, record.leader)
+            self.members.leader_hint = max(self.members.leader_hint, hint)
+        for packet in self.members.outbox:
             self.out.append((address_of(packet.to) or packet.to, packet))
-        self.members.out.clear()
+        self.members.outbox.clear()
         for message in self.raft.out:
             self.out.append((address_of(message.to), message))
         self.raft.out.clear()
--- a/hazelbend/program/fleet.py
+++ b/hazelbend/program/fleet.py
@@ -134,7 +134,7 @@
         if task is not None:
             written = {"fleet_snapshots": task.written, "fleet_snapshots_refused": task.refused}
         return written | {
-            "fleet_members": engine.members.size,
+            "fleet_members": engine.members.table.size,
             "fleet_leads": int(engine.raft.leads),
             "fleet_epoch": engine.raft.persistent.epoch,
             "fleet_leases": len(engine.leases.state.leases),
@@ -153,7 +153,9 @@
             votes = "leads" if each.identity == view.leader else votes
             here = " (this one)" if each.identity == view.me else ""
             rows.append((each.identity + here, each.status, f"{each.for_s:.0f} s", each.incarnation, votes))
-        rows += [(address, f"of fleet {fleet}", "-", "-", "-") for address, fleet in view.strangers.items()]
+        rows += [
+            (address, f"of fleet {fleet}", "-", "-", "-") for address, fleet in view.foreign_fleets.items()
+        ]
         state = f"{view.lag} entries not agreed on yet" if view.leader else "nobody leads"
         rows.append((f"epoch {view.epoch}", f"term {view.term}", "-", "-", state))
         return table(rows)
@@ -251,9 +253,9 @@
 
     def _tell_changes(self) -> None:
         members, leader = self.engine.members, self.engine.leader
-        for each in members.changes:
+        for each in members.table.status_changes:
             log.info("fleet: %s is %s", each.identity, each.status.name.lower())
-        members.changes.clear()
+        members.table.status_changes.clear()
         if leader != self._led:
             self._led = leader
             log.info("fleet: %s leads", leader or "nobody")
--- a/hazelbend/transport/peer/fleet_peers.py
+++ b/hazelbend/transport/peer/fleet_peers.py
@@ -23,7 +23,7 @@
 
 from hazelbend.consensus.identity import address_of
 from hazelbend.consensus.messages import Message
-from hazelbend.gossip.swim import Packet
+from hazelbend.gossip.messages import Packet
 from hazelbend.leases.client import Holder, Request
 from hazelbend.leases.engine import Reply, View
 from hazelbend.leases.lease_table import Answer, Operation
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -31,7 +31,7 @@
 from hazelbend.consensus import persistent_state, state_codec
 from hazelbend.control import config_machine, messages, workers
 from hazelbend.forwarding import prefill
-from hazelbend.gossip import swim
+from hazelbend.gossip import messages as gossip_messages
 from hazelbend.leases import engine, lease_table
 from hazelbend.names import snapshot
 from hazelbend.placement import routes
@@ -99,9 +99,9 @@
     "control_message": Form(messages.decode, messages.encode),
     "soft_state": Form(messages.decode_soft_state, messages.encode_soft_state),
     "log_body": msgpack_form(log_messages.Body),
-    "packet_body": msgpack_form(swim.Probe | swim.Answer | swim.Whole),
+    "packet_body": msgpack_form(gossip_messages.PacketBody),
     "log_transfer": Form(log_messages.decode_transfer, log_messages.encode_transfer),
-    "fleet_tell": msgpack_form(tuple[tuple[swim.Packet, ...], tuple[log_messages.Message, ...]]),
+    "fleet_tell": msgpack_form(tuple[tuple[gossip_messages.Packet, ...], tuple[log_messages.Message, ...]]),
     "fleet_reply": msgpack_form(engine.Reply),
     "fleet_view": msgpack_form(engine.View),
     "lease_operation": Form(msgspec.msgpack.Decoder(lease_table.Operation).decode, lease_table.encode),
@@ -139,7 +139,7 @@
 TAGGED_FORMS = {
     "control_message": messages.Body,
     "log_body": log_messages.Body,
-    "packet_body": swim.Probe | swim.Answer | swim.Whole,
+    "packet_body": gossip_messages.PacketBody,
     "lease_operation": lease_table.Operation,
     "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
     "configuration_entry": config_machine.ConfigChange | config_machine.Refound,
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -35,7 +35,7 @@
 from hazelbend.decisions import interface as face
 from hazelbend.decisions import memory as decision_memory
 from hazelbend.decisions.brain import Dispatcher
-from hazelbend.gossip.swim import Packet
+from hazelbend.gossip.messages import Packet
 from hazelbend.leases import lease_table
 from hazelbend.leases.engine import Fleet, Plan
 from hazelbend.placement.engine import Placement
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -17,7 +17,7 @@
 from benchmarks.fleet_faults import LEASES, Play, Store
 from benchmarks.fleet_rig import ACT, Site, acts, free_port, wait_for
 from hazelbend.cli.main import Duration
-from hazelbend.gossip.swim import Packet, Whole
+from hazelbend.gossip.messages import FullState, Packet
 from hazelbend.leases.lease_table import TOKEN_BITS, Acquire
 from hazelbend.program.console_server import CommandError, Commands
 from hazelbend.transport.peer.fleet_peers import Peers
@@ -214,7 +214,7 @@
 
         peers._call = call
         for _ in range(3):
-            peers.tell("h:1", Packet("f", "a@h:0", "h:1", Whole(answer=False)))
+            peers.tell("h:1", Packet("f", "a@h:0", "h:1", FullState(answer=False)))
             while peers._waiting:
                 await asyncio.sleep(0)
             assert not peers._senders
