--- a/hazelbend/forwarding/flow.py
+++ b/hazelbend/forwarding/flow.py
@@ -8,10 +8,10 @@
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.forwarding.event_stream import EventSplitter
 from hazelbend.forwarding.ports import ClientRequest, Headers, NotSentError, WorkerAnswer, WorkerCall
-from hazelbend.placement.choices import Choice, Send
-from hazelbend.placement.engine import Placement
+from hazelbend.placement.choices import Attempt, Choice
+from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.prompt import Prompt
-from hazelbend.placement.reliability import NO_STAKES, SendEnd, Stakes
+from hazelbend.placement.reliability import NO_FAILURE_COSTS, AttemptOutcome, FailureCosts
 from hazelbend.placement.routes import Route, RouteTable
 
 LEAST_LEFT = 30_000  # microseconds below which nothing is sent any more
@@ -53,14 +53,14 @@
     events: EventSplitter | None = None
 
     @property
-    def stakes(self) -> Stakes:
+    def failure_costs(self) -> FailureCosts:
         """A run that fails costs the time in which another one may end, or all there was if it may not be
         repeated; a rejection costs a way there and back, and a part of the retry budget."""
         if self.probes:
-            return NO_STAKES
+            return NO_FAILURE_COSTS
         target = self.route.target_ms * 1_000.0
         failure = target if self.route.is_idempotent else max(target, self.route.timeout_ms * 1_000.0)
-        return Stakes(failure, REJECTION_PART * target, target)
+        return FailureCosts(failure, REJECTION_PART * target, target)
 
     def call(self, choice: Choice, extra: Headers) -> WorkerCall:
         """This request as a call to the worker that was chosen, and to no other at its address."""
@@ -71,7 +71,7 @@
 class FleetState:
     """What a router knows of the fleet. Changed by the watch, read by the forwarder."""
 
-    def __init__(self, placement: Placement) -> None:
+    def __init__(self, placement: PlacementEngine) -> None:
         self.placement = placement
         self.table: RouteTable | None = None
         self.routers = 1  # the most that there have been
@@ -89,34 +89,34 @@
         """A connection is there: the microseconds that are left, or None where the worker must not get the
         request now."""
         left, current = flow.deadline - now, self.placement.workers.get(choice.worker.record.instance)
-        if left < LEAST_LEFT or current is None or not current.takes_work:
+        if left < LEAST_LEFT or current is None or not current.accepts_work:
             return None
         return left
 
-    def heard(self, send: Send, answer: WorkerAnswer, now: int) -> None:
+    def heard(self, send: Attempt, answer: WorkerAnswer, now: int) -> None:
         """A worker has answered."""
         worker = send.worker
-        self.placement.heard_of(send, now)
+        self.placement.record_answer(send, now)
         if answer.held is not None and not worker.record.phase:
-            worker.running.reported(max(answer.held - worker.running.own, 0), now)
+            worker.requests.apply_report(max(answer.held - worker.requests.own_jobs, 0), now)
 
-    def tell_of(self, flow: Flow, send: Send, end: SendEnd, now: int) -> None:
+    def tell_of(self, flow: Flow, send: Attempt, end: AttemptOutcome, now: int) -> None:
         """A send has ended. Of a request that has failed elsewhere before it may be at fault itself."""
-        if end is not SendEnd.FAILED or not flow.failures:
-            self.placement.tells_of(send, end, now)
-        flow.failures += end is SendEnd.FAILED
+        if end is not AttemptOutcome.FAILED or not flow.failures:
+            self.placement.record_outcome(send, end, now)
+        flow.failures += end is AttemptOutcome.FAILED
 
     def not_reached(self, choice: Choice, error: NotSentError, now: int) -> None:
         """A call was not sent: a sign against the worker, unless it was withdrawn by our own check."""
         if not error.withdrawn:
-            choice.worker.failed(now)
+            choice.worker.record_connect_failure(now)
 
 
-def end_of(answer: WorkerAnswer) -> SendEnd | None:
+def end_of(answer: WorkerAnswer) -> AttemptOutcome | None:
     """What the head of an answer tells of its worker; None: nothing, as a request whose time is over in the
     worker's hands may have had too little of it, and one that asked for another instance is not its own."""
     if answer.status in (421, 504):
         return None
     if answer.not_executed:
-        return SendEnd.REJECTED
-    return SendEnd.FAILED if answer.status >= 500 else SendEnd.SERVED
+        return AttemptOutcome.REJECTED
+    return AttemptOutcome.FAILED if answer.status >= 500 else AttemptOutcome.SERVED
--- a/hazelbend/forwarding/forwarder.py
+++ b/hazelbend/forwarding/forwarder.py
@@ -24,9 +24,9 @@
     WorkerClient,
 )
 from hazelbend.forwarding.prefill import PromptReader
-from hazelbend.placement.choices import Choice, Send
-from hazelbend.placement.prompt import read_prompt
-from hazelbend.placement.reliability import SendEnd
+from hazelbend.placement.choices import Attempt, Choice
+from hazelbend.placement.prompt import parse_prompt
+from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.routes import Route, RouteTable
 from hazelbend.placement.statistics import Refusal
@@ -73,7 +73,7 @@
             await self._fail(reply, 404)
             return
         flow = self._flow(request, route)
-        self._budget(flow.service).request(self._clock())
+        self._budget(flow.service).record_request(self._clock())
         self.open += 1
         try:
             left = flow.deadline - self._clock()
@@ -102,13 +102,13 @@
         patience = route.timeout_ms * 1_000
         if request.patience is not None:
             patience = min(patience, request.patience)
-        service = route.service(self._random)
+        service = route.pick_service(self._random)
         return Flow(
             request=request,
             route=route,
             service=service,
             has_phases=route.is_stream and self._state.placement.has_phases(service),
-            prompt=read_prompt(request.token_usage, request.prefix_hash),
+            prompt=parse_prompt(request.token_usage, request.prefix_hash),
             probes=route.is_idempotent and self._random.random() < PROBE_PART,
             deadline=request.arrived_at + patience - min(MARGIN, patience // 10),
         )
@@ -154,22 +154,24 @@
     def _choose(self, flow: Flow) -> Choice | None:
         placement, now = self._state.placement, self._clock()
         if not flow.has_phases:
-            return placement.choose(flow.service, now, flow.tried, flow.stakes)
+            return placement.selector.choose(flow.service, now, flow.tried, flow.failure_costs)
         source = flow.handle.reader if flow.handle is not None else None
-        return placement.choose_runner(flow.service, flow.prompt, source, now, flow.tried, flow.stakes)
+        return placement.selector.choose_decode_worker(
+            flow.service, flow.prompt, source, now, flow.tried, flow.failure_costs
+        )
 
     async def _attempt(self, flow: Flow, choice: Choice, reply: ClientReply) -> bool:
         """One attempt. True: the client has its answer."""
         placement = self._state.placement
         flow.tried.add(choice.worker.record.instance)
-        send = placement.sent(choice, True, flow.prompt, self._clock())
+        send = placement.begin_attempt(choice, flow.prompt, self._clock(), takes_slot=True)
         extra: Headers = ()
         if flow.handle is not None:
             extra += (("Kv-From", flow.handle.source),)
         if flow.events is not None and flow.events.last_id:
             extra += (("Last-Event-Id", flow.events.last_id),)
         sends = flow.sends
-        end: SendEnd | None = None
+        end: AttemptOutcome | None = None
         try:
             call = flow.call(choice, extra)
             async with Patience(patience_with(choice), lambda: self._may_give_up(flow)) as patience:
@@ -185,31 +187,31 @@
             self._state.not_reached(choice, error, self._clock())
             return False
         except (BrokenError, WorkerSilentError):
-            end = SendEnd.FAILED
+            end = AttemptOutcome.FAILED
             flow.may_have_run += 1
-            self._state.placement.statistics.repeats += self._may_run_again(flow)
+            self._state.placement.statistics.retries += self._may_run_again(flow)
             flow.handle = None
             return False
         finally:
             if end is not None:
                 self._state.tell_of(flow, send, end, self._clock())
-            placement.ended(send)
+            placement.end_attempt(send)
 
     def _may_give_up(self, flow: Flow) -> bool:
         """Whether a worker that says nothing can be left for another one."""
-        return self._may_repeat(flow) and self._budget(flow.service).has_room(
+        return self._may_repeat(flow) and self._budget(flow.service).allows_retry(
             self._clock(), self._state.routers
         )
 
     async def _pass_on(
-        self, flow: Flow, send: Send, answer: WorkerAnswer, reply: ClientReply, patience: Patience
+        self, flow: Flow, send: Attempt, answer: WorkerAnswer, reply: ClientReply, patience: Patience
     ) -> bool:
         if answer.not_executed:
             return False
         if answer.status >= 500 and self._may_give_up(flow):
             raise BrokenError("the worker has failed, and another one may run it")
         if flow.handle is not None:
-            self._state.placement.moved(send, flow.prompt)
+            self._state.placement.record_kv_transfer(send, flow.prompt)
             flow.handle = None  # taken
         if flow.route.is_stream and 200 <= answer.status < 300 and _is_genuine(answer):
             await self._stream(flow, send, answer, reply, patience)
@@ -224,11 +226,11 @@
             body = await answer.body()
             await reply.answer(answer.status, answer.headers, body)
         if answer.status < 500:
-            self._state.placement.served(send, self._clock())
+            self._state.placement.observe_service_time(send, self._clock())
         return True
 
     async def _stream(
-        self, flow: Flow, send: Send, answer: WorkerAnswer, reply: ClientReply, patience: Patience
+        self, flow: Flow, send: Attempt, answer: WorkerAnswer, reply: ClientReply, patience: Patience
     ) -> None:
         def first_event() -> None:
             patience.sign_came()
@@ -255,13 +257,13 @@
                 raise BrokenError
         await reply.finish()
 
-    def _first_event(self, send: Send) -> None:
+    def _first_event(self, send: Attempt) -> None:
         placement, now = self._state.placement, self._clock()
-        if send.units:  # it has read the prompt itself
-            placement.read(send, now)
-            placement.has_read(send)
+        if send.prefill_units:  # it has read the prompt itself
+            placement.observe_prefill(send, now)
+            placement.end_prefill(send)
         else:
-            placement.first_event(send, now)
+            placement.observe_first_event(send, now)
 
     def _may_write(self, flow: Flow, choice: Choice) -> int | None:
         """The connection is there: what is left, or None where the worker must not get the request now."""
@@ -292,7 +294,7 @@
         return flow.sends < MOST_SENDS and self._may_run_again(flow, 1) and self._left(flow) >= LEAST_LEFT
 
     def _spend(self, flow: Flow) -> bool:
-        return self._budget(flow.service).spend(self._clock(), self._state.routers)
+        return self._budget(flow.service).try_spend(self._clock(), self._state.routers)
 
     def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
--- a/hazelbend/forwarding/patience.py
+++ b/hazelbend/forwarding/patience.py
@@ -22,7 +22,7 @@
 
 def patience_with(choice: Choice) -> int:
     """Microseconds in which a worker that is well gives its first sign, but for a few in a hundred."""
-    return LEAST_PATIENCE + round(PATIENCE_TIMES * max(choice.expected, 0.0))
+    return LEAST_PATIENCE + round(PATIENCE_TIMES * max(choice.expected_delay, 0.0))
 
 
 class Patience:
--- a/hazelbend/forwarding/prefill.py
+++ b/hazelbend/forwarding/prefill.py
@@ -12,7 +12,7 @@
 from hazelbend.forwarding.patience import Patience, WorkerSilentError, patience_with
 from hazelbend.forwarding.ports import BrokenError, NotSentError, WorkerClient
 from hazelbend.placement.choices import Choice, Stage
-from hazelbend.placement.reliability import SendEnd
+from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.placement.retry_budget import RetryBudget
 
 MOST_READS = 2  # calls that have a request's prompt read apart
@@ -52,28 +52,30 @@
         tried: set[str] = set()
         budget = self._budget(flow.service)
         for _ in range(MOST_TRIES):
-            if not budget.has_room(self._clock(), self._state.routers):
+            if not budget.allows_retry(self._clock(), self._state.routers):
                 return  # a read that is rejected counts as one send more
             if flow.reads and not self._may_read_again(flow, budget):
                 return
-            pair = placement.choose_pair(flow.service, flow.prompt, self._clock(), tried, flow.stakes)
-            if pair is None or pair.reader is None:
+            pair = placement.selector.choose_pair(
+                flow.service, flow.prompt, self._clock(), tried, flow.failure_costs
+            )
+            if pair is None or pair.prefill is None:
                 return
-            tried.add(pair.reader.worker.record.instance)
-            flow.handle = await self._read_at(flow, pair.reader)
+            tried.add(pair.prefill.worker.record.instance)
+            flow.handle = await self._read_at(flow, pair.prefill)
             if flow.handle is not None:
                 return
 
     def _may_read_again(self, flow: Flow, budget: RetryBudget) -> bool:
-        return flow.reads < MOST_READS and budget.spend(self._clock(), self._state.routers)
+        return flow.reads < MOST_READS and budget.try_spend(self._clock(), self._state.routers)
 
     async def _read_at(self, flow: Flow, choice: Choice) -> Handle | None:
         placement = self._state.placement
-        send = placement.sent(choice, False, flow.prompt, self._clock())
+        send = placement.begin_attempt(choice, flow.prompt, self._clock(), takes_slot=False)
         reads = flow.reads
-        rank = str(rank_of_read(choice.tokens))
+        rank = str(rank_of_read(choice.prefill_tokens))
         call = flow.call(choice, (("Phase", Stage.PREFILL.value), ("Priority", rank)))
-        end: SendEnd | None = None
+        end: AttemptOutcome | None = None
         try:
             async with Patience(patience_with(choice), lambda: self._may_give_up(flow)):
                 answer = await self._client.send(call, lambda: self._may_write(flow, choice))
@@ -85,7 +87,7 @@
                     if answer.status != 200:
                         return None
                     result = _results.decode(await answer.body())
-                    placement.read(send, self._clock())
+                    placement.observe_prefill(send, self._clock())
                     return Handle(choice.worker.record, result.handle)
                 finally:
                     answer.close()
@@ -94,16 +96,16 @@
             self._state.not_reached(choice, error, self._clock())
             return None
         except (BrokenError, msgspec.DecodeError, WorkerSilentError):
-            end = SendEnd.FAILED
+            end = AttemptOutcome.FAILED
             return None
         finally:
             if end is not None:
                 self._state.tell_of(flow, send, end, self._clock())
-            placement.ended(send)
+            placement.end_attempt(send)
 
     def _may_give_up(self, flow: Flow) -> bool:
         """Whether another worker can be asked to read the prompt, or the one that makes the tokens can."""
-        return self._budget(flow.service).has_room(self._clock(), self._state.routers)
+        return self._budget(flow.service).allows_retry(self._clock(), self._state.routers)
 
     def _may_write(self, flow: Flow, choice: Choice) -> int | None:
         left = self._state.time_to_write(flow, choice, self._clock())
--- a/hazelbend/placement/choices.py
+++ b/hazelbend/placement/choices.py
@@ -14,7 +14,7 @@
 
     PREFILL = "prefill"
     DECODE = "decode"
-    WHOLE = "whole"  # a service without phases
+    ANY = ""  # a service without phases
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,27 +22,27 @@
     """A worker, what the request adds to it, and when it is expected to be done with it."""
 
     worker: WorkerEstimate
-    tokens: int  # to be read there
-    delay: float  # microseconds, with what it costs beside time
-    expected: float = 0.0  # microseconds to the first sign of the worker, if it is well
+    prefill_tokens: int  # to be read there
+    cost: float  # microseconds, with what it costs beside time
+    expected_delay: float = 0.0  # microseconds to the first sign of the worker, if it is well
 
 
 @dataclass(slots=True, frozen=True)
-class Pair:
+class WorkerPair:
     """Who reads the prompt, None where the other one reads it itself, and who makes the tokens."""
 
-    reader: Choice | None
-    runner: Choice
-    delay: float  # expected microseconds to the first event, with prices
+    prefill: Choice | None
+    decode: Choice
+    cost: float  # expected microseconds to the first event, with prices
 
 
 @dataclass(slots=True, eq=False)
-class Send:
+class Attempt:
     """An own send to a worker that has no end yet."""
 
     worker: WorkerEstimate
-    units: float  # of reading
-    runs: bool  # whether it takes a place among the requests that run
+    prefill_units: float  # of reading
+    takes_slot: bool  # whether it takes a place among the requests that run
     sent_at: int
     ahead: float  # units of reading that were expected before it
     whole: float  # units of its whole prompt
@@ -54,4 +54,4 @@
     def remaining(self, now: int) -> float:
         """Units that are still to be read, as far as the worker reads in the order of arrival."""
         read = (now - self.sent_at) / self.pace - self.ahead
-        return self.units - min(max(read, 0.0), self.policy.most_read * self.units)
+        return self.prefill_units - min(max(read, 0.0), self.policy.most_read * self.prefill_units)
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -14,7 +14,7 @@
 from hazelbend.decisions.brain import expected_jobs
 from hazelbend.decisions.interface import WorkerEntry
 from hazelbend.decisions.records import Mean, Worker
-from hazelbend.placement.prompt import Part
+from hazelbend.placement.prompt import PrefixSegment
 from hazelbend.placement.reliability import Reliability
 
 RATE_MEMORY = 30.0  # samples that a learnt rate rests on
@@ -30,7 +30,7 @@
     most: float  # jobs that run at once
     counts: Worker = field(default_factory=lambda: Worker(WorkerEntry(0), 1.0))
     samples: Mean = field(default_factory=Mean)
-    own: int = 0  # unfinished sends
+    own_jobs: int = 0  # unfinished sends
 
     def expected(self, now: int) -> float:
         """E[N]."""
@@ -45,14 +45,14 @@
     def add(self, cost: float) -> None:
         """An own send of so many jobs is on its way."""
         self.counts.load += cost
-        self.own += 1
+        self.own_jobs += 1
 
     def remove(self, cost: float) -> None:
         """It has its end."""
-        self.own -= 1
-        self.counts.load = max(self.counts.load - cost, 0.0) if self.own else 0.0
+        self.own_jobs -= 1
+        self.counts.load = max(self.counts.load - cost, 0.0) if self.own_jobs else 0.0
 
-    def reported(self, others: int, now: int) -> None:
+    def apply_report(self, others: int, now: int) -> None:
         """n0 at t0: jobs of all other routers."""
         self.counts.others, self.counts.counted_at = others, now
         self.counts.usual.add(others, LEVEL_MEMORY)
@@ -65,11 +65,11 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerEstimate:
-    """One worker. `reading`: prompts, in `UNIT` tokens; `running`: requests."""
+    """One worker. `prefill`: prompts, in `UNIT` tokens; `requests`: requests."""
 
     record: WorkerRecord
-    reading: Estimate
-    running: Estimate
+    prefill: Estimate
+    requests: Estimate
     silent: bool = False
     expired: bool = False  # silent for so long that it is forgotten once nothing is under way
     slowness: Mean = field(default_factory=Mean)  # of its reads, over what workers of its kind take
@@ -83,21 +83,21 @@
     unheard: dict[int, int] = field(default_factory=dict)  # own sends without any answer: when one is overdue
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether it is listed as ready."""
         return self.record.state is WorkerState.READY
 
     @property
     def busy(self) -> bool:
         """Whether own sends to it have no end yet."""
-        return bool(self.reading.own or self.running.own)
+        return bool(self.prefill.own_jobs or self.requests.own_jobs)
 
-    def failed(self, now: int) -> None:
+    def record_connect_failure(self, now: int) -> None:
         """It could not be reached."""
         self.backoff = min(max(2 * self.backoff, FIRST_BACKOFF), LAST_BACKOFF)
         self.shut_until = now + self.backoff
 
-    def answered(self, now: int) -> None:
+    def record_answer(self, now: int) -> None:
         """It lives."""
         self.heard_at = now
         self.backoff = self.shut_until = 0
@@ -106,7 +106,7 @@
         """Whether an answer is long overdue, and nothing was heard since."""
         return any(due < now and due > self.heard_at for due in self.unheard.values())
 
-    def remember(self, parts: Iterable[Part], capacity: int) -> list[Part]:
+    def remember(self, parts: Iterable[PrefixSegment], capacity: int) -> list[PrefixSegment]:
         """It reads these parts, and keeps so many tokens; those that are new to this router."""
         new = []
         for part in parts:
@@ -120,7 +120,7 @@
             self.cached_tokens -= tokens
         return new
 
-    def holds(self, parts: Iterable[Part]) -> int:
+    def holds(self, parts: Iterable[PrefixSegment]) -> int:
         """Tokens of the leading parts that it is believed to keep."""
         total = 0
         for part in parts:
--- a/hazelbend/placement/policy.py
+++ b/hazelbend/placement/policy.py
@@ -1,7 +1,8 @@
 """All constants of the placement's decisions, in one place, with their units and where they come from.
 
-A policy is handed to `Placement` whole; there is no setting for any of it. Trials and tests hand over others:
-a field at its neutral value switches its mechanism off. Found "by trial" means: by plays of `docs/policy.md`.
+A policy is handed to `PlacementEngine` whole; there is no setting for any of it. Trials and tests hand over
+others: a field at its neutral value switches its mechanism off. Found "by trial" means: by plays of
+`docs/policy.md`.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
     cross_zone: float = 3_000  # that a worker of another zone is further away
     cross_zone_move: float = 2.0  # times as long, a move between zones (PROTOCOL.md)
     move_price: float = 40.0  # a megabyte of moved memory
-    most_crowding: float = 4.0  # most times its own time that work costs those who come after it; 0: none
+    max_crowding: float = 4.0  # most times its own time that work costs those who come after it; 0: none
     busy_first: float = 0.3  # part of readers that are busy, until reports have told
     busy_memory: float = 60.0  # reports that this rests on
     busy_prior: float = 10.0
--- a/hazelbend/placement/read_model.py
+++ b/hazelbend/placement/prefill_model.py
@@ -12,7 +12,7 @@
 LEAST_PACE_PART, MOST_PACE_PART = 0.2, 5.0  # of the first guess
 
 
-class ReadModel:
+class PrefillTimeModel:
     """Times in microseconds; a unit is `estimates.UNIT` tokens."""
 
     def __init__(self, overhead: float, pace: float) -> None:
--- a/hazelbend/placement/prompt.py
+++ b/hazelbend/placement/prompt.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
+class PrefixSegment:
     """A part of a prompt; prompts with the same parts before it share it."""
 
     id: str
@@ -18,11 +18,11 @@
     """Sizes in tokens. The last part is the request's own, or its session's."""
 
     tokens: int = 0
-    most_out: int = 0
-    parts: tuple[Part, ...] = ()
+    max_output_tokens: int = 0
+    parts: tuple[PrefixSegment, ...] = ()
 
     @property
-    def shared(self) -> tuple[Part, ...]:
+    def shared(self) -> tuple[PrefixSegment, ...]:
         """The parts that other requests may have."""
         return self.parts[:-1]
 
@@ -37,15 +37,15 @@
         return self.parts[-2].id if len(self.parts) > 1 else ""
 
 
-def read_prompt(usage: str | None, parts: str | None) -> Prompt:
+def parse_prompt(usage: str | None, parts: str | None) -> Prompt:
     """The prompt that these fields tell; what can't be read counts as not said."""
-    tokens, _, most_out = (usage or "").partition(",")
+    tokens, _, max_output_tokens = (usage or "").partition(",")
     found = []
     for text in (parts or "").split(","):
         name, _, size = text.strip().partition(":")
         if name and size.isdecimal():
-            found.append(Part(name, int(size)))
-    return Prompt(_whole(tokens), _whole(most_out), tuple(found))
+            found.append(PrefixSegment(name, int(size)))
+    return Prompt(_whole(tokens), _whole(max_output_tokens), tuple(found))
 
 
 def _whole(text: str) -> int:
--- a/hazelbend/placement/reliability.py
+++ b/hazelbend/placement/reliability.py
@@ -24,7 +24,7 @@
 SUSPECT_RISK = 0.1  # from which a worker's successes are told to other routers as well
 
 
-class SendEnd(Enum):
+class AttemptOutcome(Enum):
     """How a send to a worker ended, as far as it tells of the worker."""
 
     SERVED = "served"
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stakes:
+class FailureCosts:
     """What an end other than success costs a request, in the time that it is worth."""
 
     failure: float = 0.0
@@ -41,7 +41,7 @@
     repeat: float = 0.0  # a failure after which another worker is asked
 
 
-NO_STAKES = Stakes()
+NO_FAILURE_COSTS = FailureCosts()
 
 
 @dataclass(slots=True, eq=False)
@@ -51,31 +51,33 @@
     runs: Soundness = field(default_factory=Soundness)
     admission: Soundness = field(default_factory=Soundness)
     own_zone_seen_at: int | None = None
-    is_blameless: bool = True  # it has neither failed nor rejected: there is nothing to be reckoned
+    has_clean_record: bool = True  # it has neither failed nor rejected: there is nothing to be reckoned
 
-    def see(self, end: SendEnd, in_own_zone: bool, now: int) -> None:
+    def record(self, end: AttemptOutcome, in_own_zone: bool, now: int) -> None:
         """A send has ended. A worker may fail the callers of one zone alone, so what the own zone has met of
         late goes before what others tell."""
         if in_own_zone:
             self.own_zone_seen_at = now
         elif self.own_zone_seen_at is not None and now - self.own_zone_seen_at < OWN_ZONE_FIRST:
             return
-        self.is_blameless &= end is SendEnd.SERVED
-        if end is SendEnd.REJECTED:
+        self.has_clean_record &= end is AttemptOutcome.SERVED
+        if end is AttemptOutcome.REJECTED:
             self.admission.see(True, now)
             return
-        self.runs.see(end is SendEnd.FAILED, now)
+        self.runs.see(end is AttemptOutcome.FAILED, now)
         self.admission.see(False, now)
 
-    def cost(self, stakes: Stakes, now: int) -> float:
+    def expected_cost(self, failure_costs: FailureCosts, now: int) -> float:
         """Microseconds that the risk of this worker is worth to a request."""
-        if self.is_blameless:
+        if self.has_clean_record:
             return 0.0
-        return stakes.failure * _excess(self.runs, now) + stakes.rejection * _excess(self.admission, now)
+        return failure_costs.failure * _excess(self.runs, now) + failure_costs.rejection * _excess(
+            self.admission, now
+        )
 
     def is_suspect(self, now: int) -> bool:
         """Whether it has failed or rejected so much of late that its successes are news."""
-        if self.is_blameless:
+        if self.has_clean_record:
             return False
         return max(_excess(self.runs, now), _excess(self.admission, now)) > SUSPECT_RISK
 
--- a/hazelbend/placement/retry_budget.py
+++ b/hazelbend/placement/retry_budget.py
@@ -19,19 +19,19 @@
         self._requests: deque[int] = deque()
         self._extra: deque[int] = deque()
 
-    def request(self, now: int) -> None:
+    def record_request(self, now: int) -> None:
         """A request for the service has come."""
         self._forget(now)
         self._requests.append(now)
 
-    def spend(self, now: int, routers: int) -> bool:
+    def try_spend(self, now: int, routers: int) -> bool:
         """Whether one more send beyond a request's first is within bounds; it is counted if so."""
-        if not self.has_room(now, routers):
+        if not self.allows_retry(now, routers):
             return False
         self._extra.append(now)
         return True
 
-    def has_room(self, now: int, routers: int) -> bool:
+    def allows_retry(self, now: int, routers: int) -> bool:
         """Whether one more is within bounds."""
         self._forget(now)
         earned = self._ratio * len(self._requests) + self._slack / max(routers, 1)
--- a/hazelbend/placement/routes.py
+++ b/hazelbend/placement/routes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-class Share(msgspec.Struct, frozen=True):
+class WeightedBackend(msgspec.Struct, frozen=True):
     """A part of a route's requests."""
 
     backend: str
@@ -26,11 +26,11 @@
     target_ms: int = msgspec.field(default=1_000, name="targetMs")
     priority: int = 5
     backend: str = ""
-    split: tuple[Share, ...] = ()
+    split: tuple[WeightedBackend, ...] = ()
     retries: int = 1
     sticky: bool = False
     resume: bool = False
-    gap_aim_ms: float = 0
+    gap_target_ms: float = msgspec.field(default=0, name="gap_aim_ms")
 
     @property
     def is_stream(self) -> bool:
@@ -42,7 +42,7 @@
         """Whether a request may run more than once."""
         return self.kind == "safe" or (self.is_stream and self.resume)
 
-    def service(self, chance: random.Random) -> str:
+    def pick_service(self, chance: random.Random) -> str:
         """The service for one request, by the weights."""
         if not self.split:
             return self.backend
@@ -50,7 +50,7 @@
         return chance.choices(self.split, weights)[0].backend
 
 
-class Engine(msgspec.Struct, frozen=True):
+class ModelEngine(msgspec.Struct, frozen=True):
     """What is known of a service's model workers."""
 
     capacity: int = 1
@@ -65,7 +65,7 @@
 
     name: str
     max_connections: int = msgspec.field(default=100, name="maxConns")
-    engine: Engine | None = None
+    engine: ModelEngine | None = None
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
         return None
 
 
-def read_table(body: bytes) -> RouteTable:
+def decode_route_table(body: bytes) -> RouteTable:
     """The table of a configuration's text.
 
     Raises:
--- a/hazelbend/placement/chooser.py
+++ b/hazelbend/placement/selector.py
@@ -14,80 +14,87 @@
 
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.decisions.formulas import key_rank
-from hazelbend.placement.choices import Choice, Pair, Stage
+from hazelbend.placement.choices import Choice, Stage, WorkerPair
 from hazelbend.placement.estimates import WorkerEstimate
-from hazelbend.placement.knowledge import Knowledge
+from hazelbend.placement.fleet_view import FleetView
 from hazelbend.placement.policy import UNIT, Policy
 from hazelbend.placement.prompt import Prompt
-from hazelbend.placement.reliability import NO_STAKES, Stakes
+from hazelbend.placement.reliability import NO_FAILURE_COSTS, FailureCosts
 
 
-class Chooser:
+class WorkerSelector:
     """Chooses, and changes nothing of what is known. Times in microseconds."""
 
-    def __init__(self, known: Knowledge, zone: str, policy: Policy, chance: random.Random) -> None:
+    def __init__(self, known: FleetView, zone: str, policy: Policy, chance: random.Random) -> None:
         """`zone`: of this router; `chance`: for choices among equals."""
         self._known, self._zone, self._policy, self._random = known, zone, policy, chance
 
-    def choose(self, service: str, now: int, tried: set[str], stakes: Stakes = NO_STAKES) -> Choice | None:
+    def choose(
+        self, service: str, now: int, tried: set[str], failure_costs: FailureCosts = NO_FAILURE_COSTS
+    ) -> Choice | None:
         """The worker of a service without phases that runs the request soonest."""
         found = []
-        for each in self._known.candidates(service, Stage.WHOLE, now, tried):
-            expected = each.running.delay(1.0, now)
-            delay = expected + self._distance(each, now) + self._risk(each, stakes, now)
+        for each in self._known.candidates(service, Stage.ANY, now, tried):
+            expected = each.requests.delay(1.0, now)
+            delay = expected + self._distance(each, now) + self._risk(each, failure_costs, now)
             found.append(Choice(each, 0, delay, expected))
-        return min(found, key=lambda each: (each.delay, self._random.random()), default=None)
+        return min(found, key=lambda each: (each.cost, self._random.random()), default=None)
 
     def choose_pair(
-        self, service: str, prompt: Prompt, now: int, tried: set[str], stakes: Stakes = NO_STAKES
-    ) -> Pair | None:
+        self,
+        service: str,
+        prompt: Prompt,
+        now: int,
+        tried: set[str],
+        failure_costs: FailureCosts = NO_FAILURE_COSTS,
+    ) -> WorkerPair | None:
         """The pair that is expected to bring the first event soonest."""
-        pairs = list(self._pairs(service, prompt, now, tried, stakes))
-        return min(pairs, key=lambda each: (each.delay, self._random.random()), default=None)
+        pairs = list(self._pairs(service, prompt, now, tried, failure_costs))
+        return min(pairs, key=lambda each: (each.cost, self._random.random()), default=None)
 
-    def choose_runner(
+    def choose_decode_worker(
         self,
         service: str,
         prompt: Prompt,
         source: WorkerRecord | None,
         now: int,
         tried: set[str],
-        stakes: Stakes = NO_STAKES,
+        failure_costs: FailureCosts = NO_FAILURE_COSTS,
     ) -> Choice | None:
         """The worker that makes the tokens: of a prompt that `source` keeps, or that it reads itself."""
         runners = self._known.candidates(service, Stage.DECODE, now, tried)
-        runners = runners or self._known.candidates(service, Stage.WHOLE, now, tried)
+        runners = runners or self._known.candidates(service, Stage.ANY, now, tried)
         if source is not None:
-            by_zone = self._soonest_by_zone(runners, now, stakes)
+            by_zone = self._soonest_by_zone(runners, now, failure_costs)
             return self._soonest_after(source, prompt, by_zone)
         kept, again = self._known.kept(service, prompt), self._known.again_price(service)
-        found = [self._alone(each, prompt, kept, again, now, stakes) for each in runners]
-        return min(found, key=lambda each: (each.delay, self._random.random()), default=None)
+        found = [self._alone(each, prompt, kept, again, now, failure_costs) for each in runners]
+        return min(found, key=lambda each: (each.cost, self._random.random()), default=None)
 
     def _pairs(
-        self, service: str, prompt: Prompt, now: int, tried: set[str], stakes: Stakes
-    ) -> Iterator[Pair]:
+        self, service: str, prompt: Prompt, now: int, tried: set[str], failure_costs: FailureCosts
+    ) -> Iterator[WorkerPair]:
         kept = self._known.kept(service, prompt)
         again = self._known.again_price(service)
         runners = self._known.candidates(service, Stage.DECODE, now, tried)
         for each in runners:
-            alone = self._alone(each, prompt, kept, again, now, stakes)
-            yield Pair(None, alone, alone.delay)
-        by_zone = self._soonest_by_zone(runners, now, stakes)
+            alone = self._alone(each, prompt, kept, again, now, failure_costs)
+            yield WorkerPair(None, alone, alone.cost)
+        by_zone = self._soonest_by_zone(runners, now, failure_costs)
         # A read that fails is asked elsewhere.
-        repeatable = Stakes(stakes.repeat, stakes.rejection, stakes.repeat)
+        repeatable = FailureCosts(failure_costs.repeat, failure_costs.rejection, failure_costs.repeat)
         readers = self._known.candidates(service, Stage.PREFILL, now, tried)
         home = _home(readers, prompt.subject)
         for each in readers:
             reader = self._reader(each, prompt, kept, again, home, now, repeatable)
             best = self._soonest_after(each.record, prompt, by_zone)
             if best is not None:
-                yield Pair(reader, best, self._together(reader, best, now))
+                yield WorkerPair(reader, best, self._together(reader, best, now))
 
     def _together(self, reader: Choice, runner: Choice, now: int) -> float:
         """Delay of a pair. Two that are suspect are no worse than one: right after a start all of them are,
         and prompts would go to workers that make tokens alone."""
-        delay = reader.delay + runner.delay
+        delay = reader.cost + runner.cost
         if self._is_suspect(reader.worker, now) and self._is_suspect(runner.worker, now):
             delay -= self._policy.silent_penalty
         return delay
@@ -100,7 +107,7 @@
         again: float,
         home: WorkerEstimate | None,
         now: int,
-        stakes: Stakes,
+        failure_costs: FailureCosts,
     ) -> Choice:
         cached = worker.holds(prompt.shared)
         bonus = 0.0
@@ -113,10 +120,12 @@
                 cached = round(present * prompt.shared_tokens)
         tokens = max(prompt.tokens - cached, 0)
         expected = self._known.read_delay(worker, tokens, now)
-        delay = expected + self._distance(worker, now) - bonus + self._risk(worker, stakes, now)
+        delay = expected + self._distance(worker, now) - bonus + self._risk(worker, failure_costs, now)
         return Choice(worker, tokens, delay + again * max(kept - cached, 0), expected)
 
-    def _soonest_by_zone(self, runners: list[WorkerEstimate], now: int, stakes: Stakes) -> dict[str, Choice]:
+    def _soonest_by_zone(
+        self, runners: list[WorkerEstimate], now: int, failure_costs: FailureCosts
+    ) -> dict[str, Choice]:
         """Of each zone, the worker that makes the first token of a prompt soonest that was read elsewhere,
         the move left out: that depends on the zones alone."""
         found: dict[str, Choice] = {}
@@ -125,10 +134,10 @@
         for worker in runners:
             first_token = self._known.first_token(worker.record.service)
             overhead = first_token.beside(policy.first_token, policy.first_token_prior)
-            expected = overhead + worker.running.delay(1.0, now)
-            delay = expected + self._distance(worker, now) + self._risk(worker, stakes, now)
+            expected = overhead + worker.requests.delay(1.0, now)
+            delay = expected + self._distance(worker, now) + self._risk(worker, failure_costs, now)
             known = found.get(worker.record.zone)
-            if known is None or delay < known.delay:
+            if known is None or delay < known.cost:
                 found[worker.record.zone] = Choice(worker, 0, delay, expected)
         return found
 
@@ -137,10 +146,10 @@
     ) -> Choice | None:
         """Of these, the one that makes the first token soonest of a prompt that `source` keeps."""
         moved = [
-            Choice(each.worker, 0, each.delay + self._move(each.worker, prompt, source), each.expected)
+            Choice(each.worker, 0, each.cost + self._move(each.worker, prompt, source), each.expected_delay)
             for each in by_zone.values()
         ]
-        return min(moved, key=lambda each: each.delay, default=None)
+        return min(moved, key=lambda each: each.cost, default=None)
 
     def _alone(
         self,
@@ -149,18 +158,18 @@
         kept: int,
         again: float,
         now: int,
-        stakes: Stakes,
+        failure_costs: FailureCosts,
     ) -> Choice:
         """A worker that reads the prompt itself and makes its tokens."""
-        first_token = worker.running.delay(1.0, now)
+        first_token = worker.requests.delay(1.0, now)
         cached = worker.holds(prompt.shared)
         tokens = max(prompt.tokens - cached, 0)
         units = tokens / UNIT
         read = self._known.read_delay(worker, tokens, now)
-        beside = self._policy.read_beside * units / worker.reading.rate
+        beside = self._policy.read_beside * units / worker.prefill.rate
         excess = max(self._known.unread(worker, now) + units - self._policy.long_read, 0.0)
         price = beside + self._policy.long_read_price * excess + again * max(kept - cached, 0)
-        risk = self._risk(worker, stakes, now)
+        risk = self._risk(worker, failure_costs, now)
         delay = first_token + read + self._distance(worker, now) + price + risk
         return Choice(worker, tokens, delay, first_token + read)
 
@@ -180,10 +189,10 @@
     def _is_suspect(worker: WorkerEstimate, now: int) -> bool:
         return worker.silent or worker.is_overdue(now)
 
-    def _risk(self, worker: WorkerEstimate, stakes: Stakes, now: int) -> float:
-        if worker.reliability.is_blameless:
+    def _risk(self, worker: WorkerEstimate, failure_costs: FailureCosts, now: int) -> float:
+        if worker.reliability.has_clean_record:
             return 0.0
-        return self._policy.risk_part * worker.reliability.cost(stakes, now)
+        return self._policy.risk_part * worker.reliability.expected_cost(failure_costs, now)
 
 
 def _home(workers: list[WorkerEstimate], subject: str) -> WorkerEstimate | None:
--- a/hazelbend/placement/statistics.py
+++ b/hazelbend/placement/statistics.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hazelbend.placement.reliability import SendEnd
+from hazelbend.placement.reliability import AttemptOutcome
 
 RATIO_BOUNDS = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)  # of the time that came to the expected
 
@@ -52,11 +52,11 @@
 class WorkerStatistics:
     """Of own sends to one worker."""
 
-    ends: Counter[SendEnd] = field(default_factory=Counter)
+    outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
     reads: RatioHistogram = field(default_factory=RatioHistogram)
     first_events: RatioHistogram = field(default_factory=RatioHistogram)
-    read_tokens: int = 0  # expected to be read
-    kept_tokens: int = 0  # believed to be kept there, and not read
+    prefilled_tokens: int = 0  # expected to be read
+    cached_tokens: int = 0  # believed to be kept there, and not read
 
 
 @dataclass(slots=True)
@@ -65,9 +65,9 @@
 
     workers: dict[str, WorkerStatistics] = field(default_factory=dict)  # by instance
     refusals: Counter[Refusal] = field(default_factory=Counter)
-    repeats: int = 0  # sends after one that may have run
+    retries: int = 0  # sends after one that may have run
 
-    def of(self, instance: str) -> WorkerStatistics:
+    def for_worker(self, instance: str) -> WorkerStatistics:
         """Those of a worker, begun if need be."""
         return self.workers.setdefault(instance, WorkerStatistics())
 
--- a/hazelbend/system/metrics.py
+++ b/hazelbend/system/metrics.py
@@ -44,7 +44,7 @@
         text = "Sends to workers by how they ended"
         family = CounterMetricFamily("hazelbend_sends", text, labels=("worker", "end"))
         for instance, each in self._statistics.workers.items():
-            for end, count in each.ends.items():
+            for end, count in each.outcomes.items():
                 family.add_metric((instance, end.value), count)
         return family
 
@@ -54,8 +54,8 @@
         text = "Prompt tokens that were sent to be read, and believed to be kept"
         family = CounterMetricFamily("hazelbend_prompt_tokens", text, labels=("worker", "as"))
         for instance, each in self._statistics.workers.items():
-            family.add_metric((instance, "read"), each.read_tokens)
-            family.add_metric((instance, "kept"), each.kept_tokens)
+            family.add_metric((instance, "read"), each.prefilled_tokens)
+            family.add_metric((instance, "kept"), each.cached_tokens)
         return family
 
     def _histogram(self, kind: str, text: str) -> Any:
@@ -81,7 +81,7 @@
         from prometheus_client.core import CounterMetricFamily
 
         text = "Sends after one that may have run"
-        return CounterMetricFamily("hazelbend_repeats", text, value=self._statistics.repeats)
+        return CounterMetricFamily("hazelbend_repeats", text, value=self._statistics.retries)
 
 
 def _bound(bound: float) -> str:
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -14,9 +14,9 @@
 from hazelbend.control.workers import EXPIRY_HEARTBEATS, WorkerRecord
 from hazelbend.forwarding.flow import FleetState
 from hazelbend.forwarding.forwarder import Forwarder
-from hazelbend.placement.engine import Placement
+from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.retry_budget import RetryBudget
-from hazelbend.placement.routes import read_table
+from hazelbend.placement.routes import decode_route_table
 from hazelbend.system.clock import clock
 from hazelbend.system.settings import Settings, split_address
 from hazelbend.system.watch import Watches
@@ -40,7 +40,7 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         seed = secrets.randbits(63)
-        self._placement = Placement(settings.zone, seed)
+        self._placement = PlacementEngine(settings.zone, seed)
         self._state = FleetState(self._placement)
         half = (settings.max_descriptors - RESERVED_DESCRIPTORS) // 2
         self._client: HttpWorkerClient
@@ -55,8 +55,8 @@
         self._load_timer: asyncio.TimerHandle | None = None
         self._others = LoadView()
         self._load_seq = clock()  # rises over restarts too
-        self._placement.load_changed = self._load_changed
-        self._placement.suspicion_changed = _log_suspicion
+        self._placement.on_load_changed = self._load_changed
+        self._placement.on_suspicion_changed = _log_suspicion
 
     # --- its life ---
 
@@ -117,7 +117,7 @@
         if news.version <= self.version():
             return
         try:
-            table = read_table(zlib.decompress(news.body))
+            table = decode_route_table(zlib.decompress(news.body))
         except (msgspec.DecodeError, zlib.error) as error:
             log.error("router: configuration %d can't be read: %s", news.version, error)
             return
@@ -137,8 +137,8 @@
         """See `watch.News`."""
         self._watches.learn(news.controls)
         self._state.routers = max(self._state.routers, news.routers)
-        self._placement.is_switching(set(news.switching))
-        self._placement.heard(news.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat)
+        self._placement.set_switching(set(news.switching))
+        self._placement.update_silence(news.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat)
         self._load_changed()  # told again now and then, as words may be lost
 
     def confirmed(self, version: int, at: float) -> None:
@@ -149,8 +149,8 @@
     def loads(self, news: LoadNews) -> None:
         """See `watch.News`."""
         self._others.take(news)
-        self._placement.reported(self._others.loads, news.cached, clock())
-        self._placement.told(news.outcomes, clock())
+        self._placement.apply_load_report(self._others.loads, news.cached, clock())
+        self._placement.apply_peer_outcomes(news.outcomes, clock())
 
     def _load_changed(self) -> None:
         if self._load_timer is None:
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -38,10 +38,10 @@
 from hazelbend.gossip.messages import Packet
 from hazelbend.leases import lease_table
 from hazelbend.leases.engine import Fleet, Plan
-from hazelbend.placement.engine import Placement
-from hazelbend.placement.prompt import read_prompt
-from hazelbend.placement.reliability import SendEnd, Stakes
-from hazelbend.placement.routes import read_table
+from hazelbend.placement.engine import PlacementEngine
+from hazelbend.placement.prompt import parse_prompt
+from hazelbend.placement.reliability import AttemptOutcome, FailureCosts
+from hazelbend.placement.routes import decode_route_table
 from hazelbend.quotas import book
 from hazelbend.system.control_status import control_status
 from hazelbend.waiting import terms
@@ -382,9 +382,9 @@
 def placement_run() -> Trace:
     """A router before workers with phases, and others without; reads, runs, failures, and others' loads."""
     trace, chance, now = Trace(), random.Random(6), 0
-    placement = Placement("a", 11)
+    placement = PlacementEngine("a", 11)
     body = json.dumps(kit.ROUTES | {"services": [{"name": "plain"}, {"name": "chat", "engine": ENGINE}]})
-    placement.services = read_table(body.encode()).services
+    placement.services = decode_route_table(body.encode()).services
     for n in range(8):
         phase = ("prefill", "decode")[n % 2] if n < 5 else ""
         service = "chat" if n < 5 else "plain"
@@ -397,48 +397,48 @@
     def choice(found: Any) -> list[Any] | None:
         if found is None:
             return None
-        return [found.worker.record.instance, found.tokens, found.delay, found.expected]
+        return [found.worker.record.instance, found.prefill_tokens, found.cost, found.expected_delay]
 
     for step in range(1_500):
         now += chance.randrange(1 * MS, 8 * MS)
         while out and out[0][0] <= now:
             _, _, stage, send, prompt = heapq.heappop(out)
             failed = chance.random() < 0.08
-            placement.heard_of(send, now)
+            placement.record_answer(send, now)
             if stage == "read":
-                placement.read(send, now)
+                placement.observe_prefill(send, now)
             elif stage == "event":
-                placement.first_event(send, now)
-                placement.moved(send, prompt)
+                placement.observe_first_event(send, now)
+                placement.record_kv_transfer(send, prompt)
             else:
-                placement.served(send, now)
-            placement.tells_of(send, SendEnd.FAILED if failed else SendEnd.SERVED, now)
-            placement.ended(send)
+                placement.observe_service_time(send, now)
+            placement.record_outcome(send, AttemptOutcome.FAILED if failed else AttemptOutcome.SERVED, now)
+            placement.end_attempt(send)
         usage, parts = f"{300 + step % 9 * 400},80", f"p{step % 3}:200,q{step % 5}:100,r{step}:50"
-        prompt, stakes = read_prompt(usage, parts), Stakes(4e5, 1e5, 2e5 * (step % 2))
+        prompt, failure_costs = parse_prompt(usage, parts), FailureCosts(4e5, 1e5, 2e5 * (step % 2))
         tried = {f"w{step % 8}"} if step % 10 == 0 else set()
         if step % 3 == 0:
-            chosen = placement.choose("plain", now, tried, stakes)
+            chosen = placement.selector.choose("plain", now, tried, failure_costs)
             trace.add(choice(chosen))
             if chosen is not None:
-                send = placement.sent(chosen, True, prompt, now)
+                send = placement.begin_attempt(chosen, prompt, now, takes_slot=True)
                 heapq.heappush(out, (now + 30 * MS + step % 7 * 9 * MS, step, "run", send, prompt))
         else:
-            pair = placement.choose_pair("chat", prompt, now, tried, stakes)
-            trace.add(None if pair is None else [choice(pair.reader), choice(pair.runner), pair.delay])
-            if pair is not None and pair.reader is not None:
-                send = placement.sent(pair.reader, False, prompt, now)
+            pair = placement.selector.choose_pair("chat", prompt, now, tried, failure_costs)
+            trace.add(None if pair is None else [choice(pair.prefill), choice(pair.decode), pair.cost])
+            if pair is not None and pair.prefill is not None:
+                send = placement.begin_attempt(pair.prefill, prompt, now, takes_slot=False)
                 heapq.heappush(out, (now + 40 * MS + prompt.tokens * 20, step, "read", send, prompt))
             if pair is not None:
-                send = placement.sent(pair.runner, True, prompt, now)
+                send = placement.begin_attempt(pair.decode, prompt, now, takes_slot=True)
                 heapq.heappush(out, (now + 90 * MS + step % 5 * 20 * MS, step, "event", send, prompt))
         if step % 20 == 19:
             loads = {f"w{n}": Load(chance.randrange(6), chance.randrange(3_000)) for n in range(8)}
-            placement.reported(loads, (CachedPart("w0", "p1", 200),), now)
-            placement.heard({"w7": step * MS}, 1 * S)
+            placement.apply_load_report(loads, (CachedPart("w0", "p1", 200),), now)
+            placement.update_silence({"w7": step * MS}, 1 * S)
             trace.add(placement.own_loads(now), placement.take_outcomes(), placement.newly_cached)
             placement.newly_cached = []
-    trace.add(next_draws(placement.choose.__self__))  # type: ignore[attr-defined]
+    trace.add(next_draws(placement.selector))
     return trace
 
 
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -34,7 +34,7 @@
 from hazelbend.control import configuration
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.placement import statistics
-from hazelbend.placement.reliability import SendEnd
+from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.program import config, console_server
 from hazelbend.program.log import RecentLines
 from hazelbend.protocol import (
@@ -93,7 +93,7 @@
 
 def metrics_text() -> str:
     worker = statistics.WorkerStatistics(
-        Counter({end: n for n, end in enumerate(SendEnd, 1)}), histogram(2), histogram(5), 70, 80
+        Counter({end: n for n, end in enumerate(AttemptOutcome, 1)}), histogram(2), histogram(5), 70, 80
     )
     refusals = Counter({reason: n for n, reason in enumerate(statistics.Refusal, 1)})
     found = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -15,9 +15,9 @@
 from hazelbend.forwarding.forwarder import Forwarder
 from hazelbend.forwarding.ports import BrokenError, ClientRequest, NotSentError, WorkerCall
 from hazelbend.forwarding.prefill import rank_of_read
-from hazelbend.placement.engine import Placement
+from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.retry_budget import RetryBudget
-from hazelbend.placement.routes import read_table
+from hazelbend.placement.routes import decode_route_table
 from tests.virtual_loop import VirtualLoop
 
 S = 1_000_000
@@ -91,14 +91,14 @@
         self.freed: list[str] = []
         self.script: list[object] = []
         self.connect: Callable[[], None] = lambda: None
-        placement = Placement("z", 1)
+        placement = PlacementEngine("z", 1)
         self.state = FleetState(placement)
         self.state.is_current = lambda: True
         base = {"name": "r", "host": "a.example", "prefix": "/x/", "kind": "safe", "timeoutMs": 1_000,
                 "backend": "s", "retries": 3}  # fmt: skip
         services = [{"name": "s"}, {"name": "llm", "engine": ENGINE}]
         document = {"version": 1, "routes": [base | route], "services": services}
-        self.state.use(read_table(json.dumps(document).encode()))
+        self.state.use(decode_route_table(json.dumps(document).encode()))
         self.budget = RetryBudget(0.2, 100.0, 10 * S)
         self.forwarder = Forwarder(self.state, self, self.now, lambda: self.budget, 1)
         for number in range(1, 4):
@@ -273,7 +273,7 @@
     def drain() -> None:
         site.connect = lambda: None
         for instance, each in list(site.state.placement.workers.items()):
-            if each.running.own:
+            if each.requests.own_jobs:
                 record = WorkerRecord(
                     instance, "s", each.record.address, "z", WorkerState.DRAINING, 2, 6)  # fmt: skip
                 site.state.placement.merge(record)
@@ -281,7 +281,7 @@
     site.connect = drain
     assert site.ask(Answer(), Answer()).status == 200
     [call] = site.calls
-    drained = [i for i, each in site.state.placement.workers.items() if not each.takes_work]
+    drained = [i for i, each in site.state.placement.workers.items() if not each.accepts_work]
     assert extras(call)["Expect-Instance"] not in drained and len(drained) == 1
 
 
@@ -328,7 +328,7 @@
     site = model_site()
     budget = site.forwarder._budgets["llm"] = RetryBudget(0.0, 2.6, S)
     site.ask(FULL, Answer(parts=EVENTS), Answer(parts=EVENTS), patience_ms=6_000, **PROMPT)
-    assert not budget.has_room(site.now(), 1)
+    assert not budget.allows_retry(site.now(), 1)
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,12 +9,12 @@
 
 from hazelbend.control.load_table import CachedPart, Load
 from hazelbend.control.workers import WorkerRecord, WorkerState
-from hazelbend.placement.engine import Placement
+from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.policy import STANDARD, UNIT
-from hazelbend.placement.prompt import Part, read_prompt
-from hazelbend.placement.read_model import ReadModel
+from hazelbend.placement.prefill_model import PrefillTimeModel
+from hazelbend.placement.prompt import PrefixSegment, parse_prompt
 from hazelbend.placement.retry_budget import RetryBudget
-from hazelbend.placement.routes import RouteTable, Service, read_table
+from hazelbend.placement.routes import RouteTable, Service, decode_route_table
 
 S = 1_000_000
 ENGINE = {"capacity": 64, "kvCapacity": 400_000, "kvTokenBytes": 18_000, "bandwidthMbps": 370_000.0}
@@ -24,7 +24,7 @@
     base = {"name": "r", "host": "a.example", "prefix": "/", "kind": "safe", "timeoutMs": 100, "backend": "s"}
     services = [{"name": "s"}, {"name": "t"}, {"name": "llm", "engine": ENGINE}]
     document = {"version": 1, "routes": [base | route for route in routes], "services": services}
-    return read_table(json.dumps(document).encode())
+    return decode_route_table(json.dumps(document).encode())
 
 
 # --- routes ---
@@ -43,7 +43,7 @@
     split = [{"backend": "s", "weight": 90}, {"backend": "t", "weight": 10}, {"backend": "u", "weight": 0}]
     route = table({"split": split, "backend": ""}).find("a.example", "/")
     chance = random.Random(1)
-    drawn = [route.service(chance) for _ in range(2_000)]
+    drawn = [route.pick_service(chance) for _ in range(2_000)]
     assert 150 < drawn.count("t") < 250 and "u" not in drawn
 
 
@@ -59,15 +59,15 @@
 
 
 def test_a_prompt_is_told_by_its_fields():
-    prompt = read_prompt("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
-    assert (prompt.tokens, prompt.most_out) == (1460, 80)
-    assert prompt.shared == (Part("5c1e07a2", 800), Part("91bd3f06", 410))
+    prompt = parse_prompt("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
+    assert (prompt.tokens, prompt.max_output_tokens) == (1460, 80)
+    assert prompt.shared == (PrefixSegment("5c1e07a2", 800), PrefixSegment("91bd3f06", 410))
     assert prompt.subject == "91bd3f06"
 
 
 @pytest.mark.parametrize(("usage", "parts"), [(None, None), ("", ""), ("x,y", "::"), ("5", "a:b,:3")])
 def test_what_cannot_be_read_counts_as_not_said(usage, parts):
-    prompt = read_prompt(usage, parts)
+    prompt = parse_prompt(usage, parts)
     assert prompt.shared == () and prompt.subject == ""
 
 
@@ -85,9 +85,9 @@
         now += chance.randrange(20_000)
         budget = chance.choice(budgets)
         requests.append(now)
-        budget.request(now)
+        budget.record_request(now)
         for _ in range(2):
-            if budget.spend(now, routers):
+            if budget.try_spend(now, routers):
                 extra.append(now)
     for at in extra:
         in_window = sum(at - window < each <= at for each in extra)
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize(("overhead", "pace"), [(22_000, 14_000), (120_000, 12_000), (5_000, 40_000)])
 def test_overhead_and_pace_of_reading_are_learnt_though_some_runs_take_longer(overhead, pace):
-    model, chance = ReadModel(22_000, 16_000), random.Random(2)
+    model, chance = PrefillTimeModel(22_000, 16_000), random.Random(2)
     for _ in range(150):
         units = chance.choice([0.5, 1, 2, 7, 20, 40])
         late = 400_000 if chance.random() < 0.05 else 0
@@ -114,7 +114,7 @@
 def test_an_overhead_far_from_the_first_guess_is_learnt_from_a_dozen_reads(seed):
     """Guards fleets of many routers, of which each sees few reads: those of less than a unit took 136 ms
     where the model said 62 for a whole day."""
-    model, chance = ReadModel(22_000, 16_000), random.Random(seed)
+    model, chance = PrefillTimeModel(22_000, 16_000), random.Random(seed)
     for _ in range(12):
         units = chance.choice([0.5, 1, 1, 2, 2, 3, 3, 6, 10, 20])
         model.sample(units, 113_000 + 15_000 * units)
@@ -133,9 +133,9 @@
 
 
 @pytest.fixture
-def placement() -> Placement:
+def placement() -> PlacementEngine:
     """Two workers that read, two that make tokens, three without phases."""
-    made = Placement("z", 1)
+    made = PlacementEngine("z", 1)
     made.services = {"llm": Service("llm", engine=table().services["llm"].engine), "s": Service("s")}
     for record in (*(worker(n, "prefill") for n in (1, 2)), *(worker(n, "decode") for n in (3, 4))):
         made.merge(record)
@@ -144,143 +144,153 @@
     return made
 
 
-LONG = read_prompt("17000,100", "aa:13000,bb:4000")
-SHORT = read_prompt("100,100", "cc:60,dd:40")
+LONG = parse_prompt("17000,100", "aa:13000,bb:4000")
+SHORT = parse_prompt("100,100", "cc:60,dd:40")
 
 
 def test_of_workers_without_phases_the_least_expected_delay_wins(placement):
-    placement.reported({"i-5": Load(6, 0), "i-6": Load(4, 0), "i-7": Load(5, 0)}, (), 0)
-    assert placement.choose("s", 0, set()).worker.record.instance == "i-6"
-    assert placement.choose("s", 0, {"i-6"}).worker.record.instance == "i-7"
-    send = placement.sent(placement.choose("s", 0, set()), True, read_prompt(None, None), 0)
+    placement.apply_load_report({"i-5": Load(6, 0), "i-6": Load(4, 0), "i-7": Load(5, 0)}, (), 0)
+    assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-6"
+    assert placement.selector.choose("s", 0, {"i-6"}).worker.record.instance == "i-7"
+    send = placement.begin_attempt(
+        placement.selector.choose("s", 0, set()), parse_prompt(None, None), 0, takes_slot=True
+    )
     for _ in range(3):
-        placement.sent(placement.choose("s", 0, {"i-5", "i-7"}), True, read_prompt(None, None), 0)
-    assert placement.choose("s", 0, set()).worker.record.instance == "i-7", "own later sends count"
-    placement.ended(send)
+        placement.begin_attempt(
+            placement.selector.choose("s", 0, {"i-5", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
+        )
+    assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-7", "own later sends count"
+    placement.end_attempt(send)
 
 
 def test_what_others_had_there_departs_as_time_passes(placement):
-    estimate = placement.workers["i-5"].running
+    estimate = placement.workers["i-5"].requests
     for _ in range(20):  # its usual level is low
-        placement.reported({}, (), 0)
-    placement.reported({"i-5": Load(6, 0)}, (), 0)
+        placement.apply_load_report({}, (), 0)
+    placement.apply_load_report({"i-5": Load(6, 0)}, (), 0)
     assert estimate.expected(0) == pytest.approx(6)
     assert estimate.expected(100_000) < 5.5 and estimate.expected(10 * S) < 3
 
 
 def test_a_long_prompt_is_read_apart_and_a_short_one_by_who_makes_its_tokens(placement):
-    pair = placement.choose_pair("llm", LONG, 0, set())
-    assert pair.reader.worker.record.phase == "prefill" and pair.runner.worker.record.phase == "decode"
-    assert placement.choose_pair("llm", SHORT, 0, set()).reader is None
+    pair = placement.selector.choose_pair("llm", LONG, 0, set())
+    assert pair.prefill.worker.record.phase == "prefill" and pair.decode.worker.record.phase == "decode"
+    assert placement.selector.choose_pair("llm", SHORT, 0, set()).prefill is None
 
 
 def test_a_prompt_goes_where_its_parts_are_kept_also_where_another_router_had_them_read(placement):
     for keeper in ("i-1", "i-2"):
-        fresh = Placement("z", 3)
+        fresh = PlacementEngine("z", 3)
         fresh.services, fresh.workers = placement.services, placement.workers
         subject = f"part-{keeper}"
-        prompt = read_prompt("17000,100", f"{subject}:13000,bb:4000")
-        placement.reported({}, (CachedPart(keeper, subject, 13_000),), 0)
-        pair = placement.choose_pair("llm", prompt, 0, set())
-        assert pair.reader.worker.record.instance == keeper and pair.reader.tokens == 4_000
+        prompt = parse_prompt("17000,100", f"{subject}:13000,bb:4000")
+        placement.apply_load_report({}, (CachedPart(keeper, subject, 13_000),), 0)
+        pair = placement.selector.choose_pair("llm", prompt, 0, set())
+        assert pair.prefill.worker.record.instance == keeper and pair.prefill.prefill_tokens == 4_000
 
 
 def test_a_reader_with_much_to_read_is_passed_over_for_one_that_keeps_nothing(placement):
-    placement.reported({"i-1": Load(5, 60_000)}, (CachedPart("i-1", "aa", 13_000),), 0)
-    assert placement.choose_pair("llm", LONG, 0, set()).reader.worker.record.instance == "i-2"
+    placement.apply_load_report({"i-1": Load(5, 60_000)}, (CachedPart("i-1", "aa", 13_000),), 0)
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
 
 
 def test_all_routers_send_a_subject_of_which_nothing_is_known_to_the_same_worker():
     homes = set()
     for seed in range(5):
-        made = Placement("z", seed)
+        made = PlacementEngine("z", seed)
         made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
         for number in random.Random(seed).sample(range(1, 9), 8):
             made.merge(worker(number, "prefill" if number < 7 else "decode"))
-        homes.add(made.choose_pair("llm", LONG, 0, set()).reader.worker.record.instance)
+        homes.add(made.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance)
     assert len(homes) == 1
 
 
 def test_a_maker_of_tokens_of_the_readers_zone_is_preferred_as_a_move_between_zones_takes_longer():
-    made = Placement("z", 2)
+    made = PlacementEngine("z", 2)
     made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
     for record in (worker(1, "prefill"), worker(2, "decode", zone="y"), worker(3, "decode")):
         made.merge(record)
-    assert made.choose_pair("llm", LONG, 0, set()).runner.worker.record.instance == "i-3"
-    made.reported({"i-3": Load(600, 0)}, (), 0)
-    assert made.choose_pair("llm", LONG, 0, set()).runner.worker.record.instance == "i-2"
+    assert made.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-3"
+    made.apply_load_report({"i-3": Load(600, 0)}, (), 0)
+    assert made.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-2"
     source = made.workers["i-1"].record
-    assert made.choose_runner("llm", LONG, source, 0, {"i-2"}).worker.record.instance == "i-3"
+    assert made.selector.choose_decode_worker("llm", LONG, source, 0, {"i-2"}).worker.record.instance == "i-3"
 
 
 def test_own_reads_count_by_what_is_left_of_them(placement):
-    send = placement.sent(placement.choose_pair("llm", LONG, 0, set()).reader, False, LONG, 0)
+    send = placement.begin_attempt(
+        placement.selector.choose_pair("llm", LONG, 0, set()).prefill, LONG, 0, takes_slot=False
+    )
     instance = send.worker.record.instance
     before, after = placement.own_loads(0)[instance].tokens, placement.own_loads(300_000)[instance].tokens
     assert 0 < after < before
-    placement.ended(send)
+    placement.end_attempt(send)
     assert placement.own_loads(300_000) == {}
-    placement.ended(send)  # once more does no harm
-    assert send.worker.reading.own == 0
+    placement.end_attempt(send)  # once more does no harm
+    assert send.worker.prefill.own_jobs == 0
 
 
 def test_a_worker_that_drains_changes_its_part_or_has_gone_is_not_chosen(placement):
     placement.merge(worker(1, "prefill", seq=2, state=WorkerState.DRAINING))
-    assert placement.choose_pair("llm", LONG, 0, set()).reader.worker.record.instance == "i-2"
-    placement.is_switching({"i-2"})
-    assert placement.choose_pair("llm", LONG, 0, set()).reader is None
-    placement.is_switching(set())
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
+    placement.set_switching({"i-2"})
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill is None
+    placement.set_switching(set())
     placement.merge(worker(2, "decode", seq=2))
-    assert placement.choose_pair("llm", LONG, 0, set()).reader is None
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill is None
     placement.merge(worker(3, "decode", seq=1, state=WorkerState.DRAINING))
-    assert placement.workers["i-3"].takes_work, "an old word changes nothing"
+    assert placement.workers["i-3"].accepts_work, "an old word changes nothing"
 
 
 def test_one_that_cannot_be_reached_or_is_silent_is_the_last_choice(placement):
-    placement.workers["i-5"].failed(0)
-    placement.heard({"i-6": 30 * S}, 60 * S)
-    assert placement.choose("s", 1, set()).worker.record.instance == "i-7"
-    assert placement.choose("s", 1, {"i-7"}).worker.record.instance == "i-6"
-    assert placement.choose("s", 1, {"i-6", "i-7"}).worker.record.instance == "i-5"
-    assert placement.choose("s", 1, {"i-5", "i-6", "i-7"}) is None
+    placement.workers["i-5"].record_connect_failure(0)
+    placement.update_silence({"i-6": 30 * S}, 60 * S)
+    assert placement.selector.choose("s", 1, set()).worker.record.instance == "i-7"
+    assert placement.selector.choose("s", 1, {"i-7"}).worker.record.instance == "i-6"
+    assert placement.selector.choose("s", 1, {"i-6", "i-7"}).worker.record.instance == "i-5"
+    assert placement.selector.choose("s", 1, {"i-5", "i-6", "i-7"}) is None
 
 
 def test_where_all_are_silent_prompts_are_read_apart_as_before(placement):
     """Guards the first second after a loss of all control processes: two silent workers counted twice, and
     every prompt went to the few that make tokens."""
-    before = placement.choose_pair("llm", LONG, 0, set())
-    assert before.reader is not None
-    placement.heard(dict.fromkeys(placement.workers, 3 * S), 60 * S)
-    after = placement.choose_pair("llm", LONG, 0, set())
-    assert after.reader is not None
-    reader, runner = after.reader.worker.record.instance, after.runner.worker.record.instance
+    before = placement.selector.choose_pair("llm", LONG, 0, set())
+    assert before.prefill is not None
+    placement.update_silence(dict.fromkeys(placement.workers, 3 * S), 60 * S)
+    after = placement.selector.choose_pair("llm", LONG, 0, set())
+    assert after.prefill is not None
+    reader, runner = after.prefill.worker.record.instance, after.decode.worker.record.instance
     heard = {each: 3 * S for each in placement.workers if each not in (reader, runner)}
-    placement.heard(heard, 60 * S)
-    assert placement.choose_pair("llm", LONG, 0, set()).reader.worker.record.instance == reader
+    placement.update_silence(heard, 60 * S)
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == reader
 
 
 def test_a_worker_that_was_silent_for_long_is_dropped_once_nothing_is_under_way(placement):
-    send = placement.sent(placement.choose("s", 0, {"i-6", "i-7"}), True, read_prompt(None, None), 0)
-    placement.heard({"i-5": 20 * S}, 10 * S)
+    send = placement.begin_attempt(
+        placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
+    )
+    placement.update_silence({"i-5": 20 * S}, 10 * S)
     assert "i-5" in placement.workers
-    placement.ended(send)
-    placement.heard({"i-5": 20 * S}, 10 * S)
+    placement.end_attempt(send)
+    placement.update_silence({"i-5": 20 * S}, 10 * S)
     assert "i-5" not in placement.workers
 
 
 def test_a_worker_that_control_processes_have_forgotten_is_not_taken_for_one_that_is_heard(placement):
-    send = placement.sent(placement.choose("s", 0, {"i-6", "i-7"}), True, read_prompt(None, None), 0)
-    placement.heard({"i-5": 20 * S}, 10 * S)
-    placement.heard({}, 10 * S)
+    send = placement.begin_attempt(
+        placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
+    )
+    placement.update_silence({"i-5": 20 * S}, 10 * S)
+    placement.update_silence({}, 10 * S)
     assert placement.workers["i-5"].silent
-    placement.ended(send)
-    placement.heard({}, 10 * S)
+    placement.end_attempt(send)
+    placement.update_silence({}, 10 * S)
     assert "i-5" not in placement.workers
 
 
 def test_a_worker_that_is_heard_again_is_as_before(placement):
-    placement.heard({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
-    placement.heard({"i-6": 4 * S}, 10 * S)
+    placement.update_silence({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
+    placement.update_silence({"i-6": 4 * S}, 10 * S)
     assert not placement.workers["i-5"].silent and placement.workers["i-6"].silent
 
 
@@ -290,10 +300,10 @@
     known = placement._known
     idle = known.again_price("llm")
     for _ in range(200):
-        placement.reported({"i-1": Load(1, 2_000), "i-2": Load(1, 2_000)}, (), 0)
+        placement.apply_load_report({"i-1": Load(1, 2_000), "i-2": Load(1, 2_000)}, (), 0)
     busy = known.again_price("llm")
     for _ in range(200):
-        placement.reported({}, (), 0)
+        placement.apply_load_report({}, (), 0)
     calm = known.again_price("llm")
     pace = known.model(placement.workers["i-1"].record).pace / UNIT
-    assert calm < idle < pace < busy <= STANDARD.most_crowding * pace
+    assert calm < idle < pace < busy <= STANDARD.max_crowding * pace
--- a/tests/test_reliability.py
+++ b/tests/test_reliability.py
@@ -11,18 +11,18 @@
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.forwarding.patience import LEAST_PATIENCE
 from hazelbend.forwarding.ports import BrokenError
-from hazelbend.placement.engine import Placement
-from hazelbend.placement.prompt import read_prompt
-from hazelbend.placement.reliability import OWN_ZONE_FIRST, Reliability, SendEnd, Stakes
+from hazelbend.placement.engine import PlacementEngine
+from hazelbend.placement.prompt import parse_prompt
+from hazelbend.placement.reliability import OWN_ZONE_FIRST, AttemptOutcome, FailureCosts, Reliability
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.statistics import RatioHistogram
 from hazelbend.system import metrics
 from tests.test_forwarding import EVENTS, FULL, PROMPT, READ, Answer, Site, extras, model_site
 
 S = 1_000_000
-REPEATABLE = Stakes(failure=300_000, rejection=30_000)
-ONCE_ONLY = Stakes(failure=3 * S, rejection=30_000)
-NO_PROMPT = read_prompt(None, None)
+REPEATABLE = FailureCosts(failure=300_000, rejection=30_000)
+ONCE_ONLY = FailureCosts(failure=3 * S, rejection=30_000)
+NO_PROMPT = parse_prompt(None, None)
 ERROR = Answer(500, [b"broken"])
 SILENCE = 30.0  # seconds that a worker of a script says nothing
 
@@ -32,26 +32,26 @@
 
 
 @pytest.fixture
-def placement() -> Placement:
-    made = Placement("z", 1)
+def placement() -> PlacementEngine:
+    made = PlacementEngine("z", 1)
     for number in range(1, 6):
         made.merge(worker(number))
     return made
 
 
-def fail(placement: Placement, instance: str, times: int, now: int, served: int = 0) -> None:
+def fail(placement: PlacementEngine, instance: str, times: int, now: int, served: int = 0) -> None:
     """Given so many runs that failed there, and so many that were served."""
-    ends = [SendEnd.FAILED] * times + [SendEnd.SERVED] * served
+    ends = [AttemptOutcome.FAILED] * times + [AttemptOutcome.SERVED] * served
     random.Random(1).shuffle(ends)
     for end in ends:
-        placement.workers[instance].reliability.see(end, True, now)
+        placement.workers[instance].reliability.record(end, True, now)
 
 
-def chosen(placement: Placement, now: int, stakes: Stakes, times: int = 200) -> set[str]:
+def chosen(placement: PlacementEngine, now: int, failure_costs: FailureCosts, times: int = 200) -> set[str]:
     """Where requests go, one after the other, each ended before the next."""
     found = set()
     for _ in range(times):
-        choice = placement.choose("s", now, set(), stakes)
+        choice = placement.selector.choose("s", now, set(), failure_costs)
         found.add(choice.worker.record.instance)
     return found
 
@@ -75,8 +75,8 @@
     fail(placement, "i-1", 2, S, served=6)
     for instance in ("i-2", "i-3", "i-4", "i-5"):
         for _ in range(5):
-            choice = placement.choose("s", S, set(placement.workers) - {instance})
-            placement.sent(choice, True, NO_PROMPT, S)
+            choice = placement.selector.choose("s", S, set(placement.workers) - {instance})
+            placement.begin_attempt(choice, NO_PROMPT, S, takes_slot=True)
     assert chosen(placement, S, REPEATABLE) == {"i-1"}
     assert "i-1" not in chosen(placement, S, ONCE_ONLY)
 
@@ -84,7 +84,7 @@
 def test_one_that_is_well_again_is_found(placement):
     fail(placement, "i-1", 5, S)
     assert "i-1" not in chosen(placement, S, REPEATABLE)
-    costs = [placement.workers["i-1"].reliability.cost(REPEATABLE, S + at * S) for at in (0, 20, 60)]
+    costs = [placement.workers["i-1"].reliability.expected_cost(REPEATABLE, S + at * S) for at in (0, 20, 60)]
     assert costs[0] > costs[1] > costs[2]
     fail(placement, "i-1", 0, 61 * S, served=8)
     for instance in ("i-2", "i-3", "i-4", "i-5"):
@@ -94,17 +94,19 @@
 
 def test_rejections_of_one_that_is_full_say_nothing_of_it(placement):
     full = placement.workers["i-1"]
-    before = full.reliability.cost(REPEATABLE, S)
+    before = full.reliability.expected_cost(REPEATABLE, S)
     sends = [
-        placement.sent(placement.choose("s", S, set(placement.workers) - {"i-1"}), True, NO_PROMPT, S)
+        placement.begin_attempt(
+            placement.selector.choose("s", S, set(placement.workers) - {"i-1"}), NO_PROMPT, S, takes_slot=True
+        )
         for _ in range(8)
     ]
-    placement.tells_of(sends[0], SendEnd.REJECTED, S)
-    assert full.reliability.cost(REPEATABLE, S) == before and placement.take_outcomes() == ()
+    placement.record_outcome(sends[0], AttemptOutcome.REJECTED, S)
+    assert full.reliability.expected_cost(REPEATABLE, S) == before and placement.take_outcomes() == ()
     for send in sends:
-        placement.ended(send)
-    placement.tells_of(sends[0], SendEnd.REJECTED, S)
-    assert full.reliability.cost(REPEATABLE, S) > before
+        placement.end_attempt(send)
+    placement.record_outcome(sends[0], AttemptOutcome.REJECTED, S)
+    assert full.reliability.expected_cost(REPEATABLE, S) > before
     assert placement.take_outcomes() == (Outcomes("i-1", "z", rejected=1),)
 
 
@@ -113,27 +115,29 @@
 
 def test_failures_are_told_and_so_are_successes_of_one_that_has_failed(placement):
     """Guards fleets of many routers, of which each meets a worker once in ten seconds."""
-    other = Placement("z", 2)
+    other = PlacementEngine("z", 2)
     other.merge(worker(1))
-    send = other.sent(other.choose("s", S, set()), True, NO_PROMPT, S)
-    other.tells_of(send, SendEnd.SERVED, S)
+    send = other.begin_attempt(other.selector.choose("s", S, set()), NO_PROMPT, S, takes_slot=True)
+    other.record_outcome(send, AttemptOutcome.SERVED, S)
     assert other.take_outcomes() == (), "that a worker is well is no news"
-    other.tells_of(send, SendEnd.FAILED, S)
-    other.tells_of(send, SendEnd.SERVED, S)
+    other.record_outcome(send, AttemptOutcome.FAILED, S)
+    other.record_outcome(send, AttemptOutcome.SERVED, S)
     told = other.take_outcomes()
     assert told == (Outcomes("i-1", "z", served=1, failed=1),) and other.take_outcomes() == ()
-    placement.told(told, S)
+    placement.apply_peer_outcomes(told, S)
     assert "i-1" not in chosen(placement, S, REPEATABLE)
 
 
 def test_what_the_own_zone_has_met_goes_before_what_another_tells(placement):
     """Given a worker that fails the callers of one zone alone, then those of others go on asking it."""
     fail(placement, "i-1", 0, S, served=1)
-    before = placement.workers["i-1"].reliability.cost(REPEATABLE, S)
-    placement.told((Outcomes("i-1", "far", failed=3),), S)
-    assert placement.workers["i-1"].reliability.cost(REPEATABLE, S) == before
+    before = placement.workers["i-1"].reliability.expected_cost(REPEATABLE, S)
+    placement.apply_peer_outcomes((Outcomes("i-1", "far", failed=3),), S)
+    assert placement.workers["i-1"].reliability.expected_cost(REPEATABLE, S) == before
     later = S + 2 * OWN_ZONE_FIRST
-    placement.told((Outcomes("i-1", "far", failed=3), Outcomes("unknown", "far", failed=3)), later)
+    placement.apply_peer_outcomes(
+        (Outcomes("i-1", "far", failed=3), Outcomes("unknown", "far", failed=3)), later
+    )
     assert "i-1" not in chosen(placement, later, REPEATABLE)
 
 
@@ -226,7 +230,7 @@
     site = Site(kind="safe")
     site.ask(FULL, Answer())
     rejecting = site.state.placement.workers[extras(site.calls[0])["Expect-Instance"]]
-    assert rejecting.reliability.cost(Stakes(rejection=1.0), site.now()) > 0.1
+    assert rejecting.reliability.expected_cost(FailureCosts(rejection=1.0), site.now()) > 0.1
 
 
 # --- what is told to people ---
@@ -234,11 +238,11 @@
 
 def test_a_worker_that_is_set_back_and_is_well_again_is_told_once_each(placement):
     told: list[tuple[str, bool]] = []
-    placement.suspicion_changed = lambda record, suspect: told.append((record.instance, suspect))
-    send = placement.sent(placement.choose("s", S, set()), True, NO_PROMPT, S)
+    placement.on_suspicion_changed = lambda record, suspect: told.append((record.instance, suspect))
+    send = placement.begin_attempt(placement.selector.choose("s", S, set()), NO_PROMPT, S, takes_slot=True)
     instance = send.worker.record.instance
-    for end in [SendEnd.FAILED] * 2 + [SendEnd.SERVED] * 40:
-        placement.tells_of(send, end, S)
+    for end in [AttemptOutcome.FAILED] * 2 + [AttemptOutcome.SERVED] * 40:
+        placement.record_outcome(send, end, S)
     assert told == [(instance, True), (instance, False)]
 
 
@@ -247,8 +251,8 @@
     placement = site.state.placement
     fail(placement, "i-1", 4, site.now())
     for instance in ("i-2", "i-3"):  # both have something to do, and the one that failed has nothing
-        choice = placement.choose("s", site.now(), set(placement.workers) - {instance})
-        placement.sent(choice, True, NO_PROMPT, site.now())
+        choice = placement.selector.choose("s", site.now(), set(placement.workers) - {instance})
+        placement.begin_attempt(choice, NO_PROMPT, site.now(), takes_slot=True)
     for _ in range(200):
         site.ask(Answer())
     asked = [extras(call)["Expect-Instance"] for call in site.calls]
@@ -273,9 +277,9 @@
     text = metrics.render(site.state.placement.statistics).decode()
     reader = extras(site.calls[0])["Expect-Instance"]
     assert f'hazelbend_sends_total{{end="served",worker="{reader}"}} 1.0' in text
-    counts = site.state.placement.statistics.of(reader)
-    assert counts.read_tokens + counts.kept_tokens == 17_000 and counts.read_tokens >= 4_000
-    assert f'hazelbend_prompt_tokens_total{{as="read",worker="{reader}"}} {counts.read_tokens}.0' in text
+    counts = site.state.placement.statistics.for_worker(reader)
+    assert counts.prefilled_tokens + counts.cached_tokens == 17_000 and counts.prefilled_tokens >= 4_000
+    assert f'hazelbend_prompt_tokens_total{{as="read",worker="{reader}"}} {counts.prefilled_tokens}.0' in text
     assert f'hazelbend_reads_ratio_bucket{{le="+Inf",worker="{reader}"}} 1.0' in text
     assert 'end="failed"' in text and 'hazelbend_refusals_total{reason="no_worker"} 1.0' in text
 
@@ -292,13 +296,13 @@
 
 def test_the_short_way_for_a_worker_that_has_only_served_gives_what_the_long_one_does():
     """Guards the time of a choice: most workers of a large fleet have nothing against them."""
-    served, long_way = Reliability(), Reliability(is_blameless=False)
+    served, long_way = Reliability(), Reliability(has_clean_record=False)
     for at in range(50):
         for each in (served, long_way):
-            each.see(SendEnd.SERVED, True, at * S)
-            each.is_blameless = each is served
+            each.record(AttemptOutcome.SERVED, True, at * S)
+            each.has_clean_record = each is served
         now = at * S + S // 2
-        assert served.cost(ONCE_ONLY, now) == long_way.cost(ONCE_ONLY, now) == 0.0
+        assert served.expected_cost(ONCE_ONLY, now) == long_way.expected_cost(ONCE_ONLY, now) == 0.0
         assert not served.is_suspect(now) and not long_way.is_suspect(now)
-    served.see(SendEnd.FAILED, True, 50 * S)
-    assert served.cost(ONCE_ONLY, 50 * S) > 0.0 and served.is_suspect(50 * S)
+    served.record(AttemptOutcome.FAILED, True, 50 * S)
+    assert served.expected_cost(ONCE_ONLY, 50 * S) > 0.0 and served.is_suspect(50 * S)
