--- a/hazelbend/system/agreement.py
+++ b/hazelbend/system/agreement.py
@@ -99,7 +99,7 @@
         if self._saving is not None:
             await asyncio.wait([self._saving], timeout=LEAVE_WAIT)
         for link in self._links.values():
-            link.restart()
+            link.reconnect()
 
     # --- its turns ---
 
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -18,7 +18,7 @@
 from hazelbend.system.clock import clock
 from hazelbend.system.control_status import control_status
 from hazelbend.system.settings import Settings, split_address
-from hazelbend.transport.http.asgi_server import HttpAnswer, HttpCall
+from hazelbend.transport.http.asgi_server import HttpRequest, HttpResponse
 
 log = picologging.getLogger("hazelbend.control")
 
@@ -33,7 +33,7 @@
     def __init__(self, settings: Settings, agreement: Agreement) -> None:
         self._settings, self._agreement = settings, agreement
 
-    async def answer(self, call: HttpCall) -> HttpAnswer:
+    async def answer(self, call: HttpRequest) -> HttpResponse:
         """The answer to any call."""
         engine = self._agreement.engine
         match (call.method, call.path.split("/")):
@@ -49,81 +49,81 @@
                 return self._status()
             case ("POST", ["", "refound"]):
                 return self._refound()
-        return HttpAnswer(404, b"no such call\n")
+        return HttpResponse(404, b"no such call\n")
 
     # --- workers ---
 
-    async def _heartbeat(self, instance: str, body: bytes) -> HttpAnswer:
+    async def _heartbeat(self, instance: str, body: bytes) -> HttpResponse:
         try:
             record = read_heartbeat(instance, body)
         except ValueError as error:
-            return HttpAnswer(400, f"{error}\n".encode())
+            return HttpResponse(400, f"{error}\n".encode())
         engine, now = self._agreement.engine, clock()
         number = engine.worker_heard(record, now)
         if number is None and not engine.can_spread(now):
             self._agreement.pump()
-            return HttpAnswer(503, b"no other control process can be reached from here\n")
+            return HttpResponse(503, b"no other control process can be reached from here\n")
         return await self._worker_done(number)
 
-    async def _worker_done(self, number: int | None) -> HttpAnswer:
+    async def _worker_done(self, number: int | None) -> HttpResponse:
         if number is None:
             self._agreement.pump()
-            return HttpAnswer(200, b"{}", JSON)
+            return HttpResponse(200, b"{}", JSON)
         answer = await self._agreement.wait_for(number)
         if not isinstance(answer, WorkerDone) or not answer.held:
-            return HttpAnswer(503, b"too few control processes hold it\n")
-        return HttpAnswer(200, b"{}", JSON)
+            return HttpResponse(503, b"too few control processes hold it\n")
+        return HttpResponse(200, b"{}", JSON)
 
     # --- operators ---
 
-    async def _put(self, call: HttpCall) -> HttpAnswer:
+    async def _put(self, call: HttpRequest) -> HttpResponse:
         base = call.headers.get("base-version", "0")
         if not (base.isascii() and base.isdecimal()):
-            return HttpAnswer(400, b"Base-Version: no whole number\n")
+            return HttpResponse(400, b"Base-Version: no whole number\n")
         try:
             version = check_configuration(call.body)
         except InvalidConfigurationError as error:
-            return HttpAnswer(400, "".join(f"{each}\n" for each in error.findings).encode())
+            return HttpResponse(400, "".join(f"{each}\n" for each in error.findings).encode())
         redirect = await self._redirect(call.path)
         if redirect is not None:
             return redirect
         number = self._agreement.engine.put(int(base), version, call.body, clock())
         if number is None:
-            return HttpAnswer(503, b"no majority that is large enough\n")
+            return HttpResponse(503, b"no majority that is large enough\n")
         answer = await self._agreement.wait_for(number)
         match answer.result if isinstance(answer, PutDone) else None:
             case ChangeResult.ACCEPTED:
-                return HttpAnswer(200, b'{"version":%d}' % version, JSON)
+                return HttpResponse(200, b'{"version":%d}' % version, JSON)
             case ChangeResult.CONFLICT:
-                return HttpAnswer(412, b"another version is current\n")
+                return HttpResponse(412, b"another version is current\n")
             case ChangeResult.NOT_ABOVE:
-                return HttpAnswer(400, b"version: not above the current one\n")
+                return HttpResponse(400, b"version: not above the current one\n")
             case ChangeResult.FORGOTTEN:
-                return HttpAnswer(503, b"too old to know whether it was taken; read the configuration\n")
-        return HttpAnswer(503, b"not known whether it was taken; send it again\n")
+                return HttpResponse(503, b"too old to know whether it was taken; read the configuration\n")
+        return HttpResponse(503, b"not known whether it was taken; send it again\n")
 
-    async def _get(self) -> HttpAnswer:
+    async def _get(self) -> HttpResponse:
         redirect = await self._redirect("/config/get")
         if redirect is not None:
             return redirect
         number = self._agreement.engine.read(clock())
         answer = await self._agreement.wait_for(number) if number is not None else None
         if not isinstance(answer, ReadDone) or answer.config is None:
-            return HttpAnswer(503, b"no majority answers\n")
+            return HttpResponse(503, b"no majority answers\n")
         if not answer.config.version:
-            return HttpAnswer(404, b"no configuration yet\n")
-        return HttpAnswer(200, plain_body(answer.config), JSON)
+            return HttpResponse(404, b"no configuration yet\n")
+        return HttpResponse(200, plain_body(answer.config), JSON)
 
-    def _refound(self) -> HttpAnswer:
+    def _refound(self) -> HttpResponse:
         try:
             epoch = self._agreement.engine.refound(clock())
         except ValueError as error:
-            return HttpAnswer(409, f"{error}\n".encode())
+            return HttpResponse(409, f"{error}\n".encode())
         log.warning("control: epoch %d is founded here by an operator", epoch)
         self._agreement.pump()
-        return HttpAnswer(200, b'{"epoch":%d}' % epoch, JSON)
+        return HttpResponse(200, b'{"epoch":%d}' % epoch, JSON)
 
-    async def _redirect(self, path: str) -> HttpAnswer | None:
+    async def _redirect(self, path: str) -> HttpResponse | None:
         """None once this process leads; else the way to the leader, or 503 where none is known."""
         engine = self._agreement.engine
         end = time.monotonic() + LEADER_WAIT
@@ -132,12 +132,12 @@
             if leader and leader != engine.me:
                 host = split_address(address_of(leader))[0]
                 port = split_address(self._settings.control)[1]
-                return HttpAnswer(307, headers={"Location": f"http://{host}:{port}{path}"})
+                return HttpResponse(307, headers={"Location": f"http://{host}:{port}{path}"})
             if time.monotonic() >= end:
-                return HttpAnswer(503, b"no leader is known\n")
+                return HttpResponse(503, b"no leader is known\n")
             await asyncio.sleep(LEADER_LOOK)
         return None
 
-    def _status(self) -> HttpAnswer:
+    def _status(self) -> HttpResponse:
         status = control_status(self._agreement.engine, self._agreement.config.version, clock())
-        return HttpAnswer(200, msgspec.json.encode(status) + b"\n", JSON)
+        return HttpResponse(200, msgspec.json.encode(status) + b"\n", JSON)
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -83,7 +83,7 @@
         try:
             body = m.decode(frame)
         except msgspec.DecodeError as error:
-            log.warning("control: %s: no message: %s", connection.peer, error)
+            log.warning("control: %s: no message: %s", connection.peer_ip, error)
             connection.close()
             return
         match body:
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -20,7 +20,7 @@
 from hazelbend.system.clock import clock
 from hazelbend.system.settings import Settings, split_address
 from hazelbend.system.watch import Watches
-from hazelbend.transport.http.asgi_server import AsgiServer, HttpAnswer, HttpCall
+from hazelbend.transport.http.asgi_server import AsgiServer, HttpRequest, HttpResponse
 from hazelbend.transport.http.request_listener import RequestListener
 from hazelbend.transport.http.worker_client import HttpWorkerClient
 
@@ -95,16 +95,16 @@
         settings = self._settings
         return RetryBudget(settings.retry_ratio, settings.retry_slack, settings.retry_window)
 
-    async def _ready(self, call: HttpCall) -> HttpAnswer:
+    async def _ready(self, call: HttpRequest) -> HttpResponse:
         if call.path == "/metrics":
             from hazelbend.system import metrics  # it takes time that a start does not have
 
-            return HttpAnswer(200, metrics.render(self._placement.statistics), metrics.CONTENT_TYPE)
+            return HttpResponse(200, metrics.render(self._placement.statistics), metrics.CONTENT_TYPE)
         if call.path != "/readyz":
-            return HttpAnswer(404, b"no such call\n")
+            return HttpResponse(404, b"no such call\n")
         if self._state.table is None or not self._listener.takes_clients:
-            return HttpAnswer(503, b"not ready\n")
-        return HttpAnswer(200, b"ready\n")
+            return HttpResponse(503, b"not ready\n")
+        return HttpResponse(200, b"ready\n")
 
     # --- news of the fleet ---
 
--- a/hazelbend/system/watch.py
+++ b/hazelbend/system/watch.py
@@ -78,7 +78,7 @@
             body = m.decode(frame)
         except msgspec.DecodeError as error:
             log.warning("watch: %s: no message: %s", self.address, error)
-            self.link.restart()
+            self.link.reconnect()
             return
         self.heard_at = self._now()
         match body:
--- a/hazelbend/system/watch_service.py
+++ b/hazelbend/system/watch_service.py
@@ -113,7 +113,7 @@
     def _send_owed_configs(self, config: StoredConfig) -> None:
         frame = m.encode(m.ConfigNews(config.version, config.body))
         for connection, watcher in list(self._watchers.items()):
-            if not watcher.owed or connection.unsent > UNSENT_BEFORE_CONFIG:
+            if not watcher.owed or connection.unsent_bytes > UNSENT_BEFORE_CONFIG:
                 continue
             watcher.owed = False
             if not connection.send(frame):
--- a/hazelbend/transport/http/asgi_server.py
+++ b/hazelbend/transport/http/asgi_server.py
@@ -1,4 +1,8 @@
-"""A listening address for HTTP by uvicorn, without uvicorn's handling of signals."""
+"""A small HTTP server at one address, by uvicorn, for calls that fit into memory.
+
+It does not take over the process's signals as uvicorn's own command does, and it wakes up only for its
+connections.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +15,16 @@
 
 import uvicorn
 
-BACKLOG = 512
-IDLE_S = 30
-STARTED_LOOK = 0.005  # seconds between looks at whether it serves
-CLOSE_WAIT = 1.0  # seconds that calls under way have at the end
+BACKLOG = 512  # connections that the kernel holds until they are accepted
+KEEP_ALIVE_TIMEOUT_S = 30
+STARTED_POLL_S = 0.005  # between two looks at whether uvicorn serves
+SHUTDOWN_TIMEOUT_S = 1.0  # that requests in flight have at the end
+PAYLOAD_TOO_LARGE = 413
 
 
 @dataclass(slots=True, frozen=True)
-class HttpCall:
-    """A request that has come whole."""
+class HttpRequest:
+    """A request that has been read completely."""
 
     method: str
     path: str
@@ -28,8 +33,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HttpAnswer:
-    """What is answered."""
+class HttpResponse:
+    """A response with its complete body. `headers` are added to the type and length of the content."""
 
     status: int
     body: bytes = b""
@@ -37,41 +42,38 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-Handler = Callable[[HttpCall], Awaitable[HttpAnswer]]
+RequestHandler = Callable[[HttpRequest], Awaitable[HttpResponse]]
+
 
+class _UvicornServer(uvicorn.Server):
+    """uvicorn without its handling of signals and without its timer."""
 
-class _Server(uvicorn.Server):
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self.ending = asyncio.Event()
+        self.stopping = asyncio.Event()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """The program handles its signals itself."""
+        """Install no handlers: the program handles its signals itself."""
         yield
 
     async def main_loop(self) -> None:
-        """Wait for the end. uvicorn's own looks ten times a second, for features that are not used here."""
-        await self.ending.wait()
+        """Wait for the end. uvicorn's own loop wakes up ten times a second, for features not used here."""
+        await self.stopping.wait()
 
 
 class AsgiServer:
-    """One address; `handler` answers every call."""
+    """Serves one address. `handler` answers each request whose body is no longer than `max_body_bytes`."""
 
-    def __init__(self, handler: Handler, largest_body: int) -> None:
-        self._handler, self._largest_body = handler, largest_body
-        self._server: _Server | None = None
+    def __init__(self, handler: RequestHandler, max_body_bytes: int) -> None:
+        self._handler = handler
+        self._max_body_bytes = max_body_bytes
+        self._server: _UvicornServer | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Serve at this address from now on. OSError: it can't be had."""
-        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        try:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listener.bind((host, port))
-        except OSError:
-            listener.close()
-            raise
+        """Serve from now on. Raises OSError where the address can't be bound."""
+        listener = _bound_socket(host, port)
         config = uvicorn.Config(
             self._serve,
             loop="none",
@@ -84,37 +86,59 @@
             server_header=False,
             date_header=False,
             backlog=BACKLOG,
-            timeout_keep_alive=IDLE_S,
-            timeout_graceful_shutdown=round(CLOSE_WAIT),
+            timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
+            timeout_graceful_shutdown=round(SHUTDOWN_TIMEOUT_S),
         )
-        self._server = _Server(config)
+        self._server = _UvicornServer(config)
         self._task = asyncio.create_task(self._server.serve(sockets=[listener]))
         while not self._server.started and not self._task.done():
-            await asyncio.sleep(STARTED_LOOK)
+            await asyncio.sleep(STARTED_POLL_S)
 
     async def close(self) -> None:
-        """No new connections; calls under way are answered."""
+        """Accept no more connections and let requests in flight finish."""
         if self._server is not None and self._task is not None:
             self._server.should_exit = True
-            self._server.ending.set()
-            await asyncio.wait([self._task], timeout=2 * CLOSE_WAIT)
+            self._server.stopping.set()
+            await asyncio.wait([self._task], timeout=2 * SHUTDOWN_TIMEOUT_S)
 
     async def _serve(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
+        """The ASGI application (https://asgi.readthedocs.io, "HTTP Connection Scope")."""
+        body = await self._read_body(receive)
+        if body is None:
+            return  # the client has disconnected
+        if len(body) > self._max_body_bytes:
+            response = HttpResponse(PAYLOAD_TOO_LARGE, b"the body is too large\n")
+        else:
+            headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in scope["headers"]}
+            response = await self._handler(HttpRequest(scope["method"], scope["path"], headers, body))
+        await _send_response(response, send)
+
+    async def _read_body(self, receive: Any) -> bytes | None:
+        """The body, or as much of it as shows that it is too long. None: the client has disconnected."""
         body = bytearray()
         while True:
             event = await receive()
             if event["type"] != "http.request":
-                return  # the caller has gone
+                return None
             body += event.get("body", b"")
-            if len(body) > self._largest_body or not event.get("more_body"):
-                break
-        if len(body) > self._largest_body:
-            answer = HttpAnswer(413, b"the body is too large\n")
-        else:
-            headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in scope["headers"]}
-            answer = await self._handler(HttpCall(scope["method"], scope["path"], headers, bytes(body)))
-        fields = {"content-type": answer.content_type, "content-length": str(len(answer.body))}
-        fields |= answer.headers
-        head = [(name.lower().encode(), value.encode("latin-1")) for name, value in fields.items()]
-        await send({"type": "http.response.start", "status": answer.status, "headers": head})
-        await send({"type": "http.response.body", "body": answer.body})
+            if len(body) > self._max_body_bytes or not event.get("more_body"):
+                return bytes(body)
+
+
+def _bound_socket(host: str, port: int) -> socket.socket:
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, port))
+    except OSError:
+        listener.close()
+        raise
+    return listener
+
+
+async def _send_response(response: HttpResponse, send: Any) -> None:
+    fields = {"content-type": response.content_type, "content-length": str(len(response.body))}
+    fields |= response.headers
+    headers = [(name.lower().encode(), value.encode("latin-1")) for name, value in fields.items()]
+    await send({"type": "http.response.start", "status": response.status, "headers": headers})
+    await send({"type": "http.response.body", "body": response.body})
--- a/hazelbend/transport/peer/frame_link.py
+++ b/hazelbend/transport/peer/frame_link.py
@@ -1,4 +1,10 @@
-"""Frames over TCP: a length of four bytes, then the content. Used inside the fleet, in `portRange`."""
+"""Length-prefixed frames over TCP, for the processes of the router fleet.
+
+A frame is a big-endian length of four bytes and then that many bytes of content. `FrameConnection` is one
+connection, `FrameLink` keeps a connection to one address and reconnects with backoff, `FrameServer` accepts
+connections. Delivery is not guaranteed: a frame may be dropped, and the users of this module have to cope
+with that.
+"""
 
 from __future__ import annotations
 
@@ -7,87 +13,96 @@
 import socket
 from collections.abc import Callable
 
-LENGTH = 4  # bytes
-LARGEST = 16 * 1024 * 1024  # bytes of a frame: a configuration of the largest size and its history
-UNSENT = 4 * 1024 * 1024  # bytes that may wait to be sent; more is dropped, as the other side does not read
-USER_TIMEOUT_MS = 1_200  # without a sign that bytes have arrived, the connection ends
-KEEPALIVE_S, KEEPALIVE_PROBES = 1, 2
-MOST_UNSENT = 16  # frames that wait for a connection
-CONNECT_WAIT = 0.5  # seconds
-FIRST_PAUSE, LONGEST_PAUSE = 0.05, 0.4  # seconds between two tries to connect
+LENGTH_PREFIX_BYTES = 4
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # enough for a configuration of the largest size and its history
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this the other side does not read, and frames are dropped
+MAX_PENDING_FRAMES = 16  # frames that wait while a connection is made
+USER_TIMEOUT_MS = 1_200  # the kernel ends a connection whose data is not acknowledged for so long
+KEEPALIVE_S = 1  # idle time before the first TCP keepalive, and the interval between two
+KEEPALIVE_PROBES = 2
+CONNECT_TIMEOUT_S = 0.5
+INITIAL_BACKOFF_S = 0.05  # between two attempts to connect
+MAX_BACKOFF_S = 0.4
+BACKOFF_FACTOR = 2
 
 
 class FrameConnection(asyncio.Protocol):
-    """One connection. `hear` gets each frame, `closed` is called once at its end."""
+    """One TCP connection that carries frames in both directions.
+
+    `on_frame` gets the content of each frame. `on_open` and `on_close` are called once each.
+    """
 
     def __init__(
         self,
-        hear: Callable[[FrameConnection, bytes], None],
-        opened: Callable[[FrameConnection], None],
-        closed: Callable[[FrameConnection], None],
+        on_frame: Callable[[FrameConnection, bytes], None],
+        on_open: Callable[[FrameConnection], None],
+        on_close: Callable[[FrameConnection], None],
     ) -> None:
-        self._hear, self._opened, self._closed = hear, opened, closed
+        self._on_frame = on_frame
+        self._on_open = on_open
+        self._on_close = on_close
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self.heard_at = 0.0  # loop time
-        self.peer = ""  # the other side's IP address
+        self.peer_ip = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is there."""
+        """Set the socket's options and report the open connection; called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.heard_at = asyncio.get_running_loop().time()
-        self.peer = transport.get_extra_info("peername")[0]
-        _bound_silence(transport.get_extra_info("socket"))
-        self._opened(self)
+        self.peer_ip = transport.get_extra_info("peername")[0]
+        _set_socket_options(transport.get_extra_info("socket"))
+        self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
-        self.heard_at = asyncio.get_running_loop().time()
+        """Pass on each frame that is complete; called by asyncio. A frame that is too large ends the
+        connection."""
         self._buffer += data
-        while len(self._buffer) >= LENGTH:
-            length = int.from_bytes(self._buffer[:LENGTH], "big")
-            if length > LARGEST:
+        while len(self._buffer) >= LENGTH_PREFIX_BYTES:
+            length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
+            if length > MAX_FRAME_BYTES:
                 self.close()
                 return
-            if len(self._buffer) < LENGTH + length:
+            end = LENGTH_PREFIX_BYTES + length
+            if len(self._buffer) < end:
                 return
-            frame = bytes(self._buffer[LENGTH : LENGTH + length])
-            del self._buffer[: LENGTH + length]
-            self._hear(self, frame)
+            content = bytes(self._buffer[LENGTH_PREFIX_BYTES:end])
+            del self._buffer[:end]
+            self._on_frame(self, content)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone."""
+        """Report the end of the connection; called by asyncio."""
         self._transport = None
-        self._closed(self)
+        self._on_close(self)
 
     @property
     def is_open(self) -> bool:
         """Whether frames may be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
+    @property
+    def unsent_bytes(self) -> int:
+        """Bytes that the kernel has not taken yet."""
+        return self._transport.get_write_buffer_size() if self._transport is not None else 0
+
     def send(self, content: bytes) -> bool:
-        """Hand a frame to the kernel, or drop it: False."""
+        """Send one frame. False: it was dropped, as the connection is closed or the peer reads too slowly."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
-        if transport.get_write_buffer_size() > UNSENT:
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             return False
-        transport.write(len(content).to_bytes(LENGTH, "big") + content)
+        transport.write(len(content).to_bytes(LENGTH_PREFIX_BYTES, "big") + content)
         return True
 
-    @property
-    def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
-        return self._transport.get_write_buffer_size() if self._transport is not None else 0
-
     def close(self) -> None:
-        """End it at once: the other side may be silent."""
+        """Abort the connection. It is not flushed: the other side may not read any more."""
         if self._transport is not None:
             self._transport.abort()
 
 
-def _bound_silence(sock: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
+    """Send without delay, and detect a dead peer within some seconds. Options that the platform lacks are
+    left out."""
     for level, option, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -101,119 +116,127 @@
 
 
 class FrameLink:
-    """A connection to one address that is made again whenever it ends."""
+    """A connection to one address that is made again whenever it ends, until `close`.
+
+    `on_open` and `on_close` are called once for each connection that was made.
+    """
 
     def __init__(
         self,
         address: str,
-        hear: Callable[[bytes], None],
-        opened: Callable[[], None] = lambda: None,
-        closed: Callable[[], None] = lambda: None,
+        on_frame: Callable[[bytes], None],
+        on_open: Callable[[], None] = lambda: None,
+        on_close: Callable[[], None] = lambda: None,
     ) -> None:
         self.address = address
-        self._hear, self._opened, self._closed = hear, opened, closed
+        self._on_frame = on_frame
+        self._on_open = on_open
+        self._on_close = on_close
         self._connection: FrameConnection | None = None
         self._connecting = True
-        self._ended = asyncio.Event()
-        self._unsent: list[bytes] = []  # while it is being connected
-        self._task = asyncio.create_task(self._keep())
+        self._disconnected = asyncio.Event()
+        self._pending_frames: list[bytes] = []  # to be sent once it is connected
+        self._task = asyncio.create_task(self._stay_connected())
 
     @property
     def is_open(self) -> bool:
         """Whether it is connected."""
         return self._connection is not None and self._connection.is_open
 
-    @property
-    def heard_at(self) -> float:
-        """Loop time at which the other side was last heard; 0 while there is no connection."""
-        return self._connection.heard_at if self._connection is not None else 0.0
-
     def send(self, content: bytes) -> bool:
-        """Send a frame. While a connection is being made a few may wait; else it is lost: False."""
+        """Send one frame, or keep it while the connection is being made. False: it was dropped."""
         if self._connection is not None:
             return self._connection.send(content)
-        if self._connecting and len(self._unsent) < MOST_UNSENT:
-            self._unsent.append(content)
+        if self._connecting and len(self._pending_frames) < MAX_PENDING_FRAMES:
+            self._pending_frames.append(content)
             return True
         return False
 
-    def restart(self) -> None:
-        """The other side is silent: end the connection and make another."""
+    def reconnect(self) -> None:
+        """End the present connection, for example because the peer is silent; another one is made."""
         if self._connection is not None:
             self._connection.close()
 
-    async def _keep(self) -> None:
-        host, _, port = self.address.rpartition(":")
-        loop = asyncio.get_running_loop()
-        pause = FIRST_PAUSE
+    async def close(self) -> None:
+        """End the link for good."""
+        self._task.cancel()
+        with contextlib.suppress(asyncio.CancelledError):
+            await self._task
+        self.reconnect()
+
+    async def _stay_connected(self) -> None:
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            self._ended.clear()
+            self._disconnected.clear()
             self._connecting = True
             try:
-                async with asyncio.timeout(CONNECT_WAIT):
-                    _, connection = await loop.create_connection(
-                        lambda: FrameConnection(self._heard, self._up, self._down), host, int(port)
-                    )
+                connection = await self._connect()
             except (OSError, TimeoutError):
                 self._connecting = False
-                self._unsent.clear()
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, LONGEST_PAUSE)
+                self._pending_frames.clear()
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(backoff_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
                 continue
-            pause = FIRST_PAUSE
+            backoff_s = INITIAL_BACKOFF_S
             if connection.is_open:
-                await self._ended.wait()
-            await asyncio.sleep(pause)
+                await self._disconnected.wait()
+            await asyncio.sleep(backoff_s)
 
-    def _heard(self, connection: FrameConnection, frame: bytes) -> None:
-        self._hear(frame)
-
-    def _up(self, connection: FrameConnection) -> None:
-        self._connection, self._connecting = connection, False
-        self._opened()
-        for content in self._unsent:
+    async def _connect(self) -> FrameConnection:
+        """Raises OSError or TimeoutError."""
+        host, _, port = self.address.rpartition(":")
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: FrameConnection(self._frame_received, self._connected, self._connection_lost),
+                host,
+                int(port),
+            )
+        return connection
+
+    def _frame_received(self, connection: FrameConnection, content: bytes) -> None:
+        self._on_frame(content)
+
+    def _connected(self, connection: FrameConnection) -> None:
+        self._connection = connection
+        self._connecting = False
+        self._on_open()
+        for content in self._pending_frames:
             connection.send(content)
-        self._unsent.clear()
+        self._pending_frames.clear()
 
-    def _down(self, connection: FrameConnection) -> None:
+    def _connection_lost(self, connection: FrameConnection) -> None:
         if self._connection is connection:
             self._connection = None
-        self._ended.set()
-        self._closed()
-
-    async def close(self) -> None:
-        """End it for good."""
-        self._task.cancel()
-        with contextlib.suppress(asyncio.CancelledError):
-            await self._task
-        self.restart()
+        self._disconnected.set()
+        self._on_close()
 
 
 class FrameServer:
-    """Accepts connections at one address."""
+    """Accepts connections at one address. `on_close` is called once for each connection that has ended."""
 
     def __init__(
         self,
-        hear: Callable[[FrameConnection, bytes], None],
-        closed: Callable[[FrameConnection], None],
+        on_frame: Callable[[FrameConnection, bytes], None],
+        on_close: Callable[[FrameConnection], None],
     ) -> None:
-        self._hear, self._closed = hear, closed
+        self._on_frame = on_frame
+        self._on_close = on_close
         self._server: asyncio.Server | None = None
         self.connections: set[FrameConnection] = set()
 
     async def listen(self, host: str, port: int) -> None:
-        """At this address."""
+        """Accept connections from now on. Raises OSError where the address can't be bound."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: FrameConnection(self._hear, self.connections.add, self._gone), host, port
+            lambda: FrameConnection(self._on_frame, self.connections.add, self._connection_lost), host, port
         )
 
-    def _gone(self, connection: FrameConnection) -> None:
-        self.connections.discard(connection)
-        self._closed(connection)
-
     async def close(self) -> None:
-        """No new connections, and the end of those that are open."""
+        """Accept no more connections and abort those that are open."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.close()
+
+    def _connection_lost(self, connection: FrameConnection) -> None:
+        self.connections.discard(connection)
+        self._on_close(connection)
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -20,7 +20,7 @@
 from hazelbend.control.outputs import ControlPlan
 from hazelbend.forwarding.ports import BrokenError, ClientReply, ClientRequest, NotSentError, WorkerCall
 from hazelbend.system.watch_service import WatchService
-from hazelbend.transport.http.asgi_server import AsgiServer, HttpAnswer, HttpCall
+from hazelbend.transport.http.asgi_server import AsgiServer, HttpRequest, HttpResponse
 from hazelbend.transport.http.request_listener import RequestListener
 from hazelbend.transport.http.worker_client import HttpWorkerClient
 from hazelbend.transport.peer.frame_link import FrameConnection, FrameLink, FrameServer
@@ -204,11 +204,11 @@
     """A watch's connection whose other side reads when the test says so."""
 
     def __init__(self) -> None:
-        self.unsent, self.sent = 0, []
+        self.unsent_bytes, self.sent = 0, []
 
     def send(self, frame: bytes) -> bool:
         self.sent.append(control_messages.decode(frame))
-        self.unsent += len(frame)
+        self.unsent_bytes += len(frame)
         return True
 
     def close(self) -> None:
@@ -228,22 +228,22 @@
     agreement, router = ControlInForce(), SlowRouter()
     service = WatchService(agreement, None)
     service.watch(router, control_messages.Watch("r", 1))
-    router.unsent, router.sent = 0, []
+    router.unsent_bytes, router.sent = 0, []
     for version in range(2, 40):
         agreement.config = StoredConfig(version, b"x" * 100_000)
         service.config_changed(agreement.config)
     assert [body.version for body in router.sent] == [2]
-    router.unsent = 0
+    router.unsent_bytes = 0
     service._send_owed_configs(agreement.config)
     service._send_owed_configs(agreement.config)
     assert [body.version for body in router.sent] == [2, 39]
 
 
 async def test_calls_are_answered_and_bodies_are_bounded():
-    async def answer(call: HttpCall) -> HttpAnswer:
-        return HttpAnswer(200, call.body + call.headers["x-a"].encode(), headers={"X-B": "c"})
+    async def answer(call: HttpRequest) -> HttpResponse:
+        return HttpResponse(200, call.body + call.headers["x-a"].encode(), headers={"X-B": "c"})
 
-    server = AsgiServer(answer, largest_body=10)
+    server = AsgiServer(answer, max_body_bytes=10)
     await server.listen(HOST, 0)
     port = server._server.servers[0].sockets[0].getsockname()[1]
     whole = await exchange(port, b"POST /p HTTP/1.1\r\nHost: h\r\nX-A: z\r\nContent-Length: 2\r\n\r\nab")
