--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import ast
 import asyncio
 import contextlib
 import io
@@ -18,6 +19,7 @@
 from collections.abc import Callable
 from dataclasses import fields, is_dataclass
 from enum import Enum
+from functools import cache
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -598,6 +600,29 @@
     return "".join(line.decode() for line in lines)
 
 
+WORDS = {  # literals of the program that others read, by how they look
+    "heads": re.compile(r"[A-Z][A-Z0-9]+( [A-Z0-9]+)*"),  # columns of tables, commands and methods
+    "fields": re.compile(r"[A-Z][A-Za-z]*(-[A-Z][A-Za-z]+)+"),  # of HTTP
+    "paths": re.compile(r"/[a-z][a-z/]*"),
+    "metrics": re.compile(r"hazelbend_\w*"),
+    "variables": re.compile(r"(HAZELBEND|RELAY)_\w*"),
+    "figures": re.compile(r"(names|waiting|fleet|relay)\.\w*"),
+}
+
+
+@cache
+def words() -> dict[str, list[str]]:
+    """The literals of the program that look like each kind."""
+    found: dict[str, set[str]] = {kind: set() for kind in WORDS}
+    for path in Path(hazelbend.__file__).parent.rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.Constant) and isinstance(node.value, str):
+                for kind, pattern in WORDS.items():
+                    if pattern.fullmatch(node.value):
+                        found[kind].add(node.value)
+    return {kind: sorted(each) for kind, each in found.items()}
+
+
 TEXTS: dict[str, Callable[[], str]] = {
     "metrics.txt": metrics_text,
     "snmp.json": snmp_values,
@@ -621,6 +646,7 @@
     SHOWN.mkdir(parents=True, exist_ok=True)
     for name, make in TEXTS.items():
         (SHOWN / name).write_text(make())
+    (kit.GOLDEN / "words.json").write_text(as_lines(words()))
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_shown.py
+++ b/tests/test_golden_shown.py
@@ -6,6 +6,9 @@
 
 from __future__ import annotations
 
+import json
+
+import golden_kit
 import golden_shown
 import pytest
 
@@ -17,3 +20,10 @@
 
 def test_each_file_has_a_text() -> None:
     assert sorted(each.name for each in golden_shown.SHOWN.iterdir()) == sorted(golden_shown.TEXTS)
+
+
+@pytest.mark.parametrize("kind", golden_shown.WORDS)
+def test_no_word_that_others_read_has_gone(kind: str) -> None:
+    """Column heads, header fields, paths, metrics, variables and figures; new ones may come."""
+    golden = json.loads((golden_kit.GOLDEN / "words.json").read_text())
+    assert sorted(set(golden[kind]) - set(golden_shown.words()[kind])) == []
