--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -7,7 +7,7 @@
 
 from hazelbend.consensus.identity import address_of
 from hazelbend.control import messages as m
-from hazelbend.control.load_table import RouterLoad
+from hazelbend.control.load_table import CacheTable, RouterLoad
 from hazelbend.control.outputs import ControlPlan
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.system.agreement import Agreement
@@ -15,7 +15,8 @@
 from hazelbend.system.control_api import ControlApi
 from hazelbend.system.phase_orders import PhaseOrders
 from hazelbend.system.settings import Settings, split_address
-from hazelbend.system.watch_service import WatchService
+from hazelbend.system.soft_state_saver import SoftStateSaver
+from hazelbend.system.update_publisher import UpdatePublisher
 from hazelbend.transport.http.asgi_server import AsgiServer
 from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
 from hazelbend.transport.storage.control_store import ControlStore
@@ -44,11 +45,16 @@
         self._agreement = Agreement(
             plan,
             ControlStore(folder) if folder is not None else None,
-            lambda config: self._watches.config_changed(config),
+            lambda config: self._publisher.publish_config(config),
             self._workers_changed,
         )
-        self._watches = WatchService(self._agreement, folder / SOFT_STATE if folder is not None else None)
-        self._orders = PhaseOrders(self._agreement, self._watches.loads.totals, self._watches.send_fleet_news)
+        caches = CacheTable()
+        soft_state = folder / SOFT_STATE if folder is not None else None
+        self._soft_state = SoftStateSaver(self._agreement, caches, soft_state)
+        self._publisher = UpdatePublisher(self._agreement, caches)
+        self._orders = PhaseOrders(
+            self._agreement, self._publisher.loads.totals, self._publisher.publish_fleet_status
+        )
         self._api = AsgiServer(ControlApi(settings, self._agreement).answer, LARGEST_CALL)
         self._server = FrameServer(self._hear, self._gone)
         self._senders: dict[FrameConnection, str] = {}  # addresses of control processes
@@ -58,7 +64,9 @@
         await self._agreement.restore()
         await self._server.listen(*split_address(self._settings.control_peer))
         await self._api.listen(*split_address(self._settings.control))
-        await self._watches.start()
+        await self._soft_state.restore()
+        self._publisher.start()
+        self._soft_state.start()
         self._orders.start()
         self._agreement.pump()
 
@@ -67,7 +75,8 @@
         self._orders.close()
         await self._agreement.hand_over()
         await self._api.close()
-        self._watches.close()
+        self._publisher.close()
+        self._soft_state.close()
         await self._agreement.close()
         await self._server.close()
 
@@ -76,7 +85,7 @@
         self._agreement.engine.seeds_changed(settings.seed_peers, clock())
 
     def _workers_changed(self, records: list[WorkerRecord]) -> None:
-        self._watches.workers_changed(records)
+        self._publisher.publish_workers(records)
         self._orders.workers_changed()
 
     def _hear(self, connection: FrameConnection, frame: bytes) -> None:
@@ -88,12 +97,12 @@
             return
         match body:
             case m.Watch():
-                self._watches.watch(connection, body)
+                self._publisher.subscribe(connection, body)
             case m.Ping():
                 pong = msgspec.structs.replace(self._agreement.confirmation(), sent_at=body.sent_at)
                 connection.send(m.encode(pong))
             case RouterLoad():
-                self._watches.take_load(connection, body)
+                self._publisher.merge_router_load(connection, body)
             case m.Hello():
                 sender = self._senders.setdefault(connection, address_of(body.identity))
                 self._agreement.receive(sender, body)
@@ -102,4 +111,4 @@
 
     def _gone(self, connection: FrameConnection) -> None:
         self._senders.pop(connection, None)
-        self._watches.gone(connection)
+        self._publisher.connection_closed(connection)
--- /dev/null
+++ b/hazelbend/system/control_subscriptions.py
@@ -0,0 +1,273 @@
+"""A router's subscriptions to control processes, over which all updates on the fleet come.
+
+A router subscribes to `SUBSCRIPTIONS` control processes at a time, so that the loss of one loses no update.
+Loads are reported and received over one of them, the primary. A subscription is replaced, by one to another
+control process, when it is rejected, silent, or cut off from the majority.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Protocol
+
+import msgspec
+import picologging
+
+from hazelbend.control import messages as m
+from hazelbend.control.load_table import LoadNews
+from hazelbend.transport.peer.frame_link import FrameLink
+
+log = picologging.getLogger("hazelbend.watch")
+
+SUBSCRIPTIONS = 2  # control processes that a router is subscribed to
+CHECK_PERIOD_S = 0.2  # between two checks of the subscriptions
+PING_PERIOD_S = 0.4
+REJECTED_WITHIN_S = 0.1  # a connection that ends so soon after its beginning was rejected
+SILENCE_TIMEOUT_S = 1.3  # without a message, after which a subscription is replaced
+UNCONFIRMED_TIMEOUT_S = 1.5  # without a majority's confirmation, after which a subscription is replaced
+CACHE_STATE_TTL_S = 5.0  # without an open subscription, after which all cache contents are requested anew
+MICROSECONDS = 1e6  # in a second
+
+
+class UpdateHandler(Protocol):
+    """Receives the updates of all subscriptions. The same update may come more than once."""
+
+    def config_version(self) -> int:
+        """The version of the configuration that is in force here; 0 where there is none."""
+
+    def apply_config(self, update: m.ConfigNews) -> None:
+        """A configuration is in force."""
+
+    def apply_workers(self, update: m.WorkerNews) -> None:
+        """Workers have changed."""
+
+    def apply_fleet_status(self, update: m.FleetNews) -> None:
+        """The periodic update on control processes, routers and silent workers."""
+
+    def apply_loads(self, update: LoadNews) -> None:
+        """The requests that other routers have in flight, and new cache contents."""
+
+    def config_confirmed(self, version: int, at_s: float) -> None:
+        """A majority has confirmed that no configuration was newer than this version at this loop time."""
+
+
+class ControlSubscription:
+    """One connection to one control process, and what is known of it. Times are loop times in seconds."""
+
+    def __init__(
+        self,
+        address: str,
+        handler: UpdateHandler,
+        on_open: Callable[[ControlSubscription], None],
+        now: Callable[[], float],
+    ) -> None:
+        self.address = address
+        self.created_at = now()
+        self.last_received_at = self.created_at
+        self.confirmed_at = self.created_at  # a majority confirmed then that its updates were the newest
+        self.last_ping_at = 0.0
+        self.carries_loads = False  # loads are reported and received over this one
+        self.has_sent_caches = False  # all cache contents have been received over this one
+        self.rejected = False
+        self._handler = handler
+        self._on_open = on_open
+        self._now = now
+        self._opened_at = 0.0
+        self._link = FrameLink(address, self._frame_received, self._opened, self._closed)
+
+    @property
+    def is_open(self) -> bool:
+        """Whether it is connected."""
+        return self._link.is_open
+
+    def send(self, frame: bytes) -> None:
+        """Send an encoded message, or drop it."""
+        self._link.send(frame)
+
+    def subscribe(self, router: str, *, loads: bool, caches: bool) -> None:
+        """Ask for all updates from now on. `loads`, `caches`: whether those of that kind are wanted too."""
+        self.carries_loads = loads
+        self._link.send(m.encode(m.Watch(router, self._handler.config_version(), loads, caches)))
+        self.ping()
+
+    def ping(self) -> None:
+        """Ask for a sign of life, and for the age of the majority's confirmation."""
+        self.last_ping_at = self._now()
+        self._link.send(m.encode(m.Ping(round(self.last_ping_at * MICROSECONDS))))
+
+    async def close(self) -> None:
+        """End the connection for good."""
+        await self._link.close()
+
+    def _opened(self) -> None:
+        self._opened_at = self._now()
+        self._on_open(self)
+
+    def _closed(self) -> None:
+        self.rejected = self._now() - self._opened_at < REJECTED_WITHIN_S
+
+    def _frame_received(self, frame: bytes) -> None:
+        try:
+            body = m.decode(frame)
+        except msgspec.DecodeError as error:
+            log.warning("subscription: %s: undecodable message, reconnecting: %s", self.address, error)
+            self._link.reconnect()
+            return
+        self.last_received_at = self._now()
+        match body:
+            case m.ConfigNews():
+                self._handler.apply_config(body)
+            case m.WorkerNews():
+                self._handler.apply_workers(body)
+            case m.FleetNews():
+                self._handler.apply_fleet_status(body)
+            case m.Pong():
+                self._pong_received(body)
+            case LoadNews() if self.carries_loads:
+                self._handler.apply_loads(body)
+            case LoadNews():
+                # The loads are changes to what the primary has sent; cache contents stand by themselves.
+                self._handler.apply_loads(LoadNews({}, body.cached))
+            case m.CacheNews():
+                self._caches_received(body)
+
+    def _caches_received(self, update: m.CacheNews) -> None:
+        try:
+            cached = update.cached()
+        except msgspec.DecodeError as error:
+            log.warning("subscription: %s: undecodable cache contents: %s", self.address, error)
+            return
+        self.has_sent_caches = True
+        self._handler.apply_loads(LoadNews({}, cached))
+
+    def _pong_received(self, pong: m.Pong) -> None:
+        if pong.confirmed_age is None:
+            return
+        # The pong was made after the ping was sent, so by this clock the confirmation is at least as new.
+        confirmed_at = (pong.sent_at - pong.confirmed_age) / MICROSECONDS
+        self.confirmed_at = max(self.confirmed_at, confirmed_at)
+        self._handler.config_confirmed(pong.version, confirmed_at)
+
+
+class ControlSubscriptions:
+    """Keeps `SUBSCRIPTIONS` subscriptions to control processes that answer."""
+
+    def __init__(self, router: str, seeds: tuple[str, ...], handler: UpdateHandler, seed: int) -> None:
+        self.seeds = seeds  # addresses of control processes from the settings
+        self._router = router
+        self._handler = handler
+        self._random = random.Random(seed)
+        self._alive: tuple[str, ...] = ()  # addresses that control processes have reported as alive
+        self._subscriptions: dict[str, ControlSubscription] = {}  # by address
+        self._failed_at: dict[str, float] = {}  # by address
+        self._caches_known_at: float | None = None  # when all cache contents were last known here
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Subscribe."""
+        self._task = asyncio.create_task(self._maintain_regularly())
+
+    async def close(self) -> None:
+        """End all subscriptions."""
+        if self._task is not None:
+            self._task.cancel()
+        for subscription in self._subscriptions.values():
+            await subscription.close()
+
+    def set_alive(self, addresses: tuple[str, ...]) -> None:
+        """These control processes are alive."""
+        self._alive = addresses
+
+    def send(self, body: m.Body) -> None:
+        """Send a message to the primary's control process, which forwards it to the others."""
+        frame = m.encode(body)
+        primary = self._primary()
+        if primary is not None:
+            primary.send(frame)
+
+    def _open_subscriptions(self) -> list[ControlSubscription]:
+        return [subscription for subscription in self._subscriptions.values() if subscription.is_open]
+
+    def _primary(self) -> ControlSubscription | None:
+        """The oldest open one."""
+        return min(self._open_subscriptions(), key=lambda subscription: subscription.created_at, default=None)
+
+    # --- cache contents ---
+
+    def _caches_known(self, now: float) -> bool:
+        """Whether this router has received all cache contents, and hardly a change to them can be missing."""
+        return self._caches_known_at is not None and now - self._caches_known_at <= CACHE_STATE_TTL_S
+
+    def _note_caches_known(self, now: float) -> None:
+        """Once received, cache contents stay known as long as any subscription brings their changes."""
+        open_ones = self._open_subscriptions()
+        received = any(subscription.has_sent_caches for subscription in open_ones)
+        if received or (open_ones and self._caches_known(now)):
+            self._caches_known_at = now
+
+    # --- upkeep ---
+
+    async def _maintain_regularly(self) -> None:
+        while True:
+            await self._maintain(asyncio.get_running_loop().time())
+            await asyncio.sleep(CHECK_PERIOD_S)
+
+    async def _maintain(self, now: float) -> None:
+        self._note_caches_known(now)
+        unconfirmed = self._unconfirmed(now)
+        for subscription in list(self._subscriptions.values()):
+            silent = now - subscription.last_received_at > SILENCE_TIMEOUT_S
+            if subscription.rejected or silent or subscription is unconfirmed:
+                await self._drop(subscription, now)
+            elif now - subscription.last_ping_at > PING_PERIOD_S:
+                self._ping(subscription)
+        self._add_missing()
+
+    async def _drop(self, subscription: ControlSubscription, now: float) -> None:
+        del self._subscriptions[subscription.address]
+        self._failed_at[subscription.address] = now
+        await subscription.close()
+
+    def _ping(self, subscription: ControlSubscription) -> None:
+        subscription.ping()
+        is_primary = subscription is self._primary()
+        if subscription.carries_loads != is_primary:
+            self._subscribe(subscription)
+
+    def _subscribe(self, subscription: ControlSubscription) -> None:
+        """At each connection, and again when the primary has changed."""
+        is_primary = subscription is self._primary()
+        # Cache contents are by far the largest update: they are asked for only where they are not known.
+        caches = is_primary and not self._caches_known(asyncio.get_running_loop().time())
+        subscription.subscribe(self._router, loads=is_primary, caches=caches)
+
+    def _add_missing(self) -> None:
+        candidates = [
+            address for address in {*self.seeds, *self._alive} if address not in self._subscriptions
+        ]
+        self._random.shuffle(candidates)
+        # The longest ago failed (or never) first, and among equals those that are reported as alive.
+        candidates.sort(
+            key=lambda address: (self._failed_at.get(address, 0.0), address not in self._alive),
+        )
+        now = asyncio.get_running_loop().time
+        for address in candidates[: SUBSCRIPTIONS - len(self._subscriptions)]:
+            self._subscriptions[address] = ControlSubscription(address, self._handler, self._subscribe, now)
+
+    def _unconfirmed(self, now: float) -> ControlSubscription | None:
+        """One to be replaced, as no majority confirms the updates of its control process.
+
+        Where this is so for all of them the primary stays: stale updates are better than none.
+        """
+        stale = [
+            subscription
+            for subscription in self._subscriptions.values()
+            if now - subscription.confirmed_at > UNCONFIRMED_TIMEOUT_S
+        ]
+        if not set(self._alive) - set(self._subscriptions):
+            return None
+        if len(stale) == len(self._subscriptions):
+            stale = [subscription for subscription in stale if subscription is not self._primary()]
+        return stale[0] if stale else None
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -18,8 +18,8 @@
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.routes import decode_route_table
 from hazelbend.system.clock import clock
+from hazelbend.system.control_subscriptions import ControlSubscriptions
 from hazelbend.system.settings import Settings, split_address
-from hazelbend.system.watch import Watches
 from hazelbend.transport.http.asgi_server import AsgiServer, HttpRequest, HttpResponse
 from hazelbend.transport.http.request_listener import RequestListener
 from hazelbend.transport.http.worker_client import HttpWorkerClient
@@ -35,7 +35,7 @@
 
 
 class RouterDaemon:
-    """Everything that runs in a router process. Implements `watch.News`."""
+    """Everything that runs in a router process. Implements `UpdateHandler`."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -48,7 +48,7 @@
         self._listener: RequestListener
         self._connections = half
         self._readiness = AsgiServer(self._ready, SMALL_BODY)
-        self._watches = Watches(settings.node, settings.seed_peers, self, seed)
+        self._subscriptions = ControlSubscriptions(settings.node, settings.seed_peers, self, seed)
         self._seed = seed
         self._confirmed_at = 0  # when the configuration was surely the newest, by this process's clock
         self._state.has_current_config = lambda: clock() - self._confirmed_at < self._settings.config_apply
@@ -65,7 +65,7 @@
         self._client = HttpWorkerClient(self._connections)
         self._forwarder = Forwarder(self._state, self._client, clock, self._new_budget, self._seed)
         self._listener = RequestListener(self._forwarder.serve, clock, self._connections)
-        self._watches.start()
+        self._subscriptions.start()
         await self._listener.listen(*split_address(self._settings.http))
         await self._readiness.listen(*split_address(self._settings.readiness))
         log.info("router: %s serves at %s", self._settings.node, self._settings.http)
@@ -81,7 +81,7 @@
         while self._forwarder.in_flight and loop.time() < end:
             await asyncio.sleep(CLOSE_LOOK)
         await self._listener.close()
-        await self._watches.close()
+        await self._subscriptions.close()
         await self._readiness.close()
         await self._forwarder.close()
         await self._client.close()
@@ -89,7 +89,7 @@
     def reload(self, settings: Settings) -> None:
         """The settings file has changed: the seeds may be others."""
         self._settings = settings
-        self._watches.seeds = settings.seed_peers
+        self._subscriptions.seeds = settings.seed_peers
 
     def _new_budget(self) -> RetryBudget:
         settings = self._settings
@@ -108,49 +108,49 @@
 
     # --- news of the fleet ---
 
-    def version(self) -> int:
-        """See `watch.News`."""
+    def config_version(self) -> int:
+        """See `UpdateHandler`."""
         return self._state.route_table.configuration.version if self._state.route_table is not None else 0
 
-    def config(self, news: m.ConfigNews) -> None:
-        """See `watch.News`."""
-        if news.version <= self.version():
+    def apply_config(self, update: m.ConfigNews) -> None:
+        """See `UpdateHandler`."""
+        if update.version <= self.config_version():
             return
         try:
-            table = decode_route_table(zlib.decompress(news.body))
+            table = decode_route_table(zlib.decompress(update.body))
         except (msgspec.DecodeError, zlib.error) as error:
-            log.error("router: configuration %d can't be read: %s", news.version, error)
+            log.error("router: configuration %d can't be read: %s", update.version, error)
             return
         if self._state.apply_configuration(table):
             limits = table.configuration.limits
             self._listener.largest_body = limits.max_body_bytes
             self._listener.largest_head = limits.max_header_bytes
             self._listener.request_wait = limits.header_timeout_ms / 1_000
-            log.info("router: configuration %d is in force", news.version)
+            log.info("router: configuration %d is in force", update.version)
 
-    def workers(self, news: m.WorkerNews) -> None:
-        """See `watch.News`."""
-        for record in news.records:
+    def apply_workers(self, update: m.WorkerNews) -> None:
+        """See `UpdateHandler`."""
+        for record in update.records:
             self._placement.merge(record)
 
-    def fleet(self, news: m.FleetNews) -> None:
-        """See `watch.News`."""
-        self._watches.learn(news.controls)
-        self._state.max_routers = max(self._state.max_routers, news.routers)
-        self._placement.set_switching(set(news.switching))
-        self._placement.update_silence(news.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat)
+    def apply_fleet_status(self, update: m.FleetNews) -> None:
+        """See `UpdateHandler`."""
+        self._subscriptions.set_alive(update.controls)
+        self._state.max_routers = max(self._state.max_routers, update.routers)
+        self._placement.set_switching(set(update.switching))
+        self._placement.update_silence(update.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat)
         self._load_changed()  # told again now and then, as words may be lost
 
-    def confirmed(self, version: int, at: float) -> None:
-        """See `watch.News`."""
-        if self.version() >= version:
-            self._confirmed_at = max(self._confirmed_at, round(at * 1e6))
+    def config_confirmed(self, version: int, at_s: float) -> None:
+        """See `UpdateHandler`."""
+        if self.config_version() >= version:
+            self._confirmed_at = max(self._confirmed_at, round(at_s * 1e6))
 
-    def loads(self, news: LoadNews) -> None:
-        """See `watch.News`."""
-        self._others.take(news)
-        self._placement.apply_load_report(self._others.loads, news.cached, clock())
-        self._placement.apply_peer_outcomes(news.outcomes, clock())
+    def apply_loads(self, update: LoadNews) -> None:
+        """See `UpdateHandler`."""
+        self._others.take(update)
+        self._placement.apply_load_report(self._others.loads, update.cached, clock())
+        self._placement.apply_peer_outcomes(update.outcomes, clock())
 
     def _load_changed(self) -> None:
         if self._load_timer is None:
@@ -163,7 +163,7 @@
         cached, self._placement.newly_cached = tuple(self._placement.newly_cached), []
         loads = self._placement.own_loads(clock())
         outcomes = self._placement.take_outcomes()
-        self._watches.send(RouterLoad(self._settings.node, self._load_seq, loads, cached, outcomes))
+        self._subscriptions.send(RouterLoad(self._settings.node, self._load_seq, loads, cached, outcomes))
 
 
 def _log_suspicion(record: WorkerRecord, suspect: bool) -> None:
--- /dev/null
+++ b/hazelbend/system/soft_state_saver.py
@@ -0,0 +1,78 @@
+"""Saves what a control process would rather not lose in a restart: workers, cache contents, router count.
+
+This is soft state: it is written every so often, may be older than the log, and the process starts without it
+too.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import msgspec
+import picologging
+
+from hazelbend.control import messages as m
+from hazelbend.control.load_table import CacheTable
+from hazelbend.system.agreement import Agreement
+from hazelbend.system.clock import clock
+from hazelbend.transport.storage.soft_state_file import read_soft_state, write_soft_state
+
+log = picologging.getLogger("hazelbend.control")
+
+SAVE_PERIOD_S = 1.5
+
+
+class SoftStateSaver:
+    """Restores the soft state from a file, then writes the file when the state has changed.
+
+    Without a path it does nothing.
+    """
+
+    def __init__(self, agreement: Agreement, caches: CacheTable, path: Path | None) -> None:
+        self._agreement = agreement
+        self._caches = caches
+        self._path = path
+        self._saved_content = b""
+        self._task: asyncio.Task[None] | None = None
+
+    async def restore(self) -> None:
+        """Give the engine and the cache table what the file holds; a damaged file is ignored."""
+        if self._path is None:
+            return
+        content = await asyncio.to_thread(read_soft_state, self._path)
+        if content is None:
+            return
+        try:
+            state = m.decode_soft_state(content)
+        except msgspec.DecodeError as error:
+            log.warning("control: soft state: ignored, undecodable: %s", error)
+            return
+        engine = self._agreement.engine
+        engine.restore_workers(state.workers, clock())
+        engine.most_routers = max(state.routers, 1)
+        self._caches.add(state.cached)
+
+    def start(self) -> None:
+        """Save from now on."""
+        if self._path is not None:
+            self._task = asyncio.create_task(self._save_regularly(self._path))
+
+    def close(self) -> None:
+        """Save no more."""
+        if self._task is not None:
+            self._task.cancel()
+
+    async def _save_regularly(self, path: Path) -> None:
+        while True:
+            await asyncio.sleep(SAVE_PERIOD_S)
+            engine = self._agreement.engine
+            state = m.SoftState(engine.registry.records(), self._caches.all(), engine.most_routers)
+            content = m.encode_soft_state(state)
+            if content == self._saved_content:
+                continue
+            try:
+                await asyncio.to_thread(write_soft_state, path, content)
+                self._saved_content = content
+            except OSError as error:
+                log.warning("control: soft state: not saved: %s", error)
--- /dev/null
+++ b/hazelbend/system/update_publisher.py
@@ -0,0 +1,185 @@
+"""Publishes updates to the routers that are subscribed to this control process.
+
+A router that subscribes is sent all there is, then changes: configurations, workers, loads and cache
+contents. One that reads too slowly to be sent a change is disconnected; it subscribes again, and so begins
+with all there is.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+import picologging
+
+from hazelbend.control import messages as m
+from hazelbend.control.config_machine import StoredConfig
+from hazelbend.control.load_table import CachedPart, CacheTable, LoadNews, LoadTable, Outcomes, RouterLoad
+from hazelbend.control.workers import WorkerRecord, WorkerState
+from hazelbend.system.agreement import Agreement
+from hazelbend.system.clock import clock
+from hazelbend.transport.peer.frame_link import FrameConnection
+
+log = picologging.getLogger("hazelbend.control")
+
+FLEET_STATUS_PERIOD_S = 0.5
+LOADS_PERIOD_S = 0.04  # the least time between two load updates, and with many routers
+LOADS_PERIOD_PER_ROUTER_S = 0.002  # this for each, so that a large fleet costs no more than a small one
+MAX_UNSENT_BEFORE_CONFIG_BYTES = 64 * 1024  # with more unsent, a subscriber gets no other configuration yet
+
+
+@dataclass(slots=True)
+class _Subscriber:
+    router: str
+    wants_loads: bool
+    config_pending: bool = False  # the newest configuration is to be sent once it has read what was sent
+
+
+class UpdatePublisher:
+    """All subscriptions to this process."""
+
+    def __init__(self, agreement: Agreement, caches: CacheTable) -> None:
+        self.loads = LoadTable()
+        self._agreement = agreement
+        self._caches = caches
+        self._subscribers: dict[FrameConnection, _Subscriber] = {}
+        self._loads_changed = False
+        self._unpublished_cached: list[CachedPart] = []
+        self._unpublished_outcomes: list[tuple[str, Outcomes]] = []  # with the router that reported them
+        self._tasks: list[asyncio.Task[None]] = []
+
+    def start(self) -> None:
+        """Begin to send the periodic updates."""
+        for run in (self._publish_fleet_status_regularly, self._publish_loads_regularly):
+            self._tasks.append(asyncio.create_task(run()))
+
+    def close(self) -> None:
+        """Send no more periodic updates."""
+        for task in self._tasks:
+            task.cancel()
+
+    # --- from routers ---
+
+    def subscribe(self, connection: FrameConnection, request: m.Watch) -> None:
+        """Send a router all there is, and from now on what changes.
+
+        A process without a vote has no configuration to send: it names those that have, and disconnects.
+        """
+        engine = self._agreement.engine
+        if not engine.plan.counted:
+            connection.send(m.encode(engine.fleet_news(clock())))
+            connection.close()
+            return
+        self._subscribers[connection] = _Subscriber(request.router, request.loads)
+        self._update_router_set()
+        for body in self._complete_state(request):
+            connection.send(m.encode(body))
+
+    def connection_closed(self, connection: FrameConnection) -> None:
+        """Any connection to this process has ended."""
+        if self._subscribers.pop(connection, None) is not None:
+            self._update_router_set()
+
+    def merge_router_load(self, connection: FrameConnection, load: RouterLoad) -> None:
+        """Take a router's load report, from itself or as another control process has forwarded it."""
+        if not self.loads.merge(load, clock()):
+            return
+        self._unpublished_cached += load.cached
+        self._unpublished_outcomes += [(load.router, outcomes) for outcomes in load.outcomes]
+        self._caches.add(load.cached)
+        self._loads_changed = True
+        is_from_router = connection in self._subscribers
+        if is_from_router:  # other control processes have other subscribers
+            frame = m.encode(load)
+            for address in self._agreement.engine.peers.other_counted(clock()):
+                self._agreement.send(address, frame)
+
+    def _update_router_set(self) -> None:
+        routers = {subscriber.router for subscriber in self._subscribers.values()}
+        self._agreement.engine.own_routers = routers
+
+    def _complete_state(self, request: m.Watch) -> list[m.Body]:
+        """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
+        engine = self._agreement.engine
+        config = self._agreement.config
+        loads = self.loads.all_others(request.router) if request.loads else {}
+        bodies: list[m.Body] = [m.WorkerNews(0, engine.registry.records())]
+        if config.version > request.version:
+            bodies.append(m.ConfigNews(config.version, config.body))
+        bodies.append(engine.fleet_news(clock()))
+        bodies.append(LoadNews(loads, whole=request.loads))
+        if request.caches:
+            bodies.append(m.CacheNews.of(self._caches.by_instance))
+        return bodies
+
+    # --- to routers ---
+
+    def publish_config(self, config: StoredConfig) -> None:
+        """A configuration is in force.
+
+        A slow subscriber is sent only the newest one, once it has read what was sent before. Else a burst of
+        large configurations would keep it from ever having a complete one.
+        """
+        for subscriber in self._subscribers.values():
+            subscriber.config_pending = True
+        self._send_pending_configs(config)
+
+    def _send_pending_configs(self, config: StoredConfig) -> None:
+        frame = m.encode(m.ConfigNews(config.version, config.body))
+        for connection, subscriber in list(self._subscribers.items()):
+            if not subscriber.config_pending or connection.unsent_bytes > MAX_UNSENT_BEFORE_CONFIG_BYTES:
+                continue
+            subscriber.config_pending = False
+            _send_or_disconnect(connection, frame)
+
+    def publish_workers(self, records: list[WorkerRecord]) -> None:
+        """Workers have changed."""
+        for record in records:
+            if record.state is WorkerState.GONE:
+                self._caches.forget(record.instance)
+            state = record.state.name.lower()
+            log.info("control: worker %s %s %s %s", record.instance, record.service, record.phase, state)
+        self._broadcast(m.WorkerNews(0, tuple(records)))
+
+    def publish_fleet_status(self) -> None:
+        """Send the periodic update on the fleet now."""
+        self._broadcast(self._agreement.engine.fleet_news(clock()))
+
+    def _broadcast(self, body: m.Body) -> None:
+        frame = m.encode(body)
+        for connection in list(self._subscribers):
+            _send_or_disconnect(connection, frame)
+
+    async def _publish_fleet_status_regularly(self) -> None:
+        while True:
+            await asyncio.sleep(FLEET_STATUS_PERIOD_S)
+            self.publish_fleet_status()
+            if any(subscriber.config_pending for subscriber in self._subscribers.values()):
+                self._send_pending_configs(self._agreement.config)
+
+    async def _publish_loads_regularly(self) -> None:
+        while True:
+            await asyncio.sleep(max(LOADS_PERIOD_S, LOADS_PERIOD_PER_ROUTER_S * len(self._subscribers)))
+            self.loads.expire(clock())
+            if self._loads_changed:
+                self._loads_changed = False
+                self._publish_loads()
+
+    def _publish_loads(self) -> None:
+        cached = tuple(self._unpublished_cached)
+        self._unpublished_cached = []
+        outcomes = self._unpublished_outcomes
+        self._unpublished_outcomes = []
+        changed = self.loads.take_changed()
+        for connection, subscriber in list(self._subscribers.items()):
+            if not subscriber.wants_loads:
+                continue
+            loads = self.loads.others(subscriber.router, changed)
+            others = tuple(outcome for router, outcome in outcomes if router != subscriber.router)
+            _send_or_disconnect(connection, m.encode(LoadNews(loads, cached, outcomes=others)))
+
+
+def _send_or_disconnect(connection: FrameConnection, frame: bytes) -> None:
+    """Disconnect a subscriber that can't be sent a change: it subscribes again and is sent all there is."""
+    if not connection.send(frame):
+        connection.close()
--- /dev/null
+++ b/tests/test_control_subscriptions.py
@@ -0,0 +1,235 @@
+"""A router's subscriptions to control processes, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import pytest
+
+from hazelbend.control import messages as m
+from hazelbend.control.load_table import CachedPart, Load, LoadNews, RouterLoad
+from hazelbend.system import control_subscriptions
+from hazelbend.system.control_subscriptions import ControlSubscriptions
+from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
+
+pytestmark = pytest.mark.anyio
+SOON = 5.0
+
+
+@pytest.fixture
+def anyio_backend() -> str:
+    """The event loop that these tests run on."""
+    return "asyncio"
+
+
+@pytest.fixture(autouse=True)
+def short_periods(monkeypatch):
+    """Checks come often, and the time-out for silence is short."""
+    monkeypatch.setattr(control_subscriptions, "CHECK_PERIOD_S", 0.02)
+    monkeypatch.setattr(control_subscriptions, "PING_PERIOD_S", 0.05)
+    monkeypatch.setattr(control_subscriptions, "SILENCE_TIMEOUT_S", 0.4)
+
+
+async def eventually(holds) -> None:
+    """Wait until this holds."""
+    async with asyncio.timeout(SOON):
+        while not holds():
+            await asyncio.sleep(0.005)
+
+
+class Control:
+    """A control process that only has subscribers."""
+
+    def __init__(self, version: int = 1) -> None:
+        self.version, self.mute = version, False
+        self.reject: Callable[[FrameConnection], object] | None = None  # called in place of a subscription
+        self.subscribers: dict[FrameConnection, m.Watch] = {}
+        self.loads: list[RouterLoad] = []
+        self.server = FrameServer(
+            self._frame_received, lambda connection: self.subscribers.pop(connection, None)
+        )
+        self.address = ""
+
+    async def start(self) -> None:
+        await self.server.listen("127.0.0.1", 0)
+        self.address = f"127.0.0.1:{self.server._server.sockets[0].getsockname()[1]}"
+
+    def _frame_received(self, connection: FrameConnection, frame: bytes) -> None:
+        if self.mute:
+            return
+        match m.decode(frame):
+            case m.Watch() if self.reject is not None:
+                self.reject(connection)
+            case m.Watch() as request:
+                self.subscribers[connection] = request
+                if self.version > request.version:
+                    connection.send(m.encode(m.ConfigNews(self.version, b"")))
+            case m.Ping():
+                connection.send(frame)
+            case RouterLoad() as load:
+                self.loads.append(load)
+
+    def broadcast(self, body: m.Body) -> None:
+        for connection in self.subscribers:
+            connection.send(m.encode(body))
+
+
+class Updates:
+    """The updates that a router has received."""
+
+    def __init__(self) -> None:
+        self.received: list[object] = []
+        self.version = 0
+
+    def apply_config(self, update: m.ConfigNews) -> None:
+        self.version = max(self.version, update.version)
+
+    def apply_workers(self, update: m.WorkerNews) -> None:
+        self.received.append(update)
+
+    def apply_fleet_status(self, update: m.FleetNews) -> None:
+        self.received.append(update)
+
+    def apply_loads(self, update: LoadNews) -> None:
+        self.received.append(update)
+
+    def config_version(self) -> int:
+        return self.version
+
+
+@pytest.fixture
+async def controls():
+    made = [Control(version) for version in (3, 3, 4)]
+    for control in made:
+        await control.start()
+    yield made
+    for control in made:
+        await control.server.close()
+
+
+async def subscribed(controls: list[Control], count: int = 3) -> tuple[ControlSubscriptions, Updates]:
+    updates = Updates()
+    subscriptions = ControlSubscriptions(
+        "r1", tuple(control.address for control in controls[:count]), updates, seed=1
+    )
+    subscriptions.start()
+    return subscriptions, updates
+
+
+def with_subscribers(controls: list[Control]) -> list[Control]:
+    return [control for control in controls if control.subscribers]
+
+
+async def test_a_router_subscribes_to_two_control_processes_and_reports_loads_to_one(controls):
+    subscriptions, updates = await subscribed(controls)
+    await eventually(lambda: len(with_subscribers(controls)) == 2 and updates.version >= 3)
+    await eventually(
+        lambda: sum(request.loads for control in controls for request in control.subscribers.values()) == 1
+    )
+    subscriptions.send(RouterLoad("r1", 1, {}))
+    await eventually(lambda: sum(len(control.loads) for control in controls) == 1)
+    await subscriptions.close()
+
+
+async def test_load_updates_are_taken_from_the_primary_only(controls):
+    """Guards the router's copy of the loads: changes hold only for what the same control process has sent."""
+    subscriptions, updates = await subscribed(controls)
+    await eventually(
+        lambda: sum(request.loads for control in controls for request in control.subscribers.values()) == 1
+    )
+    await eventually(lambda: len(with_subscribers(controls)) == 2)
+    for control in controls:
+        for connection, request in control.subscribers.items():
+            part = CachedPart(f"i-{request.loads}", "p", 1)
+            connection.send(m.encode(LoadNews({"i": Load(1, 1)}, (part,))))
+    await eventually(lambda: len(updates.received) == 2)
+    loads = {update.cached[0].instance: update.loads for update in updates.received}
+    assert loads == {"i-True": {"i": Load(1, 1)}, "i-False": {}}, "cache contents are taken from both"
+    await subscriptions.close()
+
+
+async def test_a_process_without_a_vote_names_the_voters(controls):
+    """Guards a start whose seeds are processes without a vote: only they know the others' addresses."""
+    for observer, known in ((controls[0], controls[2]), (controls[1], controls[2])):
+        status = m.FleetNews((known.address,), 1, {})
+        observer.reject = lambda connection, status=status: (
+            connection.send(m.encode(status)),
+            connection.close(),
+        )
+    subscriptions, updates = await subscribed(controls, count=2)
+    updates.apply_fleet_status = lambda status: subscriptions.set_alive(status.controls)
+    await eventually(lambda: bool(controls[2].subscribers) and updates.version == 4)
+    await subscriptions.close()
+
+
+async def test_a_silent_or_dead_control_process_is_replaced(controls):
+    subscriptions, updates = await subscribed(controls)
+    await eventually(lambda: len(with_subscribers(controls)) == 2)
+    silent, dies = with_subscribers(controls)
+    [third] = [control for control in controls if not control.subscribers]
+    silent.mute = True
+    await eventually(lambda: bool(third.subscribers))
+    await dies.server.close()
+    silent.mute = False
+    await eventually(lambda: bool(silent.subscribers) and bool(third.subscribers))
+    await subscriptions.close()
+
+
+async def test_a_router_asks_for_updates_after_its_version_and_learns_other_addresses(controls):
+    subscriptions, updates = await subscribed(controls, count=1)
+    await eventually(lambda: updates.version == 3 and len(with_subscribers(controls)) == 1)
+    controls[0].broadcast(m.FleetNews(tuple(control.address for control in controls), 5, {}))
+    await eventually(lambda: any(isinstance(update, m.FleetNews) for update in updates.received))
+    subscriptions.set_alive(updates.received[-1].controls)
+    await eventually(lambda: len(with_subscribers(controls)) == 2)
+    [other] = [control for control in controls[1:] if control.subscribers]
+    assert [request.version for request in other.subscribers.values()][0] >= 3
+    await subscriptions.close()
+
+
+async def test_an_undecodable_message_makes_it_reconnect(controls):
+    subscriptions, updates = await subscribed(controls, count=1)
+    await eventually(lambda: len(with_subscribers(controls)) == 1)
+    [connection] = controls[0].subscribers
+    connection.send(b"\xff\xffnonsense")
+    await eventually(lambda: list(controls[0].subscribers) not in ([], [connection]))
+    await subscriptions.close()
+
+
+async def test_cache_contents_are_requested_once_and_not_again_from_a_replacement(controls):
+    """Guards links of 5 Mbit/s: at each loss of a control process a third of the routers was sent all of it
+    twice, and a configuration waited behind it."""
+    subscriptions, updates = await subscribed(controls)
+    await eventually(
+        lambda: sum(request.caches for control in controls for request in control.subscribers.values()) == 1
+    )
+    [sender] = [
+        control for control in controls if any(request.caches for request in control.subscribers.values())
+    ]
+    sender.broadcast(m.CacheNews.of({"i-1": {"p": 10}}))
+    await eventually(lambda: LoadNews({}, (CachedPart("i-1", "p", 10),)) in updates.received)
+    await eventually(lambda: subscriptions._caches_known_at is not None)
+    await sender.server.close()
+    for connection in list(sender.subscribers):
+        connection.close()
+    [third] = [control for control in controls if not control.subscribers and control is not sender]
+    await eventually(lambda: bool(third.subscribers))
+    assert not any(
+        request.caches
+        for control in controls
+        if control is not sender
+        for request in control.subscribers.values()
+    )
+    await subscriptions.close()
+
+
+async def test_cache_contents_expire_without_subscriptions(controls):
+    subscriptions, _ = await subscribed(controls)
+    await eventually(lambda: len(with_subscribers(controls)) == 2)
+    now = asyncio.get_running_loop().time()
+    subscriptions._caches_known_at = now - control_subscriptions.CACHE_STATE_TTL_S / 2
+    assert subscriptions._caches_known(now)
+    subscriptions._caches_known_at = now - 2 * control_subscriptions.CACHE_STATE_TTL_S
+    assert not subscriptions._caches_known(now)
+    await subscriptions.close()
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -17,10 +17,11 @@
 from hazelbend.control import messages as control_messages
 from hazelbend.control.config_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
+from hazelbend.control.load_table import CacheTable
 from hazelbend.control.outputs import ControlPlan
 from hazelbend.forwarding.errors import OutcomeUnknownError, SendWithdrawnError, WorkerUnreachableError
 from hazelbend.forwarding.ports import ClientRequest, ClientResponse, WorkerCall
-from hazelbend.system.watch_service import WatchService
+from hazelbend.system.update_publisher import UpdatePublisher
 from hazelbend.transport.http.asgi_server import AsgiServer, HttpRequest, HttpResponse
 from hazelbend.transport.http.request_listener import RequestListener
 from hazelbend.transport.http.worker_client import HttpWorkerClient
@@ -202,7 +203,7 @@
 
 
 class SlowRouter:
-    """A watch's connection whose other side reads when the test says so."""
+    """A subscriber's connection whose other side reads when the test says so."""
 
     def __init__(self) -> None:
         self.unsent_bytes, self.sent = 0, []
@@ -217,7 +218,7 @@
 
 
 class ControlInForce:
-    """What a watch service asks of the agreement, with a real engine."""
+    """What an update publisher needs of a control node, with a real engine."""
 
     def __init__(self) -> None:
         plan = ControlPlan("10.0.1.1:7", ("10.0.1.1:7",), True, True, 0, 1_200_000)
@@ -227,16 +228,16 @@
 
 async def test_a_router_that_reads_slowly_is_sent_the_newest_configuration_and_none_between():
     agreement, router = ControlInForce(), SlowRouter()
-    service = WatchService(agreement, None)
-    service.watch(router, control_messages.Watch("r", 1))
+    publisher = UpdatePublisher(agreement, CacheTable())
+    publisher.subscribe(router, control_messages.Watch("r", 1))
     router.unsent_bytes, router.sent = 0, []
     for version in range(2, 40):
         agreement.config = StoredConfig(version, b"x" * 100_000)
-        service.config_changed(agreement.config)
+        publisher.publish_config(agreement.config)
     assert [body.version for body in router.sent] == [2]
     router.unsent_bytes = 0
-    service._send_owed_configs(agreement.config)
-    service._send_owed_configs(agreement.config)
+    publisher._send_pending_configs(agreement.config)
+    publisher._send_pending_configs(agreement.config)
     assert [body.version for body in router.sent] == [2, 39]
 
 
