--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -21,10 +21,10 @@
 from pathlib import Path
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.membership.merge import Claim, Membership
-from hazelbend.names.answers import BoxKey, Good, Kind, Question, Rank
-from hazelbend.names.resolver import Ask, Resolver
-from hazelbend.names.settings import SrvSettings, read_settings
+from hazelbend.dns_discovery.answers import BoxKey, Good, Kind, Question, Rank
+from hazelbend.dns_discovery.resolver import Ask, Resolver
+from hazelbend.dns_discovery.settings import SrvSettings, read_settings
+from hazelbend.endpoints.merger import Claim, Membership
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import Endpoint, EndpointList
 from hazelbend.transport.dns.name_source import NameSource
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from hazelbend.names.answers import (
+from hazelbend.dns_discovery.answers import (
     MOST_ALIASES,
     Alias,
     Good,
@@ -24,8 +24,8 @@
     Unknown,
     canonical,
 )
-from hazelbend.names.resolver import Ask
-from hazelbend.names.settings import Nameserver
+from hazelbend.dns_discovery.resolver import Ask
+from hazelbend.dns_discovery.settings import Nameserver
 from hazelbend.program.config import DEPLOY_VARIABLE
 from hazelbend.program.parts import table
 from hazelbend.transport.dns.dns_client import DnsClient
--- a/hazelbend/names/answers.py
+++ b/hazelbend/dns_discovery/answers.py
@@ -4,7 +4,7 @@
 
     Good       records, and how long they hold
     Nothing    the server says that there are none: NXDOMAIN, NODATA (RFC 2308), or the target "." (RFC 2782).
-               It is a vote like any other: ballot.py
+               It is a vote like any other: quorum.py
     Alias      a CNAME that the server did not follow; it is asked for next
     Truncated  ask again over TCP (RFC 7766)
     Unknown    anything else: SERVFAIL, REFUSED, FORMERR, a time-out, cut or malformed bytes, a lame server, a
--- a/hazelbend/names/resolver.py
+++ b/hazelbend/dns_discovery/resolver.py
@@ -7,7 +7,7 @@
               question, so that dispatchers do not ask in step), or a rest after failures, which doubles
     waiting   it is due, and waits for the budgets (queries a second, queries at once)
     asking    a query is out. Truncated: again over TCP. Unknown: the next nameserver, while tries and the
-              retry budget last; after that it rests, and what is listed stands (ballot.py says how long)
+              retry budget last; after that it rests, and what is listed stands (quorum.py says how long)
     asking    ... and where the answers dispute: each of the others, once, until the ballot is decided
 
 `due` gives the queries that are to go out now, `heard` takes what came of one, `next_at` is when `due` has
@@ -23,7 +23,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from hazelbend.names.answers import (
+from hazelbend.dns_discovery.answers import (
     MOST_ALIASES,
     Alias,
     BoxKey,
@@ -37,9 +37,9 @@
     Unknown,
     canonical,
 )
-from hazelbend.names.ballot import Ballot
-from hazelbend.names.nameservers import Budget, Nameservers, fraction
-from hazelbend.names.settings import SrvSettings
+from hazelbend.dns_discovery.nameservers import Budget, Nameservers, fraction
+from hazelbend.dns_discovery.quorum import Ballot
+from hazelbend.dns_discovery.settings import SrvSettings
 
 EARLIEST, SPAN = 0.90, 0.08  # of a lifetime: when a question is asked again
 BESIDE = 0.995  # and one whose answer came beside another's, which will come again before that
--- a/hazelbend/names/settings.py
+++ b/hazelbend/dns_discovery/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from hazelbend.names.answers import canonical
+from hazelbend.dns_discovery.answers import canonical
 from hazelbend.schema import convert
 
 Seconds = Annotated[float, Meta(gt=0, le=31_536_000)]
--- a/hazelbend/names/snapshot.py
+++ b/hazelbend/dns_discovery/snapshot.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from hazelbend.names.answers import BoxKey, Kind, Question, Rank
-from hazelbend.names.resolver import Resolver
+from hazelbend.dns_discovery.answers import BoxKey, Kind, Question, Rank
+from hazelbend.dns_discovery.resolver import Resolver
 
 FORMAT, VERSION = "hazelbend-names", 1
 MOST_BYTES = 64 * 1024 * 1024
--- a/hazelbend/membership/merge.py
+++ b/hazelbend/endpoints/merger.py
@@ -29,8 +29,8 @@
 from immutables import Map
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.membership.rule import ListSays, SrvSays, Verdict, decide
-from hazelbend.names.answers import BoxKey, Rank, canonical
+from hazelbend.dns_discovery.answers import BoxKey, Rank, canonical
+from hazelbend.endpoints.rule import ListSays, SrvSays, Verdict, decide
 from hazelbend.routing.ports import Endpoint, EndpointList
 
 
--- a/hazelbend/program/config.py
+++ b/hazelbend/program/config.py
@@ -30,8 +30,8 @@
 from hazelbend.transport.stomp.stomp_workers import BoxAccount
 
 if TYPE_CHECKING:
+    from hazelbend.dns_discovery.settings import SrvSettings
     from hazelbend.leases.settings import FleetSettings
-    from hazelbend.names.settings import SrvSettings
     from hazelbend.waiting.settings import WaitingSettings
 
 PASSED_SOCKET = "RELAY_PASSED_SOCKET"
@@ -287,7 +287,7 @@
 
 def _srv(keys: Keys, zones: tuple[str, ...], kinds: tuple[str, ...]) -> SrvSettings:
     with _named(keys, "requirements-srv.txt"):
-        from hazelbend.names.settings import read_settings
+        from hazelbend.dns_discovery.settings import read_settings
 
         return read_settings(keys.table, zones, kinds)
 
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -16,13 +16,13 @@
 import msgspec
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.membership.merge import LIST, STOMP, Claim, Gone, Membership
-from hazelbend.membership.pool import Pool
-from hazelbend.membership.rule import SrvSays, srv_says
-from hazelbend.names import snapshot
-from hazelbend.names.answers import BoxKey, Kind, Question, canonical
-from hazelbend.names.resolver import Followed, Resolver
-from hazelbend.names.settings import Name, SrvSettings
+from hazelbend.dns_discovery import snapshot
+from hazelbend.dns_discovery.answers import BoxKey, Kind, Question, canonical
+from hazelbend.dns_discovery.resolver import Followed, Resolver
+from hazelbend.dns_discovery.settings import Name, SrvSettings
+from hazelbend.endpoints.merger import LIST, STOMP, Claim, Gone, Membership
+from hazelbend.endpoints.pool import Pool
+from hazelbend.endpoints.rule import SrvSays, srv_says
 from hazelbend.program.log import Sparing
 from hazelbend.program.parts import CommandError, Ground, Part, Show, table
 from hazelbend.routing.ports import Endpoint, EndpointList
--- a/hazelbend/protocol/dns.py
+++ b/hazelbend/protocol/dns.py
@@ -17,7 +17,7 @@
 import dns.rdatatype
 import dns.rrset
 
-from hazelbend.names.answers import (
+from hazelbend.dns_discovery.answers import (
     MOST_ALIASES,
     Alias,
     BoxKey,
--- a/hazelbend/transport/dns/dns_client.py
+++ b/hazelbend/transport/dns/dns_client.py
@@ -9,8 +9,8 @@
 import secrets
 from collections.abc import Callable
 
-from hazelbend.names.answers import Meaning, Question, Truncated, Unknown
-from hazelbend.names.resolver import Ask
+from hazelbend.dns_discovery.answers import Meaning, Question, Truncated, Unknown
+from hazelbend.dns_discovery.resolver import Ask
 from hazelbend.protocol.dns import MismatchError, read_answer, write_query
 
 MOST_MISMATCHES = 8  # answers that are none, after which UDP is not trusted for this query: TCP is asked
--- a/hazelbend/transport/dns/name_source.py
+++ b/hazelbend/transport/dns/name_source.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from hazelbend.names.answers import Meaning, Unknown
-from hazelbend.names.resolver import Ask, Resolver
+from hazelbend.dns_discovery.answers import Meaning, Unknown
+from hazelbend.dns_discovery.resolver import Ask, Resolver
 from hazelbend.transport.dns.dns_client import DnsClient
 
 log = logging.getLogger("hazelbend.names")
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -30,10 +30,10 @@
 from hazelbend.consensus import messages as log_messages
 from hazelbend.consensus import persistent_state, state_codec
 from hazelbend.control import config_machine, messages, workers
+from hazelbend.dns_discovery import snapshot
 from hazelbend.forwarding import prefill
 from hazelbend.gossip import messages as gossip_messages
 from hazelbend.leases import engine, lease_table
-from hazelbend.names import snapshot
 from hazelbend.placement import routes
 from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
--- a/tests/srv_kit.py
+++ b/tests/srv_kit.py
@@ -10,7 +10,7 @@
 
 from site_kit import ToyServer, site
 
-from hazelbend.names.settings import SrvSettings, read_settings
+from hazelbend.dns_discovery.settings import SrvSettings, read_settings
 from hazelbend.program.app import App
 from hazelbend.standins.dns import StandInNameserver
 
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -5,8 +5,18 @@
 import pytest
 from srv_kit import NAME, nameservers, zone
 
-from hazelbend.names.answers import Alias, BoxKey, Good, Kind, Nothing, Question, Rank, Truncated, Unknown
-from hazelbend.names.resolver import Ask
+from hazelbend.dns_discovery.answers import (
+    Alias,
+    BoxKey,
+    Good,
+    Kind,
+    Nothing,
+    Question,
+    Rank,
+    Truncated,
+    Unknown,
+)
+from hazelbend.dns_discovery.resolver import Ask
 from hazelbend.standins.dns import FAULTS, Fault
 from hazelbend.transport.dns.dns_client import DnsClient
 
--- a/tests/test_dns_wire.py
+++ b/tests/test_dns_wire.py
@@ -11,7 +11,7 @@
 from parser_kit import SEEDS, garbage
 from srv_kit import NAME
 
-from hazelbend.names.answers import Good, Kind, Nothing, Question, Truncated, Unknown
+from hazelbend.dns_discovery.answers import Good, Kind, Nothing, Question, Truncated, Unknown
 from hazelbend.protocol.dns import MismatchError, read_answer, write_query
 
 QUESTION = Question(NAME, Kind.SRV)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,8 +12,8 @@
     "decisions": set(),
     "routing": {"decisions"},
     "schema": set(),
-    "names": {"schema"},
-    "membership": {"decisions", "routing", "names"},
+    "dns_discovery": {"schema"},
+    "endpoints": {"decisions", "routing", "dns_discovery"},
     "waiting": {"decisions", "routing", "schema"},
     "consensus": set(),
     "gossip": {"consensus"},
@@ -22,12 +22,12 @@
     "control": {"consensus"},
     "placement": {"decisions", "control"},
     "forwarding": {"control", "placement"},
-    "protocol": {"decisions", "routing", "names", "waiting", "control"},
+    "protocol": {"decisions", "routing", "dns_discovery", "waiting", "control"},
     "transport": {
         "decisions",
         "routing",
-        "names",
-        "membership",
+        "dns_discovery",
+        "endpoints",
         "protocol",
         "consensus",
         "gossip",
@@ -38,8 +38,8 @@
     "program": {
         "decisions",
         "routing",
-        "names",
-        "membership",
+        "dns_discovery",
+        "endpoints",
         "waiting",
         "consensus",
         "leases",
@@ -49,7 +49,7 @@
     "console": {"program"},
     "benchlink": {"decisions"},
     "standins": set(),
-    "cli": {"names", "consensus", "leases", "protocol", "transport", "program", "standins"},
+    "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "program", "standins"},
 }
 WIRES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
 TEXT = {"orjson"}  # of the operators' configuration, which is the control layer's to check
@@ -81,7 +81,7 @@
     [
         "decisions",
         "routing",
-        "membership",
+        "endpoints",
         "consensus",
         "gossip",
         "leases",
@@ -110,8 +110,8 @@
     assert not unused & set(loaded)
     off = (
         "hazelbend.schema",
-        "hazelbend.names",
-        "hazelbend.membership",
+        "hazelbend.dns_discovery",
+        "hazelbend.endpoints",
         "hazelbend.standins",
         "hazelbend.cli",
         "hazelbend.control",
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.membership.merge import LIST, STOMP, Claim, Membership
-from hazelbend.membership.pool import Pool
-from hazelbend.membership.rule import ListSays, SrvSays, Verdict, decide, srv_says
-from hazelbend.names.answers import BoxKey, Rank
+from hazelbend.dns_discovery.answers import BoxKey, Rank
+from hazelbend.endpoints.merger import LIST, STOMP, Claim, Membership
+from hazelbend.endpoints.pool import Pool
+from hazelbend.endpoints.rule import ListSays, SrvSays, Verdict, decide, srv_says
 from hazelbend.routing.ports import Endpoint, EndpointList
 
 READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from srv_kit import NAME, SECOND, settings
 
-from hazelbend.names import snapshot
-from hazelbend.names.answers import (
+from hazelbend.dns_discovery import snapshot
+from hazelbend.dns_discovery.answers import (
     MOST_ALIASES,
     Alias,
     BoxKey,
@@ -21,10 +21,10 @@
     Truncated,
     Unknown,
 )
-from hazelbend.names.ballot import Ballot
-from hazelbend.names.nameservers import Budget
-from hazelbend.names.resolver import Resolver
-from hazelbend.names.settings import read_settings
+from hazelbend.dns_discovery.nameservers import Budget
+from hazelbend.dns_discovery.quorum import Ballot
+from hazelbend.dns_discovery.resolver import Resolver
+from hazelbend.dns_discovery.settings import read_settings
 
 A, B, C = (BoxKey(f"{each}.konya-1.example.org", 7101) for each in "abc")
 ROOT = Question(NAME, Kind.SRV)
