--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from deployment_kit import deployments, play, summary  # noqa: E402
+from deployment_kit import deployments, play, summary
 
 
 def main() -> int:
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -388,7 +388,7 @@
         )
         up = [each for each in self.nodes if each.record is not None]
         if kind in ("kill", "wipe"):
-            if node.record is None or 2 * len(up) <= len(self.nodes) + 1 and self.random.random() < 0.8:
+            if node.record is None or (2 * len(up) <= len(self.nodes) + 1 and self.random.random() < 0.8):
                 return
             if kind == "wipe":
                 node.disk = None
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -61,7 +61,7 @@
 from hazelbend.consensus.replication import Assembly
 from hazelbend.consensus.replicator import Replicator, Role, Timing
 
-__all__ = ["Done", "Read", "RaftNode", "Role", "Timing"]
+__all__ = ["Done", "RaftNode", "Read", "Role", "Timing"]
 
 
 @dataclass(slots=True)
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -384,7 +384,7 @@
 
 def _key(entry: Endpoint) -> BoxKey | None:
     """What SRV would call this box."""
-    host, _, port = entry.dial.rpartition(":")
+    _host, _, port = entry.dial.rpartition(":")
     if not port.isdecimal():
         return None
     try:
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -160,7 +160,7 @@
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
             app.conf = replace(app.conf, passed_socket=3)
             _, first = await open_kept(app.client_listener.port, "first")
-            reader, writer = await open_kept(app.client_listener.port)
+            _reader, writer = await open_kept(app.client_listener.port)
             app.drain()
             await until(lambda: app._ends)
             leaving = asyncio.create_task(app.leave())
@@ -177,7 +177,7 @@
 def test_sigterm_in_a_drain_and_the_door_while_leaving(start, tmp_path):  # noqa: F811
     """Guards a planned end: the door answers until the end, and a drain's stop cannot take the leave back."""
     ops = free_port()
-    program, port, toy, _ = run_with_a_toy(start, tmp_path, ops=f"127.0.0.1:{ops}")
+    program, port, _toy, _ = run_with_a_toy(start, tmp_path, ops=f"127.0.0.1:{ops}")
     running = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     headers = {"X-Request-ID": "long", "X-Tenant-Id": "ege-volt", "X-Timeout-Ms": "5000"}
     running.request("POST", "/nearby/1", "2900", headers)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -82,7 +82,7 @@
     async def nothing(site, flow):
         pass
 
-    decider, site, flow = hold_and(nothing, Once(RequestArrived=send, AttemptEnded=refuse))
+    decider, site, _flow = hold_and(nothing, Once(RequestArrived=send, AttemptEnded=refuse))
     assert [each.field("X-Request-ID") for each in site.backend.requests] == ["again"]
     assert site.backend.connections == 1 and decider.asked == 2
 
@@ -94,7 +94,7 @@
 def test_a_client_that_leaves_while_a_connection_comes_up_withdraws_the_attempt():
     """Seen on the bench, with cancel not allowed: `sent request on 0.16 s after its client had gone`, 13
     times on one day. A module that may not cancel calls nothing back, so the core has to."""
-    decider, site, flow = hold_and(leave)
+    decider, site, _flow = hold_and(leave)
     assert [each.field("X-Request-ID") for each in site.backend.requests] == ["again"]
     assert decider.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
     assert site.router.tally.abandoned == 1
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -52,7 +52,7 @@
     leader.start()
     stop.touch()
     for each in tasks:
-        said, complained = each.communicate(timeout=90)
+        _said, complained = each.communicate(timeout=90)
         assert each.returncode == 7, complained
     done = acts(path)
     tokens = [token for _, token in done]
@@ -80,7 +80,7 @@
     task = machine.begin("lease", "run", "job", "--ttl", "2s", "--wait", "30s", *command)
     before = len(acts(path))
     wait_for(lambda: len(acts(path)) > before)
-    status, said, complained = machine.run("lease", "release", "job", "--force")
+    status, _said, complained = machine.run("lease", "release", "job", "--force")
     assert status == 0 and "token" in complained
     task.communicate(timeout=60)
     assert task.returncode == 76
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -213,7 +213,7 @@
     async def run():
         async with srv_site(tmp_path, toys=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
-            toys,
+            _toys,
             [server],
         ):
             await until(lambda: len(app.router.table.servers) == 3)
@@ -320,7 +320,7 @@
 
 def test_both_fronts_serve_while_refreshes_are_out_and_reloads_and_drains_happen(tmp_path):
     async def run():
-        async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, toys, [server]):
+        async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
             await until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
             await until(lambda: app.parts["srv"]._source.queries_out)
@@ -450,7 +450,7 @@
 
 
 def test_an_upgrade_hands_over_what_is_known_of_names(start, tmp_path, outside):  # noqa: F811
-    toy, dns = outside
+    _toy, dns = outside
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy/srv.toml").write_text(srv_toml([dns]))
     with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -259,7 +259,7 @@
 
 def test_a_deadline_cancels_the_job_at_its_box(tmp_path):
     async def run():
-        async with box_and_client(tmp_path) as (app, box, peer):
+        async with box_and_client(tmp_path) as (_app, box, peer):
             peer.job("one", b"hang", deadline="300")
             await until(lambda: box.cancelled)
             assert box.cancelled == box.ran
@@ -350,7 +350,7 @@
     async def run():
         text = STOMP.replace("[[client]]", "write_limit = 65536\n[[client]]", 1)
         async with site(tmp_path, stomp=text) as (app, _):
-            reader, writer = await asyncio.open_connection("127.0.0.1", app.stomp.port, limit=1_024)
+            _reader, writer = await asyncio.open_connection("127.0.0.1", app.stomp.port, limit=1_024)
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             writer.transport.pause_reading()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -117,7 +117,7 @@
                 lambda reader, writer: None, sock=passed_listener(socket.dup(held.fileno()))
             )
             server.close()
-            reader, writer = await asyncio.open_connection(*held.getsockname())
+            _reader, writer = await asyncio.open_connection(*held.getsockname())
             held.setblocking(True)
             accepted, _ = held.accept()
             accepted.close()
