--- a/hazelbend/benchlink/__main__.py
+++ b/hazelbend/benchlink/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m hazelbend.benchlink`: many dispatchers on the simulator's wire."""
+"""`python -m hazelbend.benchlink`: many dispatchers on the simulator's protocol."""
 
 import sys
 
-from hazelbend.benchlink.drill import main
+from hazelbend.benchlink.event_loop import main
 
 sys.exit(main())
--- a/tests/test_control_subscriptions.py
+++ b/tests/test_control_subscriptions.py
@@ -164,7 +164,7 @@
 
 
 async def test_a_silent_or_dead_control_process_is_replaced(controls):
-    subscriptions, updates = await subscribed(controls)
+    subscriptions, _updates = await subscribed(controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     silent, dies = with_subscribers(controls)
     [third] = [control for control in controls if not control.subscribers]
@@ -184,12 +184,12 @@
     subscriptions.set_alive(updates.received[-1].controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     [other] = [control for control in controls[1:] if control.subscribers]
-    assert [request.version for request in other.subscribers.values()][0] >= 3
+    assert next(request.version for request in other.subscribers.values()) >= 3
     await subscriptions.close()
 
 
 async def test_an_undecodable_message_makes_it_reconnect(controls):
-    subscriptions, updates = await subscribed(controls, count=1)
+    subscriptions, _updates = await subscribed(controls, count=1)
     await eventually(lambda: len(with_subscribers(controls)) == 1)
     [connection] = controls[0].subscribers
     connection.send(b"\xff\xffnonsense")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelbend.benchlink import drill, wire
+from hazelbend.benchlink import event_loop, records
+from hazelbend.benchlink.decoder import Decoder, settings_from_json
+from hazelbend.benchlink.encoder import encode_reply
+from hazelbend.benchlink.errors import MalformedInputError
+from hazelbend.benchlink.messages import Message
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.brain import Dispatcher
 
@@ -21,16 +25,16 @@
 
 
 def record(code: int, layout: str, *values: float) -> bytes:
-    return struct.pack("<B" + layout, code, *values).ljust(wire.EVENT_SIZE, b"\0")
+    return struct.pack("<B" + layout, code, *values).ljust(records.EVENT_SIZE, b"\0")
 
 
-def batch(records: list[bytes], tail: bytes = b"", now: int = 5) -> bytes:
-    body = b"".join(records) + tail
-    return wire.BATCH_HEADER.pack(len(records), len(body), now) + body
+def batch(rows: list[bytes], tail: bytes = b"", now: int = 5) -> bytes:
+    body = b"".join(rows) + tail
+    return records.BATCH_HEADER.pack(len(rows), len(body), now) + body
 
 
-def decode(records: list[bytes], tail: bytes = b"") -> list[tuple[int, wire.Message]]:
-    return wire.Decoder().decode(len(records), b"".join(records) + tail)
+def decode(rows: list[bytes], tail: bytes = b"") -> list[tuple[int, Message]]:
+    return Decoder().decode(len(rows), b"".join(rows) + tail)
 
 
 def to(instance: int) -> bytes:
@@ -39,7 +43,7 @@
 
 def run(data: bytes) -> bytes:
     sink = io.BytesIO()
-    drill.run(io.BytesIO(data), sink)
+    event_loop.run(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
@@ -86,9 +90,9 @@
         dy.Probe(worker),
         dy.Subscribe(),
     ]
-    reply = wire.encode_reply([(3, actions), (4, [])])
-    size, count = wire.REPLY_HEADER.unpack_from(reply)
-    assert (count, size, len(reply)) == (8, 8 * wire.ACTION_SIZE, 8 + 8 * wire.ACTION_SIZE)
+    reply = encode_reply([(3, actions), (4, [])])
+    size, count = records.REPLY_HEADER.unpack_from(reply)
+    assert (count, size, len(reply)) == (8, 8 * records.ACTION_SIZE, 8 + 8 * records.ACTION_SIZE)
     rows = [reply[8 + 24 * i : 32 + 24 * i] for i in range(count)]
     assert struct.unpack_from("<BI", rows[0]) == (130, 3)
     assert struct.unpack_from("<BQII", rows[1]) == (10, xid, 5, worker)
@@ -101,7 +105,7 @@
 
 
 def test_empty_batch_has_an_empty_reply():
-    assert run(batch([])) == wire.REPLY_HEADER.pack(0, 0)
+    assert run(batch([])) == records.REPLY_HEADER.pack(0, 0)
 
 
 def test_a_request_goes_to_the_worker_listed():
@@ -119,16 +123,16 @@
 
 def test_a_killed_instance_is_gone():
     data = batch(START, CONF + ENTRY) + batch([to(3), record(100, "")])
-    with pytest.raises(wire.MalformedInputError, match="before its settings"):
+    with pytest.raises(MalformedInputError, match="before its settings"):
         run(data + batch([to(3), record(70, "Q", 0)]))
 
 
 MALFORMED = {
     "unknown code": batch([to(1), record(99, "")]),
     "before any instance": batch([record(60, "Q", 1)]),
-    "do not fit": wire.BATCH_HEADER.pack(9, 0, 0),
+    "do not fit": records.BATCH_HEADER.pack(9, 0, 0),
     "input ends after 3 bytes": b"abc",
-    "input ends after 2 of 48": wire.BATCH_HEADER.pack(1, 48, 0) + b"ab",
+    "input ends after 2 of 48": records.BATCH_HEADER.pack(1, 48, 0) + b"ab",
     "outside the tail": batch([to(1), record(10, "QII", 1, 0, 500)], b"{}"),
     "never declared": batch([to(1), record(20, "BQB", 1, 1, 4)]),
     "no JSON object": batch([to(1), record(10, "QII", 1, 0, 2)], b"[]"),
@@ -152,7 +156,7 @@
 def test_noise_never_ends_in_a_traceback(data):
     try:
         run(data)
-    except wire.MalformedInputError as error:
+    except MalformedInputError as error:
         assert str(error)
 
 
@@ -162,9 +166,9 @@
 
     monkeypatch.setattr(Dispatcher, "handle", fail)
     reply = run(batch(START, CONF + ENTRY))
-    assert reply[8 + wire.ACTION_SIZE] == 100
+    assert reply[8 + records.ACTION_SIZE] == 100
     assert reply.endswith(b"ValueError: out of its mind")
 
 
 def test_absent_settings_take_the_defaults():
-    assert wire.settings_from_json(b"{}") == (dy.Settings(), ())
+    assert settings_from_json(b"{}") == (dy.Settings(), ())
