--- a/benchmarks/fleet_gaps.py
+++ b/benchmarks/fleet_gaps.py
@@ -21,6 +21,7 @@
 from pathlib import Path
 
 from benchmarks.fleet_rig import ACT, Machine, Site, acts, wait_for
+import itertools
 
 KINDS = ("kill-task", "term-task", "kill-leader", "stop-leader", "cut-leader", "term-leader")
 
@@ -55,7 +56,7 @@
             task.communicate(timeout=60)
         mend(site, leader, kind)
     times = [at for at, _ in acts(path) if at > after - 5e8]
-    return max(b - a for a, b in zip(times, times[1:], strict=False)) / 1e6
+    return max(b - a for a, b in itertools.pairwise(times)) / 1e6
 
 
 def waits(machine: Machine) -> bool:
--- a/tests/deployment_kit.py
+++ b/tests/deployment_kit.py
@@ -23,6 +23,7 @@
 
 from hazelbend.program import config
 from hazelbend.program.app import App
+import itertools
 
 JOBS = 24
 SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
@@ -306,7 +307,7 @@
         if lane["semantics"] == "non_idempotent" and ran:
             assert status not in (429, 503), f"{job} may have run, and is refused"
         if not conf["limits"]["may_duplicate"]:
-            for before, after in zip(tries, tries[1:], strict=False):
+            for before, after in itertools.pairwise(tries):
                 assert after.began >= before.ended - LATE / 4, f"{job}: two attempts out at once: {tries}"
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,6 +16,7 @@
 from hazelbend.decisions.unseen import COLD_SAFETY
 from hazelbend.transport.http import discovery_watch
 from hazelbend.transport.http.discovery_watch import HOLD_GRACE
+import itertools
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
@@ -258,7 +259,7 @@
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
         delays = [retry.retry_delay(settings, chance) for _ in range(40)]
-        answered = max(sum(pair) for pair in zip(delays, delays[1:], strict=False)) + limit
+        answered = max(sum(pair) for pair in itertools.pairwise(delays)) + limit
         assert answered + discovery_retry.ANSWER_TIME <= 6_000_000
     assert discovery_retry.ANSWER_TIME >= 1_000_000, "discovery answers one after another"
 
