--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -131,7 +131,7 @@
             leader = engine.leader
             if leader and leader != engine.me:
                 host = split_address(address_of(leader))[0]
-                port = split_address(self._settings.control)[1]
+                port = split_address(self._settings.control_address)[1]
                 return HttpResponse(307, headers={"Location": f"http://{host}:{port}{path}"})
             if time.monotonic() >= end:
                 return HttpResponse(503, b"no leader is known\n")
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -33,15 +33,15 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         plan = ControlPlan(
-            address=settings.control_peer,
-            seeds=settings.seed_peers,
-            counted=settings.counted,
+            address=settings.control_peer_address,
+            seeds=settings.seed_peer_addresses,
+            counted=settings.counts_for_quorum,
             may_found=settings.bootstrap,
-            tolerance=settings.tolerance,
-            heartbeat=settings.heartbeat,
-            lease=settings.lease,
+            tolerance=settings.tolerated_losses,
+            heartbeat=settings.heartbeat_us,
+            lease=settings.lease_us,
         )
-        folder = settings.data_folder
+        folder = settings.data_dir
         self._agreement = Agreement(
             plan,
             ControlStore(folder) if folder is not None else None,
@@ -62,8 +62,8 @@
     async def start(self) -> None:
         """Recall, then serve."""
         await self._agreement.restore()
-        await self._server.listen(*split_address(self._settings.control_peer))
-        await self._api.listen(*split_address(self._settings.control))
+        await self._server.listen(*split_address(self._settings.control_peer_address))
+        await self._api.listen(*split_address(self._settings.control_address))
         await self._soft_state.restore()
         self._publisher.start()
         self._soft_state.start()
@@ -82,7 +82,7 @@
 
     def reload(self, settings: Settings) -> None:
         """The settings file has changed: the seeds may be others."""
-        self._agreement.engine.seeds_changed(settings.seed_peers, clock())
+        self._agreement.engine.seeds_changed(settings.seed_peer_addresses, clock())
 
     def _workers_changed(self, records: list[WorkerRecord]) -> None:
         self._publisher.publish_workers(records)
--- a/hazelbend/system/metrics.py
+++ b/hazelbend/system/metrics.py
@@ -1,88 +1,89 @@
 """A router's statistics in the text format of Prometheus, by its client library.
 
-The library takes longer to load than a router takes to start, so it is loaded when metrics are first
-asked for.
+The library takes longer to import than a router takes to start, so this module, and with it the library, is
+to be imported only when metrics are first requested.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Callable, Iterator
 
-from hazelbend.placement.statistics import RatioHistogram, Statistics
+from prometheus_client import CollectorRegistry, generate_latest
+from prometheus_client.core import CounterMetricFamily, HistogramMetricFamily, Metric
+
+from hazelbend.placement.statistics import RatioHistogram, Statistics, WorkerStatistics
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 def render(statistics: Statistics) -> bytes:
-    """All metrics of this router as they stand."""
-    from prometheus_client import CollectorRegistry, generate_latest
-
+    """All metrics of this router, with their present values."""
     registry = CollectorRegistry()
-    registry.register(_Collector(statistics))
+    registry.register(_StatisticsCollector(statistics))
     return generate_latest(registry)
 
 
-class _Collector:
-    """Implements the library's collector protocol over the plain counts."""
+class _StatisticsCollector:
+    """Implements the library's collector protocol over plain counters."""
 
     def __init__(self, statistics: Statistics) -> None:
         self._statistics = statistics
 
-    def collect(self) -> Iterable[Any]:
-        """The families, built anew at each call."""
-        yield self._ends()
-        yield self._tokens()
-        yield self._histogram("reads", "Time of prompts' reads as a multiple of the expected")
-        yield self._histogram("first_events", "Time to first events as a multiple of the expected")
+    def collect(self) -> Iterator[Metric]:
+        """All metric families, built anew at each call."""
+        yield self._attempts()
+        yield self._prompt_tokens()
+        yield self._histogram(
+            "reads",
+            "Time of prompts' reads as a multiple of the expected",
+            lambda worker: worker.reads,
+        )
+        yield self._histogram(
+            "first_events",
+            "Time to first events as a multiple of the expected",
+            lambda worker: worker.first_events,
+        )
         yield self._refusals()
-        yield self._repeats()
-
-    def _ends(self) -> Any:
-        from prometheus_client.core import CounterMetricFamily
-
-        text = "Sends to workers by how they ended"
-        family = CounterMetricFamily("hazelbend_sends", text, labels=("worker", "end"))
-        for instance, each in self._statistics.workers.items():
-            for end, count in each.outcomes.items():
-                family.add_metric((instance, end.value), count)
+        yield self._retries()
+
+    def _attempts(self) -> Metric:
+        help_text = "Sends to workers by how they ended"
+        family = CounterMetricFamily("hazelbend_sends", help_text, labels=("worker", "end"))
+        for instance, worker in self._statistics.workers.items():
+            for outcome, count in worker.outcomes.items():
+                family.add_metric((instance, outcome.value), count)
         return family
 
-    def _tokens(self) -> Any:
-        from prometheus_client.core import CounterMetricFamily
-
-        text = "Prompt tokens that were sent to be read, and believed to be kept"
-        family = CounterMetricFamily("hazelbend_prompt_tokens", text, labels=("worker", "as"))
-        for instance, each in self._statistics.workers.items():
-            family.add_metric((instance, "read"), each.prefilled_tokens)
-            family.add_metric((instance, "kept"), each.cached_tokens)
+    def _prompt_tokens(self) -> Metric:
+        help_text = "Prompt tokens that were sent to be read, and believed to be kept"
+        family = CounterMetricFamily("hazelbend_prompt_tokens", help_text, labels=("worker", "as"))
+        for instance, worker in self._statistics.workers.items():
+            family.add_metric((instance, "read"), worker.prefilled_tokens)
+            family.add_metric((instance, "kept"), worker.cached_tokens)
         return family
 
-    def _histogram(self, kind: str, text: str) -> Any:
-        from prometheus_client.core import HistogramMetricFamily
-
-        family = HistogramMetricFamily(f"hazelbend_{kind}_ratio", text, labels=("worker",))
-        for instance, each in self._statistics.workers.items():
-            histogram: RatioHistogram = getattr(each, kind)
-            buckets = [(_bound(bound), count) for bound, count in histogram.cumulative()]
+    def _histogram(
+        self, name: str, help_text: str, select: Callable[[WorkerStatistics], RatioHistogram]
+    ) -> Metric:
+        family = HistogramMetricFamily(f"hazelbend_{name}_ratio", help_text, labels=("worker",))
+        for instance, worker in self._statistics.workers.items():
+            histogram = select(worker)
+            buckets = [(_bucket_label(bound), count) for bound, count in histogram.cumulative()]
             family.add_metric((instance,), buckets, histogram.total)
         return family
 
-    def _refusals(self) -> Any:
-        from prometheus_client.core import CounterMetricFamily
-
-        text = "Requests that the router itself gave up, by reason"
-        family = CounterMetricFamily("hazelbend_refusals", text, labels=("reason",))
+    def _refusals(self) -> Metric:
+        help_text = "Requests that the router itself gave up, by reason"
+        family = CounterMetricFamily("hazelbend_refusals", help_text, labels=("reason",))
         for reason, count in self._statistics.refusals.items():
             family.add_metric((reason.value,), count)
         return family
 
-    def _repeats(self) -> Any:
-        from prometheus_client.core import CounterMetricFamily
-
-        text = "Sends after one that may have run"
-        return CounterMetricFamily("hazelbend_repeats", text, value=self._statistics.retries)
+    def _retries(self) -> Metric:
+        help_text = "Sends after one that may have run"
+        return CounterMetricFamily("hazelbend_repeats", help_text, value=self._statistics.retries)
 
 
-def _bound(bound: float) -> str:
+def _bucket_label(bound: float) -> str:
+    """The value of the label `le`, an upper bound."""
     return "+Inf" if bound == float("inf") else str(bound)
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -42,16 +42,18 @@
         seed = secrets.randbits(63)
         self._placement = PlacementEngine(settings.zone, seed)
         self._state = FleetState(self._placement)
-        half = (settings.max_descriptors - RESERVED_DESCRIPTORS) // 2
+        half = (settings.max_file_descriptors - RESERVED_DESCRIPTORS) // 2
         self._client: HttpWorkerClient
         self._forwarder: Forwarder
         self._listener: RequestListener
         self._connections = half
         self._readiness = AsgiServer(self._ready, SMALL_BODY)
-        self._subscriptions = ControlSubscriptions(settings.node, settings.seed_peers, self, seed)
+        self._subscriptions = ControlSubscriptions(
+            settings.node_name, settings.seed_peer_addresses, self, seed
+        )
         self._seed = seed
         self._confirmed_at = 0  # when the configuration was surely the newest, by this process's clock
-        self._state.has_current_config = lambda: clock() - self._confirmed_at < self._settings.config_apply
+        self._state.has_current_config = lambda: clock() - self._confirmed_at < self._settings.config_apply_us
         self._load_timer: asyncio.TimerHandle | None = None
         self._others = LoadView()
         self._load_seq = clock()  # rises over restarts too
@@ -66,14 +68,14 @@
         self._forwarder = Forwarder(self._state, self._client, clock, self._new_budget, self._seed)
         self._listener = RequestListener(self._forwarder.serve, clock, self._connections)
         self._subscriptions.start()
-        await self._listener.listen(*split_address(self._settings.http))
-        await self._readiness.listen(*split_address(self._settings.readiness))
-        log.info("router: %s serves at %s", self._settings.node, self._settings.http)
+        await self._listener.listen(*split_address(self._settings.http_address))
+        await self._readiness.listen(*split_address(self._settings.readiness_address))
+        log.info("router: %s serves at %s", self._settings.node_name, self._settings.http_address)
 
     async def close(self) -> None:
         """Not ready from now on; every request that was read is answered; then the end."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + self._settings.grace / 1e6 - LAST_WORD
+        end = loop.time() + self._settings.grace_us / 1e6 - LAST_WORD
         noticed = loop.time() + PLATFORM_NOTICES
         self._listener.empty(noticed, noticed)
         await asyncio.sleep(PLATFORM_NOTICES)
@@ -89,11 +91,11 @@
     def reload(self, settings: Settings) -> None:
         """The settings file has changed: the seeds may be others."""
         self._settings = settings
-        self._subscriptions.seeds = settings.seed_peers
+        self._subscriptions.seeds = settings.seed_peer_addresses
 
     def _new_budget(self) -> RetryBudget:
         settings = self._settings
-        return RetryBudget(settings.retry_ratio, settings.retry_slack, settings.retry_window)
+        return RetryBudget(settings.retry_ratio, settings.retry_slack, settings.retry_window_us)
 
     async def _ready(self, call: HttpRequest) -> HttpResponse:
         if call.path == "/metrics":
@@ -138,7 +140,7 @@
         self._subscriptions.set_alive(update.controls)
         self._state.max_routers = max(self._state.max_routers, update.routers)
         self._placement.set_switching(set(update.switching))
-        self._placement.update_silence(update.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat)
+        self._placement.update_silence(update.silent, EXPIRY_HEARTBEATS * self._settings.heartbeat_us)
         self._load_changed()  # told again now and then, as words may be lost
 
     def config_confirmed(self, version: int, at_s: float) -> None:
@@ -163,7 +165,9 @@
         cached, self._placement.newly_cached = tuple(self._placement.newly_cached), []
         loads = self._placement.own_loads(clock())
         outcomes = self._placement.take_outcomes()
-        self._subscriptions.send(RouterLoad(self._settings.node, self._load_seq, loads, cached, outcomes))
+        self._subscriptions.send(
+            RouterLoad(self._settings.node_name, self._load_seq, loads, cached, outcomes)
+        )
 
 
 def _log_suspicion(record: WorkerRecord, suspect: bool) -> None:
--- a/hazelbend/system/settings.py
+++ b/hazelbend/system/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process: YAML, checked by marshmallow. Unknown fields are ignored.
+"""The settings file of a process: YAML, checked by marshmallow. Unknown keys are ignored.
 
-Times are milliseconds and seconds in the file, as its names say, and microseconds from here on.
+Times are milliseconds or seconds in the file, as its keys say, and microseconds in `Settings`.
 """
 
 from __future__ import annotations
@@ -15,13 +15,16 @@
 
 from hazelbend.control.configuration import Finding, schema_findings
 
-ENVIRONMENT = "HAZELBEND_CONFIG"
-MILLISECOND, SECOND = 1_000, 1_000_000
-CONTROL_PORT, ROUTER_PORT = 0, 1  # places in `portRange`
+ENVIRONMENT = "HAZELBEND_CONFIG"  # the environment variable that names the settings file
+ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"  # IPv4 address and port
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
+MAX_PORT = 65_535
+CONTROL_PORT_OFFSET = 0  # from the first port of `portRange`
 
 
 class SettingsError(ValueError):
-    """A settings file that can't be used, with all that was found."""
+    """A settings file that can't be used, with all findings."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = tuple(findings)
@@ -34,94 +37,104 @@
 
 
 def _address(**options: Any) -> fields.String:
-    return fields.String(validate=validate.Regexp(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"), **options)
+    return fields.String(validate=validate.Regexp(ADDRESS_PATTERN), **options)
 
 
-class _Listen(_Table):
+class _ListenSchema(_Table):
     http = _address()
     readiness = _address()
     control = _address()
 
 
-class _Limits(_Table):
-    cpuShare = fields.Float(load_default=1.0)  # noqa: N815
-    memoryMb = fields.Float(load_default=256.0)  # noqa: N815
-    maxFds = fields.Integer(load_default=1024, validate=validate.Range(min=64))  # noqa: N815
+class _LimitsSchema(_Table):
+    cpu_share = fields.Float(data_key="cpuShare", load_default=1.0)
+    memory_mb = fields.Float(data_key="memoryMb", load_default=256.0)
+    max_fds = fields.Integer(data_key="maxFds", load_default=1024, validate=validate.Range(min=64))
 
 
-class _Tolerance(_Table):
+class _FaultToleranceSchema(_Table):
     machines = fields.Integer(load_default=0, validate=validate.Range(min=0))
 
 
-class _Bounds(_Table):
-    drainMs = fields.Float(load_default=2_000)  # noqa: N815
-    graceS = fields.Float(load_default=8)  # noqa: N815
-    retryRatio = fields.Float(load_default=0.2)  # noqa: N815
-    retryWindowS = fields.Float(load_default=10, validate=validate.Range(min=0.1))  # noqa: N815
-    retrySlack = fields.Float(load_default=10)  # noqa: N815
-    leaseMs = fields.Float(load_default=3_000)  # noqa: N815
-    configApplyMs = fields.Float(load_default=2_000)  # noqa: N815
+class _BoundsSchema(_Table):
+    drain_ms = fields.Float(data_key="drainMs", load_default=2_000)
+    grace_s = fields.Float(data_key="graceS", load_default=8)
+    retry_ratio = fields.Float(data_key="retryRatio", load_default=0.2)
+    retry_window_s = fields.Float(data_key="retryWindowS", load_default=10, validate=validate.Range(min=0.1))
+    retry_slack = fields.Float(data_key="retrySlack", load_default=10)
+    lease_ms = fields.Float(data_key="leaseMs", load_default=3_000)
+    config_apply_ms = fields.Float(data_key="configApplyMs", load_default=2_000)
 
 
-class _Settings(_Table):
-    nodeName = fields.String(required=True)  # noqa: N815
+class _SettingsSchema(_Table):
+    node_name = fields.String(data_key="nodeName", required=True)
     role = fields.String(load_default="")
     ip = fields.String(required=True)
     zone = fields.String(required=True)
     region = fields.String(load_default="")
     zones = fields.Dict(keys=fields.String(), values=fields.String(), load_default=dict)
-    listen = fields.Nested(_Listen, load_default=dict)
-    portRange = fields.List(  # noqa: N815
-        fields.Integer(validate=validate.Range(min=1, max=65_535)),
+    listen = fields.Nested(_ListenSchema, load_default=dict)
+    port_range = fields.List(
+        fields.Integer(validate=validate.Range(min=1, max=MAX_PORT)),
+        data_key="portRange",
         required=True,
         validate=validate.Length(equal=2),
     )
     seeds = fields.List(_address(), load_default=list)
     bootstrap = fields.Boolean(load_default=False)
-    countsForQuorum = fields.Boolean(load_default=False)  # noqa: N815
-    limits = fields.Nested(_Limits, load_default=lambda: _Limits().load({}))
-    dataDir = fields.String(load_default="", allow_none=True)  # noqa: N815
-    heartbeatMs = fields.Float(load_default=1_000, validate=validate.Range(min=10))  # noqa: N815
-    faultTolerance = fields.Nested(_Tolerance, load_default=lambda: _Tolerance().load({}))  # noqa: N815
-    bounds = fields.Nested(_Bounds, load_default=lambda: _Bounds().load({}))
+    counts_for_quorum = fields.Boolean(data_key="countsForQuorum", load_default=False)
+    limits = fields.Nested(_LimitsSchema, load_default=lambda: _LimitsSchema().load({}))
+    data_dir = fields.String(data_key="dataDir", load_default="", allow_none=True)
+    heartbeat_ms = fields.Float(data_key="heartbeatMs", load_default=1_000, validate=validate.Range(min=10))
+    fault_tolerance = fields.Nested(
+        _FaultToleranceSchema,
+        data_key="faultTolerance",
+        load_default=lambda: _FaultToleranceSchema().load({}),
+    )
+    bounds = fields.Nested(_BoundsSchema, load_default=lambda: _BoundsSchema().load({}))
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a process is told. Times in microseconds."""
+    """The settings of one process. Addresses are `IP:PORT`, and empty where the file names none."""
 
-    node: str
+    node_name: str
     role: str
     ip: str
     zone: str
-    zones: dict[str, str]
-    http: str
-    readiness: str
-    control: str
-    ports: tuple[int, int]
-    seeds: tuple[str, ...]  # control addresses of machines
-    bootstrap: bool
-    counted: bool
-    max_descriptors: int
-    data_folder: Path | None
-    heartbeat: int
-    tolerance: int
-    grace: int
-    retry_ratio: float
-    retry_window: int
+    zones: dict[str, str]  # by node name
+    http_address: str
+    readiness_address: str
+    control_address: str  # of the API
+    port_range: tuple[int, int]  # first and last port for traffic inside the fleet
+    seeds: tuple[str, ...]  # API addresses of machines
+    bootstrap: bool  # may found a new cluster
+    counts_for_quorum: bool  # may become a voter
+    max_file_descriptors: int
+    data_dir: Path | None
+    heartbeat_us: int  # between two heartbeats of a worker
+    tolerated_losses: int  # machines that may be lost at a time
+    grace_us: int  # from the signal to the end of the process
+    retry_ratio: float  # see `placement.retry_budget`
+    retry_window_us: int
     retry_slack: float
-    lease: int
-    config_apply: int  # after which an acknowledged configuration holds everywhere
+    lease_us: int  # of phase orders
+    config_apply_us: int  # after which an acknowledged configuration is in force everywhere
+
+    @property
+    def control_peer_address(self) -> str:
+        """The address at which this machine's control process serves the fleet's other processes."""
+        return f"{self.ip}:{self._control_peer_port}"
 
     @property
-    def control_peer(self) -> str:
-        """Where a control process on this machine is found by others of the fleet."""
-        return f"{self.ip}:{self.ports[0] + CONTROL_PORT}"
+    def seed_peer_addresses(self) -> tuple[str, ...]:
+        """The addresses at which the seeds' control processes serve the fleet's other processes."""
+        return tuple(f"{split_address(seed)[0]}:{self._control_peer_port}" for seed in self.seeds)
 
     @property
-    def seed_peers(self) -> tuple[str, ...]:
-        """Where control processes on the seeds are found by others of the fleet."""
-        return tuple(f"{seed.rpartition(':')[0]}:{self.ports[0] + CONTROL_PORT}" for seed in self.seeds)
+    def _control_peer_port(self) -> int:
+        first_port = self.port_range[0]
+        return first_port + CONTROL_PORT_OFFSET
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -134,7 +147,7 @@
     """The settings in a file's text.
 
     Raises:
-        SettingsError: with every finding and its place.
+        SettingsError: with every finding and its path in the file.
     """
     try:
         document = YAML(typ="safe", pure=True).load(text)
@@ -143,37 +156,38 @@
     if not isinstance(document, dict):
         raise SettingsError([Finding("file", "no table")])
     try:
-        table = _Settings().load(document)
+        table = _SettingsSchema().load(document)
     except ValidationError as error:
         raise SettingsError(list(schema_findings("", error.messages))) from None
-    return _settings(table)
+    return _to_settings(table)
 
 
-def _settings(table: dict[str, Any]) -> Settings:
-    listen, bounds = table["listen"], table["bounds"]
-    first, last = table["portRange"]
-    folder = table["dataDir"]
+def _to_settings(table: dict[str, Any]) -> Settings:
+    listen = table["listen"]
+    bounds = table["bounds"]
+    first_port, last_port = table["port_range"]
+    data_dir = table["data_dir"]
     return Settings(
-        node=table["nodeName"],
+        node_name=table["node_name"],
         role=table["role"],
         ip=table["ip"],
         zone=table["zone"],
         zones=table["zones"],
-        http=listen.get("http", ""),
-        readiness=listen.get("readiness", ""),
-        control=listen.get("control", ""),
-        ports=(first, last),
+        http_address=listen.get("http", ""),
+        readiness_address=listen.get("readiness", ""),
+        control_address=listen.get("control", ""),
+        port_range=(first_port, last_port),
         seeds=tuple(table["seeds"]),
         bootstrap=table["bootstrap"],
-        counted=table["countsForQuorum"],
-        max_descriptors=table["limits"]["maxFds"],
-        data_folder=Path(folder) if folder else None,
-        heartbeat=round(table["heartbeatMs"] * MILLISECOND),
-        tolerance=table["faultTolerance"]["machines"],
-        grace=round(bounds["graceS"] * SECOND),
-        retry_ratio=bounds["retryRatio"],
-        retry_window=round(bounds["retryWindowS"] * SECOND),
-        retry_slack=bounds["retrySlack"],
-        lease=round(bounds["leaseMs"] * MILLISECOND),
-        config_apply=round(bounds["configApplyMs"] * MILLISECOND),
+        counts_for_quorum=table["counts_for_quorum"],
+        max_file_descriptors=table["limits"]["max_fds"],
+        data_dir=Path(data_dir) if data_dir else None,
+        heartbeat_us=round(table["heartbeat_ms"] * MILLISECOND_US),
+        tolerated_losses=table["fault_tolerance"]["machines"],
+        grace_us=round(bounds["grace_s"] * SECOND_US),
+        retry_ratio=bounds["retry_ratio"],
+        retry_window_us=round(bounds["retry_window_s"] * SECOND_US),
+        retry_slack=bounds["retry_slack"],
+        lease_us=round(bounds["lease_ms"] * MILLISECOND_US),
+        config_apply_us=round(bounds["config_apply_ms"] * MILLISECOND_US),
     )
