--- a/hazelbend/system/daemon_runner.py
+++ b/hazelbend/system/daemon_runner.py
@@ -63,17 +63,39 @@
     return RouterDaemon(settings)
 
 
+class _SettingsFile:
+    """The settings file, and when it was last modified as far as it was read."""
+
+    def __init__(self, path: Path) -> None:
+        self._path = path
+        self._modified_at = self._last_modified()
+
+    def read_if_changed(self, *, force: bool) -> Settings | None:
+        """The settings, if the file was modified since it was last read, or by `force`.
+
+        Raises:
+            OSError: the file can't be read.
+            SettingsError: its content can't be used. It is not read again until it is modified.
+        """
+        modified_at = self._last_modified()
+        if modified_at == self._modified_at and not force:
+            return None
+        self._modified_at = modified_at
+        return read_settings(self._path.read_text())
+
+    def _last_modified(self) -> int:
+        return self._path.stat().st_mtime_ns
+
+
 async def _reload_on_change(daemon: Daemon, path: Path, reload_requested: asyncio.Event) -> None:
-    modified_at = path.stat().st_mtime_ns
+    file = _SettingsFile(path)
     while True:
         signalled = await _wait_for_signal(reload_requested)
         try:
-            now_modified_at = path.stat().st_mtime_ns
-            if now_modified_at == modified_at and not signalled:
-                continue
-            modified_at = now_modified_at
-            daemon.reload(read_settings(path.read_text()))
-            log.info("settings: reloaded")
+            settings = file.read_if_changed(force=signalled)
+            if settings is not None:
+                daemon.reload(settings)
+                log.info("settings: reloaded")
         except OSError as error:
             log.warning("settings: not reloaded: %s", error)
         except SettingsError as error:
--- a/hazelbend/transport/http/asgi_server.py
+++ b/hazelbend/transport/http/asgi_server.py
@@ -43,6 +43,9 @@
 
 
 RequestHandler = Callable[[HttpRequest], Awaitable[HttpResponse]]
+AsgiEvent = dict[str, Any]
+AsgiReceive = Callable[[], Awaitable[AsgiEvent]]
+AsgiSend = Callable[[AsgiEvent], Awaitable[None]]
 
 
 class _UvicornServer(uvicorn.Server):
@@ -91,7 +94,7 @@
         )
         self._server = _UvicornServer(config)
         self._task = asyncio.create_task(self._server.serve(sockets=[listener]))
-        while not self._server.started and not self._task.done():
+        while not self._server.started and not self._task.done():  # noqa: ASYNC110 (uvicorn has only a flag)
             await asyncio.sleep(STARTED_POLL_S)
 
     async def close(self) -> None:
@@ -101,7 +104,7 @@
             self._server.stopping.set()
             await asyncio.wait([self._task], timeout=2 * SHUTDOWN_TIMEOUT_S)
 
-    async def _serve(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
+    async def _serve(self, scope: dict[str, Any], receive: AsgiReceive, send: AsgiSend) -> None:
         """The ASGI application (https://asgi.readthedocs.io, "HTTP Connection Scope")."""
         body = await self._read_body(receive)
         if body is None:
@@ -113,7 +116,7 @@
             response = await self._handler(HttpRequest(scope["method"], scope["path"], headers, body))
         await _send_response(response, send)
 
-    async def _read_body(self, receive: Any) -> bytes | None:
+    async def _read_body(self, receive: AsgiReceive) -> bytes | None:
         """The body, or as much of it as shows that it is too long. None: the client has disconnected."""
         body = bytearray()
         while True:
@@ -136,7 +139,7 @@
     return listener
 
 
-async def _send_response(response: HttpResponse, send: Any) -> None:
+async def _send_response(response: HttpResponse, send: AsgiSend) -> None:
     fields = {"content-type": response.content_type, "content-length": str(len(response.body))}
     fields |= response.headers
     headers = [(name.lower().encode(), value.encode("latin-1")) for name, value in fields.items()]
