--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -214,7 +214,7 @@
 
         peers._call = call
         for _ in range(3):
-            peers.tell("h:1", Packet("f", "a@h:0", "h:1", FullState(answer=False)))
+            peers.tell("h:1", Packet("f", "a@h:0", "h:1", FullState(reply_wanted=False)))
             while peers._waiting:
                 await asyncio.sleep(0)
             assert not peers._senders
