--- /dev/null
+++ b/hazelbend/system/router_update_handler.py
@@ -0,0 +1,89 @@
+"""Applies the updates of control processes to what a router decides by."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable
+
+import msgspec
+import picologging
+
+from hazelbend.control import messages as m
+from hazelbend.control.load_table import LoadNews, LoadView
+from hazelbend.control.workers import EXPIRY_HEARTBEATS
+from hazelbend.forwarding.fleet_state import FleetState
+from hazelbend.placement.routes import Limits, decode_route_table
+from hazelbend.system.clock import clock
+from hazelbend.system.settings import Settings
+
+log = picologging.getLogger("hazelbend.router")
+
+SECOND_US = 1_000_000
+
+
+class RouterUpdateHandler:
+    """Implements `control_subscriptions.UpdateHandler`.
+
+    `on_limits` gets the limits of each configuration that comes into force, `on_fleet_status` each periodic
+    update, once it is applied.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        state: FleetState,
+        on_limits: Callable[[Limits], None],
+        on_fleet_status: Callable[[m.FleetNews], None],
+    ) -> None:
+        self.settings = settings  # replaced at a reload
+        self._state = state
+        self._placement = state.placement
+        self._on_limits = on_limits
+        self._on_fleet_status = on_fleet_status
+        self._other_routers = LoadView()
+        self._config_confirmed_at = 0  # microseconds of this process's clock
+
+    def has_current_config(self) -> bool:
+        """Whether a majority has confirmed recently that no configuration is newer than this router's."""
+        return clock() - self._config_confirmed_at < self.settings.config_apply_us
+
+    def config_version(self) -> int:
+        """The version of the configuration in force; 0 where there is none."""
+        route_table = self._state.route_table
+        return route_table.configuration.version if route_table is not None else 0
+
+    def apply_config(self, update: m.ConfigNews) -> None:
+        """Put a configuration in force, unless the present one is as new."""
+        if update.version <= self.config_version():
+            return
+        try:
+            route_table = decode_route_table(zlib.decompress(update.body))
+        except (msgspec.DecodeError, zlib.error) as error:
+            log.error("router: configuration %d can't be decoded: %s", update.version, error)
+            return
+        if self._state.apply_configuration(route_table):
+            self._on_limits(route_table.configuration.limits)
+            log.info("router: configuration %d is in force", update.version)
+
+    def config_confirmed(self, version: int, at_s: float) -> None:
+        """A majority has confirmed that no configuration was newer than this version at this loop time."""
+        if self.config_version() >= version:
+            self._config_confirmed_at = max(self._config_confirmed_at, round(at_s * SECOND_US))
+
+    def apply_workers(self, update: m.WorkerNews) -> None:
+        """Merge the records of workers."""
+        for record in update.records:
+            self._placement.merge(record)
+
+    def apply_fleet_status(self, update: m.FleetNews) -> None:
+        """Take the number of routers, and which workers are silent or change their phase."""
+        self._state.max_routers = max(self._state.max_routers, update.routers)
+        self._placement.set_switching(set(update.switching))
+        self._placement.update_silence(update.silent, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
+        self._on_fleet_status(update)
+
+    def apply_loads(self, update: LoadNews) -> None:
+        """Take the other routers' requests in flight, cache contents, and how their attempts ended."""
+        self._other_routers.take(update)
+        self._placement.apply_load_report(self._other_routers.loads, update.cached, clock())
+        self._placement.apply_peer_outcomes(update.outcomes, clock())
