--- a/benchmarks/router_latency.py
+++ b/benchmarks/router_latency.py
@@ -1,9 +1,10 @@
-"""What a router adds to a call: the same calls to a worker directly and through a router, in turns.
+"""Measures the latency that a router adds: the same calls to a worker directly and through a router, in turn.
 
     python -m benchmarks.router_latency --calls 2000
 
 Starts the example fleet (three machines on loopback) with one more worker that answers at once, and prints
-one JSON line: milliseconds to the whole answer, p50 and p99, on kept connections, and what the router adds.
+one JSON line: milliseconds to the complete answer, p50 and p99, on keep-alive connections, and the
+difference.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from example.fleet.run import CONFIGURATION, CONTROL, HTTP, MACHINES, ExampleFleet
 from hazelbend.standins.model_worker import ModelWorker, ModelWorkerSettings
 
-PROMPT_WORKER = ModelWorkerSettings(
+IMMEDIATE_WORKER = ModelWorkerSettings(
     service="echo",
     host="127.0.0.9",
     port=18300,
@@ -39,18 +40,18 @@
     "backend": "echo",
     "retries": 1,
 }
-WARM_UP = 50  # calls each way that are not counted
-START_WAIT = 20.0  # seconds for the worker to be known
+WARM_UP_CALLS = 50  # to each address, not counted
+START_TIMEOUT_S = 20.0  # for the worker to be known
 
 
 async def main() -> None:
-    """Measure, and print one line."""
+    """Measure, and print the result."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--calls", type=int, default=2_000)
     calls = parser.parse_args().calls
     with tempfile.TemporaryDirectory() as folder:
         fleet = ExampleFleet(Path(folder))
-        worker = ModelWorker(PROMPT_WORKER)
+        worker = ModelWorker(IMMEDIATE_WORKER)
         try:
             await fleet.start()
             await worker.start()
@@ -73,19 +74,19 @@
     direct: list[float] = []
     routed: list[float] = []
     async with aiohttp.ClientSession() as session:
-        await _until_served(session)
-        for number in range(calls + WARM_UP):
+        await _wait_until_served(session)
+        for number in range(calls + WARM_UP_CALLS):
             for address, times in ((worker, direct), (f"{MACHINES[0]}:{HTTP}", routed)):
                 status, seconds = await _call(session, address, f"call-{address}-{number}")
                 if status != 200:
                     raise RuntimeError(f"{address} answers {status}")
                 times.append(1_000 * seconds)
-    return _summary(direct[WARM_UP:]), _summary(routed[WARM_UP:])
+    return _summary(direct[WARM_UP_CALLS:]), _summary(routed[WARM_UP_CALLS:])
 
 
-async def _until_served(session: aiohttp.ClientSession) -> None:
-    """Until the router knows the route and the worker."""
-    async with asyncio.timeout(START_WAIT):
+async def _wait_until_served(session: aiohttp.ClientSession) -> None:
+    """Wait until the router knows the route and the worker."""
+    async with asyncio.timeout(START_TIMEOUT_S):
         while (await _call(session, f"{MACHINES[0]}:{HTTP}", "first"))[0] != 200:
             await asyncio.sleep(0.05)
 
--- a/hazelbend/placement/choices.py
+++ b/hazelbend/placement/choices.py
@@ -1,4 +1,4 @@
-"""What a placement decides, and what it keeps of each send: values only."""
+"""What worker selection decides, and the record of each attempt in flight. Values only."""
 
 from __future__ import annotations
 
@@ -10,48 +10,50 @@
 
 
 class Stage(Enum):
-    """What a worker is asked to do."""
+    """The phase of a request that a worker is wanted for; the value is the phase in the worker's record."""
 
     PREFILL = "prefill"
     DECODE = "decode"
-    ANY = ""  # a service without phases
+    ANY = ""  # whole requests, at workers of all phases
 
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """A worker, what the request adds to it, and when it is expected to be done with it."""
+    """A worker, and what the request is expected to cost there."""
 
     worker: WorkerEstimate
-    prefill_tokens: int  # to be read there
-    cost: float  # microseconds, with what it costs beside time
-    expected_delay: float = 0.0  # microseconds to the first sign of the worker, if it is well
+    prefill_tokens: int  # tokens of the prompt that it has to prefill
+    cost: float  # microseconds: expected delay and prices
+    expected_delay: float = 0.0  # microseconds to the worker's first response, if it is healthy
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerPair:
-    """Who reads the prompt, None where the other one reads it itself, and who makes the tokens."""
+    """The workers of a request's two phases."""
 
-    prefill: Choice | None
+    prefill: Choice | None  # None: the decode worker prefills the prompt itself
     decode: Choice
-    cost: float  # expected microseconds to the first event, with prices
+    cost: float  # microseconds to the first event, and prices
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An own send to a worker that has no end yet."""
+    """A request of this router that is in flight at a worker."""
 
     worker: WorkerEstimate
-    prefill_units: float  # of reading
-    takes_slot: bool  # whether it takes a place among the requests that run
+    prefill_units: float  # to be prefilled there; 0 once that is done
+    takes_slot: bool  # whether it counts as one of the worker's running requests
     sent_at: int
-    ahead: float  # units of reading that were expected before it
-    whole: float  # units of its whole prompt
-    guessed: float  # units of shared parts that its worker may have had, without anybody having told
-    pace: float  # microseconds a unit that were expected there
+    queued_units: float  # prefill units that were expected ahead of it
+    prompt_units: float  # size of the whole prompt
+    unconfirmed_units: float  # of the shared prefix; perhaps cached there, though nobody reported it
+    unit_time: float  # expected microseconds per prefill unit
     policy: Policy
-    expected: float = 0.0  # microseconds to its first sign
-
-    def remaining(self, now: int) -> float:
-        """Units that are still to be read, as far as the worker reads in the order of arrival."""
-        read = (now - self.sent_at) / self.pace - self.ahead
-        return self.prefill_units - min(max(read, 0.0), self.policy.most_read * self.prefill_units)
+    expected_delay: float = 0.0  # microseconds to the worker's first response
+
+    def remaining_units(self, now: int) -> float:
+        """Estimate the units still to be prefilled, for a worker that serves in order of arrival."""
+        done = (now - self.sent_at) / self.unit_time - self.queued_units
+        return self.prefill_units - min(
+            max(done, 0.0), self.policy.max_inferred_progress * self.prefill_units
+        )
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -1,4 +1,8 @@
-"""A router's placement: what comes in of workers and of own sends, and the choices that are made of it."""
+"""The placement engine of a router: keeps its view of the workers up to date, and selects from it.
+
+Three sources update the view: worker records and load reports from the control processes, outcomes that peer
+routers report, and the router's own attempts from start to end.
+"""
 
 from __future__ import annotations
 
@@ -9,131 +13,159 @@
 from hazelbend.control.load_table import CachedPart, Load, Outcomes
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.placement.choices import Attempt, Choice
-from hazelbend.placement.estimates import Estimate, WorkerEstimate
+from hazelbend.placement.estimates import QueueEstimate, WorkerEstimate
 from hazelbend.placement.fleet_view import FleetView
-from hazelbend.placement.policy import STANDARD, UNIT, Policy
+from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, STANDARD, Policy
 from hazelbend.placement.prompt import PrefixSegment, Prompt
 from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.placement.routes import Service
 from hazelbend.placement.selector import WorkerSelector
 from hazelbend.placement.statistics import Statistics
 
+# One prefill tells at most this much of how slow its worker is: the rest is chance.
+MIN_SLOWNESS_SAMPLE = 0.3
+MAX_SLOWNESS_SAMPLE = 3.0
+MAX_FIRST_EVENT_FACTOR = 10  # times the initial guess, that a sample of the time to a first event counts as
+
 
 class PlacementEngine:
-    """The workers of all services, as this router sees them. Times in microseconds."""
+    """Placement of the requests of one router. Times in microseconds.
+
+    Attributes:
+        selector: chooses workers.
+        statistics: counters of the router's own decisions.
+        newly_cached: prefix segments that own attempts have brought to a worker's cache, or used there, and
+            that were not reported to peers yet. The caller takes them away.
+        on_suspicion_changed: called with a worker's record when it becomes suspect (True) or recovers.
+        on_load_changed: called when the work of own attempts has changed.
+    """
 
     def __init__(self, zone: str, seed: int, policy: Policy = STANDARD) -> None:
-        self._zone, self._policy = zone, policy
-        self._known = FleetView(policy)
-        self.selector = WorkerSelector(self._known, zone, policy, random.Random(seed))
-        self.newly_cached: list[CachedPart] = []  # or used anew, not told to other routers yet
-        self._outcomes: dict[str, Counter[AttemptOutcome]] = {}  # by instance, not told to other routers yet
+        """Start without workers, for a router of `zone`; `seed` is for the breaking of ties."""
+        self._zone = zone
+        self._policy = policy
+        self._fleet = FleetView(policy)
+        self._unreported_outcomes: dict[str, Counter[AttemptOutcome]] = {}  # by instance
+        self.selector = WorkerSelector(self._fleet, zone, policy, random.Random(seed))
         self.statistics = Statistics()
+        self.newly_cached: list[CachedPart] = []
         self.on_suspicion_changed: Callable[[WorkerRecord, bool], None] = lambda record, suspect: None
-        self.on_load_changed: Callable[[], None] = lambda: None  # own work has changed
+        self.on_load_changed: Callable[[], None] = lambda: None
 
     @property
     def workers(self) -> dict[str, WorkerEstimate]:
-        """All that are known, by instance."""
-        return self._known.workers
+        """All known workers, by instance."""
+        return self._fleet.workers
 
     @workers.setter
     def workers(self, workers: dict[str, WorkerEstimate]) -> None:
-        self._known.workers = workers
+        self._fleet.workers = workers
 
     @property
     def services(self) -> dict[str, Service]:
-        """As configured, by name."""
-        return self._known.services
+        """The configured services, by name."""
+        return self._fleet.services
 
     @services.setter
     def services(self, services: dict[str, Service]) -> None:
-        self._known.services = services
+        self._fleet.services = services
 
     def set_switching(self, instances: set[str]) -> None:
-        """Instances that are changing their part."""
-        self._known.switching = instances
+        """Take the instances that are changing their phase: they get no requests."""
+        self._fleet.switching = instances
 
     def has_phases(self, service: str) -> bool:
-        """See `FleetView`."""
-        return self._known.has_phases(service)
+        """Whether the service has separate workers for prefill and decode."""
+        return self._fleet.has_phases(service)
 
-    # --- what is known of workers ---
+    # --- updates from control processes ---
 
     def merge(self, record: WorkerRecord) -> None:
-        """Take a record from the control plane; older ones change nothing."""
+        """Take a worker record; one that is older than the known one changes nothing."""
         known = self.workers.get(record.instance)
         if known is None:
             if record.state is not WorkerState.GONE:
-                self.workers[record.instance] = self._new(record)
+                self.workers[record.instance] = self._new_estimate(record)
         elif record.rank > known.record.rank:
-            if record.phase != known.record.phase:  # another part: its counts and rates are another's
-                fresh = self._new(record)
-                known.prefill.rate, known.requests.rate = fresh.prefill.rate, fresh.requests.rate
-            known.record, known.expired = record, False
-
-    def _new(self, record: WorkerRecord) -> WorkerEstimate:
-        alike = [
-            each
-            for each in self.workers.values()
-            if (each.record.service, each.record.phase) == (record.service, record.phase)
+            if record.phase != known.record.phase:  # the rates of the old phase do not hold any more
+                fresh = self._new_estimate(record)
+                known.prefill.rate = fresh.prefill.rate
+                known.requests.rate = fresh.requests.rate
+            known.record = record
+            known.expired = False
+
+    def _new_estimate(self, record: WorkerRecord) -> WorkerEstimate:
+        """Start with the mean rate of the workers of the same kind."""
+        prefill_rate = 1 / self._fleet.prefill_model(record).unit_time
+        request_rates = [
+            worker.requests.rate
+            for worker in self.workers.values()
+            if worker.record.service == record.service and worker.record.phase == record.phase
         ]
-        read = 1 / self._known.model(record).pace
-        run = _mean([each.requests.rate for each in alike], record.capacity / self._policy.first_run)
-        return WorkerEstimate(record, Estimate(read, 1.0), Estimate(run, float(record.capacity)))
-
-    def update_silence(self, silent: dict[str, int], expiry: float) -> None:
-        """How long ago each worker was heard that is silent; one that is so for `expiry` microseconds is
-        dropped."""
-        for instance, each in list(self.workers.items()):
-            age = silent.get(instance)
+        request_rate = record.capacity / self._policy.initial_run_time_us
+        if request_rates:
+            request_rate = sum(request_rates) / len(request_rates)
+        return WorkerEstimate(
+            record,
+            prefill=QueueEstimate(prefill_rate, concurrency=1.0),
+            requests=QueueEstimate(request_rate, concurrency=float(record.capacity)),
+        )
+
+    def update_silence(self, silent_for: dict[str, int], expiry: float) -> None:
+        """Take how long ago the silent workers were last heard by the control processes.
+
+        A worker that is silent for longer than `expiry`, or that has left, is dropped once no own attempt is
+        in flight there. Control processes stop listing an expired worker, so its absence from `silent_for` is
+        no sign of life.
+        """
+        for instance, worker in list(self.workers.items()):
+            age = silent_for.get(instance)
             if age is not None:
-                each.silent, each.expired = True, age > expiry
-            elif not each.expired:  # control processes forget those that have expired
-                each.silent = False
-            over = each.expired or each.record.state is WorkerState.GONE
-            if over and not each.busy:
+                worker.silent = True
+                worker.expired = age > expiry
+            elif not worker.expired:
+                worker.silent = False
+            has_left = worker.expired or worker.record.state is WorkerState.GONE
+            if has_left and not worker.has_attempts:
                 del self.workers[instance]
                 self.statistics.forget(instance)
 
     def apply_load_report(self, loads: dict[str, Load], cached: tuple[CachedPart, ...], now: int) -> None:
-        """What all other routers have under way, and what they had read."""
-        nothing = Load()
-        for instance, each in self.workers.items():
-            load = loads.get(instance, nothing)
-            each.prefill.apply_report(round(load.tokens / UNIT), now)
-            each.requests.apply_report(load.jobs, now)
-        self._known.see_readers()
-        for part in cached:
-            worker = self.workers.get(part.instance)
-            if worker is not None:
-                worker.remember([PrefixSegment(part.part, part.tokens)], self._known.memory(worker))
+        """Take the unfinished work of all peers by instance, and the prefix segments they had prefilled."""
+        no_load = Load()
+        for instance, worker in self.workers.items():
+            load = loads.get(instance, no_load)
+            worker.prefill.apply_report(round(load.tokens / PREFILL_UNIT_TOKENS), now)
+            worker.requests.apply_report(load.jobs, now)
+        self._fleet.update_prefill_utilization()
+        for entry in cached:
+            known = self.workers.get(entry.instance)
+            if known is not None:
+                segment = PrefixSegment(entry.part, entry.tokens)
+                known.prefix_cache.add([segment], self._fleet.prefix_cache_capacity(known))
+
+    # --- exchange with peer routers ---
 
     def apply_peer_outcomes(self, outcomes: tuple[Outcomes, ...], now: int) -> None:
-        """How sends of other routers have ended."""
-        for each in outcomes:
-            worker = self.workers.get(each.instance)
+        """Take how attempts of other routers have ended."""
+        for report in outcomes:
+            worker = self.workers.get(report.instance)
             if worker is None:
                 continue
             counts = {
-                AttemptOutcome.FAILED: each.failed,
-                AttemptOutcome.REJECTED: each.rejected,
-                AttemptOutcome.SERVED: each.served,
+                AttemptOutcome.FAILED: report.failed,
+                AttemptOutcome.REJECTED: report.rejected,
+                AttemptOutcome.SERVED: report.served,
             }
-            for end, count in counts.items():
-                for _ in range(min(count, self._policy.most_told)):
-                    self._see(worker, end, each.zone == self._zone, now)
-
-    def _see(self, worker: WorkerEstimate, end: AttemptOutcome, in_own_zone: bool, now: int) -> None:
-        worker.reliability.record(end, in_own_zone, now)
-        suspect = worker.reliability.is_suspect(now)
-        if suspect != worker.was_suspect:
-            worker.was_suspect = suspect
-            self.on_suspicion_changed(worker.record, suspect)
+            in_own_zone = report.zone == self._zone
+            for outcome, count in counts.items():
+                for _ in range(min(count, self._policy.max_peer_outcomes)):
+                    self._update_reliability(worker, outcome, now, in_own_zone=in_own_zone)
 
     def take_outcomes(self) -> tuple[Outcomes, ...]:
-        """How own sends have ended since the last call, where others should know."""
-        outcomes, self._outcomes = self._outcomes, {}
+        """Return, and forget, the outcomes of own attempts that peers should hear of."""
+        unreported = self._unreported_outcomes
+        self._unreported_outcomes = {}
         return tuple(
             Outcomes(
                 instance,
@@ -142,128 +174,183 @@
                 counts[AttemptOutcome.FAILED],
                 counts[AttemptOutcome.REJECTED],
             )
-            for instance, counts in outcomes.items()
+            for instance, counts in unreported.items()
         )
 
     def own_loads(self, now: int) -> dict[str, Load]:
-        """This router's unfinished work by worker."""
+        """Return the unfinished work of own attempts, by instance."""
         return {
-            instance: Load(each.requests.own_jobs, round(self._known.own_unread(each, now) * UNIT))
-            for instance, each in self.workers.items()
-            if each.busy
+            instance: Load(
+                worker.requests.own_jobs,
+                round(self._fleet.own_prefill_backlog(worker, now) * PREFILL_UNIT_TOKENS),
+            )
+            for instance, worker in self.workers.items()
+            if worker.has_attempts
         }
 
-    # --- what happens ---
+    # --- own attempts ---
 
     def begin_attempt(self, choice: Choice, prompt: Prompt, now: int, *, takes_slot: bool) -> Attempt:
-        """The request is on its way to the chosen worker."""
-        worker, units = choice.worker, choice.prefill_tokens / UNIT
-        cached = prompt.tokens - choice.prefill_tokens
-        guessed = bool(cached) and not worker.holds(prompt.shared)
-        shared = prompt.shared_tokens if guessed else 0
-        whole = prompt.tokens / UNIT
-        ahead, pace = self._known.unread(worker, now), 1 / worker.prefill.rate
-        expected = max(choice.expected_delay, 0.0)
-        send = Attempt(
-            worker, units, takes_slot, now, ahead, whole, shared / UNIT, pace, self._policy, expected
+        """Count an attempt that is about to be sent to the chosen worker.
+
+        Args:
+            choice: the worker, and what it has to prefill.
+            prompt: the whole prompt.
+            now: the time.
+            takes_slot: whether it is a request that runs there; False for a prefill alone.
+        """
+        worker = choice.worker
+        attempt = Attempt(
+            worker,
+            prefill_units=choice.prefill_tokens / PREFILL_UNIT_TOKENS,
+            takes_slot=takes_slot,
+            sent_at=now,
+            queued_units=self._fleet.prefill_backlog(worker, now),
+            prompt_units=prompt.tokens / PREFILL_UNIT_TOKENS,
+            unconfirmed_units=_unconfirmed_tokens(choice, prompt) / PREFILL_UNIT_TOKENS,
+            unit_time=1 / worker.prefill.rate,
+            policy=self._policy,
+            expected_delay=max(choice.expected_delay, 0.0),
         )
-        if units:
-            self._known.reads.setdefault(worker.record.instance, {})[send] = None
-            worker.prefill.add(units)
-            if self._policy.tells_all_reads:
-                self._use_parts(worker, prompt)
-            else:
-                self._remember(worker, prompt)
-            counts = self.statistics.for_worker(worker.record.instance)
-            counts.prefilled_tokens += choice.prefill_tokens
-            counts.cached_tokens += prompt.tokens - choice.prefill_tokens
+        if attempt.prefill_units:
+            self._begin_prefill(attempt, choice, prompt)
         if takes_slot:
             worker.requests.add(1.0)
-        worker.unheard[id(send)] = (
-            now + self._policy.overdue + round(self._policy.overdue_times * max(choice.cost, 0.0))
-        )
+        allowance = round(self._policy.answer_overdue_factor * max(choice.cost, 0.0))
+        worker.answer_deadlines[id(attempt)] = now + self._policy.answer_overdue_us + allowance
         self.on_load_changed()
-        return send
-
-    def end_prefill(self, send: Attempt) -> None:
-        """Its prompt is read, or never will be."""
-        if send.prefill_units:
-            reads = self._known.reads[send.worker.record.instance]
-            del reads[send]
-            if not reads:
-                del self._known.reads[send.worker.record.instance]
-            send.worker.prefill.remove(send.prefill_units)
-            send.prefill_units = 0.0
-            self.on_load_changed()
+        return attempt
 
-    def record_answer(self, send: Attempt, now: int) -> None:
-        """Its worker has answered, whatever it says."""
-        send.worker.unheard.pop(id(send), None)
-        send.worker.record_answer(now)
-
-    def record_outcome(self, send: Attempt, end: AttemptOutcome, now: int) -> None:
-        """Its end tells this of its worker. A worker that is full rejects without fault."""
-        worker = send.worker
-        if end is AttemptOutcome.REJECTED and worker.requests.expected(now) >= worker.record.capacity:
+    def _begin_prefill(self, attempt: Attempt, choice: Choice, prompt: Prompt) -> None:
+        worker = attempt.worker
+        instance = worker.record.instance
+        self._fleet.prefills.setdefault(instance, {})[attempt] = None
+        worker.prefill.add(attempt.prefill_units)
+        self._use_prefix_cache(worker, prompt, report_all=self._policy.reports_every_prefill)
+        counts = self.statistics.for_worker(instance)
+        counts.prefilled_tokens += choice.prefill_tokens
+        counts.cached_tokens += prompt.tokens - choice.prefill_tokens
+
+    def end_prefill(self, attempt: Attempt) -> None:
+        """Take note that the prompt is prefilled, or will not be any more. Repeated calls do nothing."""
+        if not attempt.prefill_units:
             return
-        self.statistics.for_worker(worker.record.instance).outcomes[end] += 1
-        self._see(worker, end, True, now)
-        if end is not AttemptOutcome.SERVED or worker.reliability.is_suspect(now):
-            self._outcomes.setdefault(worker.record.instance, Counter())[end] += 1
-
-    def end_attempt(self, send: Attempt) -> None:
-        """It has its end."""
-        send.worker.unheard.pop(id(send), None)
-        self.end_prefill(send)
-        if send.takes_slot:
-            send.worker.requests.remove(1.0)
-            self.on_load_changed()
+        instance = attempt.worker.record.instance
+        prefills = self._fleet.prefills[instance]
+        del prefills[attempt]
+        if not prefills:
+            del self._fleet.prefills[instance]
+        attempt.worker.prefill.remove(attempt.prefill_units)
+        attempt.prefill_units = 0.0
+        self.on_load_changed()
 
-    def observe_prefill(self, send: Attempt, now: int) -> None:
-        """The prompt was read there: a sample of the rate."""
-        worker, elapsed = send.worker, now - send.sent_at
-        self.statistics.for_worker(worker.record.instance).reads.add(elapsed, send.expected)
-        model = self._known.model(worker.record)
-        if send.ahead > self._policy.clear * (send.prefill_units + 1):
-            return  # what lay before it is an estimate itself
-        if send.guessed:
-            if send.guessed * UNIT >= self._policy.least_shared:
-                present = elapsed < model.expected(send.ahead + send.whole - send.guessed / 2)
-                self._known.presence(worker.record.service).add(float(present), self._policy.present_memory)
+    def record_answer(self, attempt: Attempt, now: int) -> None:
+        """Take note that the worker has answered, with whatever status."""
+        attempt.worker.answer_deadlines.pop(id(attempt), None)
+        attempt.worker.record_answer(now)
+
+    def record_outcome(self, attempt: Attempt, outcome: AttemptOutcome, now: int) -> None:
+        """Learn from the outcome how reliable the worker is.
+
+        A rejection counts only where the worker is believed to have capacity. Successes are reported to peers
+        only of suspect workers: they tell nothing new of the others.
+        """
+        worker = attempt.worker
+        if outcome is AttemptOutcome.REJECTED and worker.requests.expected(now) >= worker.record.capacity:
             return
-        read = send.ahead + send.prefill_units
-        worker.slowness.add(min(max(elapsed / model.expected(read), 0.3), 3.0), self._policy.slowness_memory)
-        model.sample(read, elapsed)
-
-    def observe_first_event(self, send: Attempt, now: int) -> None:
-        """Its first event has come, of a prompt that was read elsewhere."""
-        self.statistics.for_worker(send.worker.record.instance).first_events.add(
-            now - send.sent_at, send.expected
-        )
-        mean = self._known.first_token(send.worker.record.service)
-        mean.add(min(now - send.sent_at, 10 * self._policy.first_token), self._policy.first_token_memory)
-
-    def record_kv_transfer(self, send: Attempt, prompt: Prompt) -> None:
-        """The worker that makes the tokens keeps the prompt's parts as well."""
-        self._remember(send.worker, prompt)
-
-    def observe_service_time(self, send: Attempt, now: int) -> None:
-        """The request was served there."""
-        worker = send.worker
-        worker.requests.sample(worker.requests.most / max(now - send.sent_at, 1))
-
-    def _use_parts(self, worker: WorkerEstimate, prompt: Prompt) -> None:
-        """It reads the parts or has them. All routers hear of it, so that they know which ones it has not
-        used for longest, and will drop first."""
-        worker.remember(prompt.shared, self._known.memory(worker))
         instance = worker.record.instance
-        self.newly_cached += [CachedPart(instance, part.id, part.tokens) for part in prompt.shared]
+        self.statistics.for_worker(instance).outcomes[outcome] += 1
+        self._update_reliability(worker, outcome, now, in_own_zone=True)
+        if outcome is not AttemptOutcome.SERVED or worker.reliability.is_suspect(now):
+            self._unreported_outcomes.setdefault(instance, Counter())[outcome] += 1
+
+    def _update_reliability(
+        self, worker: WorkerEstimate, outcome: AttemptOutcome, now: int, *, in_own_zone: bool
+    ) -> None:
+        worker.reliability.record(outcome, now, in_own_zone=in_own_zone)
+        suspect = worker.reliability.is_suspect(now)
+        if suspect != worker.was_suspect:
+            worker.was_suspect = suspect
+            self.on_suspicion_changed(worker.record, suspect)
 
-    def _remember(self, worker: WorkerEstimate, prompt: Prompt) -> None:
+    def end_attempt(self, attempt: Attempt) -> None:
+        """Take the attempt out of all counts."""
+        attempt.worker.answer_deadlines.pop(id(attempt), None)
+        self.end_prefill(attempt)
+        if attempt.takes_slot:
+            attempt.worker.requests.remove(1.0)
+            self.on_load_changed()
+
+    # --- measured times of own attempts ---
+
+    def observe_prefill(self, attempt: Attempt, now: int) -> None:
+        """Learn from the time of a prefill that has just ended."""
+        elapsed = now - attempt.sent_at
+        counts = self.statistics.for_worker(attempt.worker.record.instance)
+        counts.prefill_ratios.add(elapsed, attempt.expected_delay)
+        if attempt.queued_units > self._policy.max_queued_fraction * (attempt.prefill_units + 1):
+            return  # the time depends too much on a backlog that is an estimate itself
+        if attempt.unconfirmed_units:
+            self._learn_hit_rate(attempt, elapsed)
+        else:
+            self._learn_prefill_time(attempt, elapsed)
+
+    def _learn_hit_rate(self, attempt: Attempt, elapsed: int) -> None:
+        """Infer from a prefill's time whether its worker had the unreported prefix cached."""
+        policy = self._policy
+        if attempt.unconfirmed_units * PREFILL_UNIT_TOKENS < policy.min_shared_tokens:
+            return
+        model = self._fleet.prefill_model(attempt.worker.record)
+        # Halfway between the times with and without the cached prefix.
+        units = attempt.queued_units + attempt.prompt_units - attempt.unconfirmed_units / 2
+        was_hit = elapsed < model.expected_time(units)
+        hit_rate = self._fleet.hit_rate(attempt.worker.record.service)
+        hit_rate.add(float(was_hit), policy.hit_rate_memory_samples)
+
+    def _learn_prefill_time(self, attempt: Attempt, elapsed: int) -> None:
+        worker = attempt.worker
+        model = self._fleet.prefill_model(worker.record)
+        units = attempt.queued_units + attempt.prefill_units
+        slowness = elapsed / model.expected_time(units)
+        slowness = min(max(slowness, MIN_SLOWNESS_SAMPLE), MAX_SLOWNESS_SAMPLE)
+        worker.slowness.add(slowness, self._policy.slowness_memory_samples)
+        model.add_sample(units, elapsed)
+
+    def observe_first_event(self, attempt: Attempt, now: int) -> None:
+        """Learn from the time to the first event, of a prompt that was prefilled elsewhere."""
+        elapsed = now - attempt.sent_at
+        record = attempt.worker.record
+        counts = self.statistics.for_worker(record.instance)
+        counts.first_event_ratios.add(elapsed, attempt.expected_delay)
+        longest = MAX_FIRST_EVENT_FACTOR * self._policy.initial_first_event_us
+        mean = self._fleet.first_event_time(record.service)
+        mean.add(min(elapsed, longest), self._policy.first_event_memory_samples)
+
+    def observe_service_time(self, attempt: Attempt, now: int) -> None:
+        """Learn from the time of a request that was served."""
+        requests = attempt.worker.requests
+        requests.add_rate_sample(requests.concurrency / max(now - attempt.sent_at, 1))
+
+    def record_kv_transfer(self, attempt: Attempt, prompt: Prompt) -> None:
+        """Take note that the decode worker has received the prompt's KV memory, and so has it cached."""
+        self._use_prefix_cache(attempt.worker, prompt, report_all=False)
+
+    def _use_prefix_cache(self, worker: WorkerEstimate, prompt: Prompt, *, report_all: bool) -> None:
+        """Mark the shared prefix as used at a worker, and queue its segments for the report to peers.
+
+        With `report_all` peers hear of each use, and so know which segments the worker will evict first;
+        without, they hear of new segments alone.
+        """
+        shared = prompt.shared_prefix
+        new = worker.prefix_cache.add(shared, self._fleet.prefix_cache_capacity(worker))
         instance = worker.record.instance
-        for part in worker.remember(prompt.shared, self._known.memory(worker)):
-            self.newly_cached.append(CachedPart(instance, part.id, part.tokens))
+        for segment in shared if report_all else new:
+            self.newly_cached.append(CachedPart(instance, segment.id, segment.tokens))
 
 
-def _mean(values: list[float], otherwise: float) -> float:
-    return sum(values) / len(values) if values else otherwise
+def _unconfirmed_tokens(choice: Choice, prompt: Prompt) -> int:
+    """Return the shared tokens that the choice counts on though no router has reported them as cached."""
+    expects_hit = choice.prefill_tokens < prompt.tokens
+    if expects_hit and not choice.worker.prefix_cache.cached_tokens(prompt.shared_prefix):
+        return prompt.shared_prefix_tokens
+    return 0
--- a/hazelbend/placement/fleet_view.py
+++ b/hazelbend/placement/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a router knows of the workers of all services: the estimates, and what is learnt of each kind."""
+"""A router's view of the workers of all services: their estimates, and what is learnt for each service."""
 
 from __future__ import annotations
 
@@ -6,117 +6,141 @@
 from hazelbend.decisions.records import Mean
 from hazelbend.placement.choices import Attempt, Stage
 from hazelbend.placement.estimates import WorkerEstimate
-from hazelbend.placement.policy import UNIT, Policy
+from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, Policy
 from hazelbend.placement.prefill_model import PrefillTimeModel
 from hazelbend.placement.prompt import Prompt
 from hazelbend.placement.routes import ModelEngine, Service
 
 
 class FleetView:
-    """Kept up to date by `PlacementEngine`, read by `WorkerSelector`. Times in microseconds."""
+    """The view that `PlacementEngine` updates and `WorkerSelector` reads. Times in microseconds."""
 
     def __init__(self, policy: Policy) -> None:
+        """Start without workers and services."""
         self._policy = policy
-        self._models: dict[tuple[str, str], PrefillTimeModel] = {}  # by service and phase
-        self._first_tokens: dict[str, Mean] = {}  # by service: from a send with its prompt read to its event
-        self._present: dict[str, Mean] = {}  # by service: whether homes have what nobody has told of
-        self._busy: dict[str, Mean] = {}  # by service: the part of its readers that have something to read
-        self.reads: dict[str, dict[Attempt, None]] = {}  # own reads under way, by instance
+        self._prefill_models: dict[tuple[str, str], PrefillTimeModel] = {}  # by service and phase
+        self._first_event_times: dict[str, Mean] = {}  # by service
+        self._hit_rates: dict[str, Mean] = {}  # by service
+        self._prefill_utilization: dict[str, Mean] = {}  # by service
+        self.prefills: dict[str, dict[Attempt, None]] = {}  # own prefills in flight, by instance
         self.workers: dict[str, WorkerEstimate] = {}  # by instance
-        self.services: dict[str, Service] = {}
-        self.switching: set[str] = set()  # instances that are changing their part
+        self.services: dict[str, Service] = {}  # by name
+        self.switching: set[str] = set()  # instances that are changing their phase
+
+    # --- workers and services ---
 
     def candidates(self, service: str, stage: Stage, now: int, tried: set[str]) -> list[WorkerEstimate]:
-        """Workers that may be asked; those that can't be reached only where there is no other."""
+        """List the workers that a request may be sent to.
+
+        Workers that could not be reached lately are listed only where there are no others.
+        """
         phase = stage.value
-        listed = [
-            each
-            for instance, each in self.workers.items()
-            if each.record.service == service
-            and each.accepts_work
+        ready = [
+            worker
+            for instance, worker in self.workers.items()
+            if worker.record.service == service
+            and worker.accepts_work
             and instance not in tried
             and instance not in self.switching
-            and (not phase or each.record.phase == phase)
+            and (not phase or worker.record.phase == phase)
         ]
-        return [each for each in listed if now >= each.shut_until] or listed
+        return [worker for worker in ready if now >= worker.backoff_until] or ready
+
+    def has_phases(self, service: str) -> bool:
+        """Whether the service has separate workers for prefill and decode."""
+        return any(
+            worker.record.service == service and worker.accepts_work and worker.record.phase
+            for worker in self.workers.values()
+        )
+
+    def model_engine(self, service: str) -> ModelEngine | None:
+        """Return the configured model engine of a service, if it has one."""
+        found = self.services.get(service)
+        return found.engine if found is not None else None
+
+    # --- prefill: times and backlog ---
 
-    def model(self, record: WorkerRecord) -> PrefillTimeModel:
-        """How long workers of this kind take to read."""
+    def prefill_model(self, record: WorkerRecord) -> PrefillTimeModel:
+        """Return the model of prefill times of workers of this kind."""
         return self._phase_model(record.service, record.phase)
 
     def _phase_model(self, service: str, phase: str) -> PrefillTimeModel:
         key = (service, phase)
-        if key not in self._models:
-            times = 1.0 if phase == Stage.PREFILL.value else self._policy.whole_pace
-            self._models[key] = PrefillTimeModel(self._policy.first_overhead, times * self._policy.first_pace)
-        return self._models[key]
-
-    def first_token(self, service: str) -> Mean:
-        """Microseconds from a send with its prompt read to its first event, of a service."""
-        return self._first_tokens.setdefault(service, Mean())
-
-    def presence(self, service: str) -> Mean:
-        """Whether homes have what nobody has told of, of a service."""
-        return self._present.setdefault(service, Mean())
-
-    def own_unread(self, worker: WorkerEstimate, now: int) -> float:
-        """Units of own reads at a worker that are not read yet."""
-        return sum(send.remaining(now) for send in self.reads.get(worker.record.instance, ()))
-
-    def unread(self, worker: WorkerEstimate, now: int) -> float:
-        """E[N] of reading: own sends less what has been read of them, and what others have there."""
-        worker.prefill.counts.load = self.own_unread(worker, now)
+        if key not in self._prefill_models:
+            slowdown = 1.0 if phase == Stage.PREFILL.value else self._policy.decode_worker_slowdown
+            self._prefill_models[key] = PrefillTimeModel(
+                self._policy.initial_prefill_overhead_us,
+                slowdown * self._policy.initial_prefill_unit_us,
+            )
+        return self._prefill_models[key]
+
+    def own_prefill_backlog(self, worker: WorkerEstimate, now: int) -> float:
+        """Estimate the units of this router's prefills that a worker has not done yet."""
+        attempts = self.prefills.get(worker.record.instance, ())
+        return sum(attempt.remaining_units(now) for attempt in attempts)
+
+    def prefill_backlog(self, worker: WorkerEstimate, now: int) -> float:
+        """Estimate E[N] of prefill, in units, from all routers."""
+        worker.prefill.jobs.load = self.own_prefill_backlog(worker, now)
         return worker.prefill.expected(now)
 
-    def read_delay(self, worker: WorkerEstimate, tokens: int, now: int) -> float:
-        """Microseconds until a prompt is read of which so many tokens are not cached."""
-        model = self.model(worker.record)
-        slowness = worker.slowness.beside(1.0, self._policy.slowness_prior)
-        worker.prefill.rate = 1 / (model.pace * slowness)
-        return model.overhead + (self.unread(worker, now) + tokens / UNIT) / worker.prefill.rate
+    def prefill_delay(self, worker: WorkerEstimate, tokens: int, now: int) -> float:
+        """Estimate the microseconds until a worker has prefilled so many new tokens."""
+        model = self.prefill_model(worker.record)
+        slowness = worker.slowness.beside(1.0, self._policy.slowness_prior_samples)
+        worker.prefill.rate = 1 / (model.unit_time * slowness)
+        units = self.prefill_backlog(worker, now) + tokens / PREFILL_UNIT_TOKENS
+        return model.overhead + units / worker.prefill.rate
 
-    def kept(self, service: str, prompt: Prompt) -> int:
-        """The most tokens of the prompt that any worker of the service is believed to keep."""
-        shared = prompt.shared
-        return max(
-            (each.holds(shared) for each in self.workers.values() if each.record.service == service),
-            default=0,
-        )
+    # --- prefix caches ---
 
-    def see_readers(self) -> None:
-        """How many readers of each service have something to read, by the reports that have just come."""
-        readers: dict[str, list[bool]] = {}
-        for each in self.workers.values():
-            if each.record.phase == Stage.PREFILL.value and each.accepts_work:
-                busy = each.prefill.own_jobs > 0 or each.prefill.counts.others > 0
-                readers.setdefault(each.record.service, []).append(busy)
-        for service, busy_ones in readers.items():
-            mean = self._busy.setdefault(service, Mean())
-            mean.add(sum(busy_ones) / len(busy_ones), self._policy.busy_memory)
-
-    def again_price(self, service: str) -> float:
-        """Microseconds that a token costs others which is read though another worker keeps it: work of a time
-        w delays those who come after it by w * use / (1 - use), as in a queue with one server."""
-        mean = self._busy.get(service, Mean())
-        use = mean.beside(self._policy.busy_first, self._policy.busy_prior)
-        crowding = self._policy.max_crowding
-        if use < 1.0:
-            crowding = min(use / (1.0 - use), crowding)
-        return crowding * self._phase_model(service, Stage.PREFILL.value).pace / UNIT
+    def prefix_cache_capacity(self, worker: WorkerEstimate) -> int:
+        """Return the tokens of shared prefix segments that a worker is believed to hold at most."""
+        engine = self.model_engine(worker.record.service)
+        return round(self._policy.shared_cache_fraction * engine.kv_capacity) if engine is not None else 0
 
-    def has_phases(self, service: str) -> bool:
-        """Whether workers of the service read prompts and make tokens apart."""
-        return any(
-            each.record.service == service and each.accepts_work and each.record.phase
-            for each in self.workers.values()
+    def best_cached_tokens(self, service: str, prompt: Prompt) -> int:
+        """Return the longest prefix of the prompt, in tokens, that any worker is believed to have cached."""
+        shared = prompt.shared_prefix
+        return max(
+            (
+                worker.prefix_cache.cached_tokens(shared)
+                for worker in self.workers.values()
+                if worker.record.service == service
+            ),
+            default=0,
         )
 
-    def engine(self, service: str) -> ModelEngine | None:
-        """What the configuration says of a service's model workers."""
-        found = self.services.get(service)
-        return found.engine if found is not None else None
-
-    def memory(self, worker: WorkerEstimate) -> int:
-        """Tokens of shared parts that a worker is believed to keep."""
-        engine = self.engine(worker.record.service)
-        return round(self._policy.kept_shared * engine.kv_capacity) if engine is not None else 0
+    def hit_rate(self, service: str) -> Mean:
+        """Return the cache hit rate of preferred workers for prefixes that nobody has reported."""
+        return self._hit_rates.setdefault(service, Mean())
+
+    def recompute_price(self, service: str) -> float:
+        """Return what each recomputed token costs others, in microseconds.
+
+        A token is recomputed where another worker has it cached. As in a queue with one server, work of a
+        time w delays those that arrive after it by w * utilization / (1 - utilization).
+        """
+        mean = self._prefill_utilization.get(service, Mean())
+        utilization = mean.beside(self._policy.initial_utilization, self._policy.utilization_prior_reports)
+        factor = self._policy.max_queueing_factor
+        if utilization < 1.0:
+            factor = min(utilization / (1.0 - utilization), factor)
+        return factor * self._phase_model(service, Stage.PREFILL.value).unit_time / PREFILL_UNIT_TOKENS
+
+    def update_prefill_utilization(self) -> None:
+        """Learn from the last load reports which part of each service's prefill workers is busy."""
+        busy_by_service: dict[str, list[bool]] = {}
+        for worker in self.workers.values():
+            if worker.record.phase == Stage.PREFILL.value and worker.accepts_work:
+                is_busy = worker.prefill.own_jobs > 0 or worker.prefill.jobs.others > 0
+                busy_by_service.setdefault(worker.record.service, []).append(is_busy)
+        for service, busy in busy_by_service.items():
+            mean = self._prefill_utilization.setdefault(service, Mean())
+            mean.add(sum(busy) / len(busy), self._policy.utilization_memory_reports)
+
+    # --- decode ---
+
+    def first_event_time(self, service: str) -> Mean:
+        """Return the mean microseconds to the first event of a prompt that was prefilled elsewhere."""
+        return self._first_event_times.setdefault(service, Mean())
--- a/hazelbend/placement/policy.py
+++ b/hazelbend/placement/policy.py
@@ -1,7 +1,7 @@
-"""All constants of the placement's decisions, in one place, with their units and where they come from.
+"""The tunable constants of worker selection, with their units and where they come from.
 
-A policy is handed to `PlacementEngine` whole; there is no setting for any of it. Trials and tests hand over
-others: a field at its neutral value switches its mechanism off. Found "by trial" means: by plays of
+`PlacementEngine` takes a whole `Policy`; no setting of an operator reaches it. Experiments and tests pass
+their own: a field at its neutral value switches its mechanism off. "By trial" means by the measured runs of
 `docs/policy.md`.
 """
 
@@ -9,55 +9,55 @@
 
 from dataclasses import dataclass
 
-UNIT = 500  # tokens of reading that count as one job
+PREFILL_UNIT_TOKENS = 500  # tokens of prefill that the estimates count as one job
 
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Times in microseconds."""
-
-    # First guesses, until runs have told. Of no deployment: each is replaced by what is seen.
-    first_pace: float = UNIT / 0.03  # to read a unit
-    first_overhead: float = 22_000  # of a call to read, whatever it reads
-    whole_pace: float = 2.2  # times as long, at a worker that makes tokens in between
-    first_run: float = 200_000  # that a request runs
-    first_token: float = 20_000  # from a send whose prompt is read to its first event
-    present_first: float = 0.5  # part of homes that keep what nobody has told of
-
-    # How much is learnt: samples that an estimate rests on, and that its first guess counts as.
-    slowness_memory: float = 20.0
-    slowness_prior: float = 4.0
-    first_token_memory: float = 30.0
-    first_token_prior: float = 4.0
-    present_memory: float = 20.0
-    present_prior: float = 3.0
-    clear: float = 0.25  # part of a sample's reading that may have been estimated to lie before it
-    least_shared: int = 2 * UNIT  # tokens that must be shared for a run to tell whether they were kept
-    most_read: float = 0.9  # of a prompt that counts as read before its worker has said so
-
-    # Prices: what a choice costs beside its own time, as time. By trial on the first two deployments.
-    home_bonus: float = 4_000  # of workers that are alike, all routers take the same
-    read_beside: float = 0.5  # of a read's time at a worker that makes tokens, that it costs others there
-    long_read: float = 6.0  # units before streams there pause
-    long_read_price: float = 20_000  # a unit beyond
-    cross_zone: float = 3_000  # that a worker of another zone is further away
-    cross_zone_move: float = 2.0  # times as long, a move between zones (PROTOCOL.md)
-    move_price: float = 40.0  # a megabyte of moved memory
-    max_crowding: float = 4.0  # most times its own time that work costs those who come after it; 0: none
-    busy_first: float = 0.3  # part of readers that are busy, until reports have told
-    busy_memory: float = 60.0  # reports that this rests on
-    busy_prior: float = 10.0
+    """Units are in the names: `_us` microseconds, `_units` of prefill, `_samples` and `_reports` counts."""
+
+    # Initial guesses. They describe no deployment: measurements replace each of them.
+    initial_prefill_unit_us: float = PREFILL_UNIT_TOKENS / 0.03  # prefill time of one unit
+    initial_prefill_overhead_us: float = 22_000  # fixed time of a prefill call
+    decode_worker_slowdown: float = 2.2  # times as long, a prefill at a worker that decodes as well
+    initial_run_time_us: float = 200_000  # from the start of a request to its end
+    initial_first_event_us: float = 20_000  # from a send to the first event, the prompt being prefilled
+    initial_hit_rate: float = 0.5  # cache hit rate of preferred workers for prefixes that nobody reported
+
+    # Learning: samples that an estimate remembers, and samples that its initial guess counts as.
+    slowness_memory_samples: float = 20.0
+    slowness_prior_samples: float = 4.0
+    first_event_memory_samples: float = 30.0
+    first_event_prior_samples: float = 4.0
+    hit_rate_memory_samples: float = 20.0
+    hit_rate_prior_samples: float = 3.0
+    max_queued_fraction: float = 0.25  # of a prefill's units that may be queued before it, in a valid sample
+    min_shared_tokens: int = 2 * PREFILL_UNIT_TOKENS  # below, the time does not tell a hit from a miss
+    max_inferred_progress: float = 0.9  # of a prompt that counts as prefilled before its worker says so
+
+    # Prices: what a choice costs beyond its own delay, as time. By trial on the first two deployments.
+    preferred_worker_bonus_us: float = 4_000  # makes all routers prefer the same one of equal workers
+    prefill_interference: float = 0.5  # of a prefill's time at a decode worker, that it costs others there
+    long_prefill_units: float = 6.0  # from which the streams of a decode worker stall
+    long_prefill_price_us: float = 20_000  # for each unit beyond
+    cross_zone_us: float = 3_000  # round trip to a worker of another zone
+    cross_zone_transfer_factor: float = 2.0  # times as long, a KV transfer between zones (PROTOCOL.md)
+    transfer_price_us: float = 40.0  # for each megabyte of transferred KV memory
+    max_queueing_factor: float = 4.0  # bound of utilization / (1 - utilization); 0: recomputing has no price
+    initial_utilization: float = 0.3  # of prefill workers, before the first load report
+    utilization_memory_reports: float = 60.0
+    utilization_prior_reports: float = 10.0
 
     # Caches.
-    kept_shared: float = 0.7  # of a worker's memory that is believed to keep shared parts
-    tells_all_reads: bool = True  # whether others hear of each read of a part, or of the first one alone
-
-    # Workers that are not well.
-    silent_penalty: float = 60_000_000  # one that has gone silent is the last choice
-    overdue: int = 600_000  # after which silence is suspect,
-    overdue_times: float = 2.0  # and times the expected delay
-    risk_part: float = 1.0  # of what `Reliability` says that a choice costs; 0: nothing
-    most_told: int = 20  # ends of one kind that one word of another router counts as
+    shared_cache_fraction: float = 0.7  # of a worker's KV memory that is taken to hold shared prefix segments
+    reports_every_prefill: bool = True  # False: only the first prefill of a segment is reported to peers
+
+    # Unhealthy workers.
+    unresponsive_penalty_us: float = 60_000_000  # so that an unresponsive worker is the last choice
+    answer_overdue_us: int = 600_000  # a worker is unresponsive after this time without an answer,
+    answer_overdue_factor: float = 2.0  # and this many times the expected delay
+    risk_weight: float = 1.0  # of the expected cost of failures (`Reliability`); 0: failures have no price
+    max_peer_outcomes: int = 20  # outcomes of one kind that are taken from one message of a peer
 
 
 STANDARD = Policy()
--- a/hazelbend/placement/prefill_model.py
+++ b/hazelbend/placement/prefill_model.py
@@ -1,51 +1,72 @@
-"""How long workers of one kind take to read a prompt: an overhead, and a pace, both learnt from runs.
+"""A linear model of prefill times of workers of one kind, learnt online.
 
-elapsed = overhead + pace * (units before it + own units), by least squares over samples; the older ones fade.
+elapsed = overhead + unit_time * (units queued ahead + own units), by least squares over the samples with
+exponential forgetting.
 """
 
 from __future__ import annotations
 
-MEMORY = 80.0  # samples that the line rests on
-PRIOR = 2.0  # samples that each of the two first guesses stands for
-SHORT, LONG = 1.0, 30.0  # units of reading of the two guesses
-LEAST_PART, MOST_PART = 0.5, 2.5  # of what was expected, that a sample counts as: chance may add much more
-LEAST_PACE_PART, MOST_PACE_PART = 0.2, 5.0  # of the first guess
+MEMORY_SAMPLES = 80.0  # that the line rests on
+PRIOR_SAMPLES = 2.0  # that each point of the initial guess counts as
+PRIOR_POINTS_UNITS = (1.0, 30.0)  # sizes of the two points of the initial guess
+# A sample counts within these bounds of its expected time: waits that the model does not know can add a lot.
+MIN_SAMPLE_RATIO = 0.5
+MAX_SAMPLE_RATIO = 2.5
+# The unit time stays within these bounds of the initial guess.
+MIN_UNIT_TIME_RATIO = 0.2
+MAX_UNIT_TIME_RATIO = 5.0
 
 
 class PrefillTimeModel:
-    """Times in microseconds; a unit is `estimates.UNIT` tokens."""
-
-    def __init__(self, overhead: float, pace: float) -> None:
-        """First guesses, until runs have told."""
-        self._first_pace = pace
-        self.overhead, self.pace = overhead, pace
-        self._count = self._x = self._y = self._xx = self._xy = 0.0
-        for units in (SHORT, LONG):
-            self._add(units, overhead + pace * units, PRIOR)
-
-    def sample(self, units: float, elapsed: float) -> None:
-        """A prompt behind which, itself included, lay so many units took so long."""
-        expected = self.expected(units)
-        elapsed = min(max(elapsed, LEAST_PART * expected), MOST_PART * expected)
-        keep = 1 - 1 / MEMORY
-        self._count, self._x, self._y = self._count * keep, self._x * keep, self._y * keep
-        self._xx, self._xy = self._xx * keep, self._xy * keep
+    """Times in microseconds; a unit is `policy.PREFILL_UNIT_TOKENS` tokens."""
+
+    def __init__(self, overhead: float, unit_time: float) -> None:
+        """Start from an initial guess."""
+        self.overhead = overhead
+        self.unit_time = unit_time
+        self._initial_unit_time = unit_time
+        # The sums of weighted least squares.
+        self._weight = 0.0
+        self._units = 0.0
+        self._elapsed = 0.0
+        self._units_squared = 0.0
+        self._units_elapsed = 0.0
+        for units in PRIOR_POINTS_UNITS:
+            self._add(units, overhead + unit_time * units, PRIOR_SAMPLES)
+
+    def add_sample(self, units: float, elapsed: float) -> None:
+        """Learn from a prefill that took `elapsed`, with `units` queued ahead of it and in it."""
+        expected = self.expected_time(units)
+        elapsed = min(max(elapsed, MIN_SAMPLE_RATIO * expected), MAX_SAMPLE_RATIO * expected)
+        self._forget()
         self._add(units, elapsed, 1.0)
-        spread = self._xx - self._x * self._x / self._count
-        if spread <= 0:
-            return
-        pace = (self._xy - self._x * self._y / self._count) / spread
-        first = self._first_pace
-        self.pace = min(max(pace, LEAST_PACE_PART * first), MOST_PACE_PART * first)
-        self.overhead = max((self._y - self.pace * self._x) / self._count, 0.0)
+        self._fit()
 
-    def expected(self, units: float) -> float:
-        """How long it takes where so many units are to be read, itself included."""
-        return self.overhead + self.pace * units
+    def expected_time(self, units: float) -> float:
+        """Estimate a prefill's time with `units` queued ahead of it and in it."""
+        return self.overhead + self.unit_time * units
+
+    def _forget(self) -> None:
+        keep = 1 - 1 / MEMORY_SAMPLES
+        self._weight *= keep
+        self._units *= keep
+        self._elapsed *= keep
+        self._units_squared *= keep
+        self._units_elapsed *= keep
 
     def _add(self, units: float, elapsed: float, weight: float) -> None:
-        self._count += weight
-        self._x += weight * units
-        self._y += weight * elapsed
-        self._xx += weight * units * units
-        self._xy += weight * units * elapsed
+        self._weight += weight
+        self._units += weight * units
+        self._elapsed += weight * elapsed
+        self._units_squared += weight * units * units
+        self._units_elapsed += weight * units * elapsed
+
+    def _fit(self) -> None:
+        spread = self._units_squared - self._units * self._units / self._weight
+        if spread <= 0:
+            return  # all samples have the same size: they tell no slope
+        slope = (self._units_elapsed - self._units * self._elapsed / self._weight) / spread
+        lowest = MIN_UNIT_TIME_RATIO * self._initial_unit_time
+        highest = MAX_UNIT_TIME_RATIO * self._initial_unit_time
+        self.unit_time = min(max(slope, lowest), highest)
+        self.overhead = max((self._elapsed - self.unit_time * self._units) / self._weight, 0.0)
--- a/hazelbend/placement/prompt.py
+++ b/hazelbend/placement/prompt.py
@@ -1,4 +1,4 @@
-"""What a request says of its prompt: `Token-Usage` and `Prefix-Hash`."""
+"""The prompt of a request, as its headers `Token-Usage` and `Prefix-Hash` describe it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PrefixSegment:
-    """A part of a prompt; prompts with the same parts before it share it."""
+    """A segment of a prompt. Prompts that begin with the same segments share their KV cache entries."""
 
     id: str
     tokens: int
@@ -15,39 +15,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Prompt:
-    """Sizes in tokens. The last part is the request's own, or its session's."""
+    """Sizes in tokens. The last segment belongs to the request itself, or to its session."""
 
     tokens: int = 0
     max_output_tokens: int = 0
-    parts: tuple[PrefixSegment, ...] = ()
+    segments: tuple[PrefixSegment, ...] = ()
 
     @property
-    def shared(self) -> tuple[PrefixSegment, ...]:
-        """The parts that other requests may have."""
-        return self.parts[:-1]
+    def shared_prefix(self) -> tuple[PrefixSegment, ...]:
+        """The segments that other requests may share."""
+        return self.segments[:-1]
 
     @property
-    def shared_tokens(self) -> int:
-        """Of all parts that other requests may have."""
-        return sum(part.tokens for part in self.shared)
+    def shared_prefix_tokens(self) -> int:
+        """The size of the shared prefix."""
+        return sum(segment.tokens for segment in self.shared_prefix)
 
     @property
-    def subject(self) -> str:
-        """The last part that other requests may have; empty where there is none."""
-        return self.parts[-2].id if len(self.parts) > 1 else ""
+    def prefix_key(self) -> str:
+        """The identifier of the last shared segment, for rendezvous hashing; empty where there is none."""
+        return self.segments[-2].id if len(self.segments) > 1 else ""
 
 
-def parse_prompt(usage: str | None, parts: str | None) -> Prompt:
-    """The prompt that these fields tell; what can't be read counts as not said."""
-    tokens, _, max_output_tokens = (usage or "").partition(",")
-    found = []
-    for text in (parts or "").split(","):
-        name, _, size = text.strip().partition(":")
+def parse_prompt(token_usage: str | None, prefix_hash: str | None) -> Prompt:
+    """Parse the two headers. Values that are malformed count as absent."""
+    tokens, _, max_output_tokens = (token_usage or "").partition(",")
+    segments = []
+    for item in (prefix_hash or "").split(","):
+        name, _, size = item.strip().partition(":")
         if name and size.isdecimal():
-            found.append(PrefixSegment(name, int(size)))
-    return Prompt(_whole(tokens), _whole(max_output_tokens), tuple(found))
+            segments.append(PrefixSegment(name, int(size)))
+    return Prompt(_parse_count(tokens), _parse_count(max_output_tokens), tuple(segments))
 
 
-def _whole(text: str) -> int:
+def _parse_count(text: str) -> int:
     text = text.strip()
     return int(text) if text.isascii() and text.isdecimal() else 0
--- a/hazelbend/placement/reliability.py
+++ b/hazelbend/placement/reliability.py
@@ -1,13 +1,13 @@
-"""How far a worker is believed to fail or to reject what it is sent, and what that adds to its delay.
-
-Each worker has two estimates of the decision module (`hazelbend.decisions.soundness`): the chance that a run
-there fails (an error, a reset), and the chance that it rejects a request although it has room. They are
-learnt from the ends of own sends and of those that other routers tell, and fade. The expected cost of a
-choice is its delay plus, for each chance, the chance times the time that such an end costs the request. What
-is not known of a worker is not held against it, and a part of the requests that may be repeated leaves these
-costs out, so that one that is well again is found. No worker is taken out: where all of a service fail alike,
-the costs are alike, and where the others are full, one that fails in part is still chosen. Times are
-microseconds.
+"""How likely a worker is to fail or to reject a request, and what that adds to the cost of choosing it.
+
+Each worker has two estimates of the decision module (`hazelbend.decisions.soundness`): the probability that
+an attempt there fails (an error, a reset), and the probability that it rejects a request although it has
+capacity. Both learn from own attempts and from outcomes that peers report, and fade with time. The cost of a
+choice is its delay plus, for each of the two, the probability times the time that such an outcome costs the
+request. A worker of which nothing is known has no such cost. Some of the idempotent requests leave these
+costs out, and so find the workers that have recovered. No worker is ejected: where all workers of a
+service fail alike the costs are alike, and where the others are full a worker that fails now and then is
+still chosen. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -17,15 +17,13 @@
 
 from hazelbend.decisions.soundness import Soundness
 
-OWN_ZONE_FIRST = (
-    2_000_000  # after an end seen in the own zone, what other zones tell of the worker is left out
-)
-UNKNOWN_RISK = Soundness().risk(0)  # of a worker of which nothing is known
-SUSPECT_RISK = 0.1  # from which a worker's successes are told to other routers as well
+OWN_ZONE_PRECEDENCE_US = 2_000_000  # after an outcome in the own zone, reports of others are ignored
+UNKNOWN_WORKER_RISK = Soundness().risk(0)
+SUSPECT_RISK = 0.1  # excess risk from which a worker's successes are reported to peers as well
 
 
 class AttemptOutcome(Enum):
-    """How a send to a worker ended, as far as it tells of the worker."""
+    """How an attempt ended, as far as it says something about the worker."""
 
     SERVED = "served"
     FAILED = "failed"
@@ -34,11 +32,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureCosts:
-    """What an end other than success costs a request, in the time that it is worth."""
+    """What each unsuccessful outcome costs a request, in microseconds of delay."""
 
     failure: float = 0.0
     rejection: float = 0.0
-    repeat: float = 0.0  # a failure after which another worker is asked
+    retryable_failure: float = 0.0  # a failure that is followed by a retry at another worker
 
 
 NO_FAILURE_COSTS = FailureCosts()
@@ -46,43 +44,50 @@
 
 @dataclass(slots=True, eq=False)
 class Reliability:
-    """Of one worker, as the routers of one zone see it."""
+    """The reliability of one worker, as the routers of one zone see it."""
 
-    runs: Soundness = field(default_factory=Soundness)
-    admission: Soundness = field(default_factory=Soundness)
-    own_zone_seen_at: int | None = None
-    has_clean_record: bool = True  # it has neither failed nor rejected: there is nothing to be reckoned
+    failures: Soundness = field(default_factory=Soundness)
+    rejections: Soundness = field(default_factory=Soundness)
+    own_zone_observed_at: int | None = None
+    has_clean_record: bool = True  # neither failure nor rejection so far: spares computing the two risks
 
-    def record(self, end: AttemptOutcome, in_own_zone: bool, now: int) -> None:
-        """A send has ended. A worker may fail the callers of one zone alone, so what the own zone has met of
-        late goes before what others tell."""
+    def record(self, outcome: AttemptOutcome, now: int, *, in_own_zone: bool) -> None:
+        """Learn from an attempt that ended.
+
+        A worker may fail the callers of one zone alone, so a recent outcome in the own zone takes precedence
+        over reports from other zones.
+        """
         if in_own_zone:
-            self.own_zone_seen_at = now
-        elif self.own_zone_seen_at is not None and now - self.own_zone_seen_at < OWN_ZONE_FIRST:
+            self.own_zone_observed_at = now
+        elif (
+            self.own_zone_observed_at is not None and now - self.own_zone_observed_at < OWN_ZONE_PRECEDENCE_US
+        ):
             return
-        self.has_clean_record &= end is AttemptOutcome.SERVED
-        if end is AttemptOutcome.REJECTED:
-            self.admission.see(True, now)
+        self.has_clean_record &= outcome is AttemptOutcome.SERVED
+        if outcome is AttemptOutcome.REJECTED:
+            self.rejections.see(True, now)
             return
-        self.runs.see(end is AttemptOutcome.FAILED, now)
-        self.admission.see(False, now)
+        self.failures.see(outcome is AttemptOutcome.FAILED, now)
+        self.rejections.see(False, now)
 
-    def expected_cost(self, failure_costs: FailureCosts, now: int) -> float:
-        """Microseconds that the risk of this worker is worth to a request."""
+    def expected_cost(self, costs: FailureCosts, now: int) -> float:
+        """Return the expected cost of an unsuccessful outcome, in microseconds."""
         if self.has_clean_record:
             return 0.0
-        return failure_costs.failure * _excess(self.runs, now) + failure_costs.rejection * _excess(
-            self.admission, now
-        )
+        failure = costs.failure * _excess_risk(self.failures, now)
+        return failure + costs.rejection * _excess_risk(self.rejections, now)
 
     def is_suspect(self, now: int) -> bool:
-        """Whether it has failed or rejected so much of late that its successes are news."""
+        """Whether it has failed or rejected so much lately that peers should hear of its successes."""
         if self.has_clean_record:
             return False
-        return max(_excess(self.runs, now), _excess(self.admission, now)) > SUSPECT_RISK
+        excess = max(_excess_risk(self.failures, now), _excess_risk(self.rejections, now))
+        return excess > SUSPECT_RISK
+
 
+def _excess_risk(estimate: Soundness, now: int) -> float:
+    """Return the risk beyond that of an unknown worker.
 
-def _excess(believed: Soundness, now: int) -> float:
-    """The risk beyond that of a worker of which nothing is known: else requests would crowd at the few
-    workers that a router happens to have tried of late."""
-    return max(believed.risk(now) - UNKNOWN_RISK, 0.0)
+    With the whole risk, requests would crowd at the few workers that a router happens to have tried lately.
+    """
+    return max(estimate.risk(now) - UNKNOWN_WORKER_RISK, 0.0)
--- a/hazelbend/placement/retry_budget.py
+++ b/hazelbend/placement/retry_budget.py
@@ -1,47 +1,51 @@
-"""How many extra arrivals at a service this router may cause, so that the sum over all routers is in bounds.
+"""A budget for retries that holds over the whole fleet of routers.
 
-In each window of time the fleet may send `ratio` times the requests for a service, and `slack` more, beyond
-the first send of each. A router spends what its own requests earn and an even part of the slack.
+In each sliding window the fleet may send `ratio` times the requests for a service, and `slack` more, beyond
+the first attempt of each request. Each router spends what its own requests earn and an equal share of the
+slack, so that no router has to ask another one.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-KEPT_BACK = 0.8  # of the bound that is used: windows slide, and routers count at different times
+USABLE_FRACTION = 0.8  # of the bound: windows slide, and routers count at different times
 
 
 class RetryBudget:
-    """Of one service at one router. Times in microseconds."""
+    """The budget of one router for one service. Times in microseconds."""
 
     def __init__(self, ratio: float, slack: float, window: int) -> None:
-        self._ratio, self._slack, self._window = ratio, slack, window
-        self._requests: deque[int] = deque()
-        self._extra: deque[int] = deque()
+        """Allow `ratio` retries per request and `slack` retries of the fleet, in each `window`."""
+        self._ratio = ratio
+        self._slack = slack
+        self._window = window
+        self._requests: deque[int] = deque()  # arrival times
+        self._retries: deque[int] = deque()  # times of retries
 
     def record_request(self, now: int) -> None:
-        """A request for the service has come."""
-        self._forget(now)
+        """Count a request for the service, which earns a part of a retry."""
+        self._expire(now)
         self._requests.append(now)
 
     def try_spend(self, now: int, routers: int) -> bool:
-        """Whether one more send beyond a request's first is within bounds; it is counted if so."""
+        """Count a retry if the budget of a fleet of `routers` allows it; return whether it does."""
         if not self.allows_retry(now, routers):
             return False
-        self._extra.append(now)
+        self._retries.append(now)
         return True
 
     def allows_retry(self, now: int, routers: int) -> bool:
-        """Whether one more is within bounds."""
-        self._forget(now)
+        """Whether the budget allows one more retry."""
+        self._expire(now)
         earned = self._ratio * len(self._requests) + self._slack / max(routers, 1)
-        return len(self._extra) + 1 <= KEPT_BACK * earned
+        return len(self._retries) + 1 <= USABLE_FRACTION * earned
 
     def charge(self, now: int) -> None:
-        """One more was sent, whatever the bounds."""
-        self._extra.append(now)
+        """Count a retry that was sent whether or not the budget allowed it."""
+        self._retries.append(now)
 
-    def _forget(self, now: int) -> None:
-        for times in (self._requests, self._extra):
+    def _expire(self, now: int) -> None:
+        for times in (self._requests, self._retries):
             while times and times[0] <= now - self._window:
                 times.popleft()
--- a/hazelbend/placement/routes.py
+++ b/hazelbend/placement/routes.py
@@ -1,27 +1,38 @@
-"""The configuration as a router reads it: routes by host and longest prefix, services, limits."""
+"""The configuration document as a router reads it: routes by host and longest path prefix, services, limits.
+
+Fields have the JSON names of the document, given by `msgspec.field(name=...)` where those differ.
+"""
 
 from __future__ import annotations
 
 import random
-from typing import Any
+from enum import StrEnum
 
 import msgspec
 
 
+class RouteKind(StrEnum):
+    """How the requests of a route behave."""
+
+    SAFE = "safe"  # idempotent
+    UNSAFE = "unsafe"
+    STREAM = "stream"  # answered with an event stream
+
+
 class WeightedBackend(msgspec.Struct, frozen=True):
-    """A part of a route's requests."""
+    """A backend of a split route, and its weight among the others."""
 
     backend: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of a host and prefix go, and what may be done with them."""
+    """Where the requests for a host and path prefix go, and what may be done with them."""
 
     name: str
     host: str
     prefix: str
-    kind: str
+    kind: str  # one of `RouteKind`; the control processes have checked it
     timeout_ms: int = msgspec.field(name="timeoutMs")
     target_ms: int = msgspec.field(default=1_000, name="targetMs")
     priority: int = 5
@@ -29,39 +40,39 @@
     split: tuple[WeightedBackend, ...] = ()
     retries: int = 1
     sticky: bool = False
-    resume: bool = False
-    gap_target_ms: float = msgspec.field(default=0, name="gap_aim_ms")
+    resume: bool = False  # whether a broken stream may go on at another worker
+    gap_target_ms: float = msgspec.field(default=0, name="gap_aim_ms")  # between two tokens
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answers are series of events."""
-        return self.kind == "stream"
+        """Whether its answers are event streams."""
+        return self.kind == RouteKind.STREAM
 
     @property
     def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == "safe" or (self.is_stream and self.resume)
+        return self.kind == RouteKind.SAFE or (self.is_stream and self.resume)
 
-    def pick_service(self, chance: random.Random) -> str:
-        """The service for one request, by the weights."""
+    def pick_service(self, rng: random.Random) -> str:
+        """Pick the service for one request, by the weights of a split."""
         if not self.split:
             return self.backend
-        weights = [share.weight for share in self.split]
-        return chance.choices(self.split, weights)[0].backend
+        weights = [backend.weight for backend in self.split]
+        return rng.choices(self.split, weights)[0].backend
 
 
 class ModelEngine(msgspec.Struct, frozen=True):
-    """What is known of a service's model workers."""
+    """The model engine of a service's workers."""
 
-    capacity: int = 1
-    kv_capacity: int = msgspec.field(default=0, name="kvCapacity")
+    capacity: int = 1  # requests that run at once
+    kv_capacity: int = msgspec.field(default=0, name="kvCapacity")  # tokens
     kv_token_bytes: int = msgspec.field(default=0, name="kvTokenBytes")
     bandwidth_mbps: float = msgspec.field(default=0, name="bandwidthMbps")
     kv_ttl_s: float = msgspec.field(default=0, name="kvTtlS")
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of workers."""
+    """A group of workers that run the same requests."""
 
     name: str
     max_connections: int = msgspec.field(default=100, name="maxConns")
@@ -69,7 +80,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What a client may send, and how long it may take."""
+    """Limits on what a client sends, and how long it takes."""
 
     max_header_bytes: int = msgspec.field(default=16_384, name="maxHeaderBytes")
     max_body_bytes: int = msgspec.field(default=4_194_304, name="maxBodyBytes")
@@ -78,7 +89,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """What the operators have put in force."""
+    """A configuration document."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -86,19 +97,23 @@
     limits: Limits = Limits()
 
 
-_decoder: msgspec.json.Decoder[Any] = msgspec.json.Decoder(Configuration)
+_decoder: msgspec.json.Decoder[Configuration] = msgspec.json.Decoder(Configuration)
 
 
 class RouteTable:
-    """The routes of one configuration, found by host and path."""
+    """The routes of one configuration, by host and path prefix."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Index the routes and services of a configuration."""
         self.configuration = configuration
-        self.services = {each.name: each for each in configuration.services}
-        self._routes = {(each.host.lower(), each.prefix): each for each in configuration.routes}
+        self.services = {service.name: service for service in configuration.services}
+        self._routes = {(route.host.lower(), route.prefix): route for route in configuration.routes}
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of the path, or None."""
+        """Return the route whose prefix is the longest of the path, or None.
+
+        Prefixes end with "/". The port of `host` does not count.
+        """
         name = host.partition(":")[0].lower()
         end = path.rfind("/")
         while end >= 0:
@@ -110,9 +125,9 @@
 
 
 def decode_route_table(body: bytes) -> RouteTable:
-    """The table of a configuration's text.
+    """Decode a configuration document, JSON.
 
     Raises:
-        msgspec.DecodeError: it can't be read.
+        msgspec.DecodeError: the document is malformed.
     """
     return RouteTable(_decoder.decode(body))
--- a/hazelbend/placement/selector.py
+++ b/hazelbend/placement/selector.py
@@ -1,15 +1,17 @@
-"""Which worker reads a prompt, and which makes the tokens: SED over the estimates, over the pair.
+"""Selects the workers for a request: the least expected delay, plus the prices of what it costs others.
 
-For a pair the expected time to the first event is the delay of reading, (E[N] + cost) / mu at the reader, the
-cost being the tokens that are not believed to be cached there, then the move of the memory and the delay of
-the worker that makes the tokens. A worker that makes tokens may read too, more slowly: a pair of one. The
-least wins. What a choice costs beside time is added as the time that it is worth.
+The rule is Shortest Expected Delay (SED_e of Hyytia and Righter, on delayed information), applied to both
+phases of a request. The expected time to the first event is the delay of the prefill, (E[N] + size) / mu at
+the prefill worker, where the size is the part of the prompt that is not cached there, plus the transfer of
+the KV memory, plus the delay at the decode worker. A decode worker may prefill too, more slowly, which saves
+the transfer. Costs other than delay are added as the delay that they are worth.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterator
+from dataclasses import dataclass
 from hashlib import blake2b
 
 from hazelbend.control.workers import WorkerRecord
@@ -17,28 +19,42 @@
 from hazelbend.placement.choices import Choice, Stage, WorkerPair
 from hazelbend.placement.estimates import WorkerEstimate
 from hazelbend.placement.fleet_view import FleetView
-from hazelbend.placement.policy import UNIT, Policy
-from hazelbend.placement.prompt import Prompt
+from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, Policy
+from hazelbend.placement.prompt import PrefixSegment, Prompt
 from hazelbend.placement.reliability import NO_FAILURE_COSTS, FailureCosts
 
 
+@dataclass(slots=True, frozen=True)
+class _PrefillContext:
+    """What the costs of one request's prefill are computed from, the same for all workers."""
+
+    prompt: Prompt
+    shared_prefix: tuple[PrefixSegment, ...]
+    best_cached_tokens: int  # the longest prefix that any worker has cached
+    recompute_price: float  # microseconds a token, where another worker has it cached
+    now: int
+
+
 class WorkerSelector:
-    """Chooses, and changes nothing of what is known. Times in microseconds."""
+    """Selects workers from a `FleetView`; it changes nothing there. Times in microseconds."""
 
-    def __init__(self, known: FleetView, zone: str, policy: Policy, chance: random.Random) -> None:
-        """`zone`: of this router; `chance`: for choices among equals."""
-        self._known, self._zone, self._policy, self._random = known, zone, policy, chance
+    def __init__(self, fleet: FleetView, zone: str, policy: Policy, rng: random.Random) -> None:
+        """Select for a router of `zone`; `rng` breaks ties."""
+        self._fleet = fleet
+        self._zone = zone
+        self._policy = policy
+        self._random = rng
 
     def choose(
         self, service: str, now: int, tried: set[str], failure_costs: FailureCosts = NO_FAILURE_COSTS
     ) -> Choice | None:
-        """The worker of a service without phases that runs the request soonest."""
-        found = []
-        for each in self._known.candidates(service, Stage.ANY, now, tried):
-            expected = each.requests.delay(1.0, now)
-            delay = expected + self._distance(each, now) + self._risk(each, failure_costs, now)
-            found.append(Choice(each, 0, delay, expected))
-        return min(found, key=lambda each: (each.cost, self._random.random()), default=None)
+        """Choose the worker for a request of a service without phases; None where there is none."""
+        choices = []
+        for worker in self._fleet.candidates(service, Stage.ANY, now, tried):
+            expected = worker.requests.delay(1.0, now)
+            cost = expected + self._penalty(worker, now) + self._failure_cost(worker, failure_costs, now)
+            choices.append(Choice(worker, 0, cost, expected))
+        return self._cheapest(choices)
 
     def choose_pair(
         self,
@@ -48,9 +64,10 @@
         tried: set[str],
         failure_costs: FailureCosts = NO_FAILURE_COSTS,
     ) -> WorkerPair | None:
-        """The pair that is expected to bring the first event soonest."""
-        pairs = list(self._pairs(service, prompt, now, tried, failure_costs))
-        return min(pairs, key=lambda each: (each.cost, self._random.random()), default=None)
+        """Choose the workers for prefill and decode; None where no worker can decode."""
+        context = self._context(service, prompt, now)
+        pairs = list(self._pairs(service, context, tried, failure_costs))
+        return min(pairs, key=lambda pair: (pair.cost, self._random.random()), default=None)
 
     def choose_decode_worker(
         self,
@@ -61,147 +78,183 @@
         tried: set[str],
         failure_costs: FailureCosts = NO_FAILURE_COSTS,
     ) -> Choice | None:
-        """The worker that makes the tokens: of a prompt that `source` keeps, or that it reads itself."""
-        runners = self._known.candidates(service, Stage.DECODE, now, tried)
-        runners = runners or self._known.candidates(service, Stage.ANY, now, tried)
+        """Choose the worker that decodes; None where there is none.
+
+        Args:
+            source: the worker that has prefilled the prompt; None: the decode worker is to prefill it.
+        """
+        workers = self._fleet.candidates(service, Stage.DECODE, now, tried)
+        workers = workers or self._fleet.candidates(service, Stage.ANY, now, tried)
         if source is not None:
-            by_zone = self._soonest_by_zone(runners, now, failure_costs)
-            return self._soonest_after(source, prompt, by_zone)
-        kept, again = self._known.kept(service, prompt), self._known.again_price(service)
-        found = [self._alone(each, prompt, kept, again, now, failure_costs) for each in runners]
-        return min(found, key=lambda each: (each.cost, self._random.random()), default=None)
+            best_by_zone = self._best_decode_by_zone(workers, now, failure_costs)
+            return self._best_decode_after(source, prompt, best_by_zone)
+        context = self._context(service, prompt, now)
+        return self._cheapest([self._combined_choice(worker, context, failure_costs) for worker in workers])
+
+    def _cheapest(self, choices: list[Choice]) -> Choice | None:
+        return min(choices, key=lambda choice: (choice.cost, self._random.random()), default=None)
+
+    def _context(self, service: str, prompt: Prompt, now: int) -> _PrefillContext:
+        return _PrefillContext(
+            prompt=prompt,
+            shared_prefix=prompt.shared_prefix,
+            best_cached_tokens=self._fleet.best_cached_tokens(service, prompt),
+            recompute_price=self._fleet.recompute_price(service),
+            now=now,
+        )
+
+    # --- pairs ---
 
     def _pairs(
-        self, service: str, prompt: Prompt, now: int, tried: set[str], failure_costs: FailureCosts
+        self, service: str, context: _PrefillContext, tried: set[str], failure_costs: FailureCosts
     ) -> Iterator[WorkerPair]:
-        kept = self._known.kept(service, prompt)
-        again = self._known.again_price(service)
-        runners = self._known.candidates(service, Stage.DECODE, now, tried)
-        for each in runners:
-            alone = self._alone(each, prompt, kept, again, now, failure_costs)
-            yield WorkerPair(None, alone, alone.cost)
-        by_zone = self._soonest_by_zone(runners, now, failure_costs)
-        # A read that fails is asked elsewhere.
-        repeatable = FailureCosts(failure_costs.repeat, failure_costs.rejection, failure_costs.repeat)
-        readers = self._known.candidates(service, Stage.PREFILL, now, tried)
-        home = _home(readers, prompt.subject)
-        for each in readers:
-            reader = self._reader(each, prompt, kept, again, home, now, repeatable)
-            best = self._soonest_after(each.record, prompt, by_zone)
-            if best is not None:
-                yield WorkerPair(reader, best, self._together(reader, best, now))
-
-    def _together(self, reader: Choice, runner: Choice, now: int) -> float:
-        """Delay of a pair. Two that are suspect are no worse than one: right after a start all of them are,
-        and prompts would go to workers that make tokens alone."""
-        delay = reader.cost + runner.cost
-        if self._is_suspect(reader.worker, now) and self._is_suspect(runner.worker, now):
-            delay -= self._policy.silent_penalty
-        return delay
-
-    def _reader(
+        """Yield each decode worker by itself, and each prefill worker with the best decode worker for it."""
+        now = context.now
+        decode_workers = self._fleet.candidates(service, Stage.DECODE, now, tried)
+        for worker in decode_workers:
+            combined = self._combined_choice(worker, context, failure_costs)
+            yield WorkerPair(None, combined, combined.cost)
+        best_by_zone = self._best_decode_by_zone(decode_workers, now, failure_costs)
+        # A failed prefill may always be repeated at another worker.
+        retry_cost = failure_costs.retryable_failure
+        prefill_costs = FailureCosts(retry_cost, failure_costs.rejection, retry_cost)
+        prefill_workers = self._fleet.candidates(service, Stage.PREFILL, now, tried)
+        preferred = _preferred_worker(prefill_workers, context.prompt.prefix_key)
+        for worker in prefill_workers:
+            prefill = self._prefill_choice(worker, context, prefill_costs, is_preferred=worker is preferred)
+            decode = self._best_decode_after(worker.record, context.prompt, best_by_zone)
+            if decode is not None:
+                yield WorkerPair(prefill, decode, self._pair_cost(prefill, decode, now))
+
+    def _pair_cost(self, prefill: Choice, decode: Choice, now: int) -> float:
+        """Add up the costs of a pair, and count the penalty of two unresponsive workers once.
+
+        Right after the loss of all control processes every worker is unresponsive; counted twice, the penalty
+        would send all prompts to the decode workers.
+        """
+        cost = prefill.cost + decode.cost
+        if self._is_unresponsive(prefill.worker, now) and self._is_unresponsive(decode.worker, now):
+            cost -= self._policy.unresponsive_penalty_us
+        return cost
+
+    def _prefill_choice(
         self,
         worker: WorkerEstimate,
-        prompt: Prompt,
-        kept: int,
-        again: float,
-        home: WorkerEstimate | None,
-        now: int,
+        context: _PrefillContext,
         failure_costs: FailureCosts,
+        *,
+        is_preferred: bool,
     ) -> Choice:
-        cached = worker.holds(prompt.shared)
+        """A worker that prefills the prompt for another one."""
+        prompt, now = context.prompt, context.now
+        cached = worker.prefix_cache.cached_tokens(context.shared_prefix)
         bonus = 0.0
-        if worker is home:
-            bonus = self._policy.home_bonus
-            if not kept:
-                present = self._known.presence(worker.record.service).beside(
-                    self._policy.present_first, self._policy.present_prior
-                )
-                cached = round(present * prompt.shared_tokens)
+        if is_preferred:
+            bonus = self._policy.preferred_worker_bonus_us
+            if not context.best_cached_tokens:
+                cached = self._expected_hit_tokens(worker.record.service, prompt)
         tokens = max(prompt.tokens - cached, 0)
-        expected = self._known.read_delay(worker, tokens, now)
-        delay = expected + self._distance(worker, now) - bonus + self._risk(worker, failure_costs, now)
-        return Choice(worker, tokens, delay + again * max(kept - cached, 0), expected)
+        expected = self._fleet.prefill_delay(worker, tokens, now)
+        risk = self._failure_cost(worker, failure_costs, now)
+        cost = expected + self._penalty(worker, now) - bonus + risk
+        recomputed = max(context.best_cached_tokens - cached, 0)
+        return Choice(worker, tokens, cost + context.recompute_price * recomputed, expected)
+
+    def _expected_hit_tokens(self, service: str, prompt: Prompt) -> int:
+        """Estimate the cached tokens at the preferred worker, where nobody has reported any of the prefix."""
+        hit_rate = self._fleet.hit_rate(service).beside(
+            self._policy.initial_hit_rate, self._policy.hit_rate_prior_samples
+        )
+        return round(hit_rate * prompt.shared_prefix_tokens)
 
-    def _soonest_by_zone(
-        self, runners: list[WorkerEstimate], now: int, failure_costs: FailureCosts
+    def _best_decode_by_zone(
+        self, workers: list[WorkerEstimate], now: int, failure_costs: FailureCosts
     ) -> dict[str, Choice]:
-        """Of each zone, the worker that makes the first token of a prompt soonest that was read elsewhere,
-        the move left out: that depends on the zones alone."""
-        found: dict[str, Choice] = {}
-        self._random.shuffle(runners)  # among those that are alike, any
+        """Find the best decode worker of each zone for a prompt that was prefilled elsewhere.
+
+        The transfer is left out: its cost depends on the two zones alone.
+        """
+        best: dict[str, Choice] = {}
+        self._random.shuffle(workers)  # breaks ties
         policy = self._policy
-        for worker in runners:
-            first_token = self._known.first_token(worker.record.service)
-            overhead = first_token.beside(policy.first_token, policy.first_token_prior)
+        for worker in workers:
+            first_event = self._fleet.first_event_time(worker.record.service)
+            overhead = first_event.beside(policy.initial_first_event_us, policy.first_event_prior_samples)
             expected = overhead + worker.requests.delay(1.0, now)
-            delay = expected + self._distance(worker, now) + self._risk(worker, failure_costs, now)
-            known = found.get(worker.record.zone)
-            if known is None or delay < known.cost:
-                found[worker.record.zone] = Choice(worker, 0, delay, expected)
-        return found
-
-    def _soonest_after(
-        self, source: WorkerRecord, prompt: Prompt, by_zone: dict[str, Choice]
+            cost = expected + self._penalty(worker, now) + self._failure_cost(worker, failure_costs, now)
+            known = best.get(worker.record.zone)
+            if known is None or cost < known.cost:
+                best[worker.record.zone] = Choice(worker, 0, cost, expected)
+        return best
+
+    def _best_decode_after(
+        self, source: WorkerRecord, prompt: Prompt, best_by_zone: dict[str, Choice]
     ) -> Choice | None:
-        """Of these, the one that makes the first token soonest of a prompt that `source` keeps."""
-        moved = [
-            Choice(each.worker, 0, each.cost + self._move(each.worker, prompt, source), each.expected_delay)
-            for each in by_zone.values()
+        """Choose the decode worker for a prompt that `source` has prefilled."""
+        choices = [
+            Choice(
+                choice.worker,
+                0,
+                choice.cost + self._transfer_cost(choice.worker, prompt, source),
+                choice.expected_delay,
+            )
+            for choice in best_by_zone.values()
         ]
-        return min(moved, key=lambda each: each.cost, default=None)
+        return min(choices, key=lambda choice: choice.cost, default=None)
 
-    def _alone(
-        self,
-        worker: WorkerEstimate,
-        prompt: Prompt,
-        kept: int,
-        again: float,
-        now: int,
-        failure_costs: FailureCosts,
+    def _combined_choice(
+        self, worker: WorkerEstimate, context: _PrefillContext, failure_costs: FailureCosts
     ) -> Choice:
-        """A worker that reads the prompt itself and makes its tokens."""
-        first_token = worker.requests.delay(1.0, now)
-        cached = worker.holds(prompt.shared)
+        """A worker that prefills the prompt and decodes."""
+        prompt, now, policy = context.prompt, context.now, self._policy
+        decode_delay = worker.requests.delay(1.0, now)
+        cached = worker.prefix_cache.cached_tokens(context.shared_prefix)
         tokens = max(prompt.tokens - cached, 0)
-        units = tokens / UNIT
-        read = self._known.read_delay(worker, tokens, now)
-        beside = self._policy.read_beside * units / worker.prefill.rate
-        excess = max(self._known.unread(worker, now) + units - self._policy.long_read, 0.0)
-        price = beside + self._policy.long_read_price * excess + again * max(kept - cached, 0)
-        risk = self._risk(worker, failure_costs, now)
-        delay = first_token + read + self._distance(worker, now) + price + risk
-        return Choice(worker, tokens, delay, first_token + read)
-
-    def _move(self, worker: WorkerEstimate, prompt: Prompt, source: WorkerRecord) -> float:
-        engine = self._known.engine(worker.record.service)
+        units = tokens / PREFILL_UNIT_TOKENS
+        prefill_delay = self._fleet.prefill_delay(worker, tokens, now)
+        interference = policy.prefill_interference * units / worker.prefill.rate
+        excess = max(self._fleet.prefill_backlog(worker, now) + units - policy.long_prefill_units, 0.0)
+        recomputed = max(context.best_cached_tokens - cached, 0)
+        price = interference + policy.long_prefill_price_us * excess + context.recompute_price * recomputed
+        risk = self._failure_cost(worker, failure_costs, now)
+        cost = decode_delay + prefill_delay + self._penalty(worker, now) + price + risk
+        return Choice(worker, tokens, cost, decode_delay + prefill_delay)
+
+    # --- costs ---
+
+    def _transfer_cost(self, worker: WorkerEstimate, prompt: Prompt, source: WorkerRecord) -> float:
+        """The time and the price of moving the prompt's KV memory."""
+        engine = self._fleet.model_engine(worker.record.service)
         if engine is None or not engine.bandwidth_mbps:
             return 0.0
         size = prompt.tokens * engine.kv_token_bytes
-        times = 1.0 if source.zone == worker.record.zone else self._policy.cross_zone_move
-        return times * (size * 8 / engine.bandwidth_mbps + self._policy.move_price * size / 1e6)
+        factor = 1.0 if source.zone == worker.record.zone else self._policy.cross_zone_transfer_factor
+        return factor * (size * 8 / engine.bandwidth_mbps + self._policy.transfer_price_us * size / 1e6)
 
-    def _distance(self, worker: WorkerEstimate, now: int) -> float:
-        far = self._policy.cross_zone if worker.record.zone != self._zone else 0.0
-        return far + (self._policy.silent_penalty if self._is_suspect(worker, now) else 0.0)
+    def _penalty(self, worker: WorkerEstimate, now: int) -> float:
+        """The costs of a worker's zone and of its missing heartbeats or answers."""
+        distance = self._policy.cross_zone_us if worker.record.zone != self._zone else 0.0
+        return distance + (
+            self._policy.unresponsive_penalty_us if self._is_unresponsive(worker, now) else 0.0
+        )
 
     @staticmethod
-    def _is_suspect(worker: WorkerEstimate, now: int) -> bool:
-        return worker.silent or worker.is_overdue(now)
+    def _is_unresponsive(worker: WorkerEstimate, now: int) -> bool:
+        return worker.silent or worker.is_answer_overdue(now)
 
-    def _risk(self, worker: WorkerEstimate, failure_costs: FailureCosts, now: int) -> float:
+    def _failure_cost(self, worker: WorkerEstimate, failure_costs: FailureCosts, now: int) -> float:
         if worker.reliability.has_clean_record:
             return 0.0
-        return self._policy.risk_part * worker.reliability.expected_cost(failure_costs, now)
+        return self._policy.risk_weight * worker.reliability.expected_cost(failure_costs, now)
 
 
-def _home(workers: list[WorkerEstimate], subject: str) -> WorkerEstimate | None:
-    """The worker to which all routers send prompts of a subject of which nothing is known."""
-    if not subject:
+def _preferred_worker(workers: list[WorkerEstimate], prefix_key: str) -> WorkerEstimate | None:
+    """Return the worker to which all routers send an unknown prefix, by rendezvous hashing."""
+    if not prefix_key:
         return None
-    key = int.from_bytes(blake2b(subject.encode(), digest_size=8).digest())
-    return min(workers, key=lambda each: key_rank(_number(each), key), default=None)
+    key = _hash(prefix_key)
+    return min(workers, key=lambda worker: key_rank(_hash(worker.record.instance), key), default=None)
 
 
-def _number(worker: WorkerEstimate) -> int:
-    return int.from_bytes(blake2b(worker.record.instance.encode(), digest_size=8).digest())
+def _hash(text: str) -> int:
+    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
--- a/hazelbend/placement/statistics.py
+++ b/hazelbend/placement/statistics.py
@@ -1,6 +1,6 @@
-"""What a router counts of its own decisions: how they ended, and how far the expected was from what came.
+"""Counters of a router's own decisions: outcomes, and measured times against expected ones.
 
-Pure counts, kept for the life of the process; `hazelbend.system.metrics` shows them.
+Plain counts, kept for the life of the process; `hazelbend.system.metrics` exports them.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 from hazelbend.placement.reliability import AttemptOutcome
 
-RATIO_BOUNDS = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)  # of the time that came to the expected
+RATIO_BOUNDS = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)  # upper bounds of measured over expected time
 
 
 class Refusal(Enum):
-    """Why a request was given up by the router itself."""
+    """Why the router itself gave up a request; the values are labels of a metric."""
 
     NO_CONFIGURATION = "no_configuration"
-    NO_WORKER = "no_worker"  # or no budget, or no time, to turn to another one
+    NO_WORKER = "no_worker"  # or neither budget nor time to retry at another one
     OUT_OF_TIME = "out_of_time"
     FAILED = "failed"  # it may have run, and may not run again
 
 
 @dataclass(slots=True)
 class RatioHistogram:
-    """Times that came, as multiples of the expected."""
+    """A histogram of measured times as multiples of the expected ones."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(RATIO_BOUNDS) + 1))
     total: float = 0.0
 
     def add(self, elapsed: float, expected: float) -> None:
-        """One more, in the same unit; nothing where nothing was expected."""
+        """Count a measured time. Both are in the same unit; without an expected time nothing is counted."""
         if expected <= 0:
             return
         ratio = elapsed / expected
@@ -40,37 +40,38 @@
         self.total += ratio
 
     def cumulative(self) -> list[tuple[float, int]]:
-        """How many were at most each bound; the last bound is infinite."""
-        total, found = 0, []
+        """Return for each upper bound, the last one infinite, the number of ratios up to it."""
+        total = 0
+        buckets = []
         for bound, count in zip((*RATIO_BOUNDS, float("inf")), self.counts, strict=True):
             total += count
-            found.append((bound, total))
-        return found
+            buckets.append((bound, total))
+        return buckets
 
 
 @dataclass(slots=True)
 class WorkerStatistics:
-    """Of own sends to one worker."""
+    """Counters of this router's attempts at one worker."""
 
     outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
-    reads: RatioHistogram = field(default_factory=RatioHistogram)
-    first_events: RatioHistogram = field(default_factory=RatioHistogram)
-    prefilled_tokens: int = 0  # expected to be read
-    cached_tokens: int = 0  # believed to be kept there, and not read
+    prefill_ratios: RatioHistogram = field(default_factory=RatioHistogram)
+    first_event_ratios: RatioHistogram = field(default_factory=RatioHistogram)
+    prefilled_tokens: int = 0  # expected to be prefilled there
+    cached_tokens: int = 0  # believed to be in its prefix cache
 
 
 @dataclass(slots=True)
 class Statistics:
-    """Of one router."""
+    """Counters of one router."""
 
     workers: dict[str, WorkerStatistics] = field(default_factory=dict)  # by instance
     refusals: Counter[Refusal] = field(default_factory=Counter)
-    retries: int = 0  # sends after one that may have run
+    retries: int = 0  # attempts after one that may have run
 
     def for_worker(self, instance: str) -> WorkerStatistics:
-        """Those of a worker, begun if need be."""
+        """Return the counters of a worker, new ones at its first attempt."""
         return self.workers.setdefault(instance, WorkerStatistics())
 
     def forget(self, instance: str) -> None:
-        """The worker has gone for good."""
+        """Drop the counters of a worker that has left."""
         self.workers.pop(instance, None)
--- a/hazelbend/system/metrics.py
+++ b/hazelbend/system/metrics.py
@@ -36,12 +36,12 @@
         yield self._histogram(
             "reads",
             "Time of prompts' reads as a multiple of the expected",
-            lambda worker: worker.reads,
+            lambda worker: worker.prefill_ratios,
         )
         yield self._histogram(
             "first_events",
             "Time to first events as a multiple of the expected",
-            lambda worker: worker.first_events,
+            lambda worker: worker.first_event_ratios,
         )
         yield self._refusals()
         yield self._retries()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""A router's decisions: routes, prompts, the retry budget, estimates, and the pair for a prompt."""
+"""Placement: routes, prompts, the retry budget, estimates, and the selection of workers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hazelbend.control.load_table import CachedPart, Load
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.placement.engine import PlacementEngine
-from hazelbend.placement.policy import STANDARD, UNIT
+from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, STANDARD
 from hazelbend.placement.prefill_model import PrefillTimeModel
 from hazelbend.placement.prompt import PrefixSegment, parse_prompt
 from hazelbend.placement.retry_budget import RetryBudget
@@ -39,7 +39,7 @@
     assert routes.find("c.example", "/a/") is None
 
 
-def test_a_split_sends_by_its_weights():
+def test_a_split_route_picks_backends_by_weight():
     split = [{"backend": "s", "weight": 90}, {"backend": "t", "weight": 10}, {"backend": "u", "weight": 0}]
     route = table({"split": split, "backend": ""}).find("a.example", "/")
     chance = random.Random(1)
@@ -51,30 +51,30 @@
     ("kind", "resume", "idempotent"),
     [("safe", False, True), ("unsafe", False, False), ("stream", False, False), ("stream", True, True)],
 )
-def test_what_may_run_more_than_once(kind, resume, idempotent):
+def test_which_routes_are_idempotent(kind, resume, idempotent):
     assert table({"kind": kind, "resume": resume}).find("a.example", "/").is_idempotent is idempotent
 
 
 # --- prompts ---
 
 
-def test_a_prompt_is_told_by_its_fields():
+def test_a_prompt_is_parsed_from_its_headers():
     prompt = parse_prompt("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
     assert (prompt.tokens, prompt.max_output_tokens) == (1460, 80)
-    assert prompt.shared == (PrefixSegment("5c1e07a2", 800), PrefixSegment("91bd3f06", 410))
-    assert prompt.subject == "91bd3f06"
+    assert prompt.shared_prefix == (PrefixSegment("5c1e07a2", 800), PrefixSegment("91bd3f06", 410))
+    assert prompt.prefix_key == "91bd3f06"
 
 
 @pytest.mark.parametrize(("usage", "parts"), [(None, None), ("", ""), ("x,y", "::"), ("5", "a:b,:3")])
-def test_what_cannot_be_read_counts_as_not_said(usage, parts):
+def test_malformed_prompt_headers_count_as_absent(usage, parts):
     prompt = parse_prompt(usage, parts)
-    assert prompt.shared == () and prompt.subject == ""
+    assert prompt.shared_prefix == () and prompt.prefix_key == ""
 
 
 # --- the retry budget ---
 
 
-def test_the_sum_over_all_routers_stays_within_every_sliding_window():
+def test_retries_of_all_routers_stay_within_the_budget_of_every_window():
     window, ratio, slack, routers = 10 * S, 0.2, 62.0, 11
     chance = random.Random(4)
     budgets = [RetryBudget(ratio, slack, window) for _ in range(routers)]
@@ -96,33 +96,33 @@
     assert len(extra) > 500
 
 
-# --- how long reading takes ---
+# --- prefill times ---
 
 
-@pytest.mark.parametrize(("overhead", "pace"), [(22_000, 14_000), (120_000, 12_000), (5_000, 40_000)])
-def test_overhead_and_pace_of_reading_are_learnt_though_some_runs_take_longer(overhead, pace):
+@pytest.mark.parametrize(("overhead", "unit_time"), [(22_000, 14_000), (120_000, 12_000), (5_000, 40_000)])
+def test_prefill_overhead_and_unit_time_are_learnt_despite_outliers(overhead, unit_time):
     model, chance = PrefillTimeModel(22_000, 16_000), random.Random(2)
     for _ in range(150):
         units = chance.choice([0.5, 1, 2, 7, 20, 40])
         late = 400_000 if chance.random() < 0.05 else 0
-        model.sample(units, overhead + pace * units + late)
+        model.add_sample(units, overhead + unit_time * units + late)
     for units in (1, 10, 40):
-        assert model.expected(units) == pytest.approx(overhead + pace * units, rel=0.35)
+        assert model.expected_time(units) == pytest.approx(overhead + unit_time * units, rel=0.35)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_an_overhead_far_from_the_first_guess_is_learnt_from_a_dozen_reads(seed):
-    """Guards fleets of many routers, of which each sees few reads: those of less than a unit took 136 ms
-    where the model said 62 for a whole day."""
+def test_an_overhead_far_from_the_initial_guess_is_learnt_from_a_dozen_prefills(seed):
+    """Guards large fleets, where each router sees few prefills: those of less than a unit took 136 ms where
+    the model said 62 for a whole day."""
     model, chance = PrefillTimeModel(22_000, 16_000), random.Random(seed)
     for _ in range(12):
         units = chance.choice([0.5, 1, 1, 2, 2, 3, 3, 6, 10, 20])
-        model.sample(units, 113_000 + 15_000 * units)
+        model.add_sample(units, 113_000 + 15_000 * units)
     for units in (1, 3, 20):
-        assert model.expected(units) == pytest.approx(113_000 + 15_000 * units, rel=0.25)
+        assert model.expected_time(units) == pytest.approx(113_000 + 15_000 * units, rel=0.25)
 
 
-# --- the pair ---
+# --- selection of workers ---
 
 
 def worker(number: int, phase: str = "", zone: str = "z", **more: object) -> WorkerRecord:
@@ -134,7 +134,7 @@
 
 @pytest.fixture
 def placement() -> PlacementEngine:
-    """Two workers that read, two that make tokens, three without phases."""
+    """Two prefill workers, two decode workers, three without phases."""
     made = PlacementEngine("z", 1)
     made.services = {"llm": Service("llm", engine=table().services["llm"].engine), "s": Service("s")}
     for record in (*(worker(n, "prefill") for n in (1, 2)), *(worker(n, "decode") for n in (3, 4))):
@@ -148,7 +148,7 @@
 SHORT = parse_prompt("100,100", "cc:60,dd:40")
 
 
-def test_of_workers_without_phases_the_least_expected_delay_wins(placement):
+def test_without_phases_the_worker_with_the_least_expected_delay_is_chosen(placement):
     placement.apply_load_report({"i-5": Load(6, 0), "i-6": Load(4, 0), "i-7": Load(5, 0)}, (), 0)
     assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-6"
     assert placement.selector.choose("s", 0, {"i-6"}).worker.record.instance == "i-7"
@@ -159,53 +159,53 @@
         placement.begin_attempt(
             placement.selector.choose("s", 0, {"i-5", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
         )
-    assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-7", "own later sends count"
+    assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-7", "own attempts count"
     placement.end_attempt(send)
 
 
-def test_what_others_had_there_departs_as_time_passes(placement):
+def test_jobs_of_peers_depart_as_a_report_ages(placement):
     estimate = placement.workers["i-5"].requests
-    for _ in range(20):  # its usual level is low
+    for _ in range(20):  # the usual job count is low
         placement.apply_load_report({}, (), 0)
     placement.apply_load_report({"i-5": Load(6, 0)}, (), 0)
     assert estimate.expected(0) == pytest.approx(6)
     assert estimate.expected(100_000) < 5.5 and estimate.expected(10 * S) < 3
 
 
-def test_a_long_prompt_is_read_apart_and_a_short_one_by_who_makes_its_tokens(placement):
+def test_a_long_prompt_goes_to_a_prefill_worker_and_a_short_one_to_its_decode_worker(placement):
     pair = placement.selector.choose_pair("llm", LONG, 0, set())
     assert pair.prefill.worker.record.phase == "prefill" and pair.decode.worker.record.phase == "decode"
     assert placement.selector.choose_pair("llm", SHORT, 0, set()).prefill is None
 
 
-def test_a_prompt_goes_where_its_parts_are_kept_also_where_another_router_had_them_read(placement):
-    for keeper in ("i-1", "i-2"):
+def test_a_prompt_goes_where_a_peer_has_had_its_prefix_cached(placement):
+    for holder in ("i-1", "i-2"):
         fresh = PlacementEngine("z", 3)
         fresh.services, fresh.workers = placement.services, placement.workers
-        subject = f"part-{keeper}"
-        prompt = parse_prompt("17000,100", f"{subject}:13000,bb:4000")
-        placement.apply_load_report({}, (CachedPart(keeper, subject, 13_000),), 0)
+        prefix = f"prefix-{holder}"
+        prompt = parse_prompt("17000,100", f"{prefix}:13000,bb:4000")
+        placement.apply_load_report({}, (CachedPart(holder, prefix, 13_000),), 0)
         pair = placement.selector.choose_pair("llm", prompt, 0, set())
-        assert pair.prefill.worker.record.instance == keeper and pair.prefill.prefill_tokens == 4_000
+        assert pair.prefill.worker.record.instance == holder and pair.prefill.prefill_tokens == 4_000
 
 
-def test_a_reader_with_much_to_read_is_passed_over_for_one_that_keeps_nothing(placement):
+def test_a_prefill_backlog_outweighs_a_cached_prefix(placement):
     placement.apply_load_report({"i-1": Load(5, 60_000)}, (CachedPart("i-1", "aa", 13_000),), 0)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
 
 
-def test_all_routers_send_a_subject_of_which_nothing_is_known_to_the_same_worker():
-    homes = set()
+def test_all_routers_prefer_the_same_worker_for_an_unknown_prefix():
+    preferred = set()
     for seed in range(5):
         made = PlacementEngine("z", seed)
         made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
         for number in random.Random(seed).sample(range(1, 9), 8):
             made.merge(worker(number, "prefill" if number < 7 else "decode"))
-        homes.add(made.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance)
-    assert len(homes) == 1
+        preferred.add(made.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance)
+    assert len(preferred) == 1
 
 
-def test_a_maker_of_tokens_of_the_readers_zone_is_preferred_as_a_move_between_zones_takes_longer():
+def test_a_decode_worker_in_the_zone_of_the_prefill_worker_is_preferred():
     made = PlacementEngine("z", 2)
     made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
     for record in (worker(1, "prefill"), worker(2, "decode", zone="y"), worker(3, "decode")):
@@ -217,7 +217,7 @@
     assert made.selector.choose_decode_worker("llm", LONG, source, 0, {"i-2"}).worker.record.instance == "i-3"
 
 
-def test_own_reads_count_by_what_is_left_of_them(placement):
+def test_own_prefills_count_by_their_remaining_units(placement):
     send = placement.begin_attempt(
         placement.selector.choose_pair("llm", LONG, 0, set()).prefill, LONG, 0, takes_slot=False
     )
@@ -226,11 +226,11 @@
     assert 0 < after < before
     placement.end_attempt(send)
     assert placement.own_loads(300_000) == {}
-    placement.end_attempt(send)  # once more does no harm
+    placement.end_attempt(send)  # a second call does nothing
     assert send.worker.prefill.own_jobs == 0
 
 
-def test_a_worker_that_drains_changes_its_part_or_has_gone_is_not_chosen(placement):
+def test_a_worker_that_drains_or_changes_its_phase_is_not_chosen(placement):
     placement.merge(worker(1, "prefill", seq=2, state=WorkerState.DRAINING))
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
     placement.set_switching({"i-2"})
@@ -239,10 +239,10 @@
     placement.merge(worker(2, "decode", seq=2))
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill is None
     placement.merge(worker(3, "decode", seq=1, state=WorkerState.DRAINING))
-    assert placement.workers["i-3"].accepts_work, "an old word changes nothing"
+    assert placement.workers["i-3"].accepts_work, "an old record changes nothing"
 
 
-def test_one_that_cannot_be_reached_or_is_silent_is_the_last_choice(placement):
+def test_an_unreachable_or_silent_worker_is_the_last_choice(placement):
     placement.workers["i-5"].record_connect_failure(0)
     placement.update_silence({"i-6": 30 * S}, 60 * S)
     assert placement.selector.choose("s", 1, set()).worker.record.instance == "i-7"
@@ -251,21 +251,21 @@
     assert placement.selector.choose("s", 1, {"i-5", "i-6", "i-7"}) is None
 
 
-def test_where_all_are_silent_prompts_are_read_apart_as_before(placement):
-    """Guards the first second after a loss of all control processes: two silent workers counted twice, and
-    every prompt went to the few that make tokens."""
+def test_where_all_workers_are_silent_prefill_workers_are_still_used(placement):
+    """Guards the first second after the loss of all control processes: the penalty of a silent worker counted
+    twice for a pair, and every prompt went to the few decode workers."""
     before = placement.selector.choose_pair("llm", LONG, 0, set())
     assert before.prefill is not None
     placement.update_silence(dict.fromkeys(placement.workers, 3 * S), 60 * S)
     after = placement.selector.choose_pair("llm", LONG, 0, set())
     assert after.prefill is not None
-    reader, runner = after.prefill.worker.record.instance, after.decode.worker.record.instance
-    heard = {each: 3 * S for each in placement.workers if each not in (reader, runner)}
+    prefill, decode = after.prefill.worker.record.instance, after.decode.worker.record.instance
+    heard = {each: 3 * S for each in placement.workers if each not in (prefill, decode)}
     placement.update_silence(heard, 60 * S)
-    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == reader
+    assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == prefill
 
 
-def test_a_worker_that_was_silent_for_long_is_dropped_once_nothing_is_under_way(placement):
+def test_an_expired_worker_is_dropped_once_no_attempt_is_in_flight(placement):
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
@@ -276,7 +276,7 @@
     assert "i-5" not in placement.workers
 
 
-def test_a_worker_that_control_processes_have_forgotten_is_not_taken_for_one_that_is_heard(placement):
+def test_an_expired_worker_that_is_no_longer_listed_stays_silent(placement):
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
@@ -288,22 +288,22 @@
     assert "i-5" not in placement.workers
 
 
-def test_a_worker_that_is_heard_again_is_as_before(placement):
+def test_a_worker_that_is_heard_again_is_not_silent(placement):
     placement.update_silence({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
     placement.update_silence({"i-6": 4 * S}, 10 * S)
     assert not placement.workers["i-5"].silent and placement.workers["i-6"].silent
 
 
-def test_reading_again_costs_the_more_the_busier_the_readers_are(placement):
-    """Given readers that are busy most of the time, then work costs those who come after it more than its own
-    time; given readers that are idle most of the time, then less."""
-    known = placement._known
-    idle = known.again_price("llm")
+def test_the_recompute_price_rises_with_the_utilization_of_prefill_workers(placement):
+    """Given busy prefill workers, work delays later requests by more than its own time; given idle ones, by
+    less."""
+    fleet = placement._fleet
+    idle = fleet.recompute_price("llm")
     for _ in range(200):
         placement.apply_load_report({"i-1": Load(1, 2_000), "i-2": Load(1, 2_000)}, (), 0)
-    busy = known.again_price("llm")
+    busy = fleet.recompute_price("llm")
     for _ in range(200):
         placement.apply_load_report({}, (), 0)
-    calm = known.again_price("llm")
-    pace = known.model(placement.workers["i-1"].record).pace / UNIT
-    assert calm < idle < pace < busy <= STANDARD.max_crowding * pace
+    calm = fleet.recompute_price("llm")
+    unit_time = fleet.prefill_model(placement.workers["i-1"].record).unit_time / PREFILL_UNIT_TOKENS
+    assert calm < idle < unit_time < busy <= STANDARD.max_queueing_factor * unit_time
