--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -29,7 +29,7 @@
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 from hazelbend.transport.http.client_listener import ClientListener
 from hazelbend.transport.http.discovery_watch import DiscoveryWatch
-from hazelbend.transport.http.http_listener import passed_listener
+from hazelbend.transport.http.http_listener import inherited_listener
 from hazelbend.transport.peer.handover import Handover
 from hazelbend.transport.stomp.stomp_listener import StompListener
 from hazelbend.transport.stomp.stomp_workers import Boxes
@@ -110,7 +110,7 @@
 
     @property
     def takes_clients(self) -> bool:
-        return self.client_listener.takes_clients
+        return self.client_listener.accepts_clients
 
     def figures(self) -> Figures:
         return replace(take_figures(self.router, self._class_names), further=self._further())
@@ -172,7 +172,7 @@
     async def start(self) -> None:
         """Everything that can fail for want of an address comes before the edge says that it is ready."""
         passed = self.conf.passed_socket
-        listener = passed_listener(passed) if passed is not None else None
+        listener = inherited_listener(passed) if passed is not None else None
         state = await self.handover.fetch() if self.handover is not None else None
         self._begin(state)
         if self.stomp is not None:
@@ -267,7 +267,7 @@
             self._share_descriptors()
 
     def _share_descriptors(self) -> None:
-        self.client_listener.limit = _half(self.conf, self._siblings)
+        self.client_listener.connection_limit = _half(self.conf, self._siblings)
         self.pool.limit(_half(self.conf, self._siblings))
 
     async def _open(self, listen: Callable[[], Awaitable[None]]) -> None:
@@ -372,10 +372,10 @@
         """An upgrade: whoever is not accepted yet is the next process's, and clients go there from now on."""
         self._drain.close()
         self.end_by("drain", None)  # the leave has its own bound
-        self.client_listener.stop_listening()
+        self.client_listener.release_listener()
         if self.stomp is not None:
             self.stomp.stop_accepting()
-        self.client_listener.empty(asyncio.get_running_loop().time() + KEPT, ends_at)
+        self.client_listener.start_draining(asyncio.get_running_loop().time() + KEPT, ends_at)
 
     async def _serve_on(self, end: float) -> None:
         """For as long as what comes can be finished within these seconds; bounded by them after the first."""
@@ -393,7 +393,7 @@
     async def _finish_requests(self, ends_at: float) -> None:
         """Until all are answered. Who has sent a part of a request, or nothing yet, is answered too: until
         the kill there is time for it."""
-        await self.client_listener.emptied(ends_at - asyncio.get_running_loop().time())
+        await self.client_listener.wait_closed(ends_at - asyncio.get_running_loop().time())
         await self.router.drained()
 
     async def close(self) -> None:
--- a/hazelbend/program/drain.py
+++ b/hazelbend/program/drain.py
@@ -37,7 +37,7 @@
         if self._task is None:
             log.info("draining: %d flows open", len(self._program.router.flows))
             now = asyncio.get_running_loop().time()
-            self._program.client_listener.empty(now + KEPT, now + LAST)
+            self._program.client_listener.start_draining(now + KEPT, now + LAST)
             self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
@@ -45,7 +45,7 @@
         if self._task is not None:
             log.info("drain over")
             self.close()
-            self._program.client_listener.refill()
+            self._program.client_listener.stop_draining()
             self._program.end_by("drain", None)
 
     def close(self) -> None:
@@ -62,7 +62,7 @@
             self._program.end_by("drain", began_at + round(LAST * 1e6))
             await asyncio.sleep(OVER - LATE)
             self._program.end_by("drain", None)
-            self._program.client_listener.keep_late_connections()
+            self._program.client_listener.restore_request_timeout()
             await sending
         finally:
             sending.cancel()
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -78,7 +78,7 @@
         loop = asyncio.get_running_loop()
         drain_deadline = loop.time() + self._settings.grace_us / SECOND_US - SHUTDOWN_RESERVE_S
         propagated_at = loop.time() + READINESS_PROPAGATION_S
-        self._listener.empty(propagated_at, propagated_at)
+        self._listener.start_draining(propagated_at, propagated_at)
         await asyncio.sleep(READINESS_PROPAGATION_S)
         self._listener.stop_accepting()
         while self._forwarder.in_flight and loop.time() < drain_deadline:  # noqa: ASYNC110 (it is a counter)
@@ -113,12 +113,12 @@
 
     @property
     def _is_ready(self) -> bool:
-        return self._state.route_table is not None and self._listener.takes_clients
+        return self._state.route_table is not None and self._listener.accepts_clients
 
     def _set_limits(self, limits: Limits) -> None:
-        self._listener.largest_body = limits.max_body_bytes
-        self._listener.largest_head = limits.max_header_bytes
-        self._listener.request_wait = limits.header_timeout_ms / MILLISECONDS
+        self._listener.max_body_bytes = limits.max_body_bytes
+        self._listener.max_header_bytes = limits.max_header_bytes
+        self._listener.request_timeout_s = limits.header_timeout_ms / MILLISECONDS
 
     def _fleet_status_received(self, status: m.FleetNews) -> None:
         self._subscriptions.set_alive(status.controls)
--- a/hazelbend/transport/http/admin_listener.py
+++ b/hazelbend/transport/http/admin_listener.py
@@ -44,17 +44,17 @@
             "/ops/drain/stop": ("POST", self._stop_drain),
         }
 
-    def _make_room(self) -> None:
+    def _evict_connection(self) -> None:
         """Each is served as soon as its call is whole, so all that are open are silent or slow: in a rush of
         those the oldest goes, however young it is."""
-        super()._make_room()
+        super()._evict_connection()
         if self.connections > 2 * CONNECTIONS:
             next(iter(self._open)).force_close()
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol
         assert isinstance(connection, ClientConnection)
-        connection.heard()
+        connection.request_received()
         method, call = self._calls.get(request.path, ("", None))
         if call is None:
             response = _no(404, "no such call")
@@ -63,7 +63,7 @@
             response.headers["Allow"] = method
         else:
             response = call()
-        connection.answer(taken=True)
+        connection.begin_response(is_valid=True)
         response.force_close()
         return response
 
--- a/hazelbend/transport/http/draining_listener.py
+++ b/hazelbend/transport/http/draining_listener.py
@@ -1,4 +1,4 @@
-"""A clients' address that can be emptied: new connections are still served, and none is kept."""
+"""A listener for clients that can be drained: new connections are still served, and none is kept alive."""
 
 from __future__ import annotations
 
@@ -9,59 +9,67 @@
 
 
 class DrainingListener(HttpListener):
-    """While it is being emptied, connections that come are still served, and none is kept: each closes with
-    its next answer, and one that has been used and is idle closes by itself once clients know.
+    """While it drains, each connection closes with its next response, and an idle one at the idle deadline.
+
+    Times are seconds of the event loop's clock.
     """
 
-    def __init__(self, limit: int) -> None:
-        super().__init__(limit)
-        self.leaving = False
-        self.emptying = False
-        self.idle_until = self.part_until = math.inf  # loop time from which such connections are closed
+    def __init__(self, connection_limit: int) -> None:
+        super().__init__(connection_limit)
+        self.is_closing = False
+        self.is_draining = False
+        self.idle_deadline = math.inf  # from then on idle connections that were used are closed
+        self.partial_request_deadline = math.inf  # and those that have not sent a complete request
 
     @property
-    def takes_clients(self) -> bool:
-        """Whether clients should come."""
-        return self._listener is not None and not self.emptying and not self.leaving
+    def accepts_clients(self) -> bool:
+        """Whether clients should connect."""
+        return self._listener is not None and not self.is_draining and not self.is_closing
 
     @property
-    def keeps_connections(self) -> bool:
-        """Whether a connection may stay open after its answer."""
-        # Over its share of the descriptors, connections are not kept: new ones and servers need room.
-        return not (self.leaving or self.emptying or self.connections > self.limit)
+    def allows_keep_alive(self) -> bool:
+        """Whether a connection may stay open after its response."""
+        # Above the limit none is kept: new clients and servers need the descriptors.
+        return not (self.is_closing or self.is_draining or self.connections > self.connection_limit)
 
-    def stop_listening(self) -> None:
-        """The listener is another process's from now on; what was accepted here is served here."""
+    def release_listener(self) -> None:
+        """Another process has the listening socket from now on; accepted connections are served here."""
         super().stop_accepting()
 
-    def empty(self, idle_until: float, part_until: float) -> None:
-        """Send clients away. `idle_until`: loop time from which idle connections close; `part_until`: from
-        which those close too that have not sent a whole request."""
-        self.emptying, self.idle_until, self.part_until = True, idle_until, part_until
+    def start_draining(self, idle_deadline: float, partial_request_deadline: float) -> None:
+        """Close idle connections from the first deadline on, and incomplete requests from the second."""
+        self.is_draining = True
+        self.idle_deadline = idle_deadline
+        self.partial_request_deadline = partial_request_deadline
 
-    def keep_late_connections(self) -> None:
-        """New connections have their whole time again; none is kept after its answer still."""
-        self.part_until = math.inf
+    def restore_request_timeout(self) -> None:
+        """While it drains on, let new connections have their full time to send a request again."""
+        self.partial_request_deadline = math.inf
 
-    def refill(self) -> None:
-        """Take clients again."""
-        self.emptying, self.idle_until, self.part_until = False, math.inf, math.inf
+    def stop_draining(self) -> None:
+        """Accept clients and keep connections alive again."""
+        self.is_draining = False
+        self.idle_deadline = math.inf
+        self.partial_request_deadline = math.inf
 
     def stop_accepting(self) -> None:
-        """No new connections; idle ones close, the others after their answer. One that has sent nothing
-        yet is no idle one: its first request may be on its way, and a close without an answer would lose
-        it."""
-        self.leaving = True
+        """Accept no new connections; close idle ones now, and the others with their responses.
+
+        A connection that has sent nothing yet is not closed: its first request may be on its way, and a close
+        without a response would lose it.
+        """
+        self.is_closing = True
         super().stop_accepting()
         for connection in list(self._open):
-            if connection.asked or connection.bad:
+            if connection.was_used:
                 connection.close_if_idle()
 
-    def _look(self, connection: ClientConnection, now: float) -> None:
-        if now >= self.part_until and connection.part and connection.due is not None:
-            connection.due = min(connection.due, now)
-        connection.look(now)
-        # One that has sent nothing yet is no kept one: its first request may be on its way.
-        until = self.idle_until if connection.asked or connection.bad else self.part_until
-        if now >= until:
+    def _check_connection(self, connection: ClientConnection, now: float) -> None:
+        is_cut_short = now >= self.partial_request_deadline and connection.has_partial_request
+        if is_cut_short and connection.deadline is not None:
+            connection.deadline = min(connection.deadline, now)
+        connection.enforce_deadline(now)
+        # One that has sent nothing yet is not an idle one: its first request may be on its way.
+        close_at = self.idle_deadline if connection.was_used else self.partial_request_deadline
+        if now >= close_at:
             connection.close_if_idle()
--- a/hazelbend/transport/http/half_close.py
+++ b/hazelbend/transport/http/half_close.py
@@ -1,12 +1,12 @@
-"""A transport that closes by halves, and that never stops reading while its connection is open.
+"""A transport that closes its writing side first, and reads on until the peer closes too.
 
-Closing a socket over bytes that were not read resets the connection, and what was written shortly before
-is lost with it; asking whether there are any and closing are two steps, between which bytes may come. So a
-close here ends only the writing side: what comes after it is read and dropped, until the other side closes
-as well or `LINGER` is over.
+Closing a socket over unread bytes resets the connection, and the peer may lose what was written shortly
+before (RFC 9112, section 9.6). Whether bytes are unread cannot be checked in one step with the close. So
+`close` here ends only the writing side: what the peer sends after it is read and dropped, until the peer
+closes as well or `LINGER_S` is over.
 
-A reader that is paused does not see the other side's close either. So a pause holds back what comes, up to
-`READ_AHEAD` bytes, and goes on reading; more than that is the other side's fault, and its connection ends.
+A paused reader does not see the peer's close either. So `pause_reading` buffers up to `READ_AHEAD_BYTES` and
+goes on reading; a peer that sends more than that breaks the protocol, and `on_overflow` ends its connection.
 """
 
 from __future__ import annotations
@@ -15,75 +15,80 @@
 from collections.abc import Callable
 from typing import Any
 
-LINGER = 1.0  # seconds that a half-closed connection is read, once all is written
-LONGEST_LINGER = 10.0  # seconds after which one whose peer reads nothing is given up
-READ_AHEAD = 64 * 1024  # bytes held back while reading is paused: a body of the largest size
+LINGER_S = 1.0  # that a half-closed connection is read, once all is written
+MAX_LINGER_S = 10.0  # after which the connection of a peer that reads nothing is aborted
+READ_AHEAD_BYTES = 64 * 1024  # buffered while reading is paused: a body of the largest size
 
 
 class HalfClosingTransport(asyncio.Transport):
-    """Wraps the transport of a TCP connection; `receive` gets what is read while it is not paused."""
+    """Wraps the transport of a TCP connection."""
 
     def __init__(
         self,
         inner: asyncio.Transport,
-        receive: Callable[[bytes], None],
-        overflowed: Callable[[], None],
-        ending: Callable[[], bool],
+        on_data: Callable[[bytes], None],
+        on_overflow: Callable[[], None],
+        may_linger: Callable[[], bool],
     ) -> None:
-        """`overflowed` is called where too much is held back; `ending` as writing ends, and says whether the
-        connection may linger."""
+        """`on_data` gets what is read while reading is not paused.
+
+        `on_overflow` is called where the read-ahead buffer is full; `may_linger` is called once, as writing
+        ends, and returns False where the connection is to be closed at once.
+        """
         super().__init__()
-        self._inner, self._receive = inner, receive
-        self._overflowed, self._may_linger = overflowed, ending
+        self._inner = inner
+        self._on_data = on_data
+        self._on_overflow = on_overflow
+        self._may_linger = may_linger
         self._loop = asyncio.get_running_loop()
-        self._ending = False
+        self._closing = False
         self._paused = False
-        self._held_back = bytearray()
-        self._timer: asyncio.TimerHandle | None = None
-        self._given_up_at = 0.0
+        self._read_ahead = bytearray()
+        self._linger_timer: asyncio.TimerHandle | None = None
+        self._linger_deadline = 0.0  # loop time
 
     # --- reading ---
 
     def feed(self, data: bytes) -> None:
-        """Bytes have come: they are passed on, held back, or dropped."""
-        if self._ending:
+        """Data has arrived: pass it on, buffer it, or drop it."""
+        if self._closing:
             return
-        if not self._paused and not self._held_back:
-            self._receive(data)
-        elif len(self._held_back) + len(data) <= READ_AHEAD:
-            self._held_back += data
+        if not self._paused and not self._read_ahead:
+            self._on_data(data)
+        elif len(self._read_ahead) + len(data) <= READ_AHEAD_BYTES:
+            self._read_ahead += data
         else:
-            self._held_back.clear()
-            self._overflowed()
+            self._read_ahead.clear()
+            self._on_overflow()
 
     def pause_reading(self) -> None:
-        """Hold back what comes."""
+        """Buffer what arrives."""
         self._paused = True
 
     def resume_reading(self) -> None:
-        """Pass on what was held back, and what comes."""
+        """Pass on what was buffered, and what arrives."""
         self._paused = False
-        if self._held_back:
-            self._loop.call_soon(self._release)
+        if self._read_ahead:
+            self._loop.call_soon(self._flush_read_ahead)
 
     def is_reading(self) -> bool:
-        """Whether what comes is passed on."""
+        """Whether what arrives is passed on."""
         return not self._paused
 
-    def _release(self) -> None:
-        if self._held_back and not self._paused and not self._ending:
-            data = bytes(self._held_back)
-            self._held_back.clear()
-            self._receive(data)
+    def _flush_read_ahead(self) -> None:
+        if self._read_ahead and not self._paused and not self._closing:
+            data = bytes(self._read_ahead)
+            self._read_ahead.clear()
+            self._on_data(data)
 
     # --- closing ---
 
     def close(self) -> None:
-        """End the writing side; the rest follows. Bytes that are still to be written go out first."""
-        if self._ending:
+        """End the writing side, after what is still to be written; then linger."""
+        if self._closing:
             return
-        self._ending = True
-        self._held_back.clear()
+        self._closing = True
+        self._read_ahead.clear()
         if self._inner.is_closing():
             return
         if not self._may_linger():
@@ -91,74 +96,74 @@
             return
         try:
             self._inner.write_eof()
-        except OSError:  # the other side has reset it
+        except OSError:  # the peer has reset the connection
             self._inner.abort()
             return
-        self._given_up_at = self._loop.time() + LONGEST_LINGER
-        self._timer = self._loop.call_later(LINGER, self._end)
+        self._linger_deadline = self._loop.time() + MAX_LINGER_S
+        self._linger_timer = self._loop.call_later(LINGER_S, self._end_linger)
 
     def abort(self) -> None:
         """Close at once, with a reset where bytes are unread."""
-        self._ending = True
-        self.lost()
+        self._closing = True
+        self.connection_lost()
         self._inner.abort()
 
-    def lost(self) -> None:
-        """The connection is gone."""
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+    def connection_lost(self) -> None:
+        """The connection is closed: stop the timer."""
+        if self._linger_timer is not None:
+            self._linger_timer.cancel()
+            self._linger_timer = None
 
     def is_closing(self) -> bool:
         """Whether nothing more may be written."""
-        return self._ending or self._inner.is_closing()
+        return self._closing or self._inner.is_closing()
 
-    def _end(self) -> None:
+    def _end_linger(self) -> None:
         if not self._inner.get_write_buffer_size():
             self._inner.close()
-        elif self._loop.time() < self._given_up_at:
-            self._timer = self._loop.call_later(LINGER, self._end)
+        elif self._loop.time() < self._linger_deadline:
+            self._linger_timer = self._loop.call_later(LINGER_S, self._end_linger)
         else:
             self._inner.abort()
 
-    # --- all else is the wrapped transport's ---
+    # --- delegated to the wrapped transport ---
 
     def write(self, data: Any) -> None:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         self._inner.write(data)
 
     def writelines(self, list_of_data: Any) -> None:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         self._inner.writelines(list_of_data)
 
     def write_eof(self) -> None:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         self._inner.write_eof()
 
     def can_write_eof(self) -> bool:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         return self._inner.can_write_eof()
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """As of the wrapped transport."""
+        """See `asyncio.BaseTransport`."""
         return self._inner.get_extra_info(name, default)
 
     def get_write_buffer_size(self) -> int:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         return self._inner.get_write_buffer_size()
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         return self._inner.get_write_buffer_limits()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As of the wrapped transport."""
+        """See `asyncio.WriteTransport`."""
         self._inner.set_write_buffer_limits(high, low)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """As of the wrapped transport."""
+        """See `asyncio.BaseTransport`."""
         return self._inner.get_protocol()
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """As of the wrapped transport."""
+        """See `asyncio.BaseTransport`."""
         self._inner.set_protocol(protocol)
--- a/hazelbend/transport/http/request_listener.py
+++ b/hazelbend/transport/http/request_listener.py
@@ -1,21 +1,22 @@
-"""The address of a router for clients: HTTP/1.1 by aiohttp's low-level server. Thin: no decisions."""
+"""A router's address for clients: HTTP/1.1 by aiohttp's low-level server. It makes no decisions."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from typing import TypeAlias
 
-from aiohttp import http_exceptions, web
-from aiohttp.web_protocol import RequestPayloadError
+from aiohttp import web
 
 from hazelbend.forwarding.ports import ClientRequest, ClientResponse, Headers
 from hazelbend.transport.http.client_connection import ClientConnection
 from hazelbend.transport.http.draining_listener import DrainingListener
-from hazelbend.transport.http.worker_client import PER_CONNECTION
+from hazelbend.transport.http.request_body import BodyTooLargeError, MalformedBodyError, read_body
+from hazelbend.transport.http.worker_client import HOP_BY_HOP_HEADERS
 
-Serve: TypeAlias = Callable[[ClientRequest, ClientResponse], Awaitable[None]]
+ServeRequest: TypeAlias = Callable[[ClientRequest, ClientResponse], Awaitable[None]]
 
-NOT_PASSED_ON = PER_CONNECTION | {
+# Headers of a request that the router reads or sets itself; all others are forwarded.
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     "host",
     "request-id",
     "deadline-ms",
@@ -24,22 +25,24 @@
     "phase",
     "kv-from",
 }
-FIRST_LIMITS = (4 * 1024 * 1024, 16 * 1024)  # bytes of a body and of a head, until a configuration says
+# Until a configuration sets them:
+DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
+DEFAULT_MAX_HEADER_BYTES = 16 * 1024
+HEADER_LINE_OVERHEAD_BYTES = 4  # a colon, a space and the end of the line
+MAX_DEADLINE_DIGITS = 9
 
 
-class _BodyError(Exception):
-    """A body that can't be taken."""
+class InvalidRequestError(Exception):
+    """The head of a request cannot be accepted; the text is for the client."""
 
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status = status
 
-
-class _Reply:
+class _ClientResponse:
     """Implements `forwarding.ports.ClientResponse` for one request."""
 
-    def __init__(self, request: web.BaseRequest, close_after: Callable[[], bool]) -> None:
-        self._request, self._close_after = request, close_after
+    def __init__(self, request: web.BaseRequest, is_last: Callable[[], bool]) -> None:
+        """`is_last`: whether the connection closes after this response."""
+        self._request = request
+        self._is_last = is_last
         self.response: web.StreamResponse | None = None
         self.aborted = False
 
@@ -51,7 +54,7 @@
         """See the Protocol."""
         response = web.StreamResponse(status=status, headers=list(headers))
         response.enable_chunked_encoding()
-        if self._close_after():
+        if self._is_last():
             response.force_close()
         self.response = response
         await response.prepare(self._request)
@@ -74,93 +77,99 @@
 
 
 class RequestListener(DrainingListener):
-    """Reads whole requests and hands them to `serve`."""
+    """Reads complete requests and hands them to `serve_request`."""
 
-    def __init__(self, serve: Serve, clock: Callable[[], int], limit: int) -> None:
-        super().__init__(limit)
-        self._forward, self._clock = serve, clock
-        self.largest_body, self.largest_head = FIRST_LIMITS
+    def __init__(self, serve_request: ServeRequest, clock: Callable[[], int], connection_limit: int) -> None:
+        """`clock` returns microseconds."""
+        super().__init__(connection_limit)
+        self._serve_request = serve_request
+        self._clock = clock
+        self.max_body_bytes = DEFAULT_MAX_BODY_BYTES
+        self.max_header_bytes = DEFAULT_MAX_HEADER_BYTES
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol
         assert isinstance(connection, ClientConnection)
-        arrived_at = self._clock()
-        waited = connection.waited()
-        reply = _Reply(request, lambda: not self.keeps_connections)
+        received_at = self._clock()
+        queueing_time_s = connection.take_queueing_time()
+        client_response = _ClientResponse(request, lambda: not self.allows_keep_alive)
+        if _header_bytes(request) > self.max_header_bytes:
+            return _invalid(connection, 431, "the head is too large")
+        try:
+            body = await read_body(request, self.max_body_bytes)
+        except BodyTooLargeError as error:
+            return _invalid(connection, 413, str(error))
+        except MalformedBodyError as error:
+            return _invalid(connection, 400, str(error))
+        connection.request_received()
         try:
-            body = await self._body(request)
-        except _BodyError as error:
-            connection.heard()
-            return self._last(connection, web.Response(status=error.status, text=f"{error}\n"))
-        connection.heard()
-        found = _client_request(request, body, arrived_at - round(waited * 1e6))
-        if isinstance(found, str):
-            return self._last(connection, web.Response(status=400, text=f"{found}\n"))
-        await self._forward(found, reply)
-        response = reply.response
-        if response is None or reply.aborted:
-            response = response or web.Response(status=502)
-            return self._last(connection, response)
-        connection.answer(taken=response.status != 400)
-        if not self.keeps_connections:
+            arrived_at = received_at - round(queueing_time_s * 1e6)
+            client_request = _client_request(request, body, arrived_at)
+        except InvalidRequestError as error:
+            return _invalid(connection, 400, str(error))
+        await self._serve_request(client_request, client_response)
+        response = client_response.response
+        if response is None or client_response.aborted:
+            return _close_after(connection, response or web.Response(status=502))
+        connection.begin_response(is_valid=response.status != 400)
+        if not self.allows_keep_alive:
             response.force_close()
         return response
 
-    @staticmethod
-    def _last(connection: ClientConnection, response: web.StreamResponse) -> web.StreamResponse:
-        connection.answer(taken=False)
-        response.force_close()
-        return response
 
-    async def _body(self, request: web.BaseRequest) -> bytes:
-        if sum(len(name) + len(value) + 4 for name, value in request.raw_headers) > self.largest_head:
-            raise _BodyError(431, "the head is too large")
-        if (request.content_length or 0) > self.largest_body:
-            raise _BodyError(413, "the body is too large")
-        if request.headers.get("Expect", "").lower() == "100-continue":
-            await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            request.writer.output_size = 0  # an interim answer: the final one is still to be written
-        body = bytearray()
-        try:
-            while part := await request.content.readany():
-                body += part
-                if len(body) > self.largest_body:
-                    raise _BodyError(413, "the body is too large")
-        except (RequestPayloadError, http_exceptions.HttpProcessingError):
-            raise _BodyError(400, "the body is not as its head says") from None
-        return bytes(body)
+def _invalid(connection: ClientConnection, status: int, text: str) -> web.StreamResponse:
+    connection.request_received()
+    return _close_after(connection, web.Response(status=status, text=f"{text}\n"))
+
+
+def _close_after(connection: ClientConnection, response: web.StreamResponse) -> web.StreamResponse:
+    connection.begin_response(is_valid=False)
+    response.force_close()
+    return response
 
 
-def _client_request(request: web.BaseRequest, body: bytes, arrived_at: int) -> ClientRequest | str:
-    """The request, or what speaks against it."""
+def _header_bytes(request: web.BaseRequest) -> int:
+    return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in request.raw_headers)
+
+
+def _client_request(request: web.BaseRequest, body: bytes, arrived_at: int) -> ClientRequest:
+    """Return the request as a value.
+
+    Raises:
+        InvalidRequestError: its head is not valid.
+    """
     headers = request.headers
     ids = headers.getall("Request-Id", [])
     if len(ids) != 1 or not ids[0]:
-        return "Request-Id has to stand there once"
-    deadline = headers.get("Deadline-Ms")
-    timeout_us = None
-    if deadline is not None:
-        if not (deadline.isascii() and deadline.isdecimal() and len(deadline) < 10):
-            return "Deadline-Ms: no whole number"
-        timeout_us = int(deadline) * 1_000
+        raise InvalidRequestError("Request-Id has to stand there once")
+    timeout_us = _timeout_us(headers.get("Deadline-Ms"))
     target = request.raw_path
     if not target.startswith("/"):
-        return "the target is no path"
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    passed = tuple(
+        raise InvalidRequestError("the target is no path")
+    connection_options = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
+    forwarded_headers = tuple(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in NOT_PASSED_ON and name.lower() not in named
+        if (field := name.lower()) not in NOT_FORWARDED_HEADERS and field not in connection_options
     )
     return ClientRequest(
         id=ids[0],
         method=request.method,
         target=target,
         host=headers.get("Host", ""),
-        headers=passed,
+        headers=forwarded_headers,
         body=body,
         arrived_at=arrived_at,
         timeout_us=timeout_us,
         token_usage=headers.get("Token-Usage"),
         prefix_hash=headers.get("Prefix-Hash"),
     )
+
+
+def _timeout_us(deadline_ms: str | None) -> int | None:
+    if deadline_ms is None:
+        return None
+    is_number = deadline_ms.isascii() and deadline_ms.isdecimal()
+    if not is_number or len(deadline_ms) > MAX_DEADLINE_DIGITS:
+        raise InvalidRequestError("Deadline-Ms: no whole number")
+    return int(deadline_ms) * 1_000
--- a/hazelbend/transport/http/worker_client.py
+++ b/hazelbend/transport/http/worker_client.py
@@ -33,7 +33,7 @@
 FREE_WAIT = 1.0  # seconds for the call that frees a handle
 TIME_FIELD = "Deadline-Ms"
 SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-PER_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -55,7 +55,9 @@
         self._response = response
         self.status = response.status
         self.headers: Headers = tuple(
-            (name, value) for name, value in response.headers.items() if name.lower() not in PER_CONNECTION
+            (name, value)
+            for name, value in response.headers.items()
+            if name.lower() not in HOP_BY_HOP_HEADERS
         )
         self.not_executed = response.status == 421 or "Not-Executed" in response.headers
         self.reported_in_flight = _reported_in_flight(response.headers.get("Server-Load"))
--- a/hazelbend/transport/peer/fleet_peers.py
+++ b/hazelbend/transport/peer/fleet_peers.py
@@ -68,12 +68,12 @@
         assert isinstance(connection, ClientConnection)
         try:
             body = await self._body(request)
-            connection.heard()
+            connection.request_received()
             response = await self._call(request, body)
         except (msgspec.DecodeError, ValueError) as error:
-            connection.heard()
+            connection.request_received()
             response = web.Response(status=400, text=f"{error}\n")
-        connection.answer(taken=response.status < 400)
+        connection.begin_response(is_valid=response.status < 400)
         if response.status >= 400:
             response.force_close()
         return response
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -120,11 +120,11 @@
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            app.client_listener.limit = 1
+            app.client_listener.connection_limit = 1
             running = asyncio.create_task(talk(app.client_listener.port, request("run", b"300")))
             await until(lambda: app.router.flows)
             assert b"\r\nConnection: close\r\n" in await talk(app.client_listener.port, request())
-            app.client_listener.limit = 0
+            app.client_listener.connection_limit = 0
             assert b"\r\nConnection: close\r\n" in await running
 
     asyncio.run(run())
@@ -262,9 +262,9 @@
 @pytest.fixture
 def hurried(monkeypatch):
     """Short times for clients; as they stand they must keep within the 3 s that a client is owed."""
-    assert client_connection.REQUEST_WAIT + 3 * http_listener.SWEEP < 3.0
-    monkeypatch.setattr(client_connection, "REQUEST_WAIT", 0.2)
-    monkeypatch.setattr(http_listener, "SWEEP", 0.02)
+    assert client_connection.REQUEST_TIMEOUT_S + 3 * http_listener.SWEEP_PERIOD_S < 3.0
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(http_listener, "SWEEP_PERIOD_S", 0.02)
 
 
 SLOW = {
@@ -311,7 +311,7 @@
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
-            app.client_listener.limit = 4
+            app.client_listener.connection_limit = 4
             kept = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             kept[1].write(request("kept"))
             assert b" 200 " in await kept[0].readuntil(b"did kept")
@@ -345,7 +345,7 @@
             began = loop.time()
             answer = await talk(app.client_listener.port, bad * 3 + request(more="Connection: close\r\n"))
             assert answer.count(b"HTTP/1.1 400 ") == 3 and answer.count(b"HTTP/1.1 200 ") == 1
-            assert loop.time() - began >= client_listener.BAD_PAUSE * (1 + 2)
+            assert loop.time() - began >= client_listener.INVALID_REQUEST_DELAY_S * (1 + 2)
 
     asyncio.run(run())
 
@@ -353,7 +353,7 @@
 def test_a_fault_over_one_connection_does_not_end_the_watch_over_the_others(tmp_path, hurried, monkeypatch):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            look, faults = client_connection.ClientConnection.look, []
+            look, faults = client_connection.ClientConnection.enforce_deadline, []
 
             def faulty(connection, now):
                 if not faults:
@@ -361,7 +361,7 @@
                     raise OSError("as the test asks")
                 look(connection, now)
 
-            monkeypatch.setattr(client_connection.ClientConnection, "look", faulty)
+            monkeypatch.setattr(client_connection.ClientConnection, "enforce_deadline", faulty)
             assert await asyncio.gather(*(talk(app.client_listener.port) for _ in range(3))) == [b""] * 3
             assert len(faults) == 1
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -40,10 +40,10 @@
             if close == "stop accepting":
                 app.client_listener.stop_accepting()
             elif close == "make room":
-                app.client_listener.limit = 0
-                app.client_listener._make_room()
+                app.client_listener.connection_limit = 0
+                app.client_listener._evict_connection()
             else:
-                app.client_listener.empty(0.0, 0.0)
+                app.client_listener.start_draining(0.0, 0.0)
                 app.client_listener._sweep()
             assert await rest(reader) == b""
             writer.close()
@@ -74,7 +74,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("a", b"100"))
             await until(lambda: toy.ran)
-            app.client_listener.limit = 0  # its answer closes the connection
+            app.client_listener.connection_limit = 0  # its answer closes the connection
             writer.write(request("b") * 200)
             answer = await rest(reader)
             assert b"\r\nConnection: close\r\n" in answer and answer.endswith(b"did a")
@@ -85,7 +85,7 @@
 
 
 def test_a_half_closed_connection_is_read_for_a_while_and_no_longer(tmp_path, monkeypatch):
-    monkeypatch.setattr(half_close, "LINGER", 0.05)
+    monkeypatch.setattr(half_close, "LINGER_S", 0.05)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
@@ -101,7 +101,7 @@
 
 def test_who_lingers_is_counted(tmp_path, monkeypatch):
     """Guards the descriptors: where many are half-closed the next are closed at once."""
-    monkeypatch.setattr(http_listener, "MOST_LINGERING", 2)
+    monkeypatch.setattr(http_listener, "MAX_LINGERING", 2)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
@@ -172,7 +172,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             data = request("part", b"50")
             writer.write(data[:-1])
-            await until(lambda: any(each.part for each in app.client_listener._open))
+            await until(lambda: any(each.has_partial_request for each in app.client_listener._open))
             leaving = asyncio.create_task(app.leave())
             await until(lambda: not app.client_listener._is_serving)
             await turns()
@@ -230,7 +230,7 @@
         async with site(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             many = b"".join(request(f"b{number}") for number in range(4_000))
-            assert len(many) > half_close.READ_AHEAD
+            assert len(many) > half_close.READ_AHEAD_BYTES
             writer.write(request("first", b"300") + many)
             answer = await rest(reader)
             assert answer.endswith(b"did first") and toy.ran == ["first"]
@@ -279,7 +279,7 @@
             await reader.readuntil(b"ok\n")
             data = request("slow", b"10")
             writer.write(data[:-1])
-            await until(lambda: any(each.part for each in app.client_listener._open))
+            await until(lambda: any(each.has_partial_request for each in app.client_listener._open))
             await asyncio.sleep(0.3)
             writer.write(data[-1:])
             await reader.readuntil(b"did slow")
@@ -293,11 +293,11 @@
 
 def test_where_all_are_at_work_new_connections_are_shut_before_descriptors_run_out(tmp_path, monkeypatch):
     """Seen on the bench: `descriptors 942 of 672`. Nobody could be closed to make room, and all came in."""
-    monkeypatch.setattr(http_listener, "MOST_OVER", 2)
+    monkeypatch.setattr(http_listener, "MAX_EXCESS", 2)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            app.client_listener.limit = 3
+            app.client_listener.connection_limit = 3
             peers = []
             for number in range(9):
                 reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -21,11 +21,15 @@
 @pytest.fixture
 def hurried(monkeypatch):
     """A drain at half of its time, so that a busy machine has room in it."""
-    assert client_connection.REQUEST_WAIT + 0.4 + 3 * http_listener.SWEEP < drain.LAST < 4.0 - 2 * 0.1
+    assert (
+        client_connection.REQUEST_TIMEOUT_S + 0.4 + 3 * http_listener.SWEEP_PERIOD_S
+        < drain.LAST
+        < 4.0 - 2 * 0.1
+    )
     assert drain.LATE < 2.0 and drain.KEPT > 0.3 and drain.OVER > 4.0
     for name in ("KEPT", "LATE", "LAST", "OVER", "ROUND"):
         monkeypatch.setattr(drain, name, getattr(drain, name) / 2)
-    monkeypatch.setattr(http_listener, "SWEEP", 0.02)
+    monkeypatch.setattr(http_listener, "SWEEP_PERIOD_S", 0.02)
 
 
 def test_a_drain_says_no_serves_what_comes_and_closes_what_is_idle(tmp_path):
@@ -91,7 +95,7 @@
             silent, later = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             parted, sending = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             sending.write(request("in parts")[:40])
-            await asyncio.sleep(5 * http_listener.SWEEP)
+            await asyncio.sleep(5 * http_listener.SWEEP_PERIOD_S)
             sending.write(request("in parts")[40:])
             later.write(request("after a silence"))
             async with asyncio.timeout(10):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -254,7 +254,7 @@
 def test_an_id_that_is_open_in_the_other_process_is_turned_away(tmp_path):
     async def run():
         async with site(tmp_path) as (app, [toy]):
-            whole = app.client_listener.limit
+            whole = app.client_listener.connection_limit
             here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
             app.router.held_elsewhere, app.router.id_watcher = here.holds, here.tell
             await here.listen()
@@ -266,7 +266,9 @@
             await until(lambda: toy.holds)
             state = await there.fetch()
             assert state.flow_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
-            assert app.client_listener.limit < whole / 2 and app.pool.settings.connections < whole / 2
+            assert (
+                app.client_listener.connection_limit < whole / 2 and app.pool.settings.connections < whole / 2
+            )
             there.tell("b", True)
             await until(lambda: here.holds("b"))
             again = request("b", more="Connection: close\r\n")
@@ -284,7 +286,7 @@
             assert b" 200 " in await running
             await until(lambda: not there.holds("a"))
             await there.close()
-            await until(lambda: app.client_listener.limit == whole)
+            await until(lambda: app.client_listener.connection_limit == whole)
             await here.close()
 
     asyncio.run(run())
--- a/tests/test_ops_door.py
+++ b/tests/test_ops_door.py
@@ -88,14 +88,14 @@
 def test_full_clients_keep_no_operator_out(tmp_path):
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
-            app.client_listener.limit = 1
+            app.client_listener.connection_limit = 1
             running = [
                 asyncio.create_task(talk(app.client_listener.port, request(f"r{n}", b"300")))
                 for n in range(4)
             ]
             await until(lambda: len(app.router.flows) == 4)
             assert (await asked(app, "/ops/readiness"))[0] == 200
-            app.client_listener.limit = 0
+            app.client_listener.connection_limit = 0
             await asyncio.gather(*running)
 
     asyncio.run(run())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -93,7 +93,7 @@
             running = asyncio.create_task(talk(app.client_listener.port, data))
             await until(lambda: toy.ran)
             app.apply(changed(app, tmp_path, changes, limits={"sockets": 256}, name="n9"))
-            assert app.conf.name == "n9" and app.client_listener.limit < 128
+            assert app.conf.name == "n9" and app.client_listener.connection_limit < 128
             assert app.pool.settings.keepalive == 2.0 and app.pool.settings.connect_timeout == 0.1
             assert b" 200 " in await running, "what is out goes on over the connection that it has"
             await until(lambda: before.closed)
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -360,7 +360,7 @@
 async def test_what_is_beyond_the_limits_or_unreadable_is_told_and_not_served(
     listener, request_bytes, status
 ):
-    listener.largest_body, listener.largest_head = 40, 2_000
+    listener.max_body_bytes, listener.max_header_bytes = 40, 2_000
     answer = await exchange(listener.port, request_bytes)
     assert answer.split(b" ")[1] == status and listener.seen == []
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from hazelbend.program import config
 from hazelbend.program.console_server import ConsoleServer
-from hazelbend.transport.http.http_listener import passed_listener
+from hazelbend.transport.http.http_listener import inherited_listener
 
 
 def run_beside(begin, tmp_path, listener, name, **more):
@@ -114,7 +114,7 @@
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as held:
             server = await asyncio.start_server(
-                lambda reader, writer: None, sock=passed_listener(socket.dup(held.fileno()))
+                lambda reader, writer: None, sock=inherited_listener(socket.dup(held.fileno()))
             )
             server.close()
             _reader, writer = await asyncio.open_connection(*held.getsockname())
@@ -137,8 +137,8 @@
                 listener = app.client_listener
                 if passed:
                     await listener.close()
-                    listener = type(listener)(app.router, listener.catalogue, listener.limit)
-                    await listener.listen("", 0, passed_listener(socket.dup(held.fileno())))
+                    listener = type(listener)(app.router, listener.catalogue, listener.connection_limit)
+                    await listener.listen("", 0, inherited_listener(socket.dup(held.fileno())))
                 loop = asyncio.get_running_loop()
                 client = socket.create_connection(("127.0.0.1", listener.port))
                 client.sendall(request(more="Connection: close\r\n"))
