--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -16,11 +16,11 @@
 from hazelbend.consensus import replicator
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import Done, RaftNode
-from hazelbend.control import announcements, config_machine, engine, outputs
+from hazelbend.control import announcements, config_state_machine, engine, outputs
 from hazelbend.control.announcements import Announcements
-from hazelbend.control.config_machine import ChangeResult, ConfigMachine, StoredConfig
+from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, StoredConfig
 from hazelbend.control.engine import ControlEngine
-from hazelbend.control.messages import WorkerNewsTaken
+from hazelbend.control.messages import WorkerUpdateAck
 from hazelbend.control.peers import PeerTable
 
 STALE = 1_000_000  # tickets of reads that are answered without asking a majority
@@ -35,14 +35,14 @@
 
 def _unconfirmed_counts() -> list[Patch]:
     """What a process has counts as confirmed though no majority was asked."""
-    original = ControlEngine.take_stable
+    original = ControlEngine.take_durable_output
 
-    def take_stable(self: ControlEngine) -> outputs.StableOutput:
+    def take_durable_output(self: ControlEngine) -> outputs.DurableOutput:
         output = original(self)
         output.confirmed_at = self._greet_at
         return output
 
-    return [(ControlEngine, "take_stable", take_stable)]
+    return [(ControlEngine, "take_durable_output", take_durable_output)]
 
 
 def _leads_without_majority() -> list[Patch]:
@@ -66,27 +66,27 @@
 
 
 def _no_compare() -> list[Patch]:
-    def apply(self: ConfigMachine, index: int, op: bytes) -> ChangeResult:
-        change = config_machine._entries.decode(op)
+    def apply(self: ConfigStateMachine, index: int, op: bytes) -> ChangeResult:
+        change = config_state_machine._entries.decode(op)
         self.current = StoredConfig(change.version, change.body)
         return ChangeResult.ACCEPTED
 
-    return [(ConfigMachine, "apply", apply)]
+    return [(ConfigStateMachine, "apply", apply)]
 
 
 def _resend_not_known() -> list[Patch]:
-    return [(ConfigMachine, "_remember", lambda self, change: None)]
+    return [(ConfigStateMachine, "_remember", lambda self, change: None)]
 
 
 def _old_resend_refused() -> list[Patch]:
     """Digests are dropped, and what is dropped counts as refused."""
-    original = ConfigMachine._remember
+    original = ConfigStateMachine._remember
 
-    def remember(self: ConfigMachine, change: config_machine.ConfigChange) -> None:
+    def remember(self: ConfigStateMachine, change: config_state_machine.ConfigChange) -> None:
         original(self, change)
         self.floor = 0
 
-    return [(config_machine, "KEPT_DIGESTS", 4), (ConfigMachine, "_remember", remember)]
+    return [(config_state_machine, "KEPT_DIGESTS", 4), (ConfigStateMachine, "_remember", remember)]
 
 
 def _wiped_voter_votes() -> list[Patch]:
@@ -104,7 +104,7 @@
 def _silent_is_erased() -> list[Patch]:
     """A voter that is merely unheard is replaced in one step, before its copy is known to be gone."""
 
-    def is_erased(self: PeerTable, identity: str) -> bool:
+    def has_lost_state(self: PeerTable, identity: str) -> bool:
         peer = self._table.get(identity.rpartition("@")[2])
         return peer is not None and not self._heard(peer)
 
@@ -112,9 +112,9 @@
         return max(each.heard_at for each in self._table.values()) - peer.heard_at < 800_000
 
     return [
-        (PeerTable, "is_erased", is_erased),
+        (PeerTable, "has_lost_state", has_lost_state),
         (PeerTable, "_heard", heard),
-        (PeerTable, "is_lost", lambda self, identity, now: is_erased(self, identity)),
+        (PeerTable, "is_replaceable", lambda self, identity, now: has_lost_state(self, identity)),
     ]
 
 
@@ -131,7 +131,7 @@
     return [
         (engine, "next_voters", next_voters),
         (RaftNode, "confirmed_age", lambda self, now: 0),
-        (ControlEngine, "acknowledges", True),
+        (ControlEngine, "quorum_exceeds_tolerance", True),
     ]
 
 
@@ -140,18 +140,18 @@
 
     def flush(self: Fleet, machine: Machine) -> None:
         process = machine.engine
-        if process is not None and not machine.saving and process.has_stable_output:
-            self._say(machine, process.take_stable())
+        if process is not None and not machine.saving and process.has_durable_output:
+            self._say(machine, process.take_durable_output())
         original(self, machine)
 
     return [(Fleet, "_flush", flush)]
 
 
 def _snapshot_without_digests() -> list[Patch]:
-    def snapshot(self: ConfigMachine) -> bytes:
-        return config_machine._encoder.encode(config_machine._Snapshot(self.current, []))
+    def snapshot(self: ConfigStateMachine) -> bytes:
+        return config_state_machine._encoder.encode(config_state_machine._Snapshot(self.current, []))
 
-    return [(ConfigMachine, "snapshot", snapshot)]
+    return [(ConfigStateMachine, "snapshot", snapshot)]
 
 
 def _lost_piece_is_not_sent_again() -> list[Patch]:
@@ -162,7 +162,7 @@
     """An answer counts whatever life it is for."""
     original = Announcements.taken
 
-    def taken(self: Announcements, answer: WorkerNewsTaken) -> None:
+    def taken(self: Announcements, answer: WorkerUpdateAck) -> None:
         original(self, msgspec.structs.replace(answer, life=self._life))
 
     return [(Announcements, "taken", taken)]
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -104,7 +104,7 @@
         record = leader.engine.raft
         for address in list(self._wiped):
             engine = self.fleet.machines[address].engine
-            listed = engine is not None and engine.me in record.persistent.voters_at(record.commit)
+            listed = engine is not None and engine.identity in record.persistent.voters_at(record.commit)
             if listed and engine.raft.commit >= record.commit:
                 self._wiped.discard(address)
         gone = [each for each in record.voters if each.rpartition("@")[2] in self._removed()]
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -14,7 +14,7 @@
 from hazelbend.control import engine as ce
 from hazelbend.control import messages as m
 from hazelbend.control import outputs as co
-from hazelbend.control.config_machine import ChangeResult, StoredConfig
+from hazelbend.control.config_state_machine import ChangeResult, StoredConfig
 from hazelbend.control.workers import WorkerRecord
 
 HEARTBEAT = 1_200 * MS
@@ -121,14 +121,14 @@
         if machine.engine is not None or machine.removed:
             return
         machine.life += 1
-        plan = co.ControlPlan(
+        settings = co.ControlSettings(
             address=address,
             seeds=self.seeds,
-            counted=address not in self.observers,
-            may_found=bootstrap,
+            counts_for_quorum=address not in self.observers,
+            may_bootstrap=bootstrap,
             tolerance=self.tolerance,
-            heartbeat=HEARTBEAT,
-            lease=3 * S,
+            heartbeat_us=HEARTBEAT,
+            lease_us=3 * S,
         )
         stored = machine.disk.memory
         memory = None
@@ -139,7 +139,7 @@
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
         machine.engine = ce.ControlEngine(
-            identity, plan, seed, self.now, lambda: self.now / S + machine.clock_offset, memory
+            identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, memory
         )
         if memory is not None:
             machine.engine.raft.restore_commit(machine.disk.commit, self.now)
@@ -207,16 +207,16 @@
             self.at(machine.frozen_until - self.now, lambda: self._pump(machine, life))
             return
         engine = machine.engine
-        if self.now >= engine.due:
+        if self.now >= engine.next_tick_at:
             engine.tick(self.now)
         self._flush(machine)
-        self.at(max(engine.due - self.now, 1 * MS), lambda: self._pump(machine, life))
+        self.at(max(engine.next_tick_at - self.now, 1 * MS), lambda: self._pump(machine, life))
 
     def _flush(self, machine: Machine) -> None:
         engine = machine.engine
         if engine is None:
             return
-        soft = engine.take_volatile()
+        soft = engine.take_immediate_output()
         if soft.news:
             for hear in self.on_worker_news:
                 hear(machine, soft.news)
@@ -224,9 +224,9 @@
             self._send(machine.address, address, body)
         for answer in soft.answers:
             self._answer(machine, answer)
-        if machine.saving or not engine.has_stable_output:
+        if machine.saving or not engine.has_durable_output:
             return
-        said = engine.take_stable()
+        said = engine.take_durable_output()
         parts = state_codec.changed_parts(engine.raft)
         if not parts:
             self._say(machine, said)
@@ -237,14 +237,14 @@
         self.at(delay, lambda: self._saved(machine, life, parts, commit, said))
 
     def _saved(
-        self, machine: Machine, life: int, parts: list[object], commit: int, said: co.StableOutput
+        self, machine: Machine, life: int, parts: list[object], commit: int, said: co.DurableOutput
     ) -> None:
         engine = machine.engine
         if machine.life != life or engine is None:
             return
         if machine.disk.full:
             engine.raft.promise_changed, engine.raft.unsaved = True, engine.raft.persistent.base
-            for answer in (*said.answers, *engine.discard_stable()):
+            for answer in (*said.answers, *engine.discard_durable_output()):
                 self._answer(machine, _unknown(answer))
             self.at(200 * MS, lambda: self._free_to_save(machine, life))
             return
@@ -258,7 +258,7 @@
             machine.saving = False
             self._flush(machine)
 
-    def _say(self, machine: Machine, said: co.StableOutput) -> None:
+    def _say(self, machine: Machine, said: co.DurableOutput) -> None:
         for address, body in said.out:
             self._send(machine.address, address, body)
         for answer in said.answers:
@@ -303,7 +303,7 @@
         """An operator's change at this machine; `told` hears the outcome, None where it is not known."""
 
         def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.PutDone)
+            assert isinstance(answer, co.PutOutcome)
             told(answer.result)
 
         self._ask(address, lambda engine: engine.put(base, version, body, self.now), answered, told)
@@ -312,7 +312,7 @@
         """A read at this machine."""
 
         def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.ReadDone)
+            assert isinstance(answer, co.ReadOutcome)
             told(answer.config)
 
         self._ask(address, lambda engine: engine.read(self.now), answered, told)
@@ -321,14 +321,14 @@
         """A worker's heartbeat at this machine; `told` hears whether it was acknowledged."""
 
         def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.WorkerDone)
+            assert isinstance(answer, co.AnnouncementOutcome)
             told(answer.held)
 
         machine = self.machines[address]
         if machine.engine is None or self.now < machine.frozen_until:
             told(False)
             return
-        number = machine.engine.worker_heard(record, self.now)
+        number = machine.engine.handle_heartbeat(record, self.now)
         if number is None:
             told(True)
         else:
@@ -355,10 +355,10 @@
 
 
 def _unknown(answer: co.Answer) -> co.Answer:
-    if isinstance(answer, co.PutDone):
-        return co.PutDone(answer.number, None)
-    if isinstance(answer, co.ReadDone):
-        return co.ReadDone(answer.number, None)
+    if isinstance(answer, co.PutOutcome):
+        return co.PutOutcome(answer.number, None)
+    if isinstance(answer, co.ReadOutcome):
+        return co.ReadOutcome(answer.number, None)
     return answer
 
 
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -93,7 +93,7 @@
         leader = self.fleet.leader
         if leader is None:
             raise BrokenRuleError("nobody leads though all is well")
-        standing = {machine.engine.me for machine in self.fleet.alive}
+        standing = {machine.engine.identity for machine in self.fleet.alive}
         gone = set(leader.engine.raft.voters) - standing
         if gone:
             raise BrokenRuleError(f"{min(gone)} is still listed {RECOVERY / S:.0f} s after all")
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -22,7 +22,7 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode
-from hazelbend.control.config_machine import ConfigMachine, change_entry
+from hazelbend.control.config_state_machine import ConfigStateMachine, encode_config_change
 from hazelbend.control.engine import TIMING
 from hazelbend.transport.storage.control_store import ControlStore
 
@@ -93,14 +93,14 @@
 
 async def _disk_after_changes(folder: Path) -> int:
     """A single voter's store, saved after each change as the agreement does."""
-    record = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigMachine(), TIMING, 1, 0)
+    record = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigStateMachine(), TIMING, 1, 0)
     record.found(256, 0)
     store = ControlStore(folder)
     await store.open("10.0.0.1:7")
     chance = random.Random(1)
     for version in range(1, CHANGES + 1):
         body = b'{"version":%d,"x":"%s"}' % (version, chance.randbytes(BODY // 3).hex().encode())
-        record.propose(change_entry(version - 1, version, body), 0)
+        record.propose(encode_config_change(version - 1, version, body), 0)
         await store.save(state_codec.changed_parts(record), record.commit)
     await store.close()
     return sum(each.stat().st_size for each in folder.iterdir())
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -37,7 +37,7 @@
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode, Role
 from hazelbend.consensus.replication import Assembly, Progress
-from hazelbend.control.config_machine import ChangeResult, ConfigMachine, change_entry
+from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, encode_config_change
 from hazelbend.control.engine import TIMING
 
 EPOCH, VOTERS, NEWCOMER = 256, ("a", "b", "c"), "d"
@@ -74,7 +74,7 @@
 
     @staticmethod
     def _make(memory: PersistentState) -> RaftNode:
-        return RaftNode(memory, ConfigMachine(), TIMING, 1, 0)
+        return RaftNode(memory, ConfigStateMachine(), TIMING, 1, 0)
 
     def broken(self) -> str:
         """The check that fails here, or nothing."""
@@ -194,7 +194,7 @@
 
     def _propose(self, slot: int, number: int) -> None:
         record = self.records[slot]
-        if record.propose(change_entry(0, 1, BODIES[number]), 0) is not None:
+        if record.propose(encode_config_change(0, 1, BODIES[number]), 0) is not None:
             record.tickets[record.persistent.last] = number + 1  # names the change
 
     def _confirmed(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
@@ -327,13 +327,13 @@
 
 
 def _body(record: RaftNode) -> bytes:
-    from hazelbend.control.config_machine import plain_body
+    from hazelbend.control.config_state_machine import decompress_body
 
-    return plain_body(record.machine.current) if record.machine.current.version else b""
+    return decompress_body(record.machine.current) if record.machine.current.version else b""
 
 
 def _empty() -> bytes:
-    return ConfigMachine().snapshot()
+    return ConfigStateMachine().snapshot()
 
 
 def _subsets(others: list[int]) -> list[tuple[int, ...]]:
@@ -356,7 +356,7 @@
         memory.base_state,
         list(memory.entries),
     )
-    made.machine = ConfigMachine()
+    made.machine = ConfigStateMachine()
     made.machine.current, made.machine.floor = record.machine.current, record.machine.floor
     made.machine.accepted = dict(record.machine.accepted)
     made.votes, made.learners = set(record.votes), set(record.learners)
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -12,7 +12,7 @@
 from benchmarks.control.fleet import BrokenRuleError, Fleet, Machine
 from benchmarks.control.network import DELAY, MS, S
 from benchmarks.control.operators import Operators
-from hazelbend.control.config_machine import StoredConfig
+from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
 CHANCE = 0x4000000
@@ -216,7 +216,7 @@
             if config is None or engine is None or machine.life != life:
                 return
             if engine.order_token(self.fleet.now) == token:
-                self._give(engine.me, token)
+                self._give(engine.identity, token)
 
         self.fleet.read(machine.address, told)
 
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -16,7 +16,7 @@
 
 from benchmarks.control.fleet import BrokenRuleError, Fleet, Machine
 from benchmarks.control.network import MS
-from hazelbend.control.config_machine import ChangeResult, StoredConfig, plain_body
+from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
 CHANCE = 0x1000000  # of a stream of its own, so that a fault that is left out leaves the others as they were
 ANSWER_WAIT = 900 * MS  # after which an operator takes a call for unanswered
@@ -153,7 +153,7 @@
         """A control process tells routers this configuration."""
         if not config.version:
             return
-        body = plain_body(config)
+        body = decompress_body(config)
         if (config.version, body) in self.refused:
             raise BrokenRuleError(f"{machine.address} has {config.version} in force, which was refused")
         if body not in self.sent.get(config.version, set()):
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from benchmarks.control.fleet import MS, Fleet, S, whole
-from hazelbend.control.config_machine import ChangeResult
+from hazelbend.control.config_state_machine import ChangeResult
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
 
@@ -189,7 +189,7 @@
 
 
 def state_everywhere(context, instance):
-    registries = [each.engine.registry.listed for each in context.fleet.alive]
+    registries = [each.engine.registry.tracked for each in context.fleet.alive]
     return {listed[instance].record.state if instance in listed else None for listed in registries}
 
 
--- a/hazelbend/control/announcements.py
+++ b/hazelbend/control/announcements.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass, field
 
-from hazelbend.control.messages import WorkerNews, WorkerNewsTaken
+from hazelbend.control.messages import WorkerUpdate, WorkerUpdateAck
 from hazelbend.control.workers import WorkerRecord
 
 ANNOUNCEMENT_WAIT = 900_000  # microseconds that a worker's call waits until enough processes hold it
 
 
 @dataclass(slots=True, frozen=True)
-class WorkerDone:
+class AnnouncementOutcome:
     """Whether enough control processes hold a worker's announcement."""
 
     number: int
@@ -42,19 +42,19 @@
         """`tolerance`: counted processes that may be lost at one time."""
         self._life, self._tolerance = life, tolerance
         self._pending: dict[int, _Announcement] = {}
-        self._done: list[WorkerDone] = []
+        self._done: list[AnnouncementOutcome] = []
 
     @property
     def due(self) -> int | None:
         """When the next one is over; None: there is none."""
         return min((each.until for each in self._pending.values()), default=None)
 
-    def begin(self, number: int, record: WorkerRecord, now: int) -> WorkerNews:
+    def begin(self, number: int, record: WorkerRecord, now: int) -> WorkerUpdate:
         """The message that asks others to hold it."""
         self._pending[number] = _Announcement(now + ANNOUNCEMENT_WAIT)
-        return WorkerNews(number, (record,), life=self._life)
+        return WorkerUpdate(number, (record,), life=self._life)
 
-    def taken(self, answer: WorkerNewsTaken) -> None:
+    def taken(self, answer: WorkerUpdateAck) -> None:
         """A counted process, maybe this one, holds an announcement."""
         pending = self._pending.get(answer.number)
         if answer.life != self._life or pending is None:
@@ -69,11 +69,11 @@
             if now >= pending.until:
                 self._end(number, held=False)
 
-    def take_done(self) -> list[WorkerDone]:
+    def take_done(self) -> list[AnnouncementOutcome]:
         """Those that are decided since the last call."""
         done, self._done = self._done, []
         return done
 
     def _end(self, number: int, held: bool) -> None:
         del self._pending[number]
-        self._done.append(WorkerDone(number, held))
+        self._done.append(AnnouncementOutcome(number, held))
--- a/hazelbend/control/config_machine.py
+++ b/hazelbend/control/config_state_machine.py
@@ -31,7 +31,7 @@
     body: bytes
 
 
-class Refound(msgspec.Struct, frozen=True, tag=True):
+class ForceNewCluster(msgspec.Struct, frozen=True, tag="Refound"):
     """The first entry of a record that an operator has founded anew: the state of the one who founds."""
 
     state: bytes
@@ -52,7 +52,7 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_entries = msgspec.msgpack.Decoder(ConfigChange | Refound)
+_entries = msgspec.msgpack.Decoder(ConfigChange | ForceNewCluster)
 _snapshots = msgspec.msgpack.Decoder(_Snapshot)
 
 
@@ -61,24 +61,24 @@
     return blake2b(b"%d\n" % base + body, digest_size=DIGEST_BYTES).digest()
 
 
-def change_entry(base: int, version: int, body: bytes) -> bytes:
+def encode_config_change(base: int, version: int, body: bytes) -> bytes:
     """The log entry that proposes this configuration."""
     return _encoder.encode(
         ConfigChange(base, version, digest_of(base, body), zlib.compress(body, COMPRESSION))
     )
 
 
-def refound_entry(state: bytes) -> bytes:
+def encode_force_new_cluster(state: bytes) -> bytes:
     """The log entry that begins a new record with this state."""
-    return _encoder.encode(Refound(state))
+    return _encoder.encode(ForceNewCluster(state))
 
 
-def plain_body(config: StoredConfig) -> bytes:
+def decompress_body(config: StoredConfig) -> bytes:
     """The configuration's text as it was sent."""
     return zlib.decompress(config.body)
 
 
-class ConfigMachine:
+class ConfigStateMachine:
     """Implements `consensus.replicated_log.StateMachine`.
 
     Of the newest `KEPT_DIGESTS` accepted changes it knows the digest and the version that each builds on.
@@ -98,7 +98,7 @@
     def apply(self, index: int, op: bytes) -> ChangeResult:
         """Take one committed entry."""
         change = _entries.decode(op)
-        if isinstance(change, Refound):
+        if isinstance(change, ForceNewCluster):
             self.restore(change.state)
             return ChangeResult.ACCEPTED
         if change.digest in self.accepted:
--- a/hazelbend/control/configuration.py
+++ b/hazelbend/control/configuration.py
@@ -19,11 +19,11 @@
 class Finding:
     """One fault of a configuration, and where it stands (`routes[3].timeoutMs`)."""
 
-    place: str
+    path: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.text}"
+        return f"{self.path}: {self.text}"
 
 
 class InvalidConfigurationError(ValueError):
--- a/hazelbend/control/load_table.py
+++ b/hazelbend/control/load_table.py
@@ -26,7 +26,7 @@
 NOTHING = Load()
 
 
-class CachedPart(msgspec.Struct, frozen=True, array_like=True):
+class CachedPrefix(msgspec.Struct, frozen=True, array_like=True):
     """A part of a prompt that a worker has read, or is about to."""
 
     instance: str
@@ -51,11 +51,11 @@
     router: str
     seq: int
     loads: dict[str, Load]
-    cached: tuple[CachedPart, ...] = ()
+    cached: tuple[CachedPrefix, ...] = ()
     outcomes: tuple[Outcomes, ...] = ()
 
 
-class LoadNews(msgspec.Struct, frozen=True, tag=True):
+class LoadUpdate(msgspec.Struct, frozen=True, tag="LoadNews"):
     """To a router: the unfinished work of all other routers by worker, parts that they had read, and how
     their sends have ended.
 
@@ -64,8 +64,8 @@
     """
 
     loads: dict[str, Load]
-    cached: tuple[CachedPart, ...] = ()
-    whole: bool = False
+    cached: tuple[CachedPrefix, ...] = ()
+    complete: bool = msgspec.field(default=False, name="whole")
     outcomes: tuple[Outcomes, ...] = ()
 
 
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self._parts: dict[str, dict[str, int]] = {}  # tokens by part by instance, longest unused first
 
-    def add(self, cached: Iterable[CachedPart]) -> None:
+    def add(self, cached: Iterable[CachedPrefix]) -> None:
         """Parts that were read."""
         for each in cached:
             parts = self._parts.setdefault(each.instance, {})
@@ -93,26 +93,26 @@
         """Tokens by part by instance; not to be changed."""
         return self._parts
 
-    def all(self) -> tuple[CachedPart, ...]:
+    def all(self) -> tuple[CachedPrefix, ...]:
         """All that is known."""
         return tuple(
-            CachedPart(instance, part, tokens)
+            CachedPrefix(instance, part, tokens)
             for instance, parts in self._parts.items()
             for part, tokens in parts.items()
         )
 
 
 class LoadView:
-    """A router's copy of the others' unfinished work, kept up to date by `LoadNews`."""
+    """A router's copy of the others' unfinished work, kept up to date by `LoadUpdate`."""
 
     def __init__(self) -> None:
         self.loads: dict[str, Load] = {}  # by worker; none without work
 
-    def take(self, news: LoadNews) -> None:
+    def apply(self, update: LoadUpdate) -> None:
         """Apply what has changed, or begin anew with all there is."""
-        if news.whole:
+        if update.complete:
             self.loads = {}
-        for instance, load in news.loads.items():
+        for instance, load in update.loads.items():
             if load == NOTHING:
                 self.loads.pop(instance, None)
             else:
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -8,17 +8,17 @@
 
 from hazelbend.consensus.messages import Message as RaftMessage
 from hazelbend.consensus.messages import Stamp
-from hazelbend.control.load_table import CachedPart, LoadNews, RouterLoad
+from hazelbend.control.load_table import CachedPrefix, LoadUpdate, RouterLoad
 from hazelbend.control.workers import WorkerRecord
 
 CACHE_COMPRESSION = 1  # of zlib: the fastest
 
 
-class Hello(msgspec.Struct, frozen=True, tag=True):
+class PeerHello(msgspec.Struct, frozen=True, tag="Hello"):
     """A control process names itself to another, several times a second."""
 
     identity: str
-    counted: bool  # whether it may vote
+    counts_for_quorum: bool = msgspec.field(name="counted")  # whether it may vote
     controls: tuple[str, ...]  # addresses of the control processes that it knows
     leader: str = ""  # identity of the leader, as far as it knows: for those that have no vote
     leaving: bool = False  # it is about to end
@@ -26,14 +26,14 @@
     answers: Stamp | None = None  # the last stamp that it had from the receiver
 
 
-class Agreement(msgspec.Struct, frozen=True, tag=True):
+class RaftMessages(msgspec.Struct, frozen=True, tag="Agreement"):
     """Messages of the replicated log."""
 
     messages: tuple[RaftMessage, ...]
 
 
-class WorkerNews(msgspec.Struct, frozen=True, tag=True):
-    """Records that the sender has taken. `number` above 0: the sender waits for `WorkerNewsTaken`."""
+class WorkerUpdate(msgspec.Struct, frozen=True, tag="WorkerNews"):
+    """Records that the sender has taken. `number` above 0: the sender waits for `WorkerUpdateAck`."""
 
     number: int
     records: tuple[WorkerRecord, ...]
@@ -41,7 +41,7 @@
     life: int = 0  # the sender's: numbers hold within one
 
 
-class WorkerNewsTaken(msgspec.Struct, frozen=True, tag=True):
+class WorkerUpdateAck(msgspec.Struct, frozen=True, tag="WorkerNewsTaken"):
     """A counted process holds the records of this number."""
 
     number: int
@@ -50,7 +50,7 @@
     voters: tuple[str, ...]  # as it knows them
 
 
-class Ages(msgspec.Struct, frozen=True, tag=True):
+class WorkerAges(msgspec.Struct, frozen=True, tag="Ages"):
     """Microseconds since workers were heard, of those that were heard since the sender's last word; and the
     routers that watch the sender."""
 
@@ -60,7 +60,7 @@
     digest: int = 0  # of the workers that the sender knows
 
 
-class WorkersWanted(msgspec.Struct, frozen=True, tag=True):
+class WorkerSyncRequest(msgspec.Struct, frozen=True, tag="WorkersWanted"):
     """The sender knows other workers than the receiver: it asks for all that the receiver knows."""
 
 
@@ -88,25 +88,25 @@
     confirmed_age: int | None  # microseconds; None: not in this life
 
 
-class ConfigNews(msgspec.Struct, frozen=True, tag=True):
+class ConfigUpdate(msgspec.Struct, frozen=True, tag="ConfigNews"):
     """A configuration in force; `body` is compressed."""
 
     version: int
     body: bytes
 
 
-class CacheNews(msgspec.Struct, frozen=True, tag=True):
+class CacheUpdate(msgspec.Struct, frozen=True, tag="CacheNews"):
     """To a router that knows nothing of them: the parts that workers keep; `body` is compressed. It is by far
     the largest of all that a router is told, so it comes last."""
 
     body: bytes
 
     @classmethod
-    def of(cls, parts: dict[str, dict[str, int]]) -> CacheNews:
+    def of(cls, parts: dict[str, dict[str, int]]) -> CacheUpdate:
         """`parts`: tokens by part by instance."""
         return cls(zlib.compress(_encoder.encode(parts), CACHE_COMPRESSION))
 
-    def cached(self) -> tuple[CachedPart, ...]:
+    def cached(self) -> tuple[CachedPrefix, ...]:
         """The parts, as other news tells them.
 
         Raises:
@@ -117,13 +117,13 @@
         except zlib.error as error:
             raise msgspec.DecodeError(str(error)) from None
         return tuple(
-            CachedPart(instance, part, tokens)
+            CachedPrefix(instance, part, tokens)
             for instance, parts in known.items()
             for part, tokens in parts.items()
         )
 
 
-class FleetNews(msgspec.Struct, frozen=True, tag=True):
+class FleetStatus(msgspec.Struct, frozen=True, tag="FleetNews"):
     """To routers, now and then: the control processes that are alive (addresses of `portRange`), how many
     routers there are, and microseconds since each worker was heard that is silent."""
 
@@ -137,25 +137,25 @@
     """What a control process keeps for its next start, beside what must last."""
 
     workers: tuple[WorkerRecord, ...]
-    cached: tuple[CachedPart, ...]
+    cached: tuple[CachedPrefix, ...]
     routers: int = 1  # the most that there have been
 
 
 Body = (
-    Hello
-    | Agreement
-    | WorkerNews
-    | WorkerNewsTaken
-    | Ages
-    | WorkersWanted
+    PeerHello
+    | RaftMessages
+    | WorkerUpdate
+    | WorkerUpdateAck
+    | WorkerAges
+    | WorkerSyncRequest
     | Watch
     | Ping
     | Pong
-    | ConfigNews
-    | FleetNews
+    | ConfigUpdate
+    | FleetStatus
     | RouterLoad
-    | LoadNews
-    | CacheNews
+    | LoadUpdate
+    | CacheUpdate
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -12,7 +12,7 @@
 
 from hazelbend.consensus.identity import address_of
 from hazelbend.consensus.messages import Stamp
-from hazelbend.control.messages import Hello
+from hazelbend.control.messages import PeerHello
 
 ALIVE = 1_000_000  # since it was heard, a control process counts as alive
 LOST = 2_500_000  # after so long without a word it may be replaced as a voter
@@ -25,7 +25,7 @@
     """Another control process, as it last named itself."""
 
     identity: str = ""
-    counted: bool = False
+    counts_for_quorum: bool = False
     leaving: bool = False
     heard_at: int = 0
     leader: str = ""  # that it follows, if it has a vote
@@ -57,9 +57,9 @@
         return tuple(self._table)
 
     @property
-    def counted(self) -> int:
+    def quorum_peer_count(self) -> int:
         """How many of the others say that they may vote, alive or not."""
-        return sum(peer.counted for peer in self._table.values())
+        return sum(peer.counts_for_quorum for peer in self._table.values())
 
     def learn(self, addresses: Iterable[str], now: int) -> None:
         """Greet these too, without taking them for alive."""
@@ -71,18 +71,18 @@
         """Those that were heard of late."""
         return {address: peer for address, peer in self._table.items() if now - peer.heard_at < ALIVE}
 
-    def other_counted(self, now: int) -> tuple[str, ...]:
+    def alive_quorum_peers(self, now: int) -> tuple[str, ...]:
         """Addresses of those alive that keep the record."""
-        return tuple(address for address, peer in self.alive(now).items() if peer.counted)
+        return tuple(address for address, peer in self.alive(now).items() if peer.counts_for_quorum)
 
-    def told_leader(self) -> str:
+    def reported_leader(self) -> str:
         """Who leads, as the counted process that was heard last says."""
-        told = [peer for peer in self._table.values() if peer.counted and peer.leader]
+        told = [peer for peer in self._table.values() if peer.counts_for_quorum and peer.leader]
         return max(told, key=lambda peer: peer.heard_at).leader if told else ""
 
     # --- greetings ---
 
-    def greetings(self, counted: bool, leader: str, now: int) -> list[tuple[str, Hello]]:
+    def greetings(self, counted: bool, leader: str, now: int) -> list[tuple[str, PeerHello]]:
         """One to each address; those that have been silent for long are dropped."""
         known = (self.address, *self.alive(now))
         stamp = Stamp(self._life, now)
@@ -92,15 +92,19 @@
             if silent and address not in self.seeds:
                 del self._table[address]
                 continue
-            hello = Hello(self.identity, counted, known, leader, self.leaving, stamp, peer.stamp)
+            hello = PeerHello(self.identity, counted, known, leader, self.leaving, stamp, peer.stamp)
             greetings.append((address, hello))
         return greetings
 
-    def greeted(self, sender: str, hello: Hello, now: int) -> bool:
+    def greeted(self, sender: str, hello: PeerHello, now: int) -> bool:
         """Take a greeting. True: its sender had not been heard of late."""
         new = sender not in self.alive(now)
         peer = self._table.setdefault(sender, Peer())
-        peer.identity, peer.counted, peer.leaving = hello.identity, hello.counted, hello.leaving
+        peer.identity, peer.counts_for_quorum, peer.leaving = (
+            hello.identity,
+            hello.counts_for_quorum,
+            hello.leaving,
+        )
         peer.leader, peer.heard_at, peer.stamp = hello.leader, now, hello.stamp
         self._known_alive[hello.identity] = now
         answered = hello.answers
@@ -125,7 +129,7 @@
             if address != self.address:
                 self._table.setdefault(address, Peer(identity, True, heard_at=now))
 
-    def is_erased(self, identity: str) -> bool:
+    def has_lost_state(self, identity: str) -> bool:
         """Whether the memory of this voter is surely gone: another identity has answered at its address
         after it was last known there, and only one that starts without a memory takes a new identity."""
         if address_of(identity) == self.address:
@@ -135,9 +139,9 @@
             return False
         return peer.proven_at > self._known_alive.get(identity, 0)
 
-    def is_lost(self, identity: str, now: int) -> bool:
+    def is_replaceable(self, identity: str, now: int) -> bool:
         """Whether this voter is erased, silent for long, or about to end."""
-        if self.is_erased(identity):
+        if self.has_lost_state(identity):
             return True
         peer = self._table.get(address_of(identity))
         if peer is None:
@@ -151,13 +155,15 @@
         found = [
             peer.identity
             for address, peer in self.alive(now).items()
-            if peer.counted and not peer.leaving and taken.get(address, peer.identity) == peer.identity
+            if peer.counts_for_quorum
+            and not peer.leaving
+            and taken.get(address, peer.identity) == peer.identity
         ]
         return sorted(found)
 
     # --- the first start ---
 
-    def may_found(self, now: int) -> bool:
+    def may_bootstrap(self, now: int) -> bool:
         """Whether this process is the one that founds the fleet: the first seed that counts, or, where none
         does, the lowest address that counts. It founds only while it hears a majority of the seeds, so two
         that are cut apart never both do; and never past one that it knows of and has not heard yet.
@@ -168,12 +174,12 @@
             if seed == self.address:
                 return True
             peer = self._table.get(seed)
-            if peer is None or not peer.identity or peer.counted:
+            if peer is None or not peer.identity or peer.counts_for_quorum:
                 return False  # it founds, or has not said yet whether it may
         if now - self._born <= NO_SEED_COUNTS:
             return False
         lower = [peer for address, peer in self._table.items() if address < self.address]
-        return not any(peer.counted or not peer.identity for peer in lower)
+        return not any(peer.counts_for_quorum or not peer.identity for peer in lower)
 
     def _hears_most_seeds(self, now: int) -> bool:
         alive = self.alive(now)
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class TrackedWorker:
     """A record and when the worker was last heard, by whichever control process."""
 
     record: WorkerRecord
@@ -68,14 +68,14 @@
     def __init__(self, heartbeat: int) -> None:
         """`heartbeat`: microseconds between two heartbeats of a worker."""
         self.heartbeat = heartbeat
-        self.listed: dict[str, Listed] = {}
+        self.tracked: dict[str, TrackedWorker] = {}
         self.digest = 0  # of all records that have not ended: equal where the same is known
         self._by_address: dict[str, str] = {}
         self._fresh: set[str] = set()  # heard since `take_fresh_ages`
 
     def merge(self, record: WorkerRecord, heard_at: int) -> list[WorkerRecord]:
         """Take a record; the records that changed by it, which are to be told to others."""
-        known = self.listed.get(record.instance)
+        known = self.tracked.get(record.instance)
         if known is not None and record.rank <= known.record.rank:
             self.hear(record.instance, heard_at)
             return []
@@ -86,68 +86,68 @@
         if differs:
             changed.append(record)
         before = known.heard_at if known is not None else heard_at - 1
-        self._list(Listed(record, before), differs)
+        self._list(TrackedWorker(record, before), differs)
         self.hear(record.instance, heard_at)
         return changed
 
     def _end_others_at(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
         other = self._by_address.get(record.address)
         self._by_address[record.address] = record.instance
-        if other is None or other == record.instance or other not in self.listed:
+        if other is None or other == record.instance or other not in self.tracked:
             return []
-        before = self.listed[other].record
+        before = self.tracked[other].record
         if before.state is WorkerState.GONE:
             return []
         ended = msgspec.structs.replace(before, state=WorkerState.GONE)
-        self._list(Listed(ended, now), differs=True)
+        self._list(TrackedWorker(ended, now), differs=True)
         return [ended]
 
-    def _list(self, listed: Listed, differs: bool) -> None:
+    def _list(self, listed: TrackedWorker, differs: bool) -> None:
         """The only place where a record comes in or is replaced."""
-        known = self.listed.get(listed.record.instance)
+        known = self.tracked.get(listed.record.instance)
         if differs:
             self.digest ^= _mark(listed.record) ^ (_mark(known.record) if known is not None else 0)
-        self.listed[listed.record.instance] = listed
+        self.tracked[listed.record.instance] = listed
 
     def _drop(self, instance: str) -> None:
-        record = self.listed.pop(instance).record
+        record = self.tracked.pop(instance).record
         self.digest ^= _mark(record)
         if self._by_address.get(record.address) == instance:
             del self._by_address[record.address]
 
     def ended(self, instance: str) -> WorkerRecord | None:
         """The record that says that this instance has left; None where it is not known."""
-        known = self.listed.get(instance)
+        known = self.tracked.get(instance)
         return None if known is None else msgspec.structs.replace(known.record, state=WorkerState.GONE)
 
     def hear(self, instance: str, heard_at: int) -> None:
         """Another process has heard of it."""
-        known = self.listed.get(instance)
+        known = self.tracked.get(instance)
         if known is not None and heard_at > known.heard_at:
             known.heard_at = heard_at
             self._fresh.add(instance)
 
     def expire(self, now: int) -> None:
         """Drop what has been silent for too long."""
-        for instance, each in list(self.listed.items()):
+        for instance, each in list(self.tracked.items()):
             gone = each.record.state is WorkerState.GONE
             if now - each.heard_at > (TOMBSTONE if gone else LISTED_HEARTBEATS * self.heartbeat):
                 self._drop(instance)
 
-    def is_silent(self, listed: Listed, now: int) -> bool:
+    def is_silent(self, listed: TrackedWorker, now: int) -> bool:
         """Whether its heartbeats have been missing for longer than chance explains."""
         return now - listed.heard_at > SILENT_HEARTBEATS * self.heartbeat
 
     def records(self) -> tuple[WorkerRecord, ...]:
         """All that is known, ends included."""
-        return tuple(each.record for each in self.listed.values())
+        return tuple(each.record for each in self.tracked.values())
 
     def lasting(self, now: int) -> tuple[WorkerRecord, ...]:
         """All that is known but for those that are about to be forgotten: what another one may lack."""
         last = EXPIRY_HEARTBEATS * self.heartbeat
         return tuple(
             each.record
-            for each in self.listed.values()
+            for each in self.tracked.values()
             if each.record.state is WorkerState.GONE or now - each.heard_at < last
         )
 
@@ -155,7 +155,7 @@
         """Microseconds since each worker that has not ended was heard."""
         return {
             instance: max(now - each.heard_at, 0)
-            for instance, each in self.listed.items()
+            for instance, each in self.tracked.items()
             if each.record.state is not WorkerState.GONE
         }
 
@@ -171,7 +171,7 @@
         """The same of those alone that were heard, here or elsewhere, since the last call."""
         fresh, self._fresh = self._fresh, set()
         return {
-            instance: max(now - self.listed[instance].heard_at, 0) for instance in fresh & set(self.listed)
+            instance: max(now - self.tracked[instance].heard_at, 0) for instance in fresh & set(self.tracked)
         }
 
 
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from hazelbend.control.load_table import CachedPart, Load, Outcomes
+from hazelbend.control.load_table import CachedPrefix, Load, Outcomes
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.placement.choices import Attempt, Choice
 from hazelbend.placement.estimates import QueueEstimate, WorkerEstimate
@@ -48,7 +48,7 @@
         self._unreported_outcomes: dict[str, Counter[AttemptOutcome]] = {}  # by instance
         self.selector = WorkerSelector(self._fleet, zone, policy, random.Random(seed))
         self.statistics = Statistics()
-        self.newly_cached: list[CachedPart] = []
+        self.newly_cached: list[CachedPrefix] = []
         self.on_suspicion_changed: Callable[[WorkerRecord, bool], None] = lambda record, suspect: None
         self.on_load_changed: Callable[[], None] = lambda: None
 
@@ -130,7 +130,7 @@
                 del self.workers[instance]
                 self.statistics.forget(instance)
 
-    def apply_load_report(self, loads: dict[str, Load], cached: tuple[CachedPart, ...], now: int) -> None:
+    def apply_load_report(self, loads: dict[str, Load], cached: tuple[CachedPrefix, ...], now: int) -> None:
         """Take the unfinished work of all peers by instance, and the prefix segments they had prefilled."""
         no_load = Load()
         for instance, worker in self.workers.items():
@@ -345,7 +345,7 @@
         new = worker.prefix_cache.add(shared, self._fleet.prefix_cache_capacity(worker))
         instance = worker.record.instance
         for segment in shared if report_all else new:
-            self.newly_cached.append(CachedPart(instance, segment.id, segment.tokens))
+            self.newly_cached.append(CachedPrefix(instance, segment.id, segment.tokens))
 
 
 def _unconfirmed_tokens(choice: Choice, prompt: Prompt) -> int:
--- a/hazelbend/system/agreement.py
+++ b/hazelbend/system/agreement.py
@@ -12,9 +12,9 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.control import messages as m
-from hazelbend.control.config_machine import StoredConfig
+from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
-from hazelbend.control.outputs import Answer, ControlPlan, StableOutput, VolatileOutput
+from hazelbend.control.outputs import Answer, ControlSettings, DurableOutput, ImmediateOutput
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.system.agreement_log import AgreementLog
 from hazelbend.system.clock import clock
@@ -38,12 +38,13 @@
 
     def __init__(
         self,
-        plan: ControlPlan,
+        settings: ControlSettings,
         store: ControlStore | None,
         config_changed: Callable[[StoredConfig], None],
         workers_changed: Callable[[list[WorkerRecord]], None],
     ) -> None:
-        self._plan, self._store = plan, store
+        self._settings = settings
+        self._store = store
         self._config_changed, self._workers_changed = config_changed, workers_changed
         self.engine: ControlEngine
         self.config = StoredConfig()  # what may be told
@@ -63,19 +64,21 @@
         """Begin from what is stored; waits for a disk that refuses."""
         recalled = await self._restored()
         memory = recalled[0] if recalled is not None else None
-        identity = f"{secrets.token_hex(4)}@{self._plan.address}"
+        identity = f"{secrets.token_hex(4)}@{self._settings.address}"
         self._store_begun = memory is not None
-        self.engine = ControlEngine(identity, self._plan, secrets.randbits(63), clock(), time.time, memory)
+        self.engine = ControlEngine(
+            identity, self._settings, secrets.randbits(63), clock(), time.time, memory
+        )
         if recalled is not None:
             self.engine.raft.restore_commit(recalled[1], clock())
             self._stored_commit = recalled[1]
             self.config = self.engine.machine.current
-        log.info("control: this is %s, %s", self.engine.me, "recalled" if memory else "new")
+        log.info("control: this is %s, %s", self.engine.identity, "recalled" if memory else "new")
 
     async def _restored(self) -> tuple[PersistentState, int] | None:
         while self._store is not None:
             try:
-                return await self._store.open(self._plan.address)
+                return await self._store.open(self._settings.address)
             except StoreError as error:
                 log.error("control: store: %s; tried again", error)
                 await asyncio.sleep(STORE_PAUSE)
@@ -113,17 +116,17 @@
         if self._closed:
             return
         engine = self.engine
-        if clock() >= engine.due:
+        if clock() >= engine.next_tick_at:
             engine.tick(clock())
-        self._send_volatile(engine.take_volatile())
+        self._send_volatile(engine.take_immediate_output())
         if self._saving is None:
-            if engine.has_stable_output:
+            if engine.has_durable_output:
                 self._saving = asyncio.create_task(self._save_and_send())
             else:
                 self.confirmed_at = engine.raft.confirmed_at
         if self._wake is not None:
             self._wake.cancel()
-        wait = max((engine.due - clock()) / 1e6, SHORTEST_WAIT)
+        wait = max((engine.next_tick_at - clock()) / 1e6, SHORTEST_WAIT)
         self._wake = asyncio.get_running_loop().call_later(wait, self.pump)
         self._log.look(engine, clock())
 
@@ -144,8 +147,8 @@
         """Send the stable output once what it rests on is stored; what comes meanwhile goes next."""
         engine = self.engine
         try:
-            while engine.has_stable_output:
-                output = engine.take_stable()
+            while engine.has_durable_output:
+                output = engine.take_durable_output()
                 parts = state_codec.changed_parts(engine.raft)
                 if parts and self._store is not None and not await self._stored(parts):
                     return
@@ -171,12 +174,12 @@
             log.error("control: store: %s; nothing that rests on it is sent until it takes writes", error)
             self._store_begun = False  # the next save takes all
             engine.raft.promise_changed = True
-            for answer in engine.discard_stable():
+            for answer in engine.discard_durable_output():
                 self._answer(answer)
             await asyncio.sleep(STORE_PAUSE)
             return False
 
-    def _send_volatile(self, output: VolatileOutput) -> None:
+    def _send_volatile(self, output: ImmediateOutput) -> None:
         for address, body in output.out:
             self.send(address, m.encode(body))
         for answer in output.answers:
@@ -184,7 +187,7 @@
         if output.news:
             self._workers_changed(output.news)
 
-    def _send_stable(self, output: StableOutput) -> None:
+    def _send_stable(self, output: DurableOutput) -> None:
         for address, messages in output.out:
             self.send(address, m.encode(messages))
         for answer in output.answers:
@@ -206,7 +209,7 @@
         return m.Pong(0, self.config.version, age)
 
     def _link_opened(self, address: str) -> None:
-        self.engine.send_all_workers(address, clock())
+        self.engine.send_worker_snapshot(address, clock())
         asyncio.get_running_loop().call_soon(self.pump)
 
     def send(self, address: str, frame: bytes) -> None:
--- a/hazelbend/system/agreement_log.py
+++ b/hazelbend/system/agreement_log.py
@@ -58,7 +58,7 @@
             )
 
     def _look_at_confirmation(self, engine: ControlEngine, now: int) -> None:
-        if not engine.plan.counted or not engine.raft.persistent.epoch:
+        if not engine.settings.counts_for_quorum or not engine.raft.persistent.epoch:
             return
         age = engine.raft.confirmed_age(now)
         confirmed = age is not None and age < UNCONFIRMED
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -9,10 +9,10 @@
 import picologging
 
 from hazelbend.consensus.identity import address_of
-from hazelbend.control.announcements import WorkerDone
-from hazelbend.control.config_machine import ChangeResult, plain_body
+from hazelbend.control.announcements import AnnouncementOutcome
+from hazelbend.control.config_state_machine import ChangeResult, decompress_body
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
-from hazelbend.control.outputs import PutDone, ReadDone
+from hazelbend.control.outputs import PutOutcome, ReadOutcome
 from hazelbend.protocol.control_calls import read_heartbeat
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
@@ -40,7 +40,7 @@
             case ("POST", ["", "instances", instance, "heartbeat"]):
                 return await self._heartbeat(instance, call.body)
             case ("POST", ["", "instances", instance, "deregister"]):
-                return await self._worker_done(engine.worker_left(instance, clock()))
+                return await self._worker_done(engine.handle_deregistration(instance, clock()))
             case ("POST", ["", "config", "put"]):
                 return await self._put(call)
             case ("GET", ["", "config", "get"]):
@@ -59,8 +59,8 @@
         except ValueError as error:
             return HttpResponse(400, f"{error}\n".encode())
         engine, now = self._agreement.engine, clock()
-        number = engine.worker_heard(record, now)
-        if number is None and not engine.can_spread(now):
+        number = engine.handle_heartbeat(record, now)
+        if number is None and not engine.reaches_quorum_peers(now):
             self._agreement.pump()
             return HttpResponse(503, b"no other control process can be reached from here\n")
         return await self._worker_done(number)
@@ -70,7 +70,7 @@
             self._agreement.pump()
             return HttpResponse(200, b"{}", JSON)
         answer = await self._agreement.wait_for(number)
-        if not isinstance(answer, WorkerDone) or not answer.held:
+        if not isinstance(answer, AnnouncementOutcome) or not answer.held:
             return HttpResponse(503, b"too few control processes hold it\n")
         return HttpResponse(200, b"{}", JSON)
 
@@ -91,7 +91,7 @@
         if number is None:
             return HttpResponse(503, b"no majority that is large enough\n")
         answer = await self._agreement.wait_for(number)
-        match answer.result if isinstance(answer, PutDone) else None:
+        match answer.result if isinstance(answer, PutOutcome) else None:
             case ChangeResult.ACCEPTED:
                 return HttpResponse(200, b'{"version":%d}' % version, JSON)
             case ChangeResult.CONFLICT:
@@ -108,15 +108,15 @@
             return redirect
         number = self._agreement.engine.read(clock())
         answer = await self._agreement.wait_for(number) if number is not None else None
-        if not isinstance(answer, ReadDone) or answer.config is None:
+        if not isinstance(answer, ReadOutcome) or answer.config is None:
             return HttpResponse(503, b"no majority answers\n")
         if not answer.config.version:
             return HttpResponse(404, b"no configuration yet\n")
-        return HttpResponse(200, plain_body(answer.config), JSON)
+        return HttpResponse(200, decompress_body(answer.config), JSON)
 
     def _refound(self) -> HttpResponse:
         try:
-            epoch = self._agreement.engine.refound(clock())
+            epoch = self._agreement.engine.force_new_cluster(clock())
         except ValueError as error:
             return HttpResponse(409, f"{error}\n".encode())
         log.warning("control: epoch %d is founded here by an operator", epoch)
@@ -129,7 +129,7 @@
         end = time.monotonic() + LEADER_WAIT
         while not engine.raft.settled:
             leader = engine.leader
-            if leader and leader != engine.me:
+            if leader and leader != engine.identity:
                 host = split_address(address_of(leader))[0]
                 port = split_address(self._settings.control_address)[1]
                 return HttpResponse(307, headers={"Location": f"http://{host}:{port}{path}"})
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -8,7 +8,7 @@
 from hazelbend.consensus.identity import address_of
 from hazelbend.control import messages as m
 from hazelbend.control.load_table import CacheTable, RouterLoad
-from hazelbend.control.outputs import ControlPlan
+from hazelbend.control.outputs import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
@@ -32,18 +32,18 @@
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        plan = ControlPlan(
+        engine_settings = ControlSettings(
             address=settings.control_peer_address,
             seeds=settings.seed_peer_addresses,
-            counted=settings.counts_for_quorum,
-            may_found=settings.bootstrap,
+            counts_for_quorum=settings.counts_for_quorum,
+            may_bootstrap=settings.bootstrap,
             tolerance=settings.tolerated_losses,
-            heartbeat=settings.heartbeat_us,
-            lease=settings.lease_us,
+            heartbeat_us=settings.heartbeat_us,
+            lease_us=settings.lease_us,
         )
         folder = settings.data_dir
         self._agreement = Agreement(
-            plan,
+            engine_settings,
             ControlStore(folder) if folder is not None else None,
             lambda config: self._publisher.publish_config(config),
             self._workers_changed,
@@ -82,7 +82,7 @@
 
     def reload(self, settings: Settings) -> None:
         """The settings file has changed: the seeds may be others."""
-        self._agreement.engine.seeds_changed(settings.seed_peer_addresses, clock())
+        self._agreement.engine.learn_seeds(settings.seed_peer_addresses, clock())
 
     def _workers_changed(self, records: list[WorkerRecord]) -> None:
         self._publisher.publish_workers(records)
@@ -103,7 +103,7 @@
                 connection.send(m.encode(pong))
             case RouterLoad():
                 self._publisher.merge_router_load(connection, body)
-            case m.Hello():
+            case m.PeerHello():
                 sender = self._senders.setdefault(connection, address_of(body.identity))
                 self._agreement.receive(sender, body)
             case _ if connection in self._senders:
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -10,20 +10,24 @@
     record = engine.raft
     age = record.confirmed_age(now)
     return {
-        "me": engine.me,
+        "me": engine.identity,
         "leader": engine.leader,
         "epoch": record.persistent.epoch,
         "foreign_epoch": record.foreign_epoch or None,
         "term": record.persistent.term,
         "voters": record.voters,
-        "lost": [each for each in record.voters if each != engine.me and engine.peers.is_lost(each, now)],
+        "lost": [
+            each
+            for each in record.voters
+            if each != engine.identity and engine.peers.is_replaceable(each, now)
+        ],
         "joining": sorted(record.learners),
         "commit": record.commit,
         "version": version,
         "confirmed_ms_ago": None if age is None else age // 1_000,
         "replicas": _replicas(engine, now),
-        "controls": (engine.plan.address, *engine.peers.alive(now)),
-        "routers": sorted(engine.own_routers),
+        "controls": (engine.settings.address, *engine.peers.alive(now)),
+        "routers": sorted(engine.watching_routers),
         "workers": _workers(engine, now),
     }
 
@@ -52,5 +56,5 @@
             "phase": each.record.phase,
             "heard_ms_ago": (now - each.heard_at) // 1_000,
         }
-        for each in engine.registry.listed.values()
+        for each in engine.registry.tracked.values()
     ]
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -16,7 +16,7 @@
 import picologging
 
 from hazelbend.control import messages as m
-from hazelbend.control.load_table import LoadNews
+from hazelbend.control.load_table import LoadUpdate
 from hazelbend.transport.peer.frame_link import FrameLink
 
 log = picologging.getLogger("hazelbend.watch")
@@ -37,16 +37,16 @@
     def config_version(self) -> int:
         """The version of the configuration that is in force here; 0 where there is none."""
 
-    def apply_config(self, update: m.ConfigNews) -> None:
+    def apply_config(self, update: m.ConfigUpdate) -> None:
         """A configuration is in force."""
 
-    def apply_workers(self, update: m.WorkerNews) -> None:
+    def apply_workers(self, update: m.WorkerUpdate) -> None:
         """Workers have changed."""
 
-    def apply_fleet_status(self, update: m.FleetNews) -> None:
+    def apply_fleet_status(self, update: m.FleetStatus) -> None:
         """The periodic update on control processes, routers and silent workers."""
 
-    def apply_loads(self, update: LoadNews) -> None:
+    def apply_loads(self, update: LoadUpdate) -> None:
         """The requests that other routers have in flight, and new cache contents."""
 
     def config_confirmed(self, version: int, at_s: float) -> None:
@@ -117,30 +117,30 @@
             return
         self.last_received_at = self._now()
         match body:
-            case m.ConfigNews():
+            case m.ConfigUpdate():
                 self._handler.apply_config(body)
-            case m.WorkerNews():
+            case m.WorkerUpdate():
                 self._handler.apply_workers(body)
-            case m.FleetNews():
+            case m.FleetStatus():
                 self._handler.apply_fleet_status(body)
             case m.Pong():
                 self._pong_received(body)
-            case LoadNews() if self.carries_loads:
+            case LoadUpdate() if self.carries_loads:
                 self._handler.apply_loads(body)
-            case LoadNews():
+            case LoadUpdate():
                 # The loads are changes to what the primary has sent; cache contents stand by themselves.
-                self._handler.apply_loads(LoadNews({}, body.cached))
-            case m.CacheNews():
+                self._handler.apply_loads(LoadUpdate({}, body.cached))
+            case m.CacheUpdate():
                 self._caches_received(body)
 
-    def _caches_received(self, update: m.CacheNews) -> None:
+    def _caches_received(self, update: m.CacheUpdate) -> None:
         try:
             cached = update.cached()
         except msgspec.DecodeError as error:
             log.warning("subscription: %s: undecodable cache contents: %s", self.address, error)
             return
         self.has_sent_caches = True
-        self._handler.apply_loads(LoadNews({}, cached))
+        self._handler.apply_loads(LoadUpdate({}, cached))
 
     def _pong_received(self, pong: m.Pong) -> None:
         if pong.confirmed_age is None:
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -9,7 +9,7 @@
 import picologging
 
 from hazelbend.control.load_table import Load
-from hazelbend.control.outputs import ReadDone
+from hazelbend.control.outputs import ReadOutcome
 from hazelbend.control.phase_planner import PhaseOrder
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
@@ -63,12 +63,12 @@
         self._announce()
         number = engine.read(clock())
         confirmed = await self._agreement.wait_for(number) if number is not None else None
-        is_confirmed = isinstance(confirmed, ReadDone) and confirmed.config is not None
+        is_confirmed = isinstance(confirmed, ReadOutcome) and confirmed.config is not None
         if not is_confirmed or token is None or engine.order_token(clock()) != token:
             log.warning("control: %s is not ordered to %s: no majority confirms", order.instance, order.phase)
             engine.planner.refused(order)
             return
-        call = Order("phase", order.phase, engine.me, token)
+        call = Order("phase", order.phase, engine.identity, token)
         result = await send_order(order.address, order.instance, call)
         log.info("control: %s is to %s: %s", order.instance, order.phase, result.value)
         if result is OrderResult.REFUSED:
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -120,7 +120,7 @@
         self._listener.max_header_bytes = limits.max_header_bytes
         self._listener.request_timeout_s = limits.header_timeout_ms / MILLISECONDS
 
-    def _fleet_status_received(self, status: m.FleetNews) -> None:
+    def _fleet_status_received(self, status: m.FleetStatus) -> None:
         self._subscriptions.set_alive(status.controls)
         self._load_reporter.schedule_report()  # reports may be lost, so the load is repeated regularly
 
--- a/hazelbend/system/router_update_handler.py
+++ b/hazelbend/system/router_update_handler.py
@@ -9,7 +9,7 @@
 import picologging
 
 from hazelbend.control import messages as m
-from hazelbend.control.load_table import LoadNews, LoadView
+from hazelbend.control.load_table import LoadUpdate, LoadView
 from hazelbend.control.workers import EXPIRY_HEARTBEATS
 from hazelbend.forwarding.fleet_state import FleetState
 from hazelbend.placement.routes import Limits, decode_route_table
@@ -33,7 +33,7 @@
         settings: Settings,
         state: FleetState,
         on_limits: Callable[[Limits], None],
-        on_fleet_status: Callable[[m.FleetNews], None],
+        on_fleet_status: Callable[[m.FleetStatus], None],
     ) -> None:
         self.settings = settings  # replaced at a reload
         self._state = state
@@ -52,7 +52,7 @@
         route_table = self._state.route_table
         return route_table.configuration.version if route_table is not None else 0
 
-    def apply_config(self, update: m.ConfigNews) -> None:
+    def apply_config(self, update: m.ConfigUpdate) -> None:
         """Put a configuration in force, unless the present one is as new."""
         if update.version <= self.config_version():
             return
@@ -70,20 +70,20 @@
         if self.config_version() >= version:
             self._config_confirmed_at = max(self._config_confirmed_at, round(at_s * SECOND_US))
 
-    def apply_workers(self, update: m.WorkerNews) -> None:
+    def apply_workers(self, update: m.WorkerUpdate) -> None:
         """Merge the records of workers."""
         for record in update.records:
             self._placement.merge(record)
 
-    def apply_fleet_status(self, update: m.FleetNews) -> None:
+    def apply_fleet_status(self, update: m.FleetStatus) -> None:
         """Take the number of routers, and which workers are silent or change their phase."""
         self._state.max_routers = max(self._state.max_routers, update.routers)
         self._placement.set_switching(set(update.switching))
         self._placement.update_silence(update.silent, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
         self._on_fleet_status(update)
 
-    def apply_loads(self, update: LoadNews) -> None:
+    def apply_loads(self, update: LoadUpdate) -> None:
         """Take the other routers' requests in flight, cache contents, and how their attempts ended."""
-        self._other_routers.take(update)
+        self._other_routers.apply(update)
         self._placement.apply_load_report(self._other_routers.loads, update.cached, clock())
         self._placement.apply_peer_outcomes(update.outcomes, clock())
--- a/hazelbend/system/soft_state_saver.py
+++ b/hazelbend/system/soft_state_saver.py
@@ -50,7 +50,7 @@
             return
         engine = self._agreement.engine
         engine.restore_workers(state.workers, clock())
-        engine.most_routers = max(state.routers, 1)
+        engine.peak_router_count = max(state.routers, 1)
         self._caches.add(state.cached)
 
     def start(self) -> None:
@@ -67,7 +67,7 @@
         while True:
             await asyncio.sleep(SAVE_PERIOD_S)
             engine = self._agreement.engine
-            state = m.SoftState(engine.registry.records(), self._caches.all(), engine.most_routers)
+            state = m.SoftState(engine.registry.records(), self._caches.all(), engine.peak_router_count)
             content = m.encode_soft_state(state)
             if content == self._saved_content:
                 continue
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -13,8 +13,8 @@
 import picologging
 
 from hazelbend.control import messages as m
-from hazelbend.control.config_machine import StoredConfig
-from hazelbend.control.load_table import CachedPart, CacheTable, LoadNews, LoadTable, Outcomes, RouterLoad
+from hazelbend.control.config_state_machine import StoredConfig
+from hazelbend.control.load_table import CachedPrefix, CacheTable, LoadTable, LoadUpdate, Outcomes, RouterLoad
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
@@ -44,7 +44,7 @@
         self._caches = caches
         self._subscribers: dict[FrameConnection, _Subscriber] = {}
         self._loads_changed = False
-        self._unpublished_cached: list[CachedPart] = []
+        self._unpublished_cached: list[CachedPrefix] = []
         self._unpublished_outcomes: list[tuple[str, Outcomes]] = []  # with the router that reported them
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -66,8 +66,8 @@
         A process without a vote has no configuration to send: it names those that have, and disconnects.
         """
         engine = self._agreement.engine
-        if not engine.plan.counted:
-            connection.send(m.encode(engine.fleet_news(clock())))
+        if not engine.settings.counts_for_quorum:
+            connection.send(m.encode(engine.fleet_status(clock())))
             connection.close()
             return
         self._subscribers[connection] = _Subscriber(request.router, request.loads)
@@ -91,25 +91,25 @@
         is_from_router = connection in self._subscribers
         if is_from_router:  # other control processes have other subscribers
             frame = m.encode(load)
-            for address in self._agreement.engine.peers.other_counted(clock()):
+            for address in self._agreement.engine.peers.alive_quorum_peers(clock()):
                 self._agreement.send(address, frame)
 
     def _update_router_set(self) -> None:
         routers = {subscriber.router for subscriber in self._subscribers.values()}
-        self._agreement.engine.own_routers = routers
+        self._agreement.engine.watching_routers = routers
 
     def _complete_state(self, request: m.Watch) -> list[m.Body]:
         """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
         engine = self._agreement.engine
         config = self._agreement.config
         loads = self.loads.all_others(request.router) if request.loads else {}
-        bodies: list[m.Body] = [m.WorkerNews(0, engine.registry.records())]
+        bodies: list[m.Body] = [m.WorkerUpdate(0, engine.registry.records())]
         if config.version > request.version:
-            bodies.append(m.ConfigNews(config.version, config.body))
-        bodies.append(engine.fleet_news(clock()))
-        bodies.append(LoadNews(loads, whole=request.loads))
+            bodies.append(m.ConfigUpdate(config.version, config.body))
+        bodies.append(engine.fleet_status(clock()))
+        bodies.append(LoadUpdate(loads, complete=request.loads))
         if request.caches:
-            bodies.append(m.CacheNews.of(self._caches.by_instance))
+            bodies.append(m.CacheUpdate.of(self._caches.by_instance))
         return bodies
 
     # --- to routers ---
@@ -125,7 +125,7 @@
         self._send_pending_configs(config)
 
     def _send_pending_configs(self, config: StoredConfig) -> None:
-        frame = m.encode(m.ConfigNews(config.version, config.body))
+        frame = m.encode(m.ConfigUpdate(config.version, config.body))
         for connection, subscriber in list(self._subscribers.items()):
             if not subscriber.config_pending or connection.unsent_bytes > MAX_UNSENT_BEFORE_CONFIG_BYTES:
                 continue
@@ -139,11 +139,11 @@
                 self._caches.forget(record.instance)
             state = record.state.name.lower()
             log.info("control: worker %s %s %s %s", record.instance, record.service, record.phase, state)
-        self._broadcast(m.WorkerNews(0, tuple(records)))
+        self._broadcast(m.WorkerUpdate(0, tuple(records)))
 
     def publish_fleet_status(self) -> None:
         """Send the periodic update on the fleet now."""
-        self._broadcast(self._agreement.engine.fleet_news(clock()))
+        self._broadcast(self._agreement.engine.fleet_status(clock()))
 
     def _broadcast(self, body: m.Body) -> None:
         frame = m.encode(body)
@@ -176,7 +176,7 @@
                 continue
             loads = self.loads.others(subscriber.router, changed)
             others = tuple(outcome for router, outcome in outcomes if router != subscriber.router)
-            _send_or_disconnect(connection, m.encode(LoadNews(loads, cached, outcomes=others)))
+            _send_or_disconnect(connection, m.encode(LoadUpdate(loads, cached, outcomes=others)))
 
 
 def _send_or_disconnect(connection: FrameConnection, frame: bytes) -> None:
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -29,7 +29,7 @@
 import hazelbend
 from hazelbend.consensus import messages as log_messages
 from hazelbend.consensus import persistent_state, state_codec
-from hazelbend.control import config_machine, messages, workers
+from hazelbend.control import config_state_machine, messages, workers
 from hazelbend.dns_discovery import snapshot
 from hazelbend.forwarding import prefill
 from hazelbend.gossip import messages as gossip_messages
@@ -88,8 +88,8 @@
     return machine
 
 
-def configuration_machine(content: bytes) -> config_machine.ConfigMachine:
-    machine = config_machine.ConfigMachine()
+def configuration_machine(content: bytes) -> config_state_machine.ConfigStateMachine:
+    machine = config_state_machine.ConfigStateMachine()
     machine.restore(content)
     return machine
 
@@ -109,7 +109,9 @@
     "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
     "memory_part": msgpack_form(state_codec.Promise | state_codec.Entries | state_codec.Base),
     "log_entry": msgpack_form(log_messages.Entry),
-    "configuration_entry": msgpack_form(config_machine.ConfigChange | config_machine.Refound),
+    "configuration_entry": msgpack_form(
+        config_state_machine.ConfigChange | config_state_machine.ForceNewCluster
+    ),
     "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
     "quota_operation": Form(msgspec.msgpack.Decoder(book.Operation).decode, book.encode),
     "quota_answer": msgpack_form(book.Answer),
@@ -142,7 +144,7 @@
     "packet_body": gossip_messages.PacketBody,
     "lease_operation": lease_table.Operation,
     "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
-    "configuration_entry": config_machine.ConfigChange | config_machine.Refound,
+    "configuration_entry": config_state_machine.ConfigChange | config_state_machine.ForceNewCluster,
     "quota_operation": book.Operation,
 }
 
@@ -718,15 +720,15 @@
     registry = workers.WorkerRegistry(1_000_000)
     for record in FORMS["control_message"].read(msgspec.msgpack.encode(WORKER_NEWS)).records:
         registry.merge(record, 5_000_000)
-    entry = msgspec.msgpack.decode(config_machine.change_entry(6, 7, b'{"version": 7}'))
+    entry = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, b'{"version": 7}'))
     entry.pop("body")
     save_json(
         "numbers",
         {
             "worker_digest": registry.digest,
-            "change_digest": config_machine.digest_of(6, b'{"version": 7}').hex(),
+            "change_digest": config_state_machine.digest_of(6, b'{"version": 7}').hex(),
             "change_entry": as_text(entry),
-            "cache_head": messages.CacheNews.of({}).body[:2].hex(),
+            "cache_head": messages.CacheUpdate.of({}).body[:2].hex(),
             "epochs": epoch_numbers(),
         },
     )
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -29,7 +29,7 @@
 from benchmarks.control import history
 from hazelbend.consensus import state_codec
 from hazelbend.control import messages
-from hazelbend.control.load_table import CachedPart, Load
+from hazelbend.control.load_table import CachedPrefix, Load
 from hazelbend.control.phase_planner import PhasePlanner
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.decisions import interface as face
@@ -434,7 +434,7 @@
                 heapq.heappush(out, (now + 90 * MS + step % 5 * 20 * MS, step, "event", send, prompt))
         if step % 20 == 19:
             loads = {f"w{n}": Load(chance.randrange(6), chance.randrange(3_000)) for n in range(8)}
-            placement.apply_load_report(loads, (CachedPart("w0", "p1", 200),), now)
+            placement.apply_load_report(loads, (CachedPrefix("w0", "p1", 200),), now)
             placement.update_silence({"w7": step * MS}, 1 * S)
             trace.add(placement.own_loads(now), placement.take_outcomes(), placement.newly_cached)
             placement.newly_cached = []
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,14 +16,19 @@
 from benchmarks.control.operators import Change, Operators
 from hazelbend.consensus.raft import RaftNode
 from hazelbend.control import messages as m
-from hazelbend.control.config_machine import ChangeResult, ConfigMachine, change_entry, plain_body
+from hazelbend.control.config_state_machine import (
+    ChangeResult,
+    ConfigStateMachine,
+    decompress_body,
+    encode_config_change,
+)
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
 from hazelbend.control.load_table import (
-    CachedPart,
+    CachedPrefix,
     CacheTable,
     Load,
-    LoadNews,
     LoadTable,
+    LoadUpdate,
     LoadView,
     RouterLoad,
 )
@@ -41,7 +46,7 @@
 def findings(document: object) -> list[str]:
     with pytest.raises(InvalidConfigurationError) as caught:
         check_configuration(json.dumps(document).encode())
-    return [each.place for each in caught.value.findings]
+    return [each.path for each in caught.value.findings]
 
 
 # --- configurations ---
@@ -86,18 +91,22 @@
 
 
 def test_a_change_is_taken_on_the_version_that_it_builds_on_and_again_for_ever():
-    machine = ConfigMachine()
+    machine = ConfigStateMachine()
     first, second, rival = b'{"v":4}', b'{"v":7}', b'{"v":8}'
-    assert machine.apply(1, change_entry(0, 4, first)) is ChangeResult.ACCEPTED
-    assert machine.apply(2, change_entry(0, 5, rival)) is ChangeResult.CONFLICT
-    assert machine.apply(3, change_entry(4, 4, rival)) is ChangeResult.NOT_ABOVE
-    assert machine.apply(4, change_entry(4, 7, second)) is ChangeResult.ACCEPTED
-    assert machine.apply(5, change_entry(0, 4, first)) is ChangeResult.ACCEPTED, "sent again, versions later"
-    assert machine.apply(6, change_entry(0, 4, rival)) is ChangeResult.CONFLICT, "another one of that number"
-    other = ConfigMachine()
+    assert machine.apply(1, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED
+    assert machine.apply(2, encode_config_change(0, 5, rival)) is ChangeResult.CONFLICT
+    assert machine.apply(3, encode_config_change(4, 4, rival)) is ChangeResult.NOT_ABOVE
+    assert machine.apply(4, encode_config_change(4, 7, second)) is ChangeResult.ACCEPTED
+    assert machine.apply(5, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, (
+        "sent again, versions later"
+    )
+    assert machine.apply(6, encode_config_change(0, 4, rival)) is ChangeResult.CONFLICT, (
+        "another one of that number"
+    )
+    other = ConfigStateMachine()
     other.restore(machine.snapshot())
-    assert plain_body(other.current) == second
-    assert other.apply(7, change_entry(0, 4, first)) is ChangeResult.ACCEPTED, "also from a snapshot"
+    assert decompress_body(other.current) == second
+    assert other.apply(7, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, "also from a snapshot"
 
 
 # --- workers ---
@@ -120,7 +129,7 @@
         registry = WorkerRegistry(S)
         for each in order:
             registry.merge(each, 0)
-        assert registry.listed["i-1"].record.state is WorkerState.GONE
+        assert registry.tracked["i-1"].record.state is WorkerState.GONE
 
 
 def test_a_late_heartbeat_changes_nothing_and_tells_nobody():
@@ -129,7 +138,7 @@
         record(seq=4, state=WorkerState.DRAINING)
     ]
     assert registry.merge(record(seq=3), 20) == []
-    assert registry.listed["i-1"].record.state is WorkerState.DRAINING
+    assert registry.tracked["i-1"].record.state is WorkerState.DRAINING
     assert registry.merge(record(seq=5, state=WorkerState.DRAINING), 30) == [], (
         "nothing that a router must know"
     )
@@ -146,15 +155,15 @@
 def test_silence_is_a_mark_first_and_an_end_much_later():
     registry = WorkerRegistry(S)
     registry.merge(record(), 0)
-    listed = registry.listed["i-1"]
+    listed = registry.tracked["i-1"]
     assert not registry.is_silent(listed, 2 * S) and registry.is_silent(listed, 3 * S)
     registry.expire(9 * S)
-    assert "i-1" in registry.listed
+    assert "i-1" in registry.tracked
     registry.hear("i-1", 8 * S)
     registry.expire(11 * S)
-    assert "i-1" in registry.listed, "another process has heard it"
+    assert "i-1" in registry.tracked, "another process has heard it"
     registry.expire(30 * S)
-    assert "i-1" not in registry.listed
+    assert "i-1" not in registry.tracked
 
 
 def test_control_processes_tell_each_other_of_workers_that_were_heard_since():
@@ -174,7 +183,7 @@
     fleet = Fleet(seed=1)
     fleet.run(10 * S)
     engine = fleet.alive[0].engine
-    beat = engine.plan.heartbeat
+    beat = engine.settings.heartbeat_us
     engine.restore_workers((record("i-1"),), fleet.now)
     assert not engine.registry.silent_ages(fleet.now + round(1.2 * beat))
     assert engine.registry.silent_ages(fleet.now + round(1.7 * beat))
@@ -213,11 +222,11 @@
         if rng.random() < 0.5:
             changed = table.take_changed()
             for name, view in told.items():
-                view.take(LoadNews(table.others(name, changed)))
+                view.apply(LoadUpdate(table.others(name, changed)))
                 assert view.loads == table.all_others(name)
         if rng.random() < 0.05:
             told["a"] = LoadView()
-            told["a"].take(LoadNews(table.all_others("a"), whole=True))
+            told["a"].apply(LoadUpdate(table.all_others("a"), complete=True))
 
 
 def test_the_sums_are_those_of_the_last_words():
@@ -232,15 +241,20 @@
 
 def test_caches_are_known_by_worker_until_it_ends():
     table = CacheTable()
-    table.add([CachedPart("i", "p", 10), CachedPart("j", "q", 20)])
+    table.add([CachedPrefix("i", "p", 10), CachedPrefix("j", "q", 20)])
     table.forget("i")
-    assert table.all() == (CachedPart("j", "q", 20),)
+    assert table.all() == (CachedPrefix("j", "q", 20),)
 
 
 def test_soft_state_and_messages_survive_their_encoding():
-    state = m.SoftState((record(),), (CachedPart("i", "p", 1),))
+    state = m.SoftState((record(),), (CachedPrefix("i", "p", 1),))
     assert m.decode_soft_state(m.encode_soft_state(state)) == state
-    for body in (m.Ping(), m.Watch("r", 3), m.WorkerNews(1, (record(),), {"i-1": 5}), RouterLoad("a", 1, {})):
+    for body in (
+        m.Ping(),
+        m.Watch("r", 3),
+        m.WorkerUpdate(1, (record(),), {"i-1": 5}),
+        RouterLoad("a", 1, {}),
+    ):
         assert m.decode(m.encode(body)) == body
 
 
@@ -249,16 +263,16 @@
     rng = random.Random(1)
     table = CacheTable()
     parts = [
-        CachedPart(f"i-{worker:010x}", f"{rng.randrange(2**32):08x}", rng.randrange(40_000))
+        CachedPrefix(f"i-{worker:010x}", f"{rng.randrange(2**32):08x}", rng.randrange(40_000))
         for worker in range(70)
         for _ in range(100)
     ]
     table.add(parts)
-    news = m.decode(m.encode(m.CacheNews.of(table.by_instance)))
+    news = m.decode(m.encode(m.CacheUpdate.of(table.by_instance)))
     assert set(news.cached()) == set(parts)
     assert len(news.body) < 12 * len(parts)
     with pytest.raises(msgspec.DecodeError):
-        m.CacheNews(b"nonsense").cached()
+        m.CacheUpdate(b"nonsense").cached()
 
 
 # --- agreement: stories ---
@@ -298,17 +312,17 @@
         fleet.kill(address)
         fleet.machines[address].removed = True
     fleet.run(5 * S)
-    assert fleet.leader.engine.raft.voters == (fleet.leader.engine.me,)
+    assert fleet.leader.engine.raft.voters == (fleet.leader.engine.identity,)
     assert results_of(fleet, base=0, version=1, body=b"{}") == [None]
 
 
 def test_a_wiped_machine_never_founds_and_comes_back_as_somebody_new(fleet):
     victim = next(each for each in fleet.alive if each is not fleet.leader)
-    before = victim.engine.me
+    before = victim.engine.identity
     fleet.wipe(victim.address)
     fleet.run(200 * MS)
     fleet.start(victim.address)
-    assert fleet.until(lambda: victim.engine.me in fleet.leader.engine.raft.voters, 4 * S)
+    assert fleet.until(lambda: victim.engine.identity in fleet.leader.engine.raft.voters, 4 * S)
     assert fleet.until(lambda: before not in fleet.leader.engine.raft.voters, 4 * S)
 
 
@@ -359,16 +373,16 @@
     fleet.run(1 * S)
     survivor = next(each for each in fleet.alive if each is not fleet.leader)
     with pytest.raises(ValueError, match="leads"):
-        survivor.engine.refound(fleet.now)
+        survivor.engine.force_new_cluster(fleet.now)
     for machine in list(fleet.alive):
         if machine is not survivor:
             fleet.wipe(machine.address)
             fleet.at(500 * MS, lambda address=machine.address: fleet.start(address))
     fleet.run(3 * S)
     assert fleet.leader is None
-    survivor.engine.refound(fleet.now)
+    survivor.engine.force_new_cluster(fleet.now)
     assert fleet.until(lambda: whole(fleet, 3), 5 * S)
-    assert {plain_body(each.engine.machine.current) for each in fleet.alive} == {b'{"a":1}'}
+    assert {decompress_body(each.engine.machine.current) for each in fleet.alive} == {b'{"a":1}'}
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED], "still known"
     assert results_of(fleet, base=2, version=3, body=b"{}") == [ChangeResult.ACCEPTED]
 
@@ -404,7 +418,7 @@
     fleet.run(100 * MS)
     assert told == [True]
     assert all(
-        each.engine.registry.listed["i-1"].record.state is WorkerState.DRAINING for each in fleet.alive
+        each.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING for each in fleet.alive
     )
 
 
@@ -414,10 +428,10 @@
     core, (first, second) = fleet.addresses[:3], fleet.addresses[3:]
     [leader] = [each.engine for each in fleet.alive if each.engine.raft.leads]
     observer = fleet.machines[first].engine
-    assert observer.leader == leader.me
-    assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.me for each in core)
+    assert observer.leader == leader.identity
+    assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.identity for each in core)
     for address in (core[0], first, second):
-        news = fleet.machines[address].engine.fleet_news(fleet.now)
+        news = fleet.machines[address].engine.fleet_status(fleet.now)
         assert sorted(news.controls) == sorted(core)
 
 
@@ -429,7 +443,7 @@
     for other in core:
         fleet.cut(observers[0], other)
     fleet.run(3 * S)
-    spreads = {each.address: each.engine.can_spread(fleet.now) for each in fleet.alive}
+    spreads = {each.address: each.engine.reaches_quorum_peers(fleet.now) for each in fleet.alive}
     assert spreads == {address: address != observers[0] for address in fleet.addresses}
 
 
@@ -645,15 +659,15 @@
 def test_only_a_leader_of_longer_than_a_lease_gives_orders(fleet):
     leader = fleet.leader
     for number in range(3):
-        leader.engine.worker_heard(model_worker(number, "prefill"), fleet.now)
+        leader.engine.handle_heartbeat(model_worker(number, "prefill"), fleet.now)
     assert leader.engine.phase_orders({}, fleet.now) == []
     orders: list[PhaseOrder] = []
     since = fleet.now
     while not orders and fleet.now < since + 12 * S:
         fleet.run(500 * MS)
         for number in range(3):
-            leader.engine.worker_heard(model_worker(number, "prefill"), fleet.now)
+            leader.engine.handle_heartbeat(model_worker(number, "prefill"), fleet.now)
         orders = leader.engine.phase_orders({}, fleet.now)
-    assert orders and fleet.now - since > leader.engine.plan.lease
+    assert orders and fleet.now - since > leader.engine.settings.lease_us
     follower = next(each for each in fleet.alive if each is not leader)
     assert follower.engine.phase_orders({}, fleet.now + 60 * S) == []
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -11,11 +11,16 @@
 from hazelbend.consensus.messages import AppendEntries, Message, Stamp
 from hazelbend.consensus.persistent_state import PersistentState, founded_by_operator
 from hazelbend.consensus.voters import next_voters
-from hazelbend.control import config_machine
+from hazelbend.control import config_state_machine
 from hazelbend.control import messages as m
-from hazelbend.control.config_machine import ChangeResult, ConfigMachine, StoredConfig, change_entry
+from hazelbend.control.config_state_machine import (
+    ChangeResult,
+    ConfigStateMachine,
+    StoredConfig,
+    encode_config_change,
+)
 from hazelbend.control.engine import TERM_BITS, ControlEngine
-from hazelbend.control.outputs import ControlPlan, ReadDone
+from hazelbend.control.outputs import ControlSettings, ReadOutcome
 from hazelbend.control.peers import PeerTable
 from hazelbend.control.phase_planner import PhaseOrder
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry, WorkerState
@@ -76,7 +81,7 @@
 
 def test_an_age_is_told_with_the_configuration_that_it_speaks_of():
     fleet = started(3)
-    output = fleet.leader.engine.take_stable()
+    output = fleet.leader.engine.take_durable_output()
     assert output.config == fleet.leader.engine.machine.current
     assert fleet.now - output.confirmed_at < 500 * MS
 
@@ -87,14 +92,16 @@
 def test_an_answer_that_was_meant_for_an_earlier_life_counts_for_nothing():
     fleet = started(3)
     first, second = fleet.alive[0], fleet.alive[1]
-    number = first.engine.worker_heard(DRAINING, fleet.now)
-    asked = [body for _, body in first.engine.take_volatile().out if getattr(body, "number", 0) == number]
-    answer = m.WorkerNewsTaken(number, asked[0].life, second.engine.me, second.engine.raft.voters)
+    number = first.engine.handle_heartbeat(DRAINING, fleet.now)
+    asked = [
+        body for _, body in first.engine.take_immediate_output().out if getattr(body, "number", 0) == number
+    ]
+    answer = m.WorkerUpdateAck(number, asked[0].life, second.engine.identity, second.engine.raft.voters)
     earlier = msgspec.structs.replace(answer, life=answer.life + 1)
     first.engine.receive(second.address, earlier, fleet.now)
-    assert first.engine.take_volatile().answers == []
+    assert first.engine.take_immediate_output().answers == []
     first.engine.receive(second.address, answer, fleet.now)
-    [done] = first.engine.take_volatile().answers
+    [done] = first.engine.take_immediate_output().answers
     assert (done.number, done.held) == (number, True)
 
 
@@ -147,41 +154,41 @@
 
 
 def test_a_resend_is_known_as_long_as_its_digest_is_kept_and_an_older_one_is_never_refused(monkeypatch):
-    monkeypatch.setattr(config_machine, "KEPT_DIGESTS", 10)
-    machine = ConfigMachine()
+    monkeypatch.setattr(config_state_machine, "KEPT_DIGESTS", 10)
+    machine = ConfigStateMachine()
     for version in range(1, 31):
-        assert machine.apply(version, change_entry(version - 1, version, body_of(version))) is (
+        assert machine.apply(version, encode_config_change(version - 1, version, body_of(version))) is (
             ChangeResult.ACCEPTED
         )
-    again = [machine.apply(0, change_entry(each - 1, each, body_of(each))) for each in range(1, 31)]
+    again = [machine.apply(0, encode_config_change(each - 1, each, body_of(each))) for each in range(1, 31)]
     assert again == [ChangeResult.FORGOTTEN] * 20 + [ChangeResult.ACCEPTED] * 10
-    lost = change_entry(25, 26, b"another")
+    lost = encode_config_change(25, 26, b"another")
     assert machine.apply(0, lost) is ChangeResult.CONFLICT
-    copy = ConfigMachine()
+    copy = ConfigStateMachine()
     copy.restore(machine.snapshot())
     assert (copy.current, copy.accepted, copy.floor) == (machine.current, machine.accepted, machine.floor)
 
 
 def test_the_state_after_ten_thousand_changes_is_bounded():
-    machine = ConfigMachine()
+    machine = ConfigStateMachine()
     sizes = []
     for version in range(1, 10_001):
-        machine.apply(version, change_entry(version - 1, version, body_of(version)))
+        machine.apply(version, encode_config_change(version - 1, version, body_of(version)))
         if version in (5_000, 10_000):
             sizes.append(len(machine.snapshot()))
     assert sizes[1] < sizes[0] * 1.1 and sizes[1] < 120_000
 
 
 def test_a_snapshot_of_the_earlier_format_is_read_and_its_changes_are_still_known():
-    machine = ConfigMachine()
+    machine = ConfigStateMachine()
     for version in (1, 2):
-        machine.apply(version, change_entry(version - 1, version, body_of(version)))
+        machine.apply(version, encode_config_change(version - 1, version, body_of(version)))
     found = msgspec.msgpack.decode(machine.snapshot())
     del found["bases"], found["floor"]
-    copy = ConfigMachine()
+    copy = ConfigStateMachine()
     copy.restore(msgspec.msgpack.encode(found))
-    assert copy.apply(3, change_entry(0, 1, body_of(1))) is ChangeResult.ACCEPTED
-    assert copy.apply(4, change_entry(2, 3, body_of(3))) is ChangeResult.ACCEPTED
+    assert copy.apply(3, encode_config_change(0, 1, body_of(1))) is ChangeResult.ACCEPTED
+    assert copy.apply(4, encode_config_change(2, 3, body_of(3))) is ChangeResult.ACCEPTED
 
 
 # --- row 5: one founder ---
@@ -208,7 +215,11 @@
         for one, other in cuts:
             fleet.cut(one, other)
         fleet.run(6 * S)
-        epochs = {each.engine.raft.persistent.epoch for each in fleet.alive if each.engine.plan.counted}
+        epochs = {
+            each.engine.raft.persistent.epoch
+            for each in fleet.alive
+            if each.engine.settings.counts_for_quorum
+        }
         founded.append(len(epochs - {0}))
     assert founded == [1, 1]
 
@@ -223,11 +234,11 @@
 
 def test_fencing_tokens_rise_beyond_65535_terms_and_over_a_refounding():
     tokens = []
-    plan = ControlPlan("10.0.1.1:7000", ("10.0.1.1:7000",), True, False, 0, 1_200 * MS)
+    plan = ControlSettings("10.0.1.1:7000", ("10.0.1.1:7000",), True, False, 0, 1_200 * MS)
     for term in (65_534, 65_535, 65_536, 200_000):
         engine = ControlEngine("x@10.0.1.1:7000", plan, 1, 0, lambda: 0.0, PersistentState("x", 512, term))
         tokens.append(engine.fencing_token)
-        engine.refound(0)
+        engine.force_new_cluster(0)
         assert engine.fencing_token > tokens[-1]
     assert tokens == sorted(set(tokens)) and tokens[-1] < 1 << 53 and TERM_BITS == 16
 
@@ -242,13 +253,15 @@
     class Confirming:
         engine = leader
 
-        async def wait_for(self, number: int) -> ReadDone:
+        async def wait_for(self, number: int) -> ReadOutcome:
             if number == steps_down:
                 leader.raft.receive(
-                    Message("x", leader.me, leader.raft.persistent.epoch, 9, AppendEntries(0, 0, (), 0, 1)),
+                    Message(
+                        "x", leader.identity, leader.raft.persistent.epoch, 9, AppendEntries(0, 0, (), 0, 1)
+                    ),
                     fleet.now,
                 )
-            return ReadDone(number, StoredConfig(1))
+            return ReadOutcome(number, StoredConfig(1))
 
     async def send_order(address, instance, call):
         sent.append(call.fence_token)
@@ -324,11 +337,11 @@
     leaving = next(each for each in fleet.alive if each is not fleet.leader)
     leaving.engine.leave(fleet.now)
     fleet._flush(leaving)
-    assert fleet.until(lambda: leaving.engine.me not in fleet.leader.engine.raft.voters, 600 * MS)
+    assert fleet.until(lambda: leaving.engine.identity not in fleet.leader.engine.raft.voters, 600 * MS)
 
 
-def hello(identity: str, stamp: Stamp | None = None, answers: Stamp | None = None) -> m.Hello:
-    return m.Hello(identity, True, (), "", False, stamp, answers)
+def hello(identity: str, stamp: Stamp | None = None, answers: Stamp | None = None) -> m.PeerHello:
+    return m.PeerHello(identity, True, (), "", False, stamp, answers)
 
 
 def test_a_voter_counts_as_erased_only_once_another_identity_has_answered_after_it_was_known():
@@ -338,9 +351,9 @@
     table.note_voters(("x@10.0.2.1:7",), 1 * S)
     for answers in (None, Stamp(8, 5 * S), Stamp(9, 900 * MS)):  # none, another life's, one from before
         table.greeted(there, hello("old@10.0.2.1:7", answers=answers), 2 * S)
-        assert not table.is_erased("x@10.0.2.1:7")
+        assert not table.has_lost_state("x@10.0.2.1:7")
     table.greeted(there, hello("y@10.0.2.1:7", answers=Stamp(9, 1_500 * MS)), 2 * S)
-    assert table.is_erased("x@10.0.2.1:7")
+    assert table.has_lost_state("x@10.0.2.1:7")
 
 
 def test_a_late_greeting_of_an_earlier_identity_does_not_undo_a_proof():
@@ -349,15 +362,15 @@
     table.note_voters(("y@10.0.2.1:7",), 0)
     table.greeted(there, hello("y@10.0.2.1:7", answers=Stamp(9, 3 * S)), 3 * S)
     table.greeted(there, hello("x@10.0.2.1:7", answers=Stamp(9, 2 * S)), 4 * S)
-    assert not table.is_erased("y@10.0.2.1:7")
+    assert not table.has_lost_state("y@10.0.2.1:7")
 
 
 def test_a_voter_that_had_the_address_of_its_leader_is_erased():
     """The leader is the one that came back at that address, with nothing."""
     table = PeerTable("new@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), life=9, now=0)
     table.note_voters(("old@10.0.1.1:7", "new@10.0.1.1:7"), 0)
-    assert table.is_erased("old@10.0.1.1:7") and table.is_lost("old@10.0.1.1:7", 0)
-    assert not table.is_erased("new@10.0.1.1:7") and not table.is_lost("new@10.0.1.1:7", 0)
+    assert table.has_lost_state("old@10.0.1.1:7") and table.is_replaceable("old@10.0.1.1:7", 0)
+    assert not table.has_lost_state("new@10.0.1.1:7") and not table.is_replaceable("new@10.0.1.1:7", 0)
 
 
 def test_two_identities_of_one_machine_are_never_listed_together():
@@ -377,14 +390,14 @@
     taker, misses = fleet.alive[0], fleet.alive[1]
     apart(fleet, [misses.address])
     ready = msgspec.structs.replace(DRAINING, state=WorkerState.READY)
-    taker.engine.worker_heard(ready, fleet.now)
-    taker.engine.worker_heard(msgspec.structs.replace(DRAINING, seq=3), fleet.now)
+    taker.engine.handle_heartbeat(ready, fleet.now)
+    taker.engine.handle_heartbeat(msgspec.structs.replace(DRAINING, seq=3), fleet.now)
     fleet._flush(taker)
     fleet.run(300 * MS)
     fleet.heal()
-    assert "i-1" not in misses.engine.registry.listed
-    assert fleet.until(lambda: "i-1" in misses.engine.registry.listed, 2 * S)
-    assert misses.engine.registry.listed["i-1"].record.state is WorkerState.DRAINING
+    assert "i-1" not in misses.engine.registry.tracked
+    assert fleet.until(lambda: "i-1" in misses.engine.registry.tracked, 2 * S)
+    assert misses.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING
     assert len({each.engine.registry.digest for each in fleet.alive}) == 1
 
 
@@ -408,12 +421,14 @@
 def test_one_that_does_not_count_is_not_asked_for_the_workers_that_it_has_forgotten():
     fleet = Fleet(3, 4, 1, loss=0.0, observers=1)
     assert fleet.until(lambda: whole(fleet, 3), 8 * S)
-    fleet.alive[0].engine.worker_heard(msgspec.structs.replace(DRAINING, state=WorkerState.READY), fleet.now)
+    fleet.alive[0].engine.handle_heartbeat(
+        msgspec.structs.replace(DRAINING, state=WorkerState.READY), fleet.now
+    )
     asked: list[str] = []
     usual = fleet._send
 
     def send(sender: str, to: str, body: m.Body) -> None:
-        if isinstance(body, m.WorkersWanted):
+        if isinstance(body, m.WorkerSyncRequest):
             asked.append(to)
         usual(sender, to, body)
 
--- a/tests/test_control_subscriptions.py
+++ b/tests/test_control_subscriptions.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hazelbend.control import messages as m
-from hazelbend.control.load_table import CachedPart, Load, LoadNews, RouterLoad
+from hazelbend.control.load_table import CachedPrefix, Load, LoadUpdate, RouterLoad
 from hazelbend.system import control_subscriptions
 from hazelbend.system.control_subscriptions import ControlSubscriptions
 from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
@@ -64,7 +64,7 @@
             case m.Watch() as request:
                 self.subscribers[connection] = request
                 if self.version > request.version:
-                    connection.send(m.encode(m.ConfigNews(self.version, b"")))
+                    connection.send(m.encode(m.ConfigUpdate(self.version, b"")))
             case m.Ping():
                 connection.send(frame)
             case RouterLoad() as load:
@@ -82,16 +82,16 @@
         self.received: list[object] = []
         self.version = 0
 
-    def apply_config(self, update: m.ConfigNews) -> None:
+    def apply_config(self, update: m.ConfigUpdate) -> None:
         self.version = max(self.version, update.version)
 
-    def apply_workers(self, update: m.WorkerNews) -> None:
+    def apply_workers(self, update: m.WorkerUpdate) -> None:
         self.received.append(update)
 
-    def apply_fleet_status(self, update: m.FleetNews) -> None:
+    def apply_fleet_status(self, update: m.FleetStatus) -> None:
         self.received.append(update)
 
-    def apply_loads(self, update: LoadNews) -> None:
+    def apply_loads(self, update: LoadUpdate) -> None:
         self.received.append(update)
 
     def config_version(self) -> int:
@@ -141,8 +141,8 @@
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     for control in controls:
         for connection, request in control.subscribers.items():
-            part = CachedPart(f"i-{request.loads}", "p", 1)
-            connection.send(m.encode(LoadNews({"i": Load(1, 1)}, (part,))))
+            part = CachedPrefix(f"i-{request.loads}", "p", 1)
+            connection.send(m.encode(LoadUpdate({"i": Load(1, 1)}, (part,))))
     await eventually(lambda: len(updates.received) == 2)
     loads = {update.cached[0].instance: update.loads for update in updates.received}
     assert loads == {"i-True": {"i": Load(1, 1)}, "i-False": {}}, "cache contents are taken from both"
@@ -152,7 +152,7 @@
 async def test_a_process_without_a_vote_names_the_voters(controls):
     """Guards a start whose seeds are processes without a vote: only they know the others' addresses."""
     for observer, known in ((controls[0], controls[2]), (controls[1], controls[2])):
-        status = m.FleetNews((known.address,), 1, {})
+        status = m.FleetStatus((known.address,), 1, {})
         observer.reject = lambda connection, status=status: (
             connection.send(m.encode(status)),
             connection.close(),
@@ -179,8 +179,8 @@
 async def test_a_router_asks_for_updates_after_its_version_and_learns_other_addresses(controls):
     subscriptions, updates = await subscribed(controls, count=1)
     await eventually(lambda: updates.version == 3 and len(with_subscribers(controls)) == 1)
-    controls[0].broadcast(m.FleetNews(tuple(control.address for control in controls), 5, {}))
-    await eventually(lambda: any(isinstance(update, m.FleetNews) for update in updates.received))
+    controls[0].broadcast(m.FleetStatus(tuple(control.address for control in controls), 5, {}))
+    await eventually(lambda: any(isinstance(update, m.FleetStatus) for update in updates.received))
     subscriptions.set_alive(updates.received[-1].controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     [other] = [control for control in controls[1:] if control.subscribers]
@@ -207,8 +207,8 @@
     [sender] = [
         control for control in controls if any(request.caches for request in control.subscribers.values())
     ]
-    sender.broadcast(m.CacheNews.of({"i-1": {"p": 10}}))
-    await eventually(lambda: LoadNews({}, (CachedPart("i-1", "p", 10),)) in updates.received)
+    sender.broadcast(m.CacheUpdate.of({"i-1": {"p": 10}}))
+    await eventually(lambda: LoadUpdate({}, (CachedPrefix("i-1", "p", 10),)) in updates.received)
     await eventually(lambda: subscriptions._caches_known_at is not None)
     await sender.server.close()
     for connection in list(sender.subscribers):
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -20,7 +20,7 @@
 import pytest
 
 from hazelbend.consensus import state_codec
-from hazelbend.control import config_machine, messages, workers
+from hazelbend.control import config_state_machine, messages, workers
 from hazelbend.transport.peer import frame_link
 from hazelbend.transport.storage import control_store, fleet_store, soft_state_file
 
@@ -240,21 +240,21 @@
 
 
 def test_the_digest_of_a_change_is_the_same() -> None:
-    digest = config_machine.digest_of(6, b'{"version": 7}')
+    digest = config_state_machine.digest_of(6, b'{"version": 7}')
     assert digest.hex() == kit.load_json("numbers")["change_digest"]
 
 
 def test_a_change_is_compressed_as_before() -> None:
-    entry = msgspec.msgpack.decode(config_machine.change_entry(6, 7, b'{"version": 7}'))
+    entry = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, b'{"version": 7}'))
     assert zlib.decompress(entry.pop("body")) == b'{"version": 7}'
     assert kit.as_text(entry) == kit.load_json("numbers")["change_entry"]
-    long = msgspec.msgpack.decode(config_machine.change_entry(6, 7, kit.LONG_TEXT))["body"]
+    long = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, kit.LONG_TEXT))["body"]
     assert long == zlib.compress(kit.LONG_TEXT, 1)
 
 
 def test_cached_parts_are_compressed_as_before() -> None:
     parts = {"w-1": {"p1": 512, "p2": 64}, "w-2": {"p2": 64}}
-    news = messages.CacheNews.of(parts)
+    news = messages.CacheUpdate.of(parts)
     assert msgspec.msgpack.decode(zlib.decompress(news.body)) == parts
     assert news.body == zlib.compress(msgspec.msgpack.encode(parts), 1)
     assert news.body[:2].hex() == kit.load_json("numbers")["cache_head"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hazelbend.control.load_table import CachedPart, Load
+from hazelbend.control.load_table import CachedPrefix, Load
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, STANDARD
@@ -184,13 +184,13 @@
         fresh.services, fresh.workers = placement.services, placement.workers
         prefix = f"prefix-{holder}"
         prompt = parse_prompt("17000,100", f"{prefix}:13000,bb:4000")
-        placement.apply_load_report({}, (CachedPart(holder, prefix, 13_000),), 0)
+        placement.apply_load_report({}, (CachedPrefix(holder, prefix, 13_000),), 0)
         pair = placement.selector.choose_pair("llm", prompt, 0, set())
         assert pair.prefill.worker.record.instance == holder and pair.prefill.prefill_tokens == 4_000
 
 
 def test_a_prefill_backlog_outweighs_a_cached_prefix(placement):
-    placement.apply_load_report({"i-1": Load(5, 60_000)}, (CachedPart("i-1", "aa", 13_000),), 0)
+    placement.apply_load_report({"i-1": Load(5, 60_000)}, (CachedPrefix("i-1", "aa", 13_000),), 0)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
 
 
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -15,10 +15,10 @@
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.control import messages as control_messages
-from hazelbend.control.config_machine import StoredConfig
+from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
 from hazelbend.control.load_table import CacheTable
-from hazelbend.control.outputs import ControlPlan
+from hazelbend.control.outputs import ControlSettings
 from hazelbend.forwarding.errors import OutcomeUnknownError, SendWithdrawnError, WorkerUnreachableError
 from hazelbend.forwarding.ports import ClientRequest, ClientResponse, WorkerCall
 from hazelbend.system.update_publisher import UpdatePublisher
@@ -221,7 +221,7 @@
     """What an update publisher needs of a control node, with a real engine."""
 
     def __init__(self) -> None:
-        plan = ControlPlan("10.0.1.1:7", ("10.0.1.1:7",), True, True, 0, 1_200_000)
+        plan = ControlSettings("10.0.1.1:7", ("10.0.1.1:7",), True, True, 0, 1_200_000)
         self.engine = ControlEngine("a@10.0.1.1:7", plan, 1, 0, lambda: 0.0)
         self.config = StoredConfig(1, b"x")
 
