--- a/benchmarks/router_latency.py
+++ b/benchmarks/router_latency.py
@@ -18,7 +18,7 @@
 
 import aiohttp
 
-from example.fleet.run import CONFIGURATION, CONTROL, HTTP, MACHINES, ExampleFleet
+from example.fleet.run import CONFIGURATION, CONTROL_PORT, HTTP_PORT, MACHINES, ExampleFleet
 from hazelbend.standins.model_worker import ModelWorker, ModelWorkerSettings
 
 IMMEDIATE_WORKER = ModelWorkerSettings(
@@ -26,7 +26,7 @@
     host="127.0.0.9",
     port=18300,
     zone="z1",
-    controls=tuple(f"{ip}:{CONTROL}" for ip in MACHINES),
+    controls=tuple(f"{ip}:{CONTROL_PORT}" for ip in MACHINES),
     token_seconds=0.0,
     events=1,
 )
@@ -55,7 +55,7 @@
         try:
             await fleet.start()
             await worker.start()
-            await fleet.put(1, _configuration())
+            await fleet.put_configuration(1, _configuration())
             direct, routed = await _measure(worker.address, calls)
         finally:
             await worker.crash()
@@ -76,7 +76,7 @@
     async with aiohttp.ClientSession() as session:
         await _wait_until_served(session)
         for number in range(calls + WARM_UP_CALLS):
-            for address, times in ((worker, direct), (f"{MACHINES[0]}:{HTTP}", routed)):
+            for address, times in ((worker, direct), (f"{MACHINES[0]}:{HTTP_PORT}", routed)):
                 status, seconds = await _call(session, address, f"call-{address}-{number}")
                 if status != 200:
                     raise RuntimeError(f"{address} answers {status}")
@@ -87,7 +87,7 @@
 async def _wait_until_served(session: aiohttp.ClientSession) -> None:
     """Wait until the router knows the route and the worker."""
     async with asyncio.timeout(START_TIMEOUT_S):
-        while (await _call(session, f"{MACHINES[0]}:{HTTP}", "first"))[0] != 200:
+        while (await _call(session, f"{MACHINES[0]}:{HTTP_PORT}", "first"))[0] != 200:
             await asyncio.sleep(0.05)
 
 
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -1,4 +1,4 @@
-"""The router fleet's real processes on loopback, with stand-in workers: as the example, and losses."""
+"""The router fleet's real processes on loopback, with stand-in workers: the example, and killed processes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import aiohttp
 import pytest
 
-from example.fleet.run import CONFIGURATION, CONTROL, MACHINES, READINESS, ExampleFleet
+from example.fleet.run import CONFIGURATION, CONTROL_PORT, MACHINES, READINESS_PORT, ExampleFleet
 
 pytestmark = pytest.mark.anyio
 [ROUTE] = CONFIGURATION["routes"]
-WAIT = 20.0  # seconds that what is awaited may take on a busy machine
+TIMEOUT_S = 20.0  # for what is awaited, also on a busy machine
 
 
 @pytest.fixture
@@ -27,97 +27,101 @@
 
 @pytest.fixture
 async def fleet(tmp_path):
-    made = ExampleFleet(tmp_path, asyncio.subprocess.DEVNULL)
+    example = ExampleFleet(tmp_path, asyncio.subprocess.DEVNULL)
     try:
-        await made.start()
-        yield made
+        await example.start()
+        yield example
     finally:
-        await made.close()
+        await example.close()
 
 
 async def status_of(ip: str) -> dict[str, object]:
-    async with aiohttp.ClientSession() as session, session.get(f"http://{ip}:{CONTROL}/status") as answer:
-        return json.loads(await answer.text())
+    async with (
+        aiohttp.ClientSession() as session,
+        session.get(f"http://{ip}:{CONTROL_PORT}/status") as response,
+    ):
+        return json.loads(await response.text())
 
 
-async def become(holds) -> None:
-    async with asyncio.timeout(WAIT):
+async def eventually(holds) -> None:
+    """Wait until this holds."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not await holds():
             await asyncio.sleep(0.05)
 
 
-async def test_a_fleet_serves_through_the_loss_of_its_leader_and_ends_as_planned(fleet):
-    async def whole() -> bool:
-        """All control processes know it: a router may watch any two of them."""
+async def test_a_fleet_serves_through_the_loss_of_its_leader_and_shuts_down_gracefully(fleet):
+    async def complete() -> bool:
+        """All control processes know all of it: a router may be subscribed to any two of them."""
         try:
-            told = [await status_of(machine) for machine in MACHINES]
+            statuses = [await status_of(machine) for machine in MACHINES]
         except aiohttp.ClientError:
             return False
-        return all(len(known["workers"]) == 5 and len(known["voters"]) == 3 for known in told)
+        return all(len(status["workers"]) == 5 and len(status["voters"]) == 3 for status in statuses)
 
-    await become(whole)
-    status, body = await fleet.ask(MACHINES[0], "a1")
+    await eventually(complete)
+    status, body = await fleet.send_prompt(MACHINES[0], "a1")
     assert status == 200 and body.count(b"data: token") == 5
-    [reader] = [each for each in fleet.workers if each.seen.read]
-    [runner] = [each for each in fleet.workers if each.seen.run]
-    assert (reader.settings.phase, runner.settings.phase) == ("prefill", "decode")
+    [prefill_worker] = [worker for worker in fleet.workers if worker.seen.read]
+    [decode_worker] = [worker for worker in fleet.workers if worker.seen.run]
+    assert (prefill_worker.settings.phase, decode_worker.settings.phase) == ("prefill", "decode")
 
-    # A leader that is killed: the others take a change, and it is back with what it knew.
+    # The leader is killed: the others accept a change, and it catches up after a restart.
     leader = (await status_of(MACHINES[0]))["leader"].rpartition("@")[2].partition(":")[0]
     fleet.processes["control", leader].kill()
     await fleet.processes["control", leader].wait()
     second = CONFIGURATION | {"version": 2, "routes": [ROUTE | {"prefix": "/talk/"}]}
-    assert await fleet.put(1, second) == 200
-    assert await fleet.put(1, second | {"version": 3}) == 412
-    assert (await fleet.ask(MACHINES[1], "a2"))[0] == 404, "the route of version 1 is no more"
+    assert await fleet.put_configuration(1, second) == 200
+    assert await fleet.put_configuration(1, second | {"version": 3}) == 412
+    assert (await fleet.send_prompt(MACHINES[1], "a2"))[0] == 404, "the route of version 1 is no more"
     await fleet.start_process(MACHINES.index(leader) + 1, leader, "control")
 
-    async def current() -> bool:
+    async def caught_up() -> bool:
         try:
             return (await status_of(leader))["version"] == 2
         except aiohttp.ClientError:
             return False
 
-    await become(current)
+    await eventually(caught_up)
 
-    # A planned end: not ready at once, and it ends by itself with 0.
+    # A graceful shutdown: not ready at once, then exit code 0.
     router = fleet.processes["router", MACHINES[2]]
     router.send_signal(signal.SIGTERM)
 
     async def unready() -> bool:
         async with (
             aiohttp.ClientSession() as session,
-            session.get(f"http://{MACHINES[2]}:{READINESS}/readyz") as answer,
+            session.get(f"http://{MACHINES[2]}:{READINESS_PORT}/readyz") as response,
         ):
-            return answer.status == 503
+            return response.status == 503
 
-    await become(unready)
-    async with asyncio.timeout(WAIT):
+    await eventually(unready)
+    async with asyncio.timeout(TIMEOUT_S):
         assert await router.wait() == 0
 
 
-def command(*arguments: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "hazelbend.system", *arguments],
         capture_output=True,
         text=True,
         cwd=Path(__file__).parent.parent,
-        timeout=WAIT,
+        timeout=TIMEOUT_S,
     )
 
 
-def test_faults_of_settings_and_configurations_are_told_together_with_their_places(tmp_path):
+def test_all_findings_in_settings_and_configurations_are_printed_with_their_paths(tmp_path):
     settings = tmp_path / "s.yaml"
     settings.write_text("ip: 3\nportRange: [0]\nlisten: {http: nowhere}\n")
-    done = command("check", str(settings))
+    done = run_command("check", str(settings))
     assert done.returncode == 1
-    for place in ("nodeName", "zone", "portRange[0]", "listen.http"):
-        assert place in done.stdout
+    for path in ("nodeName", "zone", "portRange[0]", "listen.http"):
+        assert path in done.stdout
     configuration = tmp_path / "c.json"
     configuration.write_text(json.dumps(CONFIGURATION | {"services": []}))
-    done = command("check", str(configuration))
+    done = run_command("check", str(configuration))
     assert done.returncode == 1 and "routes[0].backend" in done.stdout
     configuration.write_text(json.dumps(CONFIGURATION))
-    assert command("check", str(configuration)).returncode == 0
-    assert command("router", f"--settings={settings}").returncode == 2
-    assert command("dance").returncode == 2
+    assert run_command("check", str(configuration)).returncode == 0
+    assert run_command("router", f"--settings={settings}").returncode == 2
+    assert run_command("dance").returncode == 2
