--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -4,29 +4,31 @@
 
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.raft import Done, RaftNode
-from hazelbend.leases.client import Holder
-from hazelbend.leases.lease_table import Answer, Leases, State, Watch
+from hazelbend.leases.client import LeaseClient
+from hazelbend.leases.expiry_watcher import ExpiryWatcher
+from hazelbend.leases.lease_table import LeaseTable, TableState
+from hazelbend.leases.operations import LeaseResponse
 
 
-def forget_the_wait(watch: Watch, term: int) -> None:
+def forget_the_wait(watcher: ExpiryWatcher, term: int) -> None:
     """A new leader takes all that was granted for over."""
-    if watch.term != term:
-        watch.since = dict.fromkeys(watch.since, 0)
+    if watcher.proposed_in_term != term:
+        watcher.held_since = dict.fromkeys(watcher.held_since, 0)
 
 
-class Forgetful(Leases):
+class Forgetful(LeaseTable):
     """The tokens of a new epoch start anew."""
 
     def begin(self, epoch: int) -> None:
-        self.state = State(epoch=epoch & 1)
+        self.state = TableState(epoch=epoch & 1)
 
 
-class Hasty(Holder):
+class Hasty(LeaseClient):
     """Its time counts from when the answer came."""
 
-    def answered(self, number: int, answer: Answer | None, now: int) -> None:
-        self.sent[number] = now
-        super().answered(number, answer, now)
+    def handle_response(self, number: int, response: LeaseResponse | None, now: int) -> None:
+        self.in_flight[number] = now
+        super().handle_response(number, response, now)
 
 
 class Rash(RaftNode):
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -23,25 +23,25 @@
     time.monotonic_ns = paced
     if defect == "time from the answer":
         from benchmarks.fleet_defects import Hasty
-        from hazelbend.cli import fleet
+        from hazelbend.cli import lease_run
 
-        fleet.Holder = Hasty  # type: ignore[misc]
+        lease_run.LeaseClient = Hasty  # type: ignore[misc]
     elif defect == "token reset in a new epoch":
         from benchmarks.fleet_defects import Forgetful
-        from hazelbend.leases import engine
+        from hazelbend.leases import lease_node
 
-        engine.Leases = Forgetful  # type: ignore[misc]
+        lease_node.LeaseTable = Forgetful  # type: ignore[misc]
     elif defect == "no wait by a new leader":
         from benchmarks.fleet_defects import forget_the_wait
-        from hazelbend.leases.engine import Fleet
+        from hazelbend.leases.lease_node import LeaseNode
 
-        lead = Fleet._lead
+        lead = LeaseNode._lead
 
-        def hasty(self: Fleet, now: int) -> None:
-            forget_the_wait(self.watch, self.raft.persistent.term)
+        def hasty(self: LeaseNode, now: int) -> None:
+            forget_the_wait(self.expiry_watcher, self.raft.persistent.term)
             lead(self, now)
 
-        Fleet._lead = hasty  # type: ignore[method-assign]
+        LeaseNode._lead = hasty  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -27,7 +27,8 @@
 from hazelbend.consensus.messages import Entry, Message, TimeoutNow
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode, Role, Timing
-from hazelbend.leases.lease_table import Leases, Limits, Open, encode
+from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
+from hazelbend.leases.operations import OpenEpoch, encode
 
 VOTERS = ("a", "b", "c")
 DEFECTS = (
@@ -37,7 +38,7 @@
     "two voter changes at once",
 )
 KINDS = {DEFECTS[2]: Hopeful, DEFECTS[3]: Rash}
-OP = encode(Open())
+OP = encode(OpenEpoch())
 
 
 class Left(NamedTuple):
@@ -56,13 +57,15 @@
         self.defect, self.left = defect, left
         self.sent: frozenset[Message] = frozenset()
         self.records = {
-            name: self._make(PersistentState(name, 1, 1, "", 1, 1, VOTERS, Leases(Limits()).snapshot()))
+            name: self._make(
+                PersistentState(name, 1, 1, "", 1, 1, VOTERS, LeaseTable(LeaseLimits()).snapshot())
+            )
             for name in VOTERS
         }
         self.leaders: frozenset[tuple[int, str]] = frozenset()
 
     def _make(self, memory: PersistentState) -> RaftNode:
-        return KINDS.get(self.defect, RaftNode)(memory, Leases(Limits()), Timing(), 1, 0)
+        return KINDS.get(self.defect, RaftNode)(memory, LeaseTable(LeaseLimits()), Timing(), 1, 0)
 
     def key(self) -> tuple[object, ...]:
         return (self.left, self.sent, tuple(self._record_key(each) for each in self.records.values()))
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -29,11 +29,13 @@
 from hazelbend.consensus.persistent_state import PersistentState, epoch_number
 from hazelbend.consensus.raft import RaftNode, Timing
 from hazelbend.consensus.voters import next_voters
-from hazelbend.leases.client import Holder, Request, Stage
-from hazelbend.leases.lease_table import Answer, Leases, Limits, Operation, Watch, encode
+from hazelbend.leases.client import LeaseClient, LeaseRequest, Stage
+from hazelbend.leases.expiry_watcher import ExpiryWatcher
+from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
+from hazelbend.leases.operations import Acquire, LeaseResponse, Operation, encode
 
 S = 1_000_000  # microseconds
-LIMITS = Limits(shortest=S, longest=3 * S, drift=0.05)
+LIMITS = LeaseLimits(min_ttl_us=S, max_ttl_us=3 * S, max_clock_drift=0.05)
 NAMES = ("snapshot", "export")
 LOST_AFTER = S  # a member that is down so long is known to be
 DEFECTS = (
@@ -61,12 +63,12 @@
     offset: int
     has_store: bool
     record: RaftNode | None = None
-    leases: Leases = field(default_factory=lambda: Leases(LIMITS))
-    watch: Watch = field(default_factory=lambda: Watch(LIMITS))
-    holders: list[Holder] = field(default_factory=list)
+    leases: LeaseTable = field(default_factory=lambda: LeaseTable(LIMITS))
+    watcher: ExpiryWatcher = field(default_factory=lambda: ExpiryWatcher(LIMITS))
+    clients: list[LeaseClient] = field(default_factory=list)
     disk: bytes | None = None  # a file, as state_codec.py writes it
     lives: int = 0
-    asks: int = 0
+    last_request_id: int = 0
     paused: bool = False
     inbox: list[Callable[[], None]] = field(default_factory=list)
     tickets: dict[int, Callable[[bool, object], None]] = field(default_factory=dict)
@@ -80,7 +82,7 @@
         self.random, self.torn, self.defect = random.Random(seed), random.Random(seed), defect
         self.now, self.end, self.sequence = 0, round(seconds * S), 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        drift = LIMITS.drift
+        drift = LIMITS.max_clock_drift
         self.nodes = [
             Node(n, self.random.uniform(1 - drift, 1 + drift), self.random.randrange(10**9), n % 2 == 0)
             for n in range(nodes)
@@ -140,34 +142,35 @@
             memory = PersistentState(identity)
         elif self.defect == "vote forgotten":
             memory.vote = ""
-        leases = Forgetful(LIMITS) if self.defect.startswith("token") else Leases(LIMITS)
-        node.leases, node.watch = leases, Watch(LIMITS)
+        leases = Forgetful(LIMITS) if self.defect.startswith("token") else LeaseTable(LIMITS)
+        node.leases, node.watcher = leases, ExpiryWatcher(LIMITS)
         kinds = {"two voter changes at once": Rash, "stale read": Careless}
         now = self.local(node)
         record = kinds.get(self.defect, RaftNode)(memory, leases, Timing(), self.random.getrandbits(32), now)
-        record.watcher = lambda at: node.watch.look(node.leases, at)
+        record.watcher = lambda at: node.watcher.observe(node.leases, at)
         node.record, node.down_since, node.paused, node.inbox = record, None, False, []
         node.checked = (0, 0)
-        node.holders, node.tickets = [], {}
+        node.clients, node.tickets = [], {}
         record.watcher(now)
         if node.has_store:
             node.disk = state_codec.whole(memory)
         for _ in range(2):
-            self._wish(node)
+            self._new_client(node)
         self._pump(node)
 
-    def _wish(self, node: Node) -> None:
-        node.asks += 1
-        kind = Hasty if self.defect == "time from the answer" else Holder
+    def _new_client(self, node: Node) -> None:
+        node.last_request_id += 1
+        kind = Hasty if self.defect == "time from the answer" else LeaseClient
         name = f"n{node.number}.{node.lives}"
         wait = self.random.choice((0, 5 * S))
         lease, ttl = self.random.choice(NAMES), self.random.randint(S, 3 * S)
-        node.holders.append(kind(lease, name, node.asks, LIMITS, self.local(node), ttl=ttl, wait=wait))
+        request = Acquire(lease, name, node.last_request_id, ttl, wait)
+        node.clients.append(kind(request, LIMITS, self.local(node)))
 
     def _die(self, node: Node, lives: int, longest: float) -> None:
         if node.record is None or node.lives != lives:
             return
-        node.record, node.down_since, node.holders = None, self.now, []
+        node.record, node.down_since, node.clients = None, self.now, []
         if node.disk is not None and self.torn.random() < 0.3:  # it was writing: some of a frame is there
             frame = state_codec.frame(state_codec.Entries(1, (Entry(1),)))
             node.disk += frame[: self.torn.randrange(1, len(frame))]
@@ -202,9 +205,9 @@
             record.tick(now)
         if record.leads:
             self._lead(node, record, now)
-        for holder in node.holders:
-            for request in holder.tick(now):
-                self._ask(node, holder, request)
+        for client in node.clients:
+            for request in client.tick(now):
+                self._submit(node, client, request)
         if record.promise_changed and self.random.random() < 0.1:
             # The worst moment to die: just after a promise.
             lives = node.lives
@@ -221,7 +224,7 @@
         done, record.done = record.done, []
         for each in done:
             node.tickets.pop(each.ticket, lambda ok, result: None)(each.ok, each.result)
-        due = min([record.due, *(holder.due for holder in node.holders)])
+        due = min([record.due, *(client.next_at for client in node.clients)])
         self._wake(node, max(due - now, 1000) / node.rate)
 
     def _wake(self, node: Node, delay: float) -> None:
@@ -233,8 +236,8 @@
 
     def _lead(self, node: Node, record: RaftNode, now: int) -> None:
         if self.defect == "no wait by a new leader":
-            forget_the_wait(node.watch, record.persistent.term)
-        for operation in node.watch.to_ask(node.leases, record.persistent.term, now):
+            forget_the_wait(node.watcher, record.persistent.term)
+        for operation in node.watcher.new_proposals(node.leases, record.persistent.term, now):
             record.propose(encode(operation), now)
 
     # --- the network ---
@@ -268,7 +271,7 @@
 
     # --- leases ---
 
-    def _ask(self, node: Node, holder: Holder, request: Request) -> None:
+    def _submit(self, node: Node, client: LeaseClient, request: LeaseRequest) -> None:
         """To the member that it believes to lead, and back; either way can be lost."""
         record = node.record
         assert record is not None
@@ -277,12 +280,12 @@
 
         start = self.now
 
-        def reply(answer: Answer | None) -> None:
+        def reply(response: LeaseResponse | None) -> None:
             def back() -> None:
-                if answer is not None:
-                    self._note(start, request.operation, answer)
+                if response is not None:
+                    self._note(start, request.operation, response)
                 if node.lives == lives:
-                    self._do(node, lambda record, now: holder.answered(request.number, answer, now))
+                    self._do(node, lambda record, now: client.handle_response(request.number, response, now))
 
             self._deliver(target, node.number, back)
 
@@ -295,17 +298,17 @@
             def ended(ok: bool, result: object) -> None:
                 epoch = record.persistent.epoch
                 self.finished[epoch] = max(self.finished[epoch], record.commit if ok else 0)
-                reply(result if ok and isinstance(result, Answer) else None)
+                reply(result if ok and isinstance(result, LeaseResponse) else None)
 
             there.tickets[ticket] = ended
 
         self._deliver(node.number, target, lambda: self._do(there, put))
 
-    def _note(self, start: int, operation: Operation, answer: Answer) -> None:
+    def _note(self, start: int, operation: Operation, response: LeaseResponse) -> None:
         """For the history of its lease: what a caller saw."""
-        token = answer.token or getattr(operation, "token", 0)
+        token = response.token or getattr(operation, "token", 0)
         kinds = {"released": "released", "lost": "ended", "free": "ended"}
-        kind = "held" if answer.token else kinds.get(answer.why)
+        kind = "held" if response.token else kinds.get(response.reason)
         if kind is not None and token:
             self.history[operation.name].append(Call(start, self.now, kind, token))
 
@@ -316,14 +319,14 @@
             if node.record is None or node.paused:
                 continue
             now = self.local(node)
-            node.holders = [each for each in node.holders if each.stage is not Stage.ENDED]
-            if len(node.holders) < 2 and self.random.random() < 0.5:
-                self._wish(node)
-            for holder in node.holders:
-                if holder.stage is Stage.HELD and self.random.random() < 0.05:
-                    holder.let_go(now)
-                if holder.may_act(now):
-                    self._act(holder)
+            node.clients = [each for each in node.clients if each.stage is not Stage.ENDED]
+            if len(node.clients) < 2 and self.random.random() < 0.5:
+                self._new_client(node)
+            for client in node.clients:
+                if client.stage is Stage.HELD and self.random.random() < 0.05:
+                    client.release(now)
+                if client.may_act(now):
+                    self._act(client)
             if node.record.leads:
                 self._see_to_voters(node, node.record, now)
                 self._read(node, node.record, now)
@@ -336,10 +339,10 @@
             for name in record.voters
             if name not in up and self.now - (self.nodes[self._number(name)].down_since or 0) > LOST_AFTER
         }
-        wish = next_voters(record.voters, record.me, sorted(up), gone, self.wanted)
-        record.set_learners(set(wish or ()) - set(record.voters), now)
-        if wish is not None:
-            self.counts["voter changes"] += record.change_voters(wish, now)
+        wanted = next_voters(record.voters, record.me, sorted(up), gone, self.wanted)
+        record.set_learners(set(wanted or ()) - set(record.voters), now)
+        if wanted is not None:
+            self.counts["voter changes"] += record.change_voters(wanted, now)
 
     def _read(self, node: Node, record: RaftNode, now: int) -> None:
         epoch = record.persistent.epoch
@@ -361,11 +364,11 @@
 
         node.tickets[ticket] = ended
 
-    def _act(self, holder: Holder) -> None:
+    def _act(self, client: LeaseClient) -> None:
         """A write to the task's store, which comes there some time later: its holder may be stopped on the
         way."""
         self.counts["acts"] += 1
-        token, name = holder.token, holder.name
+        token, name = client.token, client.request.name
 
         def arrive() -> None:
             if token < self.highest.get(name, 0):
@@ -472,13 +475,12 @@
                     raise BrokenRuleError(f"election: {before} and {record.me} lead in term {memory.term}")
             self._check_applied(node, record)
             now = self.local(node)
-            for holder in node.holders:
-                if holder.may_act(now):
-                    other = acting.setdefault(holder.name, (holder.holder, holder.token))
-                    if other != (holder.holder, holder.token):
-                        raise BrokenRuleError(
-                            f"overlap: {other} and {holder.holder, holder.token} may act on {holder.name}"
-                        )
+            for client in node.clients:
+                if client.may_act(now):
+                    request, acts_by = client.request, (client.request.holder, client.token)
+                    other = acting.setdefault(request.name, acts_by)
+                    if other != acts_by:
+                        raise BrokenRuleError(f"overlap: {other} and {acts_by} may act on {request.name}")
 
     def _check_applied(self, node: Node, record: RaftNode) -> None:
         memory = record.persistent
--- /dev/null
+++ b/hazelbend/cli/leader_route.py
@@ -0,0 +1,27 @@
+"""How a command reaches the leader of the fleet."""
+
+from __future__ import annotations
+
+from hazelbend.leases.operations import LeaseResponse, Operation
+from hazelbend.leases.settings import FleetSettings
+from hazelbend.transport.peer.peer_links import PeerLinks
+
+CALL_TIMEOUT_S = 3.0
+
+
+class LeaderRoute:
+    """The way to the leader: through this machine's dispatcher, or through a seed while that one is down."""
+
+    def __init__(self, settings: FleetSettings, links: PeerLinks) -> None:
+        others = [seed for seed in settings.seeds if seed != settings.advertised_address]
+        self._addresses = [settings.listen, *others]
+        self._links = links
+        self._failures = 0
+
+    async def submit(self, operation: Operation) -> LeaseResponse | None:
+        """The leader's response. None: no leader has answered."""
+        address = self._addresses[self._failures % len(self._addresses)]
+        response = await self._links.submit_to_leader(address, operation, CALL_TIMEOUT_S)
+        if response is None:
+            self._failures += 1  # a dispatcher that is no voter may not know who leads
+        return response
--- a/hazelbend/cli/main.py
+++ b/hazelbend/cli/main.py
@@ -85,7 +85,7 @@
     """Members, voters and who leads. Status 1 if nobody does."""
     from hazelbend.cli import fleet as commands
 
-    raise SystemExit(commands.main(lambda conf, peers: commands.status(conf, peers, as_json)))
+    raise SystemExit(commands.main(lambda settings, links: commands.status(settings, links, as_json=as_json)))
 
 
 @fleet.command("start")
@@ -97,7 +97,7 @@
     """
     from hazelbend.cli import fleet as commands
 
-    raise SystemExit(commands.main(lambda conf, peers: commands.start(conf, peers, anyway)))
+    raise SystemExit(commands.main(lambda settings, links: commands.start(settings, links, force=anyway)))
 
 
 @main.group()
@@ -119,7 +119,7 @@
     from hazelbend.cli import fleet as commands
 
     raise SystemExit(
-        commands.main(lambda conf, peers: commands.run_command(conf, peers, name, ttl, wait, command))
+        commands.main(lambda settings, links: commands.run_command(settings, links, name, ttl, wait, command))
     )
 
 
@@ -129,7 +129,9 @@
     """All leases, their holders and who waits."""
     from hazelbend.cli import fleet as commands
 
-    raise SystemExit(commands.main(lambda conf, peers: commands.show(conf, peers, None, as_json)))
+    raise SystemExit(
+        commands.main(lambda settings, links: commands.show_leases(settings, links, None, as_json=as_json))
+    )
 
 
 @lease.command("show")
@@ -139,7 +141,9 @@
     """One lease. Status 1 if it is free."""
     from hazelbend.cli import fleet as commands
 
-    raise SystemExit(commands.main(lambda conf, peers: commands.show(conf, peers, name, as_json)))
+    raise SystemExit(
+        commands.main(lambda settings, links: commands.show_leases(settings, links, name, as_json=as_json))
+    )
 
 
 @lease.command("release")
@@ -150,4 +154,4 @@
     from hazelbend.cli import fleet as commands
 
     assert force
-    raise SystemExit(commands.main(lambda conf, peers: commands.force(conf, peers, name)))
+    raise SystemExit(commands.main(lambda settings, links: commands.force_release(settings, links, name)))
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -243,18 +243,20 @@
             self._apply(MembershipUpdate(packet.sender, 1, MemberStatus.ALIVE), now)
         for update in packet.updates:
             self._apply(update, now)
-        body = packet.body
+        self._receive_body(packet.sender, packet.body, now)
+
+    def _receive_body(self, sender: str, body: PacketBody, now: int) -> None:
         if isinstance(body, Ack):
             self._receive_ack(body)
         elif self.leaving:
             return
         elif isinstance(body, FullState):
             if body.reply_wanted:
-                self._send(packet.sender, FullState(reply_wanted=False))
+                self._send(sender, FullState(reply_wanted=False))
         elif body.target:
-            self._relay_ping(packet.sender, body, now)
+            self._relay_ping(sender, body, now)
         else:
-            self._send(packet.sender, Ack(body.sequence_number))
+            self._send(sender, Ack(body.sequence_number))
 
     def _receive_ack(self, ack: Ack) -> None:
         relayed = self.relayed_probes.get(ack.sequence_number)
--- a/hazelbend/leases/__init__.py
+++ b/hazelbend/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for singleton roles, on the replicated log. Engines without I/O."""
+"""Leases for tasks that one dispatcher of a fleet runs at a time. Engines without I/O."""
--- a/hazelbend/leases/client.py
+++ b/hazelbend/leases/client.py
@@ -1,18 +1,19 @@
-"""One wish for a lease, from the asking to the end: whose side of the time it keeps, see leases.py.
-
-    ASKING   --held by another, and it may wait-->  WAITING
-    ASKING, WAITING  --the answer has a token-->    HELD, until its time
-    ASKING, WAITING  --refused, or its wait over--> ENDED, with `why`
-    HELD     --an answer to a renewal-->            HELD, until a later time
-    HELD     --its time over, or told that it is lost--> ENDED, `why` "lost"
-    HELD     --let_go-->  RELEASING --answered, or its time over--> ENDED
-
-`may_act` is the one question to ask before each act. `stop_at` is when a task that takes `stopping` to stop
-has to be told. An answer that is lost, or comes from one that does not lead, counts for nothing: it asks
-again.
-
-Invariant: it may act only before `sent + ttl * (1 - drift) / (1 + drift)`, `sent` being when a request left
-whose own answer named the token that it holds.
+"""One client's request for a lease, from the first attempt to the end, with the holder's side of time.
+
+    REQUESTING --held by another, and it may wait-->       WAITING
+    REQUESTING, WAITING --response with a token-->         HELD, until its time is over
+    REQUESTING, WAITING --rejected, or waited too long-->  ENDED, with a reason
+    HELD       --response to a renewal-->                  HELD, until a later time
+    HELD       --time over, or told that it is lost-->     ENDED, reason `lost`
+    HELD       --release-->                                RELEASING
+    RELEASING  --response, or time over-->                 ENDED
+
+Ask `may_act` before each act under the lease. `stop_at` says when a task that takes a while to stop has to be
+told to. A response that is lost, or comes from a process that does not lead, changes nothing: the client
+requests again.
+
+Invariant: it may act only until `holder_ttl_us` after a request was sent whose own response named the token
+that it holds (time_bounds.py).
 """
 
 from __future__ import annotations
@@ -20,23 +21,36 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hazelbend.leases.lease_table import Acquire, Answer, LeaveQueue, Limits, Operation, Release, Renew
+from hazelbend.leases.lease_table import LeaseLimits
+from hazelbend.leases.operations import (
+    Acquire,
+    LeaseResponse,
+    LeaveQueue,
+    Operation,
+    Reason,
+    Release,
+    Renew,
+)
+from hazelbend.leases.time_bounds import holder_ttl_us
 
-RENEWED = 3  # times that a renewal is due within a lease's time
-TRIES = 4  # of a renewal in such a part
+RENEWALS_PER_TTL = 3
+ATTEMPTS_PER_RENEWAL = 4
+MAX_IN_FLIGHT = RENEWALS_PER_TTL * ATTEMPTS_PER_RENEWAL
 
-LONGEST_PARK = 1_000_000  # microseconds
-# A wish goes on after these: it is asked for again after a pause.
-AGAIN = ("not open yet", "busy", "free", "lost")
+MAX_LONG_POLL_US = 1_000_000
+# The request for the lease goes on after these: the client repeats it after a delay.
+RETRYABLE_REASONS = (Reason.NOT_OPEN, Reason.BUSY, Reason.FREE, Reason.LOST)
 
 
-def parked(ttl: int) -> int:
-    """How long the grantor may keep the answer to one that waits: its time counts from its request."""
-    return min(ttl // 4, LONGEST_PARK)
+def long_poll_us(ttl_us: int) -> int:
+    """How long the leader may hold back the response to a waiter, whose time counts from its request."""
+    return min(ttl_us // 4, MAX_LONG_POLL_US)
 
 
 class Stage(Enum):
-    ASKING = "asking"
+    """How far a request for a lease is: see the head of the file."""
+
+    REQUESTING = "requesting"
     WAITING = "waiting"
     HELD = "held"
     RELEASING = "releasing"
@@ -44,86 +58,110 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Request:
-    """To be put to whoever leads; `number` goes to `answered` with what came back."""
+class LeaseRequest:
+    """An operation for the leader. The driver gives the response to `handle_response` under this number."""
 
     number: int
     operation: Operation
 
 
-class Holder:
-    def __init__(
-        self, name: str, holder: str, ask: int, limits: Limits, now: int, *, ttl: int, wait: int = 0
-    ) -> None:
-        """`wait`: for how long, microseconds. `holder` and `ask` together are used once and never again."""
-        self.name, self.holder, self.ask, self.ttl, self.wait = name, holder, ask, ttl, wait
-        self.counted = round(ttl * (1 - limits.drift) / (1 + limits.drift))
-        self.pause = ttl // (RENEWED * TRIES)
-        self.stage, self.why = Stage.ASKING, ""
-        self.token, self.until = 0, 0
-        self.asked_at = now
-        self.due = now
-        self.sent: dict[int, int] = {}
-        self.number = 0
+class LeaseClient:
+    """One request for one lease. Times are microseconds of the clock of the process that acts under it."""
+
+    def __init__(self, request: Acquire, limits: LeaseLimits, now: int) -> None:
+        """`request`: its holder and request id together must never be used again."""
+        self.request = request
+        self.holder_ttl_us = holder_ttl_us(request.ttl_us, limits.max_clock_drift)
+        self.retry_delay_us = request.ttl_us // (RENEWALS_PER_TTL * ATTEMPTS_PER_RENEWAL)
+        self.stage = Stage.REQUESTING
+        self.reason = ""
+        self.token = 0
+        self.expires_at = 0
+        self.started_at = now
+        self.next_at = now  # when `tick` has something to do
+        self.in_flight: dict[int, int] = {}  # by number: when the request was sent
+        self.last_number = 0
 
     def may_act(self, now: int) -> bool:
-        return self.stage is Stage.HELD and now < self.until
+        """Whether nobody else may hold the lease at this time."""
+        return self.stage is Stage.HELD and now < self.expires_at
 
-    def stop_at(self, stopping: int) -> int:
-        return self.until - stopping
+    def stop_at(self, stopping_us: int) -> int:
+        """When a task that takes so long to stop has to begin."""
+        return self.expires_at - stopping_us
 
-    def let_go(self, now: int) -> None:
-        """The task is over, or must be. Nobody acts from here on."""
+    def release(self, now: int) -> None:
+        """The task is over, or must be. Nobody may act from here on."""
         if self.stage is Stage.HELD:
-            self.stage, self.due = Stage.RELEASING, now
-        elif self.stage in (Stage.ASKING, Stage.WAITING):
-            self._end("given up")
-
-    def tick(self, now: int) -> list[Request]:
-        if self.stage in (Stage.HELD, Stage.RELEASING) and now >= self.until:
-            self._end("lost" if self.stage is Stage.HELD else "")
-        elif self.stage in (Stage.ASKING, Stage.WAITING) and now > self.asked_at + max(self.wait, self.ttl):
-            self._end("held" if self.stage is Stage.WAITING else "no answer")
-            return [self._request(LeaveQueue(self.name, self.holder), now)]
-        if self.stage is Stage.ENDED or now < self.due:
+            self.stage = Stage.RELEASING
+            self.next_at = now
+        elif self.stage in (Stage.REQUESTING, Stage.WAITING):
+            self._end(Reason.CANCELLED)
+
+    def tick(self, now: int) -> list[LeaseRequest]:
+        """Requests to send now."""
+        if self.stage in (Stage.HELD, Stage.RELEASING) and now >= self.expires_at:
+            self._end(Reason.LOST if self.stage is Stage.HELD else Reason.NONE)
+        elif self._waited_too_long(now):
+            self._end(Reason.HELD if self.stage is Stage.WAITING else Reason.NO_ANSWER)
+            return [self._send(LeaveQueue(self.request.name, self.request.holder), now)]
+        if self.stage is Stage.ENDED or now < self.next_at:
             return []
-        # One that waits is answered when it gets the lease, or after `parked`.
-        self.due = now + self.pause + (parked(self.ttl) if self.stage is Stage.WAITING else 0)
-        if self.stage is Stage.HELD:
-            return [self._request(Renew(self.name, self.token), now)]
-        if self.stage is Stage.RELEASING:
-            return [self._request(Release(self.name, self.token), now)]
-        return [self._request(Acquire(self.name, self.holder, self.ask, self.ttl, self.wait), now)]
-
-    def answered(self, number: int, answer: Answer | None, now: int) -> None:
-        """None: nobody that leads has answered."""
-        sent = self.sent.pop(number, None)
-        if sent is None or answer is None or self.stage is Stage.ENDED:
+        self.next_at = now + self.retry_delay_us
+        if self.stage is Stage.WAITING:
+            self.next_at += long_poll_us(self.request.ttl_us)
+        return [self._send(self._next_operation(), now)]
+
+    def handle_response(self, number: int, response: LeaseResponse | None, now: int) -> None:
+        """Take in the response to a request. None: no leader has answered."""
+        sent_at = self.in_flight.pop(number, None)
+        if sent_at is None or response is None or self.stage is Stage.ENDED:
             return
         if self.stage is Stage.RELEASING:
-            if not answer.token:
-                self._end("")
-        elif answer.token and self.token in (0, answer.token):
-            self.stage, self.token = Stage.HELD, answer.token
-            until = sent + self.counted
-            if until > self.until:
-                self.until, self.due = until, sent + self.ttl // RENEWED
+            if not response.token:
+                self._end(Reason.NONE)
+        elif response.token and self.token in (0, response.token):
+            self._granted(response.token, sent_at)
         elif self.stage is Stage.HELD:
-            # An older wish's answer says nothing of the token that is held.
-            if answer.why in ("lost", "free"):
-                self._end("lost")
-        elif answer.place:
+            # The response to an older request says nothing about the token that is held.
+            if response.reason in (Reason.LOST, Reason.FREE):
+                self._end(Reason.LOST)
+        elif response.queue_position:
             self.stage = Stage.WAITING
-            self.due = max(now, sent + self.pause)
-        elif answer.why not in AGAIN:
-            self._end(answer.why)
-
-    def _request(self, operation: Operation, now: int) -> Request:
-        self.number += 1
-        self.sent[self.number] = now
-        while len(self.sent) > RENEWED * TRIES:
-            del self.sent[next(iter(self.sent))]
-        return Request(self.number, operation)
-
-    def _end(self, why: str) -> None:
-        self.stage, self.why, self.sent = Stage.ENDED, why, {}
+            self.next_at = max(now, sent_at + self.retry_delay_us)
+        elif response.reason not in RETRYABLE_REASONS:
+            self._end(response.reason)
+
+    def _waited_too_long(self, now: int) -> bool:
+        if self.stage not in (Stage.REQUESTING, Stage.WAITING):
+            return False
+        return now > self.started_at + max(self.request.wait_us, self.request.ttl_us)
+
+    def _next_operation(self) -> Operation:
+        if self.stage is Stage.HELD:
+            return Renew(self.request.name, self.token)
+        if self.stage is Stage.RELEASING:
+            return Release(self.request.name, self.token)
+        return self.request
+
+    def _granted(self, token: int, sent_at: int) -> None:
+        """Granted or renewed by the response to a request that was sent then."""
+        self.stage = Stage.HELD
+        self.token = token
+        expires_at = sent_at + self.holder_ttl_us
+        if expires_at > self.expires_at:
+            self.expires_at = expires_at
+            self.next_at = sent_at + self.request.ttl_us // RENEWALS_PER_TTL
+
+    def _send(self, operation: Operation, now: int) -> LeaseRequest:
+        self.last_number += 1
+        self.in_flight[self.last_number] = now
+        while len(self.in_flight) > MAX_IN_FLIGHT:
+            oldest = next(iter(self.in_flight))
+            del self.in_flight[oldest]
+        return LeaseRequest(self.last_number, operation)
+
+    def _end(self, reason: str) -> None:
+        self.stage = Stage.ENDED
+        self.reason = reason
+        self.in_flight = {}
--- /dev/null
+++ b/hazelbend/leases/lease_node.py
@@ -0,0 +1,341 @@
+"""One dispatcher's part in the fleet: gossip, the replicated log, the leases and their expiry as one engine.
+
+The driver calls `tick` when `next_at` has come, `receive` with messages of peers, and `submit` with requests
+of clients. Then it saves what `raft` marks as unsaved, and only after that sends what `take_output` gives.
+Nothing here waits or does I/O; the driver passes the time.
+
+The parts meet here and nowhere else:
+    - the leader proposes the expiries that the watcher finds, each once in a term;
+    - the leader adapts the voters to the members, every `VOTER_CHECK_INTERVAL_US`;
+    - a process that does not lead answers a request with the leader, as far as it knows.
+
+A fleet that is unreachable changes nothing outside: a lease's holder ends it by its own clock.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import msgspec
+
+from hazelbend.consensus import raft as consensus
+from hazelbend.consensus.identity import address_of
+from hazelbend.consensus.messages import Message
+from hazelbend.consensus.persistent_state import PersistentState, epoch_number
+from hazelbend.consensus.raft import RaftNode
+from hazelbend.consensus.voters import next_voters
+from hazelbend.gossip.messages import LeaderHint, Packet
+from hazelbend.gossip.swim import SwimNode
+from hazelbend.gossip.timing import GossipTiming
+from hazelbend.leases.client import long_poll_us
+from hazelbend.leases.expiry_watcher import ExpiryWatcher
+from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
+from hazelbend.leases.operations import Acquire, LeaseResponse, Operation, Reason, encode
+from hazelbend.leases.token_bucket import TokenBucket
+from hazelbend.leases.views import FleetView, LeaseView, MemberView
+
+VOTER_CHECK_INTERVAL_US = 500_000
+US_PER_S = 1e6
+
+PeerMessage = Packet | Message  # of gossip, of consensus
+
+
+@dataclass(slots=True, frozen=True)
+class LeaseNodeSettings:
+    """What the configuration says of a fleet."""
+
+    fleet: str
+    seeds: tuple[str, ...]
+    voters: int = 3
+    limits: LeaseLimits = field(default_factory=LeaseLimits)
+    acquires_per_s: float = 100.0  # that a leader proposes; twice as many at once
+
+
+class Reply(msgspec.Struct, frozen=True, rename={"response": "answer"}):
+    """To one request: the state machine's response, or, without it, the leader's identity if it is known."""
+
+    response: LeaseResponse | None = None
+    leader: str = ""
+
+
+class OutgoingMessage(NamedTuple):
+    """A message to the process at an address."""
+
+    address: str
+    message: PeerMessage
+
+
+class NumberedReply(NamedTuple):
+    """A reply under the driver's number of the request."""
+
+    number: int
+    reply: Reply
+
+
+@dataclass(slots=True, frozen=True)
+class Proposal:
+    """A request that waits for its log entry to be committed."""
+
+    number: int
+    operation: Operation
+
+
+@dataclass(slots=True, frozen=True)
+class LongPoll:
+    """A waiter's request whose response is held back until it is granted the lease, or the time is over."""
+
+    request: Acquire
+    response: LeaseResponse  # if it is not granted in time
+    expires_at: int
+
+
+class LeaseNode:
+    """The engine. Times are microseconds of one clock that never goes back."""
+
+    def __init__(
+        self,
+        identity: str,
+        settings: LeaseNodeSettings,
+        seed: int,
+        now: int,
+        persistent: PersistentState | None = None,
+    ) -> None:
+        """`persistent`: what a process of this identity has saved. Without it the identity must be new."""
+        self.settings = settings
+        self.leases = LeaseTable(settings.limits)
+        self.expiry_watcher = ExpiryWatcher(settings.limits)
+        self.members = SwimNode(identity, settings.fleet, settings.seeds, GossipTiming(), seed, now)
+        self.raft = RaftNode(
+            persistent or PersistentState(identity), self.leases, consensus.Timing(), seed, now
+        )
+        self.raft.watcher = lambda at: self.expiry_watcher.observe(self.leases, at)
+        self.raft.watcher(now)
+        self.outbox: list[OutgoingMessage] = []
+        self.replies: list[NumberedReply] = []
+        self._proposals: dict[int, Proposal] = {}  # by raft's ticket
+        self._long_polls: dict[int, LongPoll] = {}  # by the driver's number
+        self._acquire_rate = TokenBucket(settings.acquires_per_s, 2 * settings.acquires_per_s, now)
+        self._next_voter_check_at = now
+        self._now = now
+
+    @property
+    def me(self) -> str:
+        """This process's identity."""
+        return self.members.me
+
+    @property
+    def has_output(self) -> bool:
+        """Whether something is to be saved, sent or answered."""
+        raft = self.raft
+        return bool(self.outbox or self.replies or raft.promise_changed or raft.unsaved is not None)
+
+    def take_output(self) -> tuple[list[OutgoingMessage], list[NumberedReply]]:
+        """What to send and answer, once the state that it rests on is saved."""
+        outbox = self.outbox
+        replies = self.replies
+        self.outbox = []
+        self.replies = []
+        return outbox, replies
+
+    @property
+    def next_at(self) -> int:
+        """When `tick` has something to do."""
+        times = [self.members.next_at, self.raft.due]
+        if self.raft.leads:
+            times.append(self._next_voter_check_at)
+            times.append(self.expiry_watcher.next_at(self.leases))
+        times += [poll.expires_at for poll in self._long_polls.values()]
+        return min(times)
+
+    @property
+    def leader(self) -> str:
+        """Who leads, by the log; for a process that does not vote, by gossip. Empty if nobody is known to."""
+        raft = self.raft
+        if raft.leader or raft.is_voter:
+            return raft.leader
+        hint = self.members.leader_hint
+        if hint.epoch < raft.persistent.epoch or hint.leader in self.members.table.inactive():
+            return raft.leader
+        return hint.leader
+
+    def tick(self, now: int) -> None:
+        """Do all that is due."""
+        self._now = now
+        if now >= self.members.next_at:
+            self.members.tick(now)
+        if now >= self.raft.due:
+            self.raft.tick(now)
+        if self.raft.leads:
+            self._lead(now)
+        for number, poll in list(self._long_polls.items()):
+            if now >= poll.expires_at:
+                self._end_long_poll(number, poll.response)
+        self._collect_output()
+
+    def receive(self, message: PeerMessage, now: int) -> None:
+        """Take in a message from a peer."""
+        self._now = now
+        if isinstance(message, Packet):
+            self.members.receive(message, now)
+        elif message.to == self.me:  # not a process that had this address before
+            self.raft.receive(message, now)
+        self._collect_output()
+
+    def submit(self, number: int, operation: Operation, now: int) -> None:
+        """A client's request. A reply under this number follows at once, or once the entry is committed."""
+        self._now = now
+        if isinstance(operation, Acquire) and self.raft.leads and not self._acquire_rate.try_take(now):
+            # Only new requests are limited: a flood of them must not keep holders from renewing.
+            self._reply(number, Reply(LeaseResponse(reason=Reason.BUSY), self.me))
+            return
+        ticket = self.raft.propose(encode(operation), now)
+        if ticket is None:
+            self._reply(number, Reply(leader="" if self.raft.leads else self.leader))
+        else:
+            self._proposals[ticket] = Proposal(number, operation)
+        self._collect_output()
+
+    def found_epoch(self, unix_s: float, now: int) -> int:
+        """Start a new epoch, with this one voter, by an operator. Its number."""
+        epoch = epoch_number(self.raft.persistent.epoch, unix_s, self.me)
+        self.raft.found(epoch, now)
+        self._collect_output()
+        return epoch
+
+    def leave(self, now: int) -> None:
+        """Announce to the members that this process leaves."""
+        self.members.leave(now)
+        self._collect_output()
+
+    def transfer_leadership(self, now: int) -> bool:
+        """Let another active voter lead. Call it until it returns False: then this process does not lead, or
+        nobody else can."""
+        active = self.members.table.active()
+        others = [voter for voter in self.raft.voters if voter in active and voter != self.me]
+        if not self.raft.leads or not others:
+            return False
+        self.raft.hand_over(others[0], now)
+        self._collect_output()
+        return True
+
+    def view(self, now: int) -> FleetView:
+        """What this process knows at this time."""
+        raft = self.raft
+        return FleetView(
+            fleet=self.settings.fleet,
+            me=self.me,
+            role=raft.role.value if raft.is_voter else "member",
+            epoch=raft.persistent.epoch,
+            term=raft.persistent.term,
+            leader=self.leader,
+            is_fresh=raft.settled,
+            is_open=self.leases.state.is_open,
+            commit_index=raft.commit,
+            uncommitted=raft.persistent.last - raft.commit,
+            health_score=self.members.health_score,
+            voters=raft.voters,
+            members=self._member_views(now),
+            leases=self._lease_views(now),
+            foreign_fleets=dict(self.members.foreign_fleets),
+        )
+
+    def _member_views(self, now: int) -> tuple[MemberView, ...]:
+        members = self.members.table.members.values()
+        return tuple(
+            MemberView(
+                member.identity,
+                member.status.name.lower(),
+                member.incarnation,
+                (now - member.since) / US_PER_S,
+            )
+            for member in sorted(members, key=lambda member: member.identity)
+        )
+
+    def _lease_views(self, now: int) -> tuple[LeaseView, ...]:
+        renewed_at = {held.name: since for held, since in self.expiry_watcher.held_since.items()}
+        return tuple(
+            LeaseView(
+                name,
+                lease.holder,
+                lease.token,
+                lease.ttl_us / US_PER_S,
+                lease.renewals,
+                (now - renewed_at[name]) / US_PER_S if name in renewed_at else None,
+                tuple(waiter.holder for waiter in lease.waiters),
+            )
+            for name, lease in sorted(self.leases.state.leases.items())
+        )
+
+    # --- as the leader ---
+
+    def _lead(self, now: int) -> None:
+        raft = self.raft
+        for operation in self.expiry_watcher.new_proposals(self.leases, raft.persistent.term, now):
+            raft.propose(encode(operation), now)
+        if now >= self._next_voter_check_at:
+            self._next_voter_check_at = now + VOTER_CHECK_INTERVAL_US
+            self._adapt_voters(now)
+
+    def _adapt_voters(self, now: int) -> None:
+        raft = self.raft
+        active = self.members.table.active()
+        inactive_voters = {voter for voter in raft.voters if voter not in active}
+        wanted = next_voters(raft.voters, self.me, active, inactive_voters, self.settings.voters)
+        raft.set_learners(set(wanted or ()) - set(raft.voters), now)
+        if wanted is not None:
+            raft.change_voters(wanted, now)
+
+    # --- output ---
+
+    def _collect_output(self) -> None:
+        if self.raft.leader:
+            self._spread_leader()
+        self._collect_messages()
+        self._collect_proposals()
+        self._check_long_polls()
+
+    def _spread_leader(self) -> None:
+        persistent = self.raft.persistent
+        hint = LeaderHint(persistent.epoch, persistent.term, self.raft.leader)
+        self.members.leader_hint = max(self.members.leader_hint, hint)
+
+    def _collect_messages(self) -> None:
+        for packet in self.members.outbox:
+            self.outbox.append(OutgoingMessage(address_of(packet.to) or packet.to, packet))
+        self.members.outbox.clear()
+        for message in self.raft.out:
+            self.outbox.append(OutgoingMessage(address_of(message.to), message))
+        self.raft.out.clear()
+
+    def _collect_proposals(self) -> None:
+        ended = self.raft.done
+        self.raft.done = []
+        for done in ended:
+            proposal = self._proposals.pop(done.ticket, None)
+            if proposal is None:
+                continue
+            response = done.result if done.ok and isinstance(done.result, LeaseResponse) else None
+            request = proposal.operation
+            if response is not None and response.queue_position and isinstance(request, Acquire):
+                expires_at = self._now + long_poll_us(request.ttl_us)
+                self._long_polls[proposal.number] = LongPoll(request, response, expires_at)
+            else:
+                self._reply(proposal.number, Reply(response, self.raft.leader))
+
+    def _check_long_polls(self) -> None:
+        for number, poll in list(self._long_polls.items()):
+            lease = self.leases.state.leases.get(poll.request.name)
+            if lease is not None and lease.is_for(poll.request):
+                # It was granted after its request was sent, so its time may count from then.
+                self._end_long_poll(number, LeaseResponse(lease.token))
+            elif not self.raft.leads:
+                self._end_long_poll(number, None)
+
+    def _end_long_poll(self, number: int, response: LeaseResponse | None) -> None:
+        """Answer a waiter. The queue position that it is told is that of its request."""
+        del self._long_polls[number]
+        self._reply(number, Reply(response, self.raft.leader))
+
+    def _reply(self, number: int, reply: Reply) -> None:
+        self.replies.append(NumberedReply(number, reply))
--- a/hazelbend/leases/settings.py
+++ b/hazelbend/leases/settings.py
@@ -1,5 +1,7 @@
-"""`deploy/fleet.toml`: its schema, by msgspec, and what a schema cannot say. A fault is a ValueError that
-names the key. Times are seconds there, and microseconds from here on."""
+"""Schema of `deploy/fleet.toml`, and the checks that a schema cannot express.
+
+Times are seconds in the file; the engines have microseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,73 +10,124 @@
 import msgspec
 from msgspec import Meta
 
-from hazelbend.leases.engine import Plan
-from hazelbend.leases.lease_table import Limits
+from hazelbend.leases.lease_node import LeaseNodeSettings
+from hazelbend.leases.lease_table import LeaseLimits
 from hazelbend.schema import convert
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 
+VOTER_COUNTS = (3, 5, 7)
+MAX_PORT = 65_535
+US_PER_S = 1e6
+
+
+class FleetSettingsError(ValueError):
+    """Keys that do not fit each other; the text names the faulty one."""
+
+
+class LeaseSettings(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "max_leases": "most",
+        "max_waiters": "waiters",
+        "min_ttl_s": "shortest_s",
+        "max_ttl_s": "longest_s",
+        "acquires_per_s": "asks_per_s",
+        "max_clock_drift": "clock_drift",
+    },
+):
+    """Table `leases`. `acquires_per_s` limits new requests for leases, and no renewals."""
+
+    max_leases: Annotated[int, Meta(ge=1, le=100_000)] = 1_000
+    max_waiters: Annotated[int, Meta(ge=0, le=10_000)] = 200  # for one lease
+    min_ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 1.0
+    max_ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 30.0
+    acquires_per_s: Annotated[float, Meta(ge=1, le=10_000)] = 100.0
+    max_clock_drift: Annotated[float, Meta(ge=0, le=0.5)] = 0.05
 
-class LeaseLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    most: Annotated[int, Meta(ge=1, le=100_000)] = 1_000
-    waiters: Annotated[int, Meta(ge=0, le=10_000)] = 200  # for one lease
-    shortest_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 1.0
-    longest_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 30.0
-    asks_per_s: Annotated[float, Meta(ge=1, le=10_000)] = 100.0  # for a lease; renewals are not counted
-    clock_drift: Annotated[float, Meta(ge=0, le=0.5)] = 0.05
+    @property
+    def limits(self) -> LeaseLimits:
+        """The engines' form."""
+        return LeaseLimits(
+            max_leases=self.max_leases,
+            max_waiters=self.max_waiters,
+            min_ttl_us=round(self.min_ttl_s * US_PER_S),
+            max_ttl_us=round(self.max_ttl_s * US_PER_S),
+            max_clock_drift=self.max_clock_drift,
+        )
+
+    @property
+    def opening_wait_s(self) -> float:
+        """How long a new epoch grants nothing."""
+        return self.max_ttl_s * (1 + self.max_clock_drift)
 
 
-class SnapshotSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SnapshotSettings(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"interval_s": "every_s"}
+):
+    """Table `snapshot`: where and how often the fleet's snapshot is written, under a lease of `ttl_s`."""
+
     url: Annotated[str, Meta(pattern=r"^http://\d{1,3}(\.\d{1,3}){3}(:\d{1,5})?/\S*$")]
-    every_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 60.0
+    interval_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 60.0
     ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 10.0
     timeout_s: Annotated[float, Meta(ge=0.01, le=60)] = 2.0  # for one write
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    id: Name  # one word that all dispatchers of a fleet share, and no other fleet has
+    """The file. All dispatchers of a fleet share `id`, and no other fleet has it.
+
+    `store` is a folder on a disk that lasts. Without it a process that restarts is a new member.
+    """
+
+    id: Name
     listen: Address  # for peers and commands
     enabled: bool = True
-    advertise: Address | None = None  # where peers find it, if not at `listen`
-    seeds: tuple[Address, ...] = ()  # where to knock: some that are usually there
+    advertise: Address | None = None  # where peers reach it, if not at `listen`
+    seeds: tuple[Address, ...] = ()  # members that are usually up, at which to join
     voters: int = 3
-    store: str = ""  # a folder on a disk that lasts; without it a process that starts again is another member
-    leases: LeaseLimits = LeaseLimits()
+    store: str = ""
+    leases: LeaseSettings = LeaseSettings()
     snapshot: SnapshotSettings | None = None
 
     @property
-    def address(self) -> tuple[str, int]:
+    def listen_address(self) -> tuple[str, int]:
+        """Host and port of `listen`."""
         host, _, port = self.listen.rpartition(":")
         return host, int(port)
 
     @property
-    def known_as(self) -> str:
+    def advertised_address(self) -> str:
+        """Where peers reach this dispatcher."""
         return self.advertise or self.listen
 
-    def plan(self) -> Plan:
-        leases = self.leases
-        limits = Limits(
-            leases=leases.most,
-            waiters=leases.waiters,
-            shortest=round(leases.shortest_s * 1e6),
-            longest=round(leases.longest_s * 1e6),
-            drift=leases.clock_drift,
+    @property
+    def node_settings(self) -> LeaseNodeSettings:
+        """The engine's form."""
+        return LeaseNodeSettings(
+            self.id, self.seeds, self.voters, self.leases.limits, self.leases.acquires_per_s
         )
-        return Plan(self.id, self.seeds, self.voters, limits, leases.asks_per_s)
 
 
 def read_settings(table: dict[str, Any]) -> FleetSettings:
-    found = convert(table, FleetSettings)
-    if found.voters not in (3, 5, 7):
-        raise ValueError("voters: 3, 5 or 7")
-    if found.leases.shortest_s > found.leases.longest_s:
-        raise ValueError("leases.shortest_s: longer than leases.longest_s")
-    snapshot, leases = found.snapshot, found.leases
-    if snapshot is not None and not leases.shortest_s <= snapshot.ttl_s <= leases.longest_s:
-        raise ValueError("snapshot.ttl_s: not from leases.shortest_s to leases.longest_s")
-    if snapshot is not None and snapshot.timeout_s > snapshot.ttl_s / 2:
-        raise ValueError("snapshot.timeout_s: over half of snapshot.ttl_s")
-    if any(int(each.rpartition(":")[2]) > 65_535 for each in (found.listen, *found.seeds)):
-        raise ValueError("listen, seeds: a port is at most 65535")
-    return found
+    """Settings of a decoded TOML table. Raises ValueError with a text that names the faulty key."""
+    settings = convert(table, FleetSettings)
+    if settings.voters not in VOTER_COUNTS:
+        raise FleetSettingsError("voters: 3, 5 or 7")
+    if settings.leases.min_ttl_s > settings.leases.max_ttl_s:
+        raise FleetSettingsError("leases.shortest_s: longer than leases.longest_s")
+    if settings.snapshot is not None:
+        _check_snapshot(settings.snapshot, settings.leases)
+    for address in (settings.listen, *settings.seeds):
+        if int(address.rpartition(":")[2]) > MAX_PORT:
+            raise FleetSettingsError("listen, seeds: a port is at most 65535")
+    return settings
+
+
+def _check_snapshot(snapshot: SnapshotSettings, leases: LeaseSettings) -> None:
+    if not leases.min_ttl_s <= snapshot.ttl_s <= leases.max_ttl_s:
+        raise FleetSettingsError("snapshot.ttl_s: not from leases.shortest_s to leases.longest_s")
+    if snapshot.timeout_s > snapshot.ttl_s / 2:
+        raise FleetSettingsError("snapshot.timeout_s: over half of snapshot.ttl_s")
--- a/hazelbend/program/fleet_snapshot.py
+++ b/hazelbend/program/fleet_snapshot.py
@@ -1,8 +1,8 @@
-"""The fleet's snapshot: written to a store by one dispatcher at a time, by HTTP PUT with the lease's token.
+"""The fleet's snapshot: one dispatcher at a time writes it to a store, by HTTP PUT with its fencing token.
 
-The store is to refuse a token lower than the highest that it has seen for this URL, with 409 or 412: then
-this one gives the lease up, as somebody else has it whatever it believes itself. A write begins only while
-its time fits into the lease's.
+The store must reject a token lower than the highest that it has seen for this URL, with 409 or 412. Then this
+dispatcher releases the lease: whatever it believes, another holds it. A write begins only if its time-out
+ends before the lease does.
 """
 
 from __future__ import annotations
@@ -11,128 +11,162 @@
 import logging
 import time
 from collections.abc import Awaitable, Callable
+from enum import Enum, auto
 
 import aiohttp
 import msgspec
 from yarl import URL
 
-from hazelbend.leases.client import Holder, Stage
-from hazelbend.leases.engine import View
-from hazelbend.leases.lease_table import Answer, Limits, Operation
+from hazelbend.leases.client import LeaseClient, Stage
+from hazelbend.leases.lease_table import LeaseLimits
+from hazelbend.leases.operations import Acquire, LeaseResponse, Operation
 from hazelbend.leases.settings import SnapshotSettings
-from hazelbend.transport.peer.fleet_peers import UNANSWERED, Asking
+from hazelbend.leases.views import FleetView
+from hazelbend.transport.peer.lease_requester import LeaseRequester
+from hazelbend.transport.peer.peer_links import CALL_ERRORS
 
 log = logging.getLogger("hazelbend.fleet")
 
-LEASE = "hazelbend.snapshot"
-TOKEN = "X-Fencing-Token"
-REFUSED = (409, 412)
-QUEUED = 600_000_000  # microseconds for one wish; then it wishes again
-LOOK = 0.05  # seconds between looks at the time, at the shortest
-LEAVE_WAIT = 0.2  # seconds for the release to be heard
-REST = 1.0  # after a lease that ended
+LEASE_NAME = "hazelbend.snapshot"
+TOKEN_HEADER = "X-Fencing-Token"
+TOKEN_REJECTED_STATUSES = (409, 412)
+QUEUE_WAIT_US = 600_000_000  # of one request for the lease; then the next one begins
+MIN_POLL_S = 0.05
+RELEASE_TIMEOUT_S = 0.2  # for the response to a release at the end
+RETRY_DELAY_S = 1.0  # after a lease that ended
+US_PER_S = 1e6
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What is written: `token` and `written_at` (Unix seconds) say by whom and when, `fleet` what it knew."""
+    """What is written: `token` and `by` say who wrote it, `written_at` when (Unix seconds)."""
 
     token: int
     written_at: float
     by: str
-    fleet: View
+    fleet: FleetView
+
+
+class WriteResult(Enum):
+    """How a write ended."""
+
+    WRITTEN = auto()
+    TOKEN_REJECTED = auto()  # the store has seen a higher one
+    FAILED = auto()  # nobody knows whether it was written
 
 
 class SnapshotTask:
+    """Requests the lease again and again, and writes while it is held. `clock` is in microseconds."""
+
     def __init__(
         self,
         settings: SnapshotSettings,
-        limits: Limits,
+        limits: LeaseLimits,
         me: str,
         clock: Callable[[], int],
-        wish: Callable[[Operation], Awaitable[Answer | None]],
-        view: Callable[[], View],
+        submit: Callable[[Operation], Awaitable[LeaseResponse | None]],
+        view: Callable[[], FleetView],
     ) -> None:
-        self.settings, self.limits, self.me = settings, limits, me
-        self._clock, self._view = clock, view
-        self._asks = 0
-        self._holder = self._next_wish()
-        self._asking = Asking(wish, clock)
+        """`submit` puts an operation to the leader; None: no leader has answered."""
+        self.settings = settings
+        self.limits = limits
+        self.me = me
+        self._clock = clock
+        self._view = view
+        self._last_request_id = 0
+        self._client = self._new_client()
+        self._requester = LeaseRequester(submit, clock)
         self._task: asyncio.Task[None] | None = None
-        self.written = self.refused = self.failed = 0
+        self.written = 0
+        self.rejected = 0
+        self.failed = 0
 
     def start(self) -> None:
+        """Begin in the background."""
         self._task = asyncio.create_task(self._run())
 
     async def leave(self) -> None:
-        """Give the lease up, so that another need not wait for its end."""
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.wait([self._task])
-        self._holder.let_go(self._clock())
-        self._asking.tick(self._holder)
-        await self._asking.finish(LEAVE_WAIT)
+        """Release the lease, so that another need not wait for its end."""
+        await self._stop()
+        self._client.release(self._clock())
+        self._requester.tick(self._client)
+        await self._requester.finish(RELEASE_TIMEOUT_S)
 
     async def close(self) -> None:
+        """End without a release."""
+        await self._stop()
+        await self._requester.close()
+
+    async def _stop(self) -> None:
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait([self._task])
-        await self._asking.close()
 
-    def _next_wish(self) -> Holder:
-        self._asks += 1
-        ttl = round(self.settings.ttl_s * 1e6)
-        now = self._clock()
-        return Holder(LEASE, self.me, self._asks, self.limits, now, ttl=ttl, wait=QUEUED)
+    def _new_client(self) -> LeaseClient:
+        self._last_request_id += 1
+        ttl_us = round(self.settings.ttl_s * US_PER_S)
+        request = Acquire(LEASE_NAME, self.me, self._last_request_id, ttl_us, QUEUE_WAIT_US)
+        return LeaseClient(request, self.limits, self._clock())
 
     async def _run(self) -> None:
-        write_at = 0
-        async with aiohttp.ClientSession(
+        async with self._open_session() as session:
+            next_write_at = 0
+            while True:
+                client = self._client
+                self._requester.tick(client)
+                now = self._clock()
+                if now >= next_write_at and self._may_write(client, now):
+                    next_write_at = now + round(self.settings.interval_s * US_PER_S)
+                    if await self._write(session, client.token) is WriteResult.TOKEN_REJECTED:
+                        client.release(self._clock())
+                elif client.stage is Stage.ENDED:
+                    await asyncio.sleep(RETRY_DELAY_S)
+                    self._client = self._new_client()
+                else:
+                    is_held = client.stage is Stage.HELD
+                    next_at = min(client.next_at, next_write_at) if is_held else client.next_at
+                    await asyncio.sleep(max((next_at - self._clock()) / US_PER_S, MIN_POLL_S))
+
+    @staticmethod
+    def _open_session() -> aiohttp.ClientSession:
+        session = aiohttp.ClientSession(
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None),
             trust_env=False,
             connector=aiohttp.TCPConnector(limit=1, use_dns_cache=False),
-        ) as session:
-            session._retry_connection = False  # whether it was written is not known: the next one tells
-            while True:
-                holder = self._holder
-                self._asking.tick(holder)
-                now = self._clock()
-                room = holder.until - now
-                if holder.may_act(now) and now >= write_at and room > self.settings.timeout_s * 1e6:
-                    write_at = now + round(self.settings.every_s * 1e6)
-                    if not await self._put(session, holder.token):
-                        holder.let_go(self._clock())
-                    continue
-                if holder.stage is Stage.ENDED:
-                    await asyncio.sleep(REST)
-                    self._holder = self._next_wish()
-                    continue
-                due = min(holder.due, write_at) if holder.stage is Stage.HELD else holder.due
-                await asyncio.sleep(max((due - self._clock()) / 1e6, LOOK))
-
-    async def _put(self, session: aiohttp.ClientSession, token: int) -> bool:
-        """False: the store has seen a higher token."""
-        body = msgspec.json.encode(Snapshot(token, time.time(), self.me, self._view()))
-        headers = {TOKEN: str(token), "Content-Type": "application/json"}
-        url = URL(self.settings.url, encoded=True)
+        )
+        session._retry_connection = False  # whether it was written is not known: the next write tells
+        return session
+
+    def _may_write(self, client: LeaseClient, now: int) -> bool:
+        remaining_us = client.expires_at - now
+        return client.may_act(now) and remaining_us > self.settings.timeout_s * US_PER_S
+
+    async def _write(self, session: aiohttp.ClientSession, token: int) -> WriteResult:
         try:
-            async with (
-                asyncio.timeout(self.settings.timeout_s),
-                session.put(url, data=body, headers=headers, allow_redirects=False) as response,
-            ):
-                await response.read()
-                status = response.status
-        except UNANSWERED as error:
+            status = await self._put(session, token)
+        except CALL_ERRORS as error:
             self.failed += 1
             log.warning("fleet: snapshot: %s", str(error) or type(error).__name__)
-            return True
-        if status in REFUSED:
-            self.refused += 1
+            return WriteResult.FAILED
+        if status in TOKEN_REJECTED_STATUSES:
+            self.rejected += 1
             log.warning("fleet: snapshot: the store has seen a higher token than %d", token)
-            return False
+            return WriteResult.TOKEN_REJECTED
         if status >= 300:
             self.failed += 1
             log.warning("fleet: snapshot: the store answers %d", status)
-        else:
-            self.written += 1
-        return True
+            return WriteResult.FAILED
+        self.written += 1
+        return WriteResult.WRITTEN
+
+    async def _put(self, session: aiohttp.ClientSession, token: int) -> int:
+        """The store's status. Raises one of CALL_ERRORS."""
+        body = msgspec.json.encode(Snapshot(token, time.time(), self.me, self._view()))
+        headers = {TOKEN_HEADER: str(token), "Content-Type": "application/json"}
+        url = URL(self.settings.url, encoded=True)
+        async with (
+            asyncio.timeout(self.settings.timeout_s),
+            session.put(url, data=body, headers=headers, allow_redirects=False) as response,
+        ):
+            await response.read()
+            return response.status
--- /dev/null
+++ b/hazelbend/transport/peer/fleet_listener.py
@@ -0,0 +1,89 @@
+"""A dispatcher's address in the fleet: HTTP/1.1 calls from peers and from commands. No decisions.
+
+POST /fleet/tell    peer messages, several at once: 204
+POST /fleet/ask     one operation on a lease: a Reply
+POST /fleet/found   start a new epoch, by an operator: its number
+GET  /fleet/view    what this dispatcher knows: a FleetView
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import msgspec
+from aiohttp import web
+
+from hazelbend.leases.lease_node import PeerMessage, Reply
+from hazelbend.leases.operations import Operation
+from hazelbend.leases.views import FleetView
+from hazelbend.transport.http.client_connection import ClientConnection
+from hazelbend.transport.http.http_listener import HttpListener
+from hazelbend.transport.peer import fleet_codec
+
+MAX_CONNECTIONS = 256  # of peers and commands together
+MAX_BODY_BYTES = 4 * 1024 * 1024
+
+
+class BodyTooLargeError(ValueError):
+    """A request has more bytes than the listener accepts."""
+
+
+class FleetListener(HttpListener):
+    """Accepts the calls of peers and commands and passes them to the program."""
+
+    def __init__(
+        self,
+        receive: Callable[[PeerMessage], None],
+        submit: Callable[[Operation], Awaitable[Reply]],
+        found_epoch: Callable[[bool], str],
+        view: Callable[[], FleetView],
+    ) -> None:
+        """`found_epoch` takes whether to found it although somebody leads. It returns the new epoch, or
+        raises ValueError with the reason against it."""
+        super().__init__(MAX_CONNECTIONS)
+        self._receive = receive
+        self._submit = submit
+        self._found_epoch = found_epoch
+        self._view = view
+
+    async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        connection = request.protocol
+        assert isinstance(connection, ClientConnection)
+        try:
+            body = await self._body(request)
+            connection.request_received()
+            response = await self._call(request, body)
+        except (msgspec.DecodeError, ValueError) as error:
+            connection.request_received()
+            response = web.Response(status=400, text=f"{error}\n")
+        connection.begin_response(is_valid=response.status < 400)
+        if response.status >= 400:
+            response.force_close()
+        return response
+
+    @staticmethod
+    async def _body(request: web.BaseRequest) -> bytes:
+        body = bytearray()
+        async for chunk in request.content.iter_any():
+            body += chunk
+            if len(body) > MAX_BODY_BYTES:
+                raise BodyTooLargeError(f"more than {MAX_BODY_BYTES} bytes")
+        return bytes(body)
+
+    async def _call(self, request: web.BaseRequest, body: bytes) -> web.Response:
+        match (request.method, request.path):
+            case ("POST", "/fleet/tell"):
+                for message in fleet_codec.decode_peer_messages(body):
+                    self._receive(message)
+                return web.Response(status=204)
+            case ("POST", "/fleet/ask"):
+                return _msgpack_response(await self._submit(fleet_codec.decode_operation(body)))
+            case ("POST", "/fleet/found"):
+                return web.Response(text=self._found_epoch(body == fleet_codec.FORCE_NEW_EPOCH))
+            case ("GET", "/fleet/view"):
+                return _msgpack_response(self._view())
+        return web.Response(status=404, text="no such call\n")
+
+
+def _msgpack_response(value: object) -> web.Response:
+    return web.Response(body=fleet_codec.encode(value), content_type=fleet_codec.CONTENT_TYPE)
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -33,7 +33,8 @@
 from hazelbend.dns_discovery import snapshot
 from hazelbend.forwarding import prefill
 from hazelbend.gossip import messages as gossip_messages
-from hazelbend.leases import engine, lease_table
+from hazelbend.leases import lease_node, lease_table, views
+from hazelbend.leases import operations as lease_operations
 from hazelbend.placement import routes
 from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
@@ -82,8 +83,8 @@
 LISTS = EndpointListCodec(("east", "west"), ("small", "large"))
 
 
-def lease_machine(content: bytes) -> lease_table.Leases:
-    machine = lease_table.Leases(lease_table.Limits())
+def lease_machine(content: bytes) -> lease_table.LeaseTable:
+    machine = lease_table.LeaseTable(lease_table.LeaseLimits())
     machine.restore(content)
     return machine
 
@@ -102,10 +103,12 @@
     "packet_body": msgpack_form(gossip_messages.PacketBody),
     "log_transfer": Form(log_messages.decode_transfer, log_messages.encode_transfer),
     "fleet_tell": msgpack_form(tuple[tuple[gossip_messages.Packet, ...], tuple[log_messages.Message, ...]]),
-    "fleet_reply": msgpack_form(engine.Reply),
-    "fleet_view": msgpack_form(engine.View),
-    "lease_operation": Form(msgspec.msgpack.Decoder(lease_table.Operation).decode, lease_table.encode),
-    "lease_answer": msgpack_form(lease_table.Answer),
+    "fleet_reply": msgpack_form(lease_node.Reply),
+    "fleet_view": msgpack_form(views.FleetView),
+    "lease_operation": Form(
+        msgspec.msgpack.Decoder(lease_operations.Operation).decode, lease_operations.encode
+    ),
+    "lease_answer": msgpack_form(lease_operations.LeaseResponse),
     "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
     "memory_part": msgpack_form(state_codec.Promise | state_codec.Entries | state_codec.Base),
     "log_entry": msgpack_form(log_messages.Entry),
@@ -142,7 +145,7 @@
     "control_message": messages.Body,
     "log_body": log_messages.Body,
     "packet_body": gossip_messages.PacketBody,
-    "lease_operation": lease_table.Operation,
+    "lease_operation": lease_operations.Operation,
     "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
     "configuration_entry": config_state_machine.ConfigChange | config_state_machine.ForceNewCluster,
     "quota_operation": book.Operation,
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -37,7 +37,8 @@
 from hazelbend.decisions.brain import Dispatcher
 from hazelbend.gossip.messages import Packet
 from hazelbend.leases import lease_table
-from hazelbend.leases.engine import Fleet, Plan
+from hazelbend.leases import operations as lease_operations
+from hazelbend.leases.lease_node import LeaseNode, LeaseNodeSettings
 from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.prompt import parse_prompt
 from hazelbend.placement.reliability import AttemptOutcome, FailureCosts
@@ -164,8 +165,9 @@
     """Four members that share leases on a network that loses; leaders hand over and stop, one leaves."""
     trace, chance, now = Trace(), random.Random(8), 0
     addresses = [f"127.0.0.{n}:9100" for n in range(1, 5)]
-    plan = Plan("blue", tuple(addresses[:2]), 3, lease_table.Limits(shortest=200 * MS, longest=2 * S))
-    fleets = {address: Fleet(f"n{n}@{address}", plan, n, 0) for n, address in enumerate(addresses)}
+    limits = lease_table.LeaseLimits(min_ttl_us=200 * MS, max_ttl_us=2 * S)
+    settings_ = LeaseNodeSettings("blue", tuple(addresses[:2]), 3, limits)
+    fleets = {address: LeaseNode(f"n{n}@{address}", settings_, n, 0) for n, address in enumerate(addresses)}
     on_the_way: list[tuple[int, int, str, bytes, bool]] = []
     packets = msgspec.msgpack.Decoder(Packet)
     log_messages = kit.FORMS["fleet_tell"]
@@ -176,7 +178,7 @@
         nonlocal number
         fleet = fleets[address]
         saved = state_codec.changed(fleet.raft)
-        out, answers = fleet.take()
+        out, answers = fleet.take_output()
         trace.add(address, saved, answers)
         for to, item in out:
             content = encode(item)
@@ -190,10 +192,10 @@
     for step in range(3_000):
         now += 10 * MS
         if step == 5:
-            fleets[addresses[0]].found(1_764_000_000.0, now)
+            fleets[addresses[0]].found_epoch(1_764_000_000.0, now)
         leading = [address for address, fleet in fleets.items() if fleet.raft.leads]
         if step == 1_000:
-            fleets[leading[0]].hand_over(now)
+            fleets[leading[0]].transfer_leadership(now)
         if step == 1_400:
             del fleets[leading[0]]
         if step == 2_000:
@@ -216,18 +218,18 @@
             holder = f"h{chance.randrange(4)}"
             operation = chance.choice(
                 [
-                    lease_table.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
-                    lease_table.Acquire(name, holder, step // 400, 1_800 * MS),
-                    lease_table.Renew(name, tokens.get(name, 1)),
-                    lease_table.Release(name, tokens.get(name, 1)),
-                    lease_table.LeaveQueue(name, holder),
+                    lease_operations.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
+                    lease_operations.Acquire(name, holder, step // 400, 1_800 * MS),
+                    lease_operations.Renew(name, tokens.get(name, 1)),
+                    lease_operations.Release(name, tokens.get(name, 1)),
+                    lease_operations.LeaveQueue(name, holder),
                 ]
             )
-            fleets[address].ask(step, operation, now)
+            fleets[address].submit(step, operation, now)
         for address, fleet in fleets.items():
-            if now >= fleet.due:
+            if now >= fleet.next_at:
                 fleet.tick(now)
-            if fleet.has_to_say:
+            if fleet.has_output:
                 flush(address)
             for name, lease in fleet.leases.state.leases.items():
                 tokens[name] = max(tokens.get(name, 0), lease.token)
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -18,9 +18,10 @@
 from benchmarks.fleet_rig import ACT, Site, acts, free_port, wait_for
 from hazelbend.cli.main import Duration
 from hazelbend.gossip.messages import FullState, Packet
-from hazelbend.leases.lease_table import TOKEN_BITS, Acquire
+from hazelbend.leases.fencing import TOKEN_BITS
+from hazelbend.leases.operations import Acquire
 from hazelbend.program.console_server import CommandError, Commands
-from hazelbend.transport.peer.fleet_peers import Peers
+from hazelbend.transport.peer.peer_links import PeerLinks
 
 
 @pytest.fixture
@@ -182,13 +183,13 @@
         async with site(tmp_path, stomp="") as (app, _):
             [part] = app.parts.values()
             assert "nobody leads" in Commands(app).run("show fleet")
-            peers = Peers("127.0.0.1")
-            await peers.found(f"127.0.0.1:{port}", False, 5.0)
+            links = PeerLinks("127.0.0.1")
+            await links.found_epoch(f"127.0.0.1:{port}", force=False, timeout_s=5.0)
             asked = Acquire("job", "me", 1, 1_000_000)
-            assert (await peers.ask(f"127.0.0.1:{port}", asked, 5.0)).answer.why == "not open yet"
-            while not part.engine.leases.state.open:
+            assert (await links.submit(f"127.0.0.1:{port}", asked, 5.0)).response.reason == "not open yet"
+            while not part.node.leases.state.is_open:
                 await asyncio.sleep(0.05)
-            answer = (await peers.ask(f"127.0.0.1:{port}", asked, 5.0)).answer
+            answer = (await links.submit(f"127.0.0.1:{port}", asked, 5.0)).response
             assert answer.token and str(answer.token) in Commands(app).run("show leases")
             shown = Commands(app).run("show fleet")
             assert "leads" in shown and "(this one)" in shown
@@ -196,8 +197,8 @@
             assert figures["fleet_leases"] == figures["fleet_leads"] == figures["fleet_members"] == 1
             for method, call, body in (("POST", "tell", b"\xc1"), ("POST", "ask", b""), ("GET", "none", b"")):
                 with pytest.raises(ValueError, match="40"):
-                    await peers._call(method, f"127.0.0.1:{port}", call, body, 5.0)
-            await peers.close()
+                    await links._call(method, f"127.0.0.1:{port}", call, body, 5.0)
+            await links.close()
 
     asyncio.run(run())
 
@@ -206,18 +207,18 @@
     """It was, until the next was told: the sender was forgotten a turn of the loop after its last look."""
 
     async def run():
-        peers, sent = Peers("127.0.0.1"), []
+        links, sent = PeerLinks("127.0.0.1"), []
 
-        async def call(method, address, call, body, wait):
+        async def call(method, address, call, body, timeout_s):
             sent.append(address)
             return b""
 
-        peers._call = call
+        links._call = call
         for _ in range(3):
-            peers.tell("h:1", Packet("f", "a@h:0", "h:1", FullState(reply_wanted=False)))
-            while peers._waiting:
+            links.send("h:1", Packet("f", "a@h:0", "h:1", FullState(reply_wanted=False)))
+            while links._queued:
                 await asyncio.sleep(0)
-            assert not peers._senders
+            assert not links._senders
         assert sent == ["h:1"] * 3
 
     asyncio.run(run())
@@ -245,8 +246,8 @@
         )
         async with site(tmp_path, stomp="") as (app, _):
             [part] = app.parts.values()
-            task, leases = part.snapshot, part.engine.leases
-            part._found(False)
+            task, leases = part.snapshot, part.node.leases
+            part.driver.found_epoch(False)
 
             async def until(truth):
                 async with asyncio.timeout(60):
@@ -257,7 +258,7 @@
             token = leases.state.leases["hazelbend.snapshot"].token
             assert store.highest == {"/f": token} and app.figures().named()["fleet_snapshots"] > 3
             store.put("/f", token + 1)  # somebody else's: this one is late, whatever it believes
-            await until(lambda: task.refused)
+            await until(lambda: task.rejected)
             await until(lambda: store.highest["/f"] == token + 1 and task.written > 6)
             assert store.took_lower == 0, "the next lease's token is the same as that one's, not lower"
             await part.leave(1.0)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,5 +1,4 @@
-"""Leases: the record, the machine, the two sides of the time, and whole fleets with faults on virtual
-time."""
+"""Leases: the log, the state machine, both sides of time, and fleets with faults on virtual time."""
 
 from __future__ import annotations
 
@@ -15,111 +14,137 @@
 from hazelbend.consensus.persistent_state import PersistentState, epoch_number
 from hazelbend.consensus.raft import RaftNode, Timing
 from hazelbend.consensus.voters import next_voters
-from hazelbend.leases import lease_table as ls
-from hazelbend.leases.client import Holder, Stage
-from hazelbend.leases.engine import Fleet, Plan, Reply
+from hazelbend.leases.client import LeaseClient, Stage
+from hazelbend.leases.expiry_watcher import ExpiryWatcher
+from hazelbend.leases.fencing import TOKEN_BITS
+from hazelbend.leases.lease_node import LeaseNode, LeaseNodeSettings, Reply
+from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
+from hazelbend.leases.operations import (
+    Acquire,
+    Expire,
+    ExpireWaiter,
+    ForceRelease,
+    HandOver,
+    LeaseResponse,
+    LeaveQueue,
+    OpenEpoch,
+    Operation,
+    Release,
+    Renew,
+    encode,
+)
 from hazelbend.transport.storage.fleet_store import FleetStore
 
 S = 1_000_000
-LIMITS = ls.Limits(leases=3, waiters=2, shortest=S, longest=10 * S)
+LIMITS = LeaseLimits(max_leases=3, max_waiters=2, min_ttl_us=S, max_ttl_us=10 * S)
 
 
-def machine() -> ls.Leases:
-    made = ls.Leases(LIMITS)
-    made.begin(7)
-    put(made, ls.Open())
-    return made
+def open_table() -> LeaseTable:
+    table = LeaseTable(LIMITS)
+    table.begin(7)
+    apply(table, OpenEpoch())
+    return table
 
 
-def put(to: ls.Leases, operation: ls.Operation) -> ls.Answer:
-    return to.apply(0, ls.encode(operation))
+def apply(to: LeaseTable, operation: Operation) -> LeaseResponse:
+    return to.apply(0, encode(operation))
 
 
-def acquire(to: ls.Leases, holder: str, name: str = "a", ask: int = 1, **more: int) -> ls.Answer:
-    return put(to, ls.Acquire(name, holder, ask, more.pop("ttl", 2 * S), **more))
+def acquire(
+    to: LeaseTable, holder: str, name: str = "a", request_id: int = 1, ttl_us: int = 2 * S, wait_us: int = 0
+) -> LeaseResponse:
+    return apply(to, Acquire(name, holder, request_id, ttl_us, wait_us))
 
 
-# --- the machine ---
+# --- the state machine ---
 
 
-def test_a_lease_goes_from_hand_to_hand_in_the_order_of_asking_and_tokens_grow():
-    made = machine()
-    first = acquire(made, "x").token
-    assert first >> ls.TOKEN_BITS == 7
-    assert acquire(made, "y").why == "held"
-    assert acquire(made, "y", ask=2, wait=S).place == 1 and acquire(made, "z", wait=S).place == 2
-    assert acquire(made, "w", wait=S).why == "too many wait"
-    assert put(made, ls.Release("a", first)).why == "released"
-    second = acquire(made, "y", ask=2, wait=S).token
+def test_waiters_get_the_lease_in_order_and_tokens_grow():
+    table = open_table()
+    first = acquire(table, "x").token
+    assert first >> TOKEN_BITS == 7
+    assert acquire(table, "y").reason == "held"
+    assert (
+        acquire(table, "y", request_id=2, wait_us=S).queue_position == 1
+        and acquire(table, "z", wait_us=S).queue_position == 2
+    )
+    assert acquire(table, "w", wait_us=S).reason == "too many wait"
+    assert apply(table, Release("a", first)).reason == "released"
+    second = acquire(table, "y", request_id=2, wait_us=S).token
     assert second == first + 1
-    assert put(made, ls.Release("a", first)).why == "lost", "an old token ends nothing"
-    assert put(made, ls.HandOver("a", second, "w")).why == "it does not wait"
-    assert put(made, ls.LeaveQueue("a", "z")).why == "left"
-    assert put(made, ls.ForceRelease("a")).why == "released" and made.state.leases == {}
-    assert acquire(made, "w").token == second + 1
-
-
-def test_the_same_wish_that_comes_again_is_no_other_and_another_of_its_holder_is_refused():
-    made = machine()
-    token = acquire(made, "x").token
-    assert acquire(made, "x").token == token and made.state.leases["a"].renewals == 1
-    assert acquire(made, "x", ask=2, wait=S).why == "another wish of the same holder"
-    acquire(made, "y", wait=S)
-    assert acquire(made, "y", wait=S).place == 1 and len(made.state.leases["a"].waiters) == 1
-
-
-def test_a_renewal_that_was_ordered_before_it_makes_an_expiry_nothing():
-    made = machine()
-    token = acquire(made, "x").token
-    put(made, ls.Renew("a", token))
-    assert put(made, ls.Expire("a", token, 0)).why == "renewed" and made.state.leases["a"].token == token
-    assert put(made, ls.Expire("a", token, 1)).why == "released"
-    assert put(made, ls.Renew("a", token)).why == "free"
-
-
-def test_limits_and_a_fleet_that_is_not_open_are_told():
-    made = machine()
-    assert [acquire(made, "x", name=name).why for name in ("a", "b", "c", "d")] == [
+    assert apply(table, Release("a", first)).reason == "lost", "an old token releases nothing"
+    assert apply(table, HandOver("a", second, "w")).reason == "it does not wait"
+    assert apply(table, LeaveQueue("a", "z")).reason == "left"
+    assert apply(table, ForceRelease("a")).reason == "released" and table.state.leases == {}
+    assert acquire(table, "w").token == second + 1
+
+
+def test_acquire_is_idempotent_and_a_second_request_of_one_holder_is_rejected():
+    table = open_table()
+    token = acquire(table, "x").token
+    assert acquire(table, "x").token == token and table.state.leases["a"].renewals == 1
+    assert acquire(table, "x", request_id=2, wait_us=S).reason == "another wish of the same holder"
+    acquire(table, "y", wait_us=S)
+    assert acquire(table, "y", wait_us=S).queue_position == 1 and len(table.state.leases["a"].waiters) == 1
+
+
+def test_a_renewal_ordered_before_an_expiry_makes_it_void():
+    table = open_table()
+    token = acquire(table, "x").token
+    apply(table, Renew("a", token))
+    assert apply(table, Expire("a", token, 0)).reason == "renewed" and table.state.leases["a"].token == token
+    assert apply(table, Expire("a", token, 1)).reason == "released"
+    assert apply(table, Renew("a", token)).reason == "free"
+
+
+def test_limits_and_an_epoch_that_is_not_open_are_reported():
+    table = open_table()
+    assert [acquire(table, "x", name=name).reason for name in ("a", "b", "c", "d")] == [
         "",
         "",
         "",
         "too many leases",
     ]
-    assert acquire(made, "y", ttl=S // 2).why == "ttl" and acquire(made, "y", ttl=11 * S).why == "ttl"
-    assert acquire(made, "", name="b").why == acquire(made, "y", name="n" * 201).why == "name"
-    made.begin(8)
-    assert acquire(made, "x").why == "not open yet" and made.state.granted == 0
-    put(made, ls.Open())
-    assert acquire(made, "x").token >> ls.TOKEN_BITS == 8
-
-
-def test_a_snapshot_holds_all_of_it():
-    made, other = machine(), ls.Leases(LIMITS)
-    acquire(made, "x"), acquire(made, "y", wait=S)
-    other.restore(made.snapshot())
-    assert other.state == made.state
-    assert put(other, ls.Release("a", acquire(other, "x").token)).why == "released"
-    assert acquire(other, "y", wait=S).token == made.state.leases["a"].token + 1
-
-
-def test_the_watch_counts_from_what_it_has_seen_itself():
-    made, watch = machine(), ls.Watch(LIMITS)
-    watch.look(made, 0)
-    token = acquire(made, "x").token
-    acquire(made, "y", wait=S)
-    watch.look(made, 5 * S)
-    put(made, ls.Renew("a", token))
-    watch.look(made, 6 * S)
-    assert watch.over(made, 8 * S - 1) == []
-    assert watch.over(made, 8 * S) == [ls.Expire("a", token, 1)]
-    assert ls.ExpireWait("a", "y", 1, 1) in watch.over(made, 15 * S), "who waits asks again, or is gone"
-    made.begin(9)
-    watch.look(made, 20 * S)
-    assert watch.over(made, 30 * S) == [] and watch.over(made, watch.opens()) == [ls.Open()]
-    assert watch.opens() > 30 * S
-
-
-# --- the holder ---
+    assert (
+        acquire(table, "y", ttl_us=S // 2).reason == "ttl"
+        and acquire(table, "y", ttl_us=11 * S).reason == "ttl"
+    )
+    assert acquire(table, "", name="b").reason == acquire(table, "y", name="n" * 201).reason == "name"
+    table.begin(8)
+    assert acquire(table, "x").reason == "not open yet" and table.state.grants == 0
+    apply(table, OpenEpoch())
+    assert acquire(table, "x").token >> TOKEN_BITS == 8
+
+
+def test_a_snapshot_holds_the_complete_state():
+    table, other = open_table(), LeaseTable(LIMITS)
+    acquire(table, "x"), acquire(table, "y", wait_us=S)
+    other.restore(table.snapshot())
+    assert other.state == table.state
+    assert apply(other, Release("a", acquire(other, "x").token)).reason == "released"
+    assert acquire(other, "y", wait_us=S).token == table.state.leases["a"].token + 1
+
+
+def test_the_expiry_watcher_counts_from_what_it_applied_itself():
+    table, watcher = open_table(), ExpiryWatcher(LIMITS)
+    watcher.observe(table, 0)
+    token = acquire(table, "x").token
+    acquire(table, "y", wait_us=S)
+    watcher.observe(table, 5 * S)
+    apply(table, Renew("a", token))
+    watcher.observe(table, 6 * S)
+    assert watcher.expired(table, 8 * S - 1) == []
+    assert watcher.expired(table, 8 * S) == [Expire("a", token, 1)]
+    assert ExpireWaiter("a", "y", 1, 1) in watcher.expired(table, 15 * S), "a waiter polls again, or is gone"
+    table.begin(9)
+    watcher.observe(table, 20 * S)
+    assert watcher.expired(table, 30 * S) == [] and watcher.expired(table, watcher.opens_at()) == [
+        OpenEpoch()
+    ]
+    assert watcher.opens_at() > 30 * S
+
+
+# --- the client ---
 
 
 @given(
@@ -127,87 +152,87 @@
     delay=st.integers(0, 20 * S),
     rates=st.tuples(*[st.sampled_from((0.95, 1.0, 1.05))] * 2),
 )
-def test_a_holder_stops_before_any_grantor_may_think_it_over(ttl, delay, rates):
+def test_a_client_stops_before_any_grantor_may_expire_its_lease(ttl, delay, rates):
     """The request leaves at true time 0, is applied at once, and its answer is as late as it may be."""
-    holder = Holder("a", "x", 1, LIMITS, 0, ttl=ttl)
-    [request] = holder.tick(0)
-    holder.answered(request.number, ls.Answer(token=5), round(delay * rates[0]))
+    client = LeaseClient(Acquire("a", "x", 1, ttl), LIMITS, 0)
+    [request] = client.tick(0)
+    client.handle_response(request.number, LeaseResponse(token=5), round(delay * rates[0]))
     over = ttl / rates[1]
-    assert not holder.may_act(round(over * rates[0]))
-    assert holder.may_act(round(delay * rates[0])) == (round(delay * rates[0]) < holder.until)
-    assert holder.until <= over * rates[0]
-
-
-def test_a_holder_renews_in_time_counts_by_its_own_requests_and_ends_when_told():
-    holder = Holder("a", "x", 1, LIMITS, 0, ttl=6 * S, wait=20 * S)
-    [first] = holder.tick(0)
-    holder.answered(first.number, ls.Answer(place=1), 1_000)
-    assert holder.stage is Stage.WAITING and not holder.may_act(1_000)
-    at = holder.due
-    [again] = holder.tick(at)
-    holder.answered(again.number, ls.Answer(token=9), 2 * S)
-    assert holder.may_act(2 * S) and holder.until == at + holder.counted
-    assert holder.tick(2 * S) == []
-    [renewal] = holder.tick(holder.due)
-    assert renewal.operation == ls.Renew("a", 9)
-    before = holder.until
-    holder.answered(renewal.number, None, 3 * S)
-    holder.answered(again.number, ls.Answer(token=9), 3 * S)
-    assert holder.until == before, "no answer, and one that came twice, give no time"
-    [renewal] = holder.tick(holder.due)
-    holder.answered(renewal.number, ls.Answer(token=9), 4 * S)
-    assert holder.until > before
-    [renewal] = holder.tick(holder.due)
-    holder.answered(renewal.number, ls.Answer(why="lost"), 5 * S)
-    assert (holder.stage, holder.why) == (Stage.ENDED, "lost") and not holder.may_act(5 * S)
-
-
-def test_a_holder_that_lets_go_acts_no_more_and_says_so_until_it_is_heard():
-    holder = Holder("a", "x", 1, LIMITS, 0, ttl=6 * S)
-    [first] = holder.tick(0)
-    holder.answered(first.number, ls.Answer(token=9), 10)
-    holder.let_go(S)
-    assert not holder.may_act(S)
-    [release] = holder.tick(S)
-    holder.answered(release.number, None, S)
-    [release] = holder.tick(holder.due)
-    assert release.operation == ls.Release("a", 9)
-    holder.answered(release.number, ls.Answer(why="released"), 2 * S)
-    assert (holder.stage, holder.why) == (Stage.ENDED, "")
-
-
-def test_a_holder_whose_fleet_falls_silent_ends_by_itself():
-    holder = Holder("a", "x", 1, LIMITS, 0, ttl=6 * S)
-    [first] = holder.tick(0)
-    holder.answered(first.number, ls.Answer(token=9), 10)
-    holder.tick(holder.until)
-    assert (holder.stage, holder.why) == (Stage.ENDED, "lost")
-    other = Holder("a", "y", 1, LIMITS, 0, ttl=6 * S, wait=S)
+    assert not client.may_act(round(over * rates[0]))
+    assert client.may_act(round(delay * rates[0])) == (round(delay * rates[0]) < client.expires_at)
+    assert client.expires_at <= over * rates[0]
+
+
+def test_a_client_renews_in_time_and_ends_when_its_lease_is_lost():
+    client = LeaseClient(Acquire("a", "x", 1, 6 * S, 20 * S), LIMITS, 0)
+    [first] = client.tick(0)
+    client.handle_response(first.number, LeaseResponse(queue_position=1), 1_000)
+    assert client.stage is Stage.WAITING and not client.may_act(1_000)
+    at = client.next_at
+    [again] = client.tick(at)
+    client.handle_response(again.number, LeaseResponse(token=9), 2 * S)
+    assert client.may_act(2 * S) and client.expires_at == at + client.holder_ttl_us
+    assert client.tick(2 * S) == []
+    [renewal] = client.tick(client.next_at)
+    assert renewal.operation == Renew("a", 9)
+    before = client.expires_at
+    client.handle_response(renewal.number, None, 3 * S)
+    client.handle_response(again.number, LeaseResponse(token=9), 3 * S)
+    assert client.expires_at == before, "neither a missing nor a repeated response extends the lease"
+    [renewal] = client.tick(client.next_at)
+    client.handle_response(renewal.number, LeaseResponse(token=9), 4 * S)
+    assert client.expires_at > before
+    [renewal] = client.tick(client.next_at)
+    client.handle_response(renewal.number, LeaseResponse(reason="lost"), 5 * S)
+    assert (client.stage, client.reason) == (Stage.ENDED, "lost") and not client.may_act(5 * S)
+
+
+def test_a_client_that_releases_acts_no_more_and_retries_the_release():
+    client = LeaseClient(Acquire("a", "x", 1, 6 * S), LIMITS, 0)
+    [first] = client.tick(0)
+    client.handle_response(first.number, LeaseResponse(token=9), 10)
+    client.release(S)
+    assert not client.may_act(S)
+    [release] = client.tick(S)
+    client.handle_response(release.number, None, S)
+    [release] = client.tick(client.next_at)
+    assert release.operation == Release("a", 9)
+    client.handle_response(release.number, LeaseResponse(reason="released"), 2 * S)
+    assert (client.stage, client.reason) == (Stage.ENDED, "")
+
+
+def test_a_client_without_responses_ends_by_itself():
+    client = LeaseClient(Acquire("a", "x", 1, 6 * S), LIMITS, 0)
+    [first] = client.tick(0)
+    client.handle_response(first.number, LeaseResponse(token=9), 10)
+    client.tick(client.expires_at)
+    assert (client.stage, client.reason) == (Stage.ENDED, "lost")
+    other = LeaseClient(Acquire("a", "y", 1, 6 * S, S), LIMITS, 0)
     other.tick(0)
     [last] = other.tick(7 * S)
-    assert (other.stage, other.why) == (Stage.ENDED, "no answer") and last.operation == ls.LeaveQueue(
+    assert (other.stage, other.reason) == (Stage.ENDED, "no answer") and last.operation == LeaveQueue(
         "a", "y"
     )
 
 
-# --- the record ---
+# --- the log ---
 
 
 def record(identity: str = "a.1", memory: PersistentState | None = None, now: int = 0) -> RaftNode:
-    return RaftNode(memory or PersistentState(identity), ls.Leases(LIMITS), Timing(), 1, now)
+    return RaftNode(memory or PersistentState(identity), LeaseTable(LIMITS), Timing(), 1, now)
 
 
 def test_one_voter_founds_an_epoch_and_a_lower_one_is_not_gone_back_to():
     alone = record()
-    assert alone.propose(ls.encode(ls.Open()), 0) is None, "nobody has founded anything"
+    assert alone.propose(encode(OpenEpoch()), 0) is None, "nobody has founded anything"
     alone.found(5, 0)
-    ticket = alone.propose(ls.encode(ls.Open()), 0)
+    ticket = alone.propose(encode(OpenEpoch()), 0)
     assert alone.settled and [each.ticket for each in alone.done if each.ok] == [ticket]
     with pytest.raises(ValueError, match="not higher"):
         alone.found(5, 0)
     assert alone.promise_changed and alone.unsaved == 1
     first, second = epoch_number(0, 1.9e9, "a"), epoch_number(0, 1.9e9, "b")
-    assert max(first, second) << ls.TOKEN_BITS < 1 << 63, "tokens fit into what is sent"
+    assert max(first, second) << TOKEN_BITS < 1 << 63, "tokens fit into what is sent"
     assert first != second and epoch_number(second, 3.0, "a") > second, "also after a step of the wall clock"
 
 
@@ -216,7 +241,7 @@
     leader.found(5, 0)
     leader.set_learners({"b.1"}, 0)
     for _ in range(600):
-        leader.propose(ls.encode(ls.Open()), 0)
+        leader.propose(encode(OpenEpoch()), 0)
     assert leader.persistent.base > 0, "what is applied goes into a snapshot"
     now = 0
     for _ in range(40):
@@ -228,7 +253,7 @@
         for each in new.out:
             leader.receive(each, now)
         new.out.clear()
-    assert new.commit == leader.commit and new.machine.state.open
+    assert new.commit == leader.commit and new.machine.state.is_open
     leader.out.clear()
     leader.peers["b.1"].match = leader.persistent.last
     leader.receive(Message("b.1", "a.1", 5, 1, AppendResponse(False, 3, 0)), now)
@@ -264,84 +289,84 @@
 # --- all of it as one engine ---
 
 
-def test_a_flood_of_takers_is_held_off_and_renewals_are_not():
-    fleet = Fleet("a#1@h:1", Plan("f", (), limits=LIMITS, asks_per_s=10.0), 1, 0)
-    fleet.found(1.9e9, 0)
-    fleet.tick(11 * S)
-    fleet.ask(0, ls.Acquire("a", "x", 1, 2 * S), 11 * S)
-    token = fleet.answers.pop()[1].answer.token
+def test_a_flood_of_acquires_is_rate_limited_and_renewals_are_not():
+    node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS, acquires_per_s=10.0), 1, 0)
+    node.found_epoch(1.9e9, 0)
+    node.tick(11 * S)
+    node.submit(0, Acquire("a", "x", 1, 2 * S), 11 * S)
+    token = node.replies.pop()[1].response.token
     for number in range(500):
-        fleet.ask(number, ls.Acquire("a", f"y{number}", 1, 2 * S), 11 * S)
-    fleet.ask(501, ls.Renew("a", token), 11 * S)
-    said = [reply.answer.why for number, reply in fleet.answers if number < 500]
-    assert (said.count("held"), said.count("busy")) == (19, 481)
-    assert fleet.answers[-1][1].answer.token == token, "its holder is not kept from renewing"
-    fleet.answers.clear()
-    fleet.ask(502, ls.Acquire("a", "y", 1, 2 * S), 12 * S)
-    assert fleet.answers[-1][1].answer.why == "held"
-    holder = Holder("a", "y", 1, LIMITS, 0, ttl=2 * S)
-    [request] = holder.tick(0)
-    holder.answered(request.number, ls.Answer(why="busy"), 10)
-    assert holder.stage is Stage.ASKING and holder.due >= 2 * S // 12, "it asks again, after a pause"
-
-
-def test_one_that_waits_is_answered_when_it_is_given_the_lease_or_after_a_while():
-    fleet = Fleet("a#1@h:1", Plan("f", (), limits=LIMITS), 1, 0)
-    fleet.found(1.9e9, 0)
-    fleet.tick(11 * S)
-    fleet.ask(0, ls.Acquire("a", "x", 1, 4 * S), 11 * S)
-    token = fleet.answers.pop()[1].answer.token
+        node.submit(number, Acquire("a", f"y{number}", 1, 2 * S), 11 * S)
+    node.submit(501, Renew("a", token), 11 * S)
+    reasons = [reply.response.reason for number, reply in node.replies if number < 500]
+    assert (reasons.count("held"), reasons.count("busy")) == (19, 481)
+    assert node.replies[-1][1].response.token == token, "the holder can still renew"
+    node.replies.clear()
+    node.submit(502, Acquire("a", "y", 1, 2 * S), 12 * S)
+    assert node.replies[-1][1].response.reason == "held"
+    client = LeaseClient(Acquire("a", "y", 1, 2 * S), LIMITS, 0)
+    [request] = client.tick(0)
+    client.handle_response(request.number, LeaseResponse(reason="busy"), 10)
+    assert client.stage is Stage.REQUESTING and client.next_at >= 2 * S // 12, "it retries after a delay"
+
+
+def test_a_waiter_is_answered_when_it_is_granted_the_lease_or_after_the_long_poll():
+    node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS), 1, 0)
+    node.found_epoch(1.9e9, 0)
+    node.tick(11 * S)
+    node.submit(0, Acquire("a", "x", 1, 4 * S), 11 * S)
+    token = node.replies.pop()[1].response.token
     for number, holder in ((1, "y"), (2, "z")):
-        fleet.ask(number, ls.Acquire("a", holder, 1, 4 * S, 9 * S), 11 * S)
-    assert fleet.answers == [] and fleet.due <= 12 * S
-    fleet.ask(3, ls.Release("a", token), 11 * S + 10)
-    said = dict(fleet.answers)
-    assert set(said) == {1, 3} and said[1].answer.token == token + 1
-    fleet.answers.clear()
-    fleet.tick(12 * S)
-    [(number, reply)] = fleet.answers
-    assert number == 2 and reply.answer.place == 2, "as it was when it asked"
-    holder = Holder("a", "y", 1, LIMITS, 11 * S, ttl=4 * S, wait=9 * S)
-    [request] = holder.tick(11 * S)
-    holder.answered(request.number, ls.Answer(place=1), 12 * S)
-    assert holder.due == 12 * S, "what was kept so long is asked for again at once"
-    [request] = holder.tick(12 * S)
-    holder.answered(request.number, ls.Answer(token=token + 1), 12 * S + S // 2)
-    assert holder.until == 12 * S + holder.counted, "from before the request, and so before the grant"
+        node.submit(number, Acquire("a", holder, 1, 4 * S, 9 * S), 11 * S)
+    assert node.replies == [] and node.next_at <= 12 * S
+    node.submit(3, Release("a", token), 11 * S + 10)
+    replies = dict(node.replies)
+    assert set(replies) == {1, 3} and replies[1].response.token == token + 1
+    node.replies.clear()
+    node.tick(12 * S)
+    [(number, reply)] = node.replies
+    assert number == 2 and reply.response.queue_position == 2, "as of its request"
+    client = LeaseClient(Acquire("a", "y", 1, 4 * S, 9 * S), LIMITS, 11 * S)
+    [request] = client.tick(11 * S)
+    client.handle_response(request.number, LeaseResponse(queue_position=1), 12 * S)
+    assert client.next_at == 12 * S, "the next request follows a long poll at once"
+    [request] = client.tick(12 * S)
+    client.handle_response(request.number, LeaseResponse(token=token + 1), 12 * S + S // 2)
+    assert client.expires_at == 12 * S + client.holder_ttl_us, (
+        "from before the request, and so before the grant"
+    )
 
 
 def test_one_that_does_not_vote_knows_who_leads():
     """Five members, three of which vote: the others hear of the record only what members tell each other."""
     names = [f"n{n}#1@h:{n}" for n in range(5)]
-    plan = Plan("f", ("h:0",), limits=LIMITS)
-    fleets = {f"h:{n}": Fleet(name, plan, n, 0) for n, name in enumerate(names)}
+    settings = LeaseNodeSettings("f", ("h:0",), limits=LIMITS)
+    by_address = {f"h:{n}": LeaseNode(name, settings, n, 0) for n, name in enumerate(names)}
     for now in range(0, 60 * S, S // 20):
         if now == 20 * S:
-            fleets["h:0"].found(1.9e9, now)
-        for each in fleets.values():
+            by_address["h:0"].found_epoch(1.9e9, now)
+        for each in by_address.values():
             each.tick(now)
-        while any(each.out for each in fleets.values()):
-            for each in fleets.values():
-                out, each.out = each.out, []
+        while any(each.outbox for each in by_address.values()):
+            for each in by_address.values():
+                out, each.outbox = each.outbox, []
                 for address, item in out:
-                    fleets[address].receive(item, now)
-    leads = fleets["h:0"].raft
-    others = [each for each in fleets.values() if not each.raft.is_voter]
+                    by_address[address].receive(item, now)
+    leads = by_address["h:0"].raft
+    others = [each for each in by_address.values() if not each.raft.is_voter]
     assert leads.leads and len(leads.voters) == 3 and len(others) == 2
     for each in others:
-        each.ask(1, ls.Acquire("a", "x", 1, 2 * S), 60 * S)
-        assert each.answers == [(1, Reply(leader=names[0]))] and each.view(60 * S).leader == names[0]
+        each.submit(1, Acquire("a", "x", 1, 2 * S), 60 * S)
+        assert each.replies == [(1, Reply(leader=names[0]))] and each.view(60 * S).leader == names[0]
 
 
-def test_what_is_meant_for_the_process_that_had_the_address_before_is_not_taken():
-    fleet = Fleet("a#2@h:1", Plan("f", ()), 1, 0)
-    fleet.receive(
-        Message("b#1@h:2", "a#1@h:1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a#1@h:1",)),), 0, 1)), 0
-    )
-    assert fleet.raft.persistent.epoch == 0 and not fleet.out
+def test_a_message_for_the_previous_process_at_an_address_is_ignored():
+    node = LeaseNode("a#2@h:1", LeaseNodeSettings("f", ()), 1, 0)
+    node.receive(Message("b#1@h:2", "a#1@h:1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a#1@h:1",)),), 0, 1)), 0)
+    assert node.raft.persistent.epoch == 0 and not node.outbox
 
 
-# --- the memory in a file ---
+# --- the persistent state in a file ---
 
 
 def kept() -> tuple[bytes, PersistentState]:
@@ -402,11 +427,11 @@
     assert (tmp_path / "s" / "memory.damaged").read_bytes() == b"another format"
 
 
-# --- whole fleets ---
+# --- fleets with faults ---
 
 
 @pytest.mark.parametrize("nodes, schedules", [(3, 20), (5, 12), (7, 5)])
-def test_no_two_act_at_once_whatever_fails(nodes, schedules):
+def test_no_two_holders_act_at_once_under_any_fault(nodes, schedules):
     """Schedules of ten seconds, with every fault; a longer run: benchmarks/fleet_sim.py."""
     played = [play(seed, nodes, 10.0, "") for seed in range(schedules)]
     assert [each["broken"] for each in played if each["broken"]] == []
@@ -428,9 +453,9 @@
         (32, 5, "token reset in a new epoch", "granted twice"),
     ],
 )
-def test_the_checks_of_whole_fleets_find_planted_mistakes(seed, nodes, defect, found):
+def test_the_checks_of_the_simulation_find_planted_defects(seed, nodes, defect, found):
     assert found in str(play(seed, nodes, 20.0, defect)["broken"])
-    assert not play(seed, nodes, 20.0, "")["broken"], "it is the mistake that they find"
+    assert not play(seed, nodes, 20.0, "")["broken"], "it is the defect that they find"
 
 
 @pytest.mark.parametrize(
@@ -446,7 +471,7 @@
     assert not search("", left, 4_000)["broken"]
 
 
-def test_a_history_is_judged_by_whether_some_order_of_its_calls_could_be():
+def test_a_history_is_linearizable_if_some_order_of_its_calls_is_possible():
     def judged(*calls: tuple[int, int, str, int]) -> bool:
         return linearizable([Call(*each) for each in calls])
 
