--- a/hazelbend/leases/time_bounds.py
+++ b/hazelbend/leases/time_bounds.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Hashable, Iterable, Mapping
+from math import floor
 from typing import TypeVar
 
 NEVER = 1 << 62  # microseconds
@@ -17,7 +18,7 @@
 
 def holder_ttl_us(ttl_us: int, max_clock_drift: float) -> int:
     """How long a holder may act on a grant of `ttl_us`, by its own clock."""
-    return round(ttl_us * (1 - max_clock_drift) / (1 + max_clock_drift))
+    return floor(ttl_us * (1 - max_clock_drift) / (1 + max_clock_drift))
 
 
 def first_seen(keys: Iterable[Key], seen: Mapping[Key, int], now: int) -> dict[Key, int]:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from benchmarks.fleet_history import Call, linearizable
@@ -152,6 +152,7 @@
     delay=st.integers(0, 20 * S),
     rates=st.tuples(*[st.sampled_from((0.95, 1.0, 1.05))] * 2),
 )
+@example(ttl=1_048_576, delay=252_444, rates=(0.95, 1.05))  # 0.4 us too long, when it was rounded
 def test_a_client_stops_before_any_grantor_may_expire_its_lease(ttl, delay, rates):
     """The request leaves at true time 0, is applied at once, and its answer is as late as it may be."""
     client = LeaseClient(Acquire("a", "x", 1, ttl), LIMITS, 0)
