--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -21,13 +21,13 @@
 from pathlib import Path
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.dns_discovery.answers import BoxKey, Good, Kind, Question, Rank
-from hazelbend.dns_discovery.resolver import Ask, Resolver
+from hazelbend.dns_discovery.answers import EndpointKey, PositiveAnswer, Question, RecordType, SrvPreference
+from hazelbend.dns_discovery.resolver import Query, Resolver
 from hazelbend.dns_discovery.settings import SrvSettings, read_settings
 from hazelbend.endpoints.merger import Claim, Membership
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import Endpoint, EndpointList
-from hazelbend.transport.dns.name_source import NameSource
+from hazelbend.transport.dns.resolver_driver import ResolverDriver
 
 LIFETIME = 30
 SOA = "@ 5 IN SOA ns host 1 3600 600 86400 5\n@ 300 IN NS ns\nns 300 IN A 127.0.0.1\n"
@@ -71,17 +71,17 @@
     settings = settings_of(address, names, per_s=2_000, at_once=256, start_spread_s=spread)
     before, changed = resident_mb(), set[str]()
     resolver, clock = Resolver(settings, "bench"), Clock()
-    source = NameSource(resolver, clock.now, changed.update)
-    resolver.begin(clock.now(), names)
-    source.pump()
+    source = ResolverDriver(resolver, clock.now, changed.update)
+    resolver.track_only(names, clock.now())
+    source.run_due()
     await asyncio.sleep(spread + 3)
     assert len(changed) == len(names), f"{len(changed)} of {len(names)} answered in the first round"
-    resolver.totals.lateness, queries = [], resolver.totals.queries
+    resolver.counters.refresh_delays_us, queries = [], resolver.counters.queries
     used, began = time.process_time(), time.monotonic()
     await asyncio.sleep(seconds)
     used, took = time.process_time() - used, time.monotonic() - began
-    queries = resolver.totals.queries - queries
-    late = sorted(resolver.totals.lateness)
+    queries = resolver.counters.queries - queries
+    late = sorted(resolver.counters.refresh_delays_us)
     await source.close()
     return {
         "names": len(names),
@@ -93,7 +93,7 @@
         "late_ms_p50": late[len(late) // 2] / 1e3,
         "late_ms_p99": late[len(late) * 99 // 100] / 1e3,
         "late_ms_worst": late[-1] / 1e3,
-        "unknown": resolver.totals.unknown,
+        "unknown": resolver.counters.failures,
     }
 
 
@@ -123,10 +123,10 @@
             for n in range(half)
         )
         members.hear_list(EndpointList(entries, whole=True), 1)
-        pools: dict[str, dict[BoxKey, Claim]] = {}
+        pools: dict[str, dict[EndpointKey, Claim]] = {}
         for n in range(half):
-            key = BoxKey(f"b{n}.example.org", 7101)
-            claim = Claim(Rank(0, 1), (f"10.1.{n // 250}.{n % 250}",), 0, 0, 0, 1.0)
+            key = EndpointKey(f"b{n}.example.org", 7101)
+            claim = Claim(SrvPreference(0, 1), (f"10.1.{n // 250}.{n % 250}",), 0, 0, 0, 1.0)
             pools.setdefault(f"n{n // 10}", {})[key] = claim
         for name, boxes in pools.items():
             members.hear_name(name, boxes, 2)
@@ -160,26 +160,28 @@
     events: list[tuple[int, int, Resolver, int]] = []
     turns, asked, began = itertools.count(), [], 10**15
 
-    def run(resolver: Resolver, now: int, asks: list[Ask]) -> None:
-        for ask in [*asks, *resolver.due(now)]:
+    def run(resolver: Resolver, now: int, queries: list[Query]) -> None:
+        for query in [*queries, *resolver.due(now)]:
             asked.append(now - began)
-            heapq.heappush(events, (now + 1_000, next(turns), resolver, ask.number))
+            heapq.heappush(events, (now + 1_000, next(turns), resolver, query.id))
         if (at := resolver.next_at(now)) is not None:
             heapq.heappush(events, (max(at, now + 1), next(turns), resolver, 0))
 
     for number in range(count):
         resolver, now = Resolver(settings, f"d-{number}" if jitter else "d"), began
         now += round(together * 1e6 * number / count)
-        resolver.begin(now, names)
+        resolver.track_only(names, now)
         run(resolver, now, [])
     while events and events[0][0] < began + seconds * 1e6:
         now, _, resolver, number = heapq.heappop(events)
-        asks = []
+        queries = []
         if number:
-            key = BoxKey("box.example.org", 7101)
-            beside = {Question(key.target, Kind.A): Good({"127.0.0.1": None}, LIFETIME)}
-            asks = resolver.heard(number, Good({key: Rank(0, 1)}, LIFETIME, beside), now)
-        run(resolver, now, asks)
+            key = EndpointKey("box.example.org", 7101)
+            beside = {Question(key.target, RecordType.A): PositiveAnswer({"127.0.0.1": None}, LIFETIME)}
+            queries = resolver.query_done(
+                number, PositiveAnswer({key: SrvPreference(0, 1)}, LIFETIME, beside), now
+            )
+        run(resolver, now, queries)
     slots = [0] * (round(seconds * 10) + 1)
     for at in asked:
         slots[at // 100_000] += 1
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -1,4 +1,4 @@
-"""`resolve NAME`: ask each nameserver, as the dispatcher would, and say what each answer means."""
+"""`resolve NAME`: query each nameserver as the dispatcher would, and print what each answers."""
 
 from __future__ import annotations
 
@@ -6,33 +6,42 @@
 import os
 import sys
 import tomllib
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from itertools import count
 from pathlib import Path
 
 import msgspec
 
 from hazelbend.dns_discovery.answers import (
-    MOST_ALIASES,
-    Alias,
-    Good,
-    Kind,
-    Meaning,
-    Nothing,
+    ADDRESS_TYPES,
+    MAX_CNAME_CHAIN,
+    CnameAlias,
+    EndpointKey,
+    NegativeAnswer,
+    PositiveAnswer,
+    QueryFailure,
+    QueryResult,
     Question,
-    Truncated,
-    Unknown,
-    canonical,
+    RecordType,
+    SrvPreference,
+    TruncatedAnswer,
+    canonical_name,
 )
-from hazelbend.dns_discovery.resolver import Ask
+from hazelbend.dns_discovery.resolver import Query
 from hazelbend.dns_discovery.settings import Nameserver
 from hazelbend.program.config import DEPLOY_VARIABLE
 from hazelbend.program.parts import table
 from hazelbend.transport.dns.dns_client import DnsClient
 
+EXIT_LISTED = 0  # a nameserver lists endpoints
+EXIT_NOT_LISTED = 1  # none does
+EXIT_USAGE = 2  # the command cannot query
+
 
 @dataclass(slots=True)
-class Record:
+class EndpointReport:
+    """One SRV record, with the addresses of its target. The field names are in the output of `--json`."""
+
     target: str
     port: int
     priority: int
@@ -40,127 +49,140 @@
     addresses: list[str]
 
 
-@dataclass(slots=True)
-class Said:
-    """What one nameserver said."""
+class NameserverReport(msgspec.Struct):
+    """What one nameserver answers. The field names are in the output of `--json`."""
 
     nameserver: str
     answer: str
-    lifetime: int | None = None  # seconds, the least of the records and addresses
-    records: list[Record] = field(default_factory=list)
+    ttl_s: int | None = msgspec.field(default=None, name="lifetime")  # least of the records and addresses
+    endpoints: list[EndpointReport] = msgspec.field(default_factory=list, name="records")
 
 
 def run(name: str, nameservers: tuple[str, ...], timeout: float, as_json: bool) -> int:
+    """Run the command and return its exit code, an `EXIT_` constant."""
     try:
-        wanted = canonical(name)
-        addresses = nameservers or _configured()
-        servers = tuple(Nameserver(each).endpoint for each in addresses)
+        canonical = canonical_name(name)
+        addresses = nameservers or _configured_nameservers()
+        servers = tuple(Nameserver(address).endpoint for address in addresses)
         if not servers:
             raise ValueError("no nameserver: name one with --nameserver, or in deploy/srv.toml")
     except (ValueError, OSError, KeyError, TypeError) as error:
         print(f"hazelbend resolve: {error}", file=sys.stderr)
-        return 2
-    said = asyncio.run(_ask_all(wanted, addresses, servers, timeout))
+        return EXIT_USAGE
+    reports = asyncio.run(_query_all(canonical, addresses, servers, timeout))
     if as_json:
-        print(msgspec.json.encode({"name": wanted, "nameservers": said}).decode())
+        print(msgspec.json.encode({"name": canonical, "nameservers": reports}).decode())
     else:
-        _print(said)
-    return 0 if any(each.records for each in said) else 1
+        _print_reports(reports)
+    return EXIT_LISTED if any(report.endpoints for report in reports) else EXIT_NOT_LISTED
 
 
-def _configured() -> tuple[str, ...]:
+def _configured_nameservers() -> tuple[str, ...]:
     path = Path(os.environ.get(DEPLOY_VARIABLE, "deploy")) / "srv.toml"
     if not path.exists():
         return ()
-    rows = tomllib.loads(path.read_text()).get("nameserver", [])
-    return tuple(row["address"] for row in rows)
+    entries = tomllib.loads(path.read_text()).get("nameserver", [])
+    return tuple(entry["address"] for entry in entries)
 
 
-async def _ask_all(
-    name: str, addresses: tuple[str, ...], servers: tuple[tuple[str, int], ...], timeout: float
-) -> list[Said]:
-    client = DnsClient(servers, timeout)
+async def _query_all(
+    name: str, addresses: tuple[str, ...], servers: tuple[tuple[str, int], ...], timeout_s: float
+) -> list[NameserverReport]:
+    client = DnsClient(servers, timeout_s)
     try:
-        calls = (_ask_one(client, index, address, name) for index, address in enumerate(addresses))
+        calls = (_report(client, index, address, name) for index, address in enumerate(addresses))
         return list(await asyncio.gather(*calls))
     finally:
         client.close()
 
 
-async def _ask_one(client: DnsClient, server: int, address: str, name: str) -> Said:
-    meaning = await _ask(client, server, Question(name, Kind.SRV))
-    if not isinstance(meaning, Good):
-        return Said(address, describe(meaning))
-    lifetimes, records = [meaning.lifetime], []
-    for key, rank in meaning.items.items():
-        found: list[str] = []
-        for kind in (Kind.A, Kind.AAAA):
-            question = Question(key.target, kind)  # type: ignore[union-attr]
-            said = meaning.extra.get(question)
-            if said is None and not (kind is Kind.AAAA and found):
-                other = await _ask(client, server, question)
-                said = other if isinstance(other, Good) else None
-            if said is not None:
-                lifetimes.append(said.lifetime)
-                found.extend(str(each) for each in said.items)
-        records.append(Record(key.target, key.port, rank.priority, rank.weight, sorted(found)))  # type: ignore[union-attr]
-    records.sort(key=lambda each: (each.priority, -each.weight, each.target, each.port))
-    return Said(address, "listed", min(lifetimes), records)
-
-
-async def _ask(client: DnsClient, server: int, question: Question) -> Meaning:
-    numbers, asked, tcp, edns = count(1), question.name, False, True
-    for number in numbers:
-        meaning = await client.ask(Ask(number, server, question, asked, tcp, edns))
-        if isinstance(meaning, Truncated) and not tcp:
-            tcp = True
-        elif isinstance(meaning, Unknown) and meaning.plain and edns:
+async def _report(client: DnsClient, server: int, address: str, name: str) -> NameserverReport:
+    result = await _query(client, server, Question(name, RecordType.SRV))
+    if not isinstance(result, PositiveAnswer):
+        return NameserverReport(address, describe(result))
+    ttls = [result.ttl_s]
+    endpoints: list[EndpointReport] = []
+    for key, preference in result.records.items():
+        assert isinstance(key, EndpointKey)
+        assert isinstance(preference, SrvPreference)
+        answers = await _query_addresses(client, server, key.target, result)
+        ttls.extend(answer.ttl_s for answer in answers)
+        found = sorted(str(address) for answer in answers for address in answer.records)
+        endpoints.append(EndpointReport(key.target, key.port, preference.priority, preference.weight, found))
+    endpoints.sort(key=lambda row: (row.priority, -row.weight, row.target, row.port))
+    return NameserverReport(address, "listed", min(ttls), endpoints)
+
+
+async def _query_addresses(
+    client: DnsClient, server: int, target: str, srv_answer: PositiveAnswer
+) -> list[PositiveAnswer]:
+    """The addresses of a target, from the additional section where it has them."""
+    answers: list[PositiveAnswer] = []
+    for record_type in ADDRESS_TYPES:
+        question = Question(target, record_type)
+        answer = srv_answer.additional.get(question)
+        has_address = any(answer.records for answer in answers)
+        if answer is None and not (record_type is RecordType.AAAA and has_address):
+            result = await _query(client, server, question)
+            answer = result if isinstance(result, PositiveAnswer) else None
+        if answer is not None:
+            answers.append(answer)
+    return answers
+
+
+async def _query(client: DnsClient, server: int, question: Question) -> QueryResult:
+    """Query until the result is final: over TCP, without EDNS and along CNAMEs as the resolver would."""
+    ask_for = question.name
+    over_tcp = False
+    edns = True
+    for query_id in count(1):
+        query = Query(query_id, server, question, ask_for, over_tcp=over_tcp, edns=edns)
+        result = await client.query(query)
+        if isinstance(result, TruncatedAnswer) and not over_tcp:
+            over_tcp = True
+        elif isinstance(result, QueryFailure) and result.edns_suspected and edns:
             edns = False
-        elif isinstance(meaning, Alias) and number <= MOST_ALIASES:
-            asked, tcp = meaning.to, False
+        elif isinstance(result, CnameAlias) and query_id <= MAX_CNAME_CHAIN:
+            ask_for = result.target
+            over_tcp = False
         else:
-            return meaning
+            return result
     raise AssertionError("count has no end")
 
 
-def describe(meaning: Meaning) -> str:
-    match meaning:
-        case Nothing(why=why):
-            return f"nothing: {why}"
-        case Unknown(why=why):
-            return f"unknown: {why}"
-        case Alias(to=to):
-            return f"unknown: aliases without an end, at {to}"
-        case Truncated():
+def describe(result: QueryResult) -> str:
+    """A result in the words of the output."""
+    match result:
+        case NegativeAnswer(reason=reason):
+            return f"nothing: {reason}"
+        case QueryFailure(reason=reason):
+            return f"unknown: {reason}"
+        case CnameAlias(target=target):
+            return f"unknown: aliases without an end, at {target}"
+        case TruncatedAnswer():
             return "unknown: truncated"
     return "listed"
 
 
-def _print(said: list[Said]) -> None:
-    head = ("NAMESERVER", "ANSWER", "BOXES", "LIFETIME")
-    rows = [
-        (
-            each.nameserver,
-            each.answer,
-            len(each.records),
-            "-" if each.lifetime is None else f"{each.lifetime} s",
-        )
-        for each in said
-    ]
-    print(table([head, *rows]))
-    shown: list[list[Record]] = []
-    for each in said:
-        if not each.records or each.records in shown:
+def _print_reports(reports: list[NameserverReport]) -> None:
+    rows: list[tuple[object, ...]] = [("NAMESERVER", "ANSWER", "BOXES", "LIFETIME")]
+    for report in reports:
+        ttl = "-" if report.ttl_s is None else f"{report.ttl_s} s"
+        rows.append((report.nameserver, report.answer, len(report.endpoints), ttl))
+    print(table(rows))
+    printed: list[list[EndpointReport]] = []
+    for report in reports:
+        if not report.endpoints or report.endpoints in printed:
             continue
-        shown.append(each.records)
-        print(f"\nby {', '.join(other.nameserver for other in said if other.records == each.records)}:")
-        columns = ("TARGET", "PORT", "PRIORITY", "WEIGHT", "ADDRESSES")
-        print(
-            table(
-                [columns]
-                + [
-                    (row.target, row.port, row.priority, row.weight, " ".join(row.addresses) or "-")
-                    for row in each.records
-                ]
-            )
-        )
+        printed.append(report.endpoints)
+        same = [other.nameserver for other in reports if other.endpoints == report.endpoints]
+        print(f"\nby {', '.join(same)}:")
+        _print_endpoints(report.endpoints)
+
+
+def _print_endpoints(endpoints: list[EndpointReport]) -> None:
+    rows: list[tuple[object, ...]] = [("TARGET", "PORT", "PRIORITY", "WEIGHT", "ADDRESSES")]
+    for endpoint in endpoints:
+        addresses = " ".join(endpoint.addresses) or "-"
+        rows.append((endpoint.target, endpoint.port, endpoint.priority, endpoint.weight, addresses))
+    print(table(rows))
--- a/hazelbend/dns_discovery/answers.py
+++ b/hazelbend/dns_discovery/answers.py
@@ -1,14 +1,15 @@
-"""Questions and what their answers mean, as plain values. protocol/dns.py makes them from bytes.
-
-An answer is one of:
-
-    Good       records, and how long they hold
-    Nothing    the server says that there are none: NXDOMAIN, NODATA (RFC 2308), or the target "." (RFC 2782).
-               It is a vote like any other: quorum.py
-    Alias      a CNAME that the server did not follow; it is asked for next
-    Truncated  ask again over TCP (RFC 7766)
-    Unknown    anything else: SERVFAIL, REFUSED, FORMERR, a time-out, cut or malformed bytes, a lame server, a
-               chain of aliases without an end. It says nothing of the records: the last good answer stands
+"""Questions and the results of queries, as plain values. `protocol/dns.py` decodes them from messages.
+
+A query has one of these results:
+
+    PositiveAnswer    records, and their TTL
+    NegativeAnswer    the server reports that there are none: NXDOMAIN or NODATA (RFC 2308), or an SRV target
+                      of "." (RFC 2782). It counts as a vote like a positive answer, see `quorum`
+    CnameAlias        a CNAME that the server did not follow; the resolver asks for its target next
+    TruncatedAnswer   the resolver repeats the query over TCP (RFC 7766)
+    QueryFailure      anything else: SERVFAIL, REFUSED, FORMERR, a time-out, malformed messages, a lame
+                      server, a CNAME chain without an end. It says nothing about the records, so the last
+                      accepted ones stay
 """
 
 from __future__ import annotations
@@ -22,37 +23,49 @@
 import dns.exception
 import dns.name
 
-MOST_ALIASES = 8  # of a chain
+MAX_CNAME_CHAIN = 8
+CANONICAL_NAME_CACHE_SIZE = 65_536
+
 
+class RecordType(Enum):
+    """Types of records that are queried, with their numbers (RFC 1035, RFC 3596, RFC 2782)."""
 
-class Kind(Enum):
     SRV = 33
     A = 1
     AAAA = 28
 
 
-@lru_cache(65_536)
-def canonical(name: str) -> str:
-    """Lower case, without the last dot. ValueError if it is no name."""
+ADDRESS_TYPES = (RecordType.A, RecordType.AAAA)
+
+
+@lru_cache(CANONICAL_NAME_CACHE_SIZE)
+def canonical_name(name: str) -> str:
+    """The name in lower case, without the final dot.
+
+    Raises:
+        ValueError: it is not a domain name.
+    """
     try:
-        found = dns.name.from_text(name)
+        parsed = dns.name.from_text(name)
     except (dns.exception.DNSException, UnicodeError) as error:
         raise ValueError(str(error) or "no name") from None
-    return found.canonicalize().to_text(omit_final_dot=True)
+    return parsed.canonicalize().to_text(omit_final_dot=True)
 
 
 @dataclass(slots=True, frozen=True)
 class Question:
+    """A name and the type of record that is asked for."""
+
     name: str  # canonical
-    kind: Kind
+    record_type: RecordType
 
     def __str__(self) -> str:
-        return f"{self.name} {self.kind.name}"
+        return f"{self.name} {self.record_type.name}"
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class BoxKey:
-    """A box as SRV names it."""
+class EndpointKey:
+    """An endpoint as an SRV record names it."""
 
     target: str  # canonical
     port: int
@@ -62,45 +75,53 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rank:
-    """RFC 2782: the lowest priority first; of equal ones, shares by weight."""
+class SrvPreference:
+    """Priority and weight of an SRV record (RFC 2782): the lowest priority first, then shares by weight."""
 
     priority: int
     weight: int
 
 
-# SRV: a BoxKey to its Rank. A and AAAA: an address to None.
-Items: TypeAlias = Mapping[BoxKey, Rank] | Mapping[str, None]
+# SRV: an EndpointKey to its SrvPreference. A and AAAA: an address to None.
+Records: TypeAlias = Mapping[EndpointKey, SrvPreference] | Mapping[str, None]
 
 
 @dataclass(slots=True, frozen=True)
-class Good:
-    items: Items
-    lifetime: int  # seconds, as the server says
-    extra: Mapping[Question, Good] = field(default_factory=dict)  # addresses of targets, in bailiwick
+class PositiveAnswer:
+    """Records. `additional` has the addresses of targets, from the additional section and in bailiwick."""
+
+    records: Records
+    ttl_s: int  # as the server sent it
+    additional: Mapping[Question, PositiveAnswer] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Nothing:
-    why: str
-    lifetime: int = 0
+class NegativeAnswer:
+    """The server reports that there are no such records."""
+
+    reason: str
+    ttl_s: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Alias:
-    to: str
+class CnameAlias:
+    """The name is an alias of another, for which the server sent no records."""
+
+    target: str
 
 
 @dataclass(slots=True, frozen=True)
-class Truncated:
-    pass
+class TruncatedAnswer:
+    """The answer did not fit into a datagram."""
 
 
 @dataclass(slots=True, frozen=True)
-class Unknown:
-    why: str
-    unreachable: bool = False  # the server itself was not heard, or will not speak to us
-    plain: bool = False  # it may be that it does not know EDNS
+class QueryFailure:
+    """The query gave no answer that says anything about the records."""
+
+    reason: str
+    server_unreachable: bool = False  # it did not respond, or refuses to serve us
+    edns_suspected: bool = False  # the server may not support EDNS (RFC 6891, section 7)
 
 
-Meaning: TypeAlias = Good | Nothing | Alias | Truncated | Unknown
+QueryResult: TypeAlias = PositiveAnswer | NegativeAnswer | CnameAlias | TruncatedAnswer | QueryFailure
--- a/hazelbend/dns_discovery/resolver.py
+++ b/hazelbend/dns_discovery/resolver.py
@@ -1,18 +1,19 @@
-"""When to ask which nameserver what, and what the answers come to. No I/O; told the time.
+"""When to query which nameserver for what, and what follows from the results.
 
-A question is followed: an SRV name of the settings, or an address of a target that one of them lists. Equal
-questions are one, whoever needs them. Each goes round:
+There is no I/O here; the caller gives the time, in microseconds.
 
-    resting   until `due_at`: a part of its lifetime (0.90 to 0.98, by a stable hash of dispatcher and
-              question, so that dispatchers do not ask in step), or a rest after failures, which doubles
-    waiting   it is due, and waits for the budgets (queries a second, queries at once)
-    asking    a query is out. Truncated: again over TCP. Unknown: the next nameserver, while tries and the
-              retry budget last; after that it rests, and what is listed stands (quorum.py says how long)
-    asking    ... and where the answers dispute: each of the others, once, until the ballot is decided
+Each tracked question (`tracked_names`) goes through rounds:
 
-`due` gives the queries that are to go out now, `heard` takes what came of one, `next_at` is when `due` has
-something again. Where every nameserver rests, nothing is asked but the one query that tries one of them:
-names that fall due meanwhile wait, and go out by the budget when it has answered.
+    scheduled   until `next_at`: at 0.90 to 0.98 of its TTL, by a stable hash of dispatcher and question, so
+                that dispatchers do not query in step; or after a back-off, which doubles
+    waiting     its refresh is due, and it waits for the budgets (queries per second, queries in flight)
+    in flight   a query was sent. TruncatedAnswer: again over TCP. QueryFailure: the next nameserver, while
+                attempts and the retry budget last; then the round has failed, and the accepted records stay
+    confirming  the votes are in dispute: each of the other nameservers is queried once, until they decide
+
+`due` gives the queries to send now, `query_done` takes the result of one, and `next_at` is when `due` has
+something again. While every nameserver is backing off, only the query on trial is sent: names whose refresh
+is due meanwhile wait, and are queried within the budget after its answer.
 """
 
 from __future__ import annotations
@@ -20,411 +21,293 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from heapq import heappop, heappush
 from typing import Any
 
 from hazelbend.dns_discovery.answers import (
-    MOST_ALIASES,
-    Alias,
-    BoxKey,
-    Good,
-    Kind,
-    Meaning,
-    Nothing,
+    MAX_CNAME_CHAIN,
+    CnameAlias,
+    NegativeAnswer,
+    PositiveAnswer,
+    QueryFailure,
+    QueryResult,
     Question,
-    Rank,
-    Truncated,
-    Unknown,
-    canonical,
+    Records,
+    TruncatedAnswer,
 )
-from hazelbend.dns_discovery.nameservers import Budget, Nameservers, fraction
-from hazelbend.dns_discovery.quorum import Ballot
+from hazelbend.dns_discovery.nameservers import NameserverHealth, Nameservers
+from hazelbend.dns_discovery.query_budget import QueryBudget
 from hazelbend.dns_discovery.settings import SrvSettings
+from hazelbend.dns_discovery.stable_hash import stable_fraction
+from hazelbend.dns_discovery.tracked_names import AdditionalAnswer, TrackedName, TrackedNames
 
-EARLIEST, SPAN = 0.90, 0.08  # of a lifetime: when a question is asked again
-BESIDE = 0.995  # and one whose answer came beside another's, which will come again before that
-ADDRESSES = (Kind.A, Kind.AAAA)
+REFRESH_AT = 0.90  # of a TTL, at the earliest
+REFRESH_SPREAD = 0.08  # of a TTL
+# Addresses from the additional section come again with the next answer to the SRV question, before this.
+ADDITIONAL_REFRESH_AT = 0.995
+BACKOFF_JITTER_MIN = 0.75
+BACKOFF_JITTER_SPREAD = 0.5
+MAX_BACKOFF_DOUBLINGS = 32
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """One query to be sent."""
-
-    number: int
-    server: int
-    question: Question
-    name: str  # what is asked: the question's, or that of an alias of it
-    tcp: bool
-    edns: bool
-
-
-@dataclass(slots=True, eq=False)
-class Followed:
-    """A question that is followed, and where it stands."""
+class Query:
+    """One query to send."""
 
+    id: int
+    server: int  # index of the nameserver
     question: Question
-    ballot: Ballot
-    alive: bool = True  # somebody needs it
-    due_at: int = -1  # -1: waiting or asking
-    was_due_at: int = 0
-    watched: bool = False  # its end by the stale bound stands in the timetable of ends
-    turn: int = 0  # of its entry in the timetable; older ones are void
-    asked: set[int] = field(default_factory=set)  # nameservers in this round
-    heard: bool = False  # one of them has answered
-    confirming: bool = False
-    tries: int = 0
-    rounds_failed: int = 0
-    lifetime: int = 0  # of the last good answer, microseconds
-    good_until: int = 0
-    error: str = ""
-    unknown_since: int = 0  # 0: its last round gave an answer
-    aliases: tuple[str, ...] = ()
-    beside: list[tuple[Question, int, Good, int]] = field(default_factory=list)  # addresses, in this round
-
-    @property
-    def is_out(self) -> bool:
-        return self.due_at < 0
+    name: str  # the name to ask for: the question's, or the target of a CNAME of it
+    over_tcp: bool = field(kw_only=True)
+    edns: bool = field(kw_only=True)
 
 
 @dataclass(slots=True)
-class Totals:
+class ResolverCounters:
+    """Counts since the start."""
+
     queries: int = 0
     retries: int = 0
     confirmations: int = 0
     over_tcp: int = 0
     answers: int = 0
-    unknown: int = 0
-    lateness: list[int] | None = (
-        None  # microseconds past `due_at` of first tries, where somebody collects them
-    )
+    failures: int = 0
+    # Microseconds from the scheduled time of a refresh to its query. None: not collected.
+    refresh_delays_us: list[int] | None = None
 
 
 class Resolver:
+    """The queries of one dispatcher."""
+
     def __init__(self, settings: SrvSettings, dispatcher: str) -> None:
+        self.counters = ResolverCounters()
+        self.names = TrackedNames(settings, dispatcher)
         self._dispatcher = dispatcher
-        self.totals = Totals()
-        self.followed: dict[Question, Followed] = {}
-        self.roots: dict[str, Followed] = {}
-        self.changed: set[str] = (
-            set()
-        )  # the SRV names whose boxes have changed; whoever reads them clears them
-        self._needed_by: dict[str, set[str]] = {}  # target -> the SRV names that list it
-        self._targets: dict[str, set[str]] = {}  # and the other way round
-        self._bare: set[str] = set()  # targets newly listed; an address may come beside the record
-        self._timetable: list[tuple[int, int, Followed]] = []
-        self._ends: list[tuple[int, int, Followed]] = []
-        self._turns = 0
-        self._waiting: deque[Followed] = deque()
-        self._out: dict[int, tuple[Ask, Followed]] = {}
-        self._asks = 0
-        self._settle(settings)
-
-    def _settle(self, settings: SrvSettings) -> None:
-        bounds, budgets = settings.lifetimes, settings.budgets
+        self._waiting: deque[TrackedName] = deque()
+        self._in_flight: dict[int, tuple[Query, TrackedName]] = {}
+        self._last_id = 0
+        self._apply(settings)
+
+    def _apply(self, settings: SrvSettings) -> None:
         self.settings = settings
-        self.servers = Nameservers(len(settings.nameserver))
-        self._budget = Budget(budgets.per_s, budgets.retry_part)
-        self._most_targets = {canonical(each.name): each.most_targets for each in settings.name}
-        self._least, self._most = round(bounds.least_s * 1e6), round(bounds.most_s * 1e6)
-        self.stale = round(bounds.stale_s * 1e6)
-
-    # --- what is followed ---
-
-    def begin(self, now: int, names: Iterable[str]) -> None:
-        """Follow these SRV names (canonical), and no others; first questions are spread over a while."""
-        wanted = set(names)
-        for name in [each for each in self.roots if each not in wanted]:
-            self._unfollow_root(name)
-        for name in sorted(wanted - self.roots.keys()):
-            self.roots[name] = self._follow(Question(name, Kind.SRV), now)
-            self._targets[name] = set()
-
-    def change(self, settings: SrvSettings, now: int) -> None:
-        """New settings; what is known stays. Other nameservers begin without a record."""
-        others = settings.nameserver != self.settings.nameserver
-        before = self.servers
-        self._settle(settings)
-        if not others:
-            self.servers = before
+        self.nameservers = Nameservers(len(settings.nameservers))
+        self._budget = QueryBudget(settings.budgets.queries_per_s, settings.budgets.retry_ratio)
+        self._min_ttl_us = round(settings.ttl_bounds.min_s * 1e6)
+        self._max_ttl_us = round(settings.ttl_bounds.max_s * 1e6)
+        self.names.apply(settings)
+
+    def track_only(self, names: Iterable[str], now: int) -> None:
+        """Track these SRV names (canonical) and no others."""
+        self.names.track_only(names, now)
+
+    def reconfigure(self, settings: SrvSettings, now: int) -> None:
+        """Use new settings; the accepted records stay. Other nameservers begin without a state of health."""
+        same_nameservers = settings.nameservers == self.settings.nameservers
+        nameservers = self.nameservers
+        self._apply(settings)
+        if same_nameservers:
+            self.nameservers = nameservers
             return
-        self._out.clear()  # what is still out speaks of servers that are not asked any more
+        self._in_flight.clear()  # their results would be counted for other nameservers
         self._waiting.clear()
-        for followed in self.followed.values():
-            followed.ballot.servers = len(settings.nameserver)
-            followed.ballot.votes.clear()
-            if followed.is_out:
-                self._rest(followed, now + self._spread(followed.question))
-            else:
-                self._rest(followed, min(followed.due_at, now + self._spread(followed.question)))
-
-    def restore(self, question: Question, items: Mapping[Any, tuple[Any, int]], now: int) -> None:
-        """A last good answer from before the start: it stands, and is asked for again at once."""
-        followed = self.followed.get(question)
-        if followed is None and question.kind in ADDRESSES and question.name in self._needed_by:
-            followed = self._follow(question, now)
-        if followed is not None and not followed.ballot.held:
-            followed.ballot.restore(items)
-            followed.ballot.expire(now, self.stale)
-            self._watch(followed)
-            followed.good_until = max((until for _, until in items.values()), default=0)
-            self._changed(followed)
-            self._ask_addresses(now)
-
-    def boxes(self, name: str) -> dict[BoxKey, tuple[Rank, tuple[str, ...]]]:
-        """The boxes of an SRV name, with their addresses; one without an address is not listed yet."""
-        found = {}
-        items = self.roots[name].ballot.items if name in self.roots else {}
-        for key, rank in items.items():
-            if addresses := self.addresses(key.target):
-                found[key] = rank, addresses
-        if len(found) > (most := self._most_targets.get(name, 1_000)):
-            # Alike at all dispatchers: by priority, then by a stable hash.
-            first = sorted(found, key=lambda key: (found[key][0].priority, fraction(key)))[:most]
-            found = {key: found[key] for key in first}
-        return found
-
-    def addresses(self, target: str) -> tuple[str, ...]:
-        """IPv4 before IPv6, each in order."""
-        lists = (self.followed.get(Question(target, kind)) for kind in ADDRESSES)
-        return tuple(address for each in lists if each is not None for address in sorted(each.ballot.held))
-
-    # --- asking ---
-
-    def due(self, now: int) -> list[Ask]:
-        """The queries that are to go out now. Each must be told of by `heard`, exactly once."""
-        self._drop_old(now)
-        while self._timetable and self._timetable[0][0] <= now:
-            due_at, turn, followed = heappop(self._timetable)
-            if turn != followed.turn or followed.is_out:
-                continue
-            followed.due_at, followed.was_due_at = -1, due_at
-            followed.asked, followed.heard, followed.confirming, followed.tries = set(), False, False, 0
-            followed.aliases = ()
-            self._waiting.append(followed)
-        asks: list[Ask] = []
-        while self._waiting and len(self._out) < self.settings.budgets.at_once:
-            followed = self._waiting[0]
-            if not followed.alive:
+        self.names.change_nameservers(now)
+
+    def restore(self, question: Question, records: Mapping[Any, tuple[Any, int]], now: int) -> None:
+        """Accept the records of a snapshot, as (value, expires_at)."""
+        self.names.restore(question, records, now)
+
+    def due(self, now: int) -> list[Query]:
+        """The queries to send now. The result of each must be given to `query_done`, exactly once."""
+        self.names.drop_stale(now)
+        self._waiting.extend(self.names.pop_due(now))
+        queries: list[Query] = []
+        while self._waiting and self._has_room_in_flight():
+            tracked = self._waiting[0]
+            if not tracked.active:
                 self._waiting.popleft()
                 continue
-            server = self.servers.choose(str(followed.question), followed.asked, now)
-            if server is None and followed.asked:
+            server = self.nameservers.choose(str(tracked.question), tracked.queried, now)
+            if server is None and tracked.queried:
                 self._waiting.popleft()
-                self._round_over(followed, now)
+                self._end_round(tracked, now)
                 continue
-            if server is None or not self._budget.take(now):
+            if server is None or not self._budget.try_acquire(now):
                 break
             self._waiting.popleft()
-            if not followed.tries:
-                self._budget.first_try()
-                if self.totals.lateness is not None and followed.good_until:
-                    self.totals.lateness.append(now - followed.was_due_at)
-            followed.tries += 1
-            asks.append(self._ask(followed, server, tcp=False))
-        return asks
+            self._count_attempt(tracked, now)
+            queries.append(self._query(tracked, server, over_tcp=False))
+        return queries
 
     def next_at(self, now: int) -> int | None:
-        """When `due` may have something; None: not before something is heard."""
-        times = [timetable[0][0] for timetable in (self._timetable, self._ends) if timetable]
-        if self._waiting and len(self._out) < self.settings.budgets.at_once:
-            released = self.servers.released_at(now)
-            times.append(max(released, self._budget.free_at(now)))
+        """When `due` may have queries; None: not before a result."""
+        times = self.names.event_times()
+        if self._waiting and self._has_room_in_flight():
+            available_at = self.nameservers.available_at(now)
+            times.append(max(available_at, self._budget.next_token_at(now)))
         return min(times, default=None)
 
-    def heard(self, number: int, meaning: Meaning, now: int) -> list[Ask]:
-        """What came of a query; the queries that follow from it at once."""
-        ask, followed = self._out.pop(number, (None, None))
-        if ask is None or followed is None:
-            return []
-        health = self.servers.all[ask.server]
-        if isinstance(meaning, Unknown) and meaning.unreachable:
-            health.bad(meaning.why, now)
+    def query_done(self, query_id: int, result: QueryResult, now: int) -> list[Query]:
+        """Take the result of a query. The queries that follow from it at once."""
+        query, tracked = self._in_flight.pop(query_id, (None, None))
+        if query is None or tracked is None:
+            return []  # of nameservers that are no longer configured
+        server = self.nameservers.health[query.server]
+        if isinstance(result, QueryFailure) and result.server_unreachable:
+            server.failed(result.reason, now)
         else:
-            health.good()
-        if not followed.alive:
+            server.succeeded()
+        if not tracked.active:
             return []
-        follow_up: Ask | None = None
-        if isinstance(meaning, Truncated):
-            if not ask.tcp:
-                self.totals.over_tcp += 1
-                follow_up = self._ask(followed, ask.server, tcp=True, name=ask.name)
-            meaning = Unknown("truncated over TCP")
-        elif isinstance(meaning, Alias):
-            followed.aliases = (*followed.aliases, ask.name)
-            if meaning.to not in followed.aliases and len(followed.aliases) <= MOST_ALIASES:
-                follow_up = self._ask(followed, ask.server, tcp=False, name=meaning.to)
-            meaning = Unknown(f"a chain of aliases without an end, at {meaning.to}")
-        elif isinstance(meaning, Unknown) and meaning.plain and ask.edns:
-            health.edns = False
-            follow_up = self._ask(followed, ask.server, tcp=ask.tcp, name=ask.name)
-        if follow_up is not None:
-            self._budget.spend(now)
+        if (follow_up := self._follow_up(query, tracked, result, server)) is not None:
+            self._budget.acquire_in_debt(now)
             return [follow_up]
-        followed.aliases = ()
-        match meaning:
-            case Good():
-                self._vote(followed, ask.server, meaning.items, meaning.lifetime, now)
-                followed.beside.extend(
-                    (question, ask.server, each, now) for question, each in meaning.extra.items()
+        tracked.cname_chain = ()
+        self._take_result(query, tracked, result, now)
+        self._continue_round(tracked, now)
+        return []
+
+    # --- results ---
+
+    def _follow_up(
+        self, query: Query, tracked: TrackedName, result: QueryResult, server: NameserverHealth
+    ) -> Query | None:
+        """The query to the same nameserver that the result asks for; None if it is final."""
+        match result:
+            case TruncatedAnswer() if not query.over_tcp:
+                self.counters.over_tcp += 1
+                return self._query(tracked, query.server, over_tcp=True, ask_for=query.name)
+            case CnameAlias(target=target):
+                tracked.cname_chain = (*tracked.cname_chain, query.name)
+                if target not in tracked.cname_chain and len(tracked.cname_chain) <= MAX_CNAME_CHAIN:
+                    return self._query(tracked, query.server, over_tcp=False, ask_for=target)
+            case QueryFailure(edns_suspected=True) if query.edns:
+                server.supports_edns = False
+                return self._query(tracked, query.server, over_tcp=query.over_tcp, ask_for=query.name)
+        return None
+
+    def _take_result(self, query: Query, tracked: TrackedName, result: QueryResult, now: int) -> None:
+        match result:
+            case PositiveAnswer():
+                self._add_vote(tracked, query.server, result.records, result.ttl_s, now)
+                tracked.additional.extend(
+                    AdditionalAnswer(question, query.server, answer, now)
+                    for question, answer in result.additional.items()
                 )
-            case Nothing():
-                self._vote(followed, ask.server, {}, meaning.lifetime, now)
-                followed.error = meaning.why
-            case Unknown():
-                self.totals.unknown += 1
-                followed.error = f"nameserver {ask.server + 1}: {meaning.why}"
-        if followed.heard and followed.ballot.disputed(now):
-            followed.confirming = True
-            self.totals.confirmations += 1
-            self._waiting.append(followed)
-        elif followed.heard:
-            self._round_over(followed, now)
-        elif followed.tries < self.settings.budgets.tries and self._budget.retry():
-            self.totals.retries += 1
-            self._waiting.appendleft(followed)
+            case NegativeAnswer():
+                self._add_vote(tracked, query.server, {}, result.ttl_s, now)
+                tracked.last_error = result.reason
+            case TruncatedAnswer():
+                self._note_failure(tracked, query, "truncated over TCP")
+            case CnameAlias(target=target):
+                self._note_failure(tracked, query, f"a chain of aliases without an end, at {target}")
+            case QueryFailure(reason=reason):
+                self._note_failure(tracked, query, reason)
+
+    def _add_vote(self, tracked: TrackedName, server: int, records: Records, ttl_s: int, now: int) -> None:
+        self.counters.answers += 1
+        tracked.answered = True
+        tracked.last_error = ""
+        tracked.ttl_us = min(max(ttl_s * 1_000_000, self._min_ttl_us), self._max_ttl_us)
+        tracked.fresh_until = now + tracked.ttl_us
+        if tracked.quorum.add_vote(server, records, tracked.fresh_until, now):
+            self.names.mark_changed(tracked)
+        self.names.schedule_expiry(tracked)
+
+    def _note_failure(self, tracked: TrackedName, query: Query, reason: str) -> None:
+        self.counters.failures += 1
+        tracked.last_error = f"nameserver {query.server + 1}: {reason}"
+
+    def _take_additional(self, additional: AdditionalAnswer, now: int) -> None:
+        """Count addresses from the additional section as an answer to the question for the address."""
+        tracked = self.names.address_question(additional.question, now)
+        if tracked is None or tracked.in_round:
+            return  # no SRV name lists the target now, or the question has a query of its own
+        answer = additional.answer
+        self._add_vote(tracked, additional.server, answer.records, answer.ttl_s, now)
+        tracked.failing_since = 0
+        tracked.failed_rounds = 0
+        disputed = tracked.quorum.is_disputed(now)
+        self.names.schedule(tracked, now if disputed else now + round(tracked.ttl_us * ADDITIONAL_REFRESH_AT))
+
+    # --- rounds ---
+
+    def _continue_round(self, tracked: TrackedName, now: int) -> None:
+        """Query the next nameserver, or end the round."""
+        if tracked.answered:
+            if tracked.quorum.is_disputed(now):
+                tracked.confirming = True
+                self.counters.confirmations += 1
+                self._waiting.append(tracked)
+            else:
+                self._end_round(tracked, now)
+        elif tracked.attempts < self.settings.budgets.max_attempts and self._budget.try_retry():
+            self.counters.retries += 1
+            self._waiting.appendleft(tracked)
         else:
-            self._round_over(followed, now)
-        return []
+            self._end_round(tracked, now)
 
-    def _ask(self, followed: Followed, server: int, tcp: bool, name: str = "") -> Ask:
-        followed.asked.add(server)
-        self._asks += 1
-        health = self.servers.all[server]
-        health.ask()
-        question = followed.question
-        ask = Ask(self._asks, server, question, name or question.name, tcp, health.edns)
-        self._out[ask.number] = ask, followed
-        self.totals.queries += 1
-        return ask
-
-    def _vote(self, followed: Followed, server: int, items: Any, lifetime: int, now: int) -> None:
-        self.totals.answers += 1
-        followed.heard, followed.error = True, ""
-        followed.lifetime = min(max(lifetime * 1_000_000, self._least), self._most)
-        followed.good_until = now + followed.lifetime
-        if followed.ballot.cast(server, items, followed.good_until, now):
-            self._changed(followed)
-        self._watch(followed)
-
-    def _take_extra(self, question: Question, server: int, extra: Good, now: int) -> None:
-        """An address that came beside its target's record."""
-        if question.name not in self._needed_by:
-            return
-        followed = self.followed.get(question) or self._follow(question, now)
-        if followed.is_out:
-            return  # a query of its own is under way
-        self._vote(followed, server, extra.items, extra.lifetime, now)
-        followed.unknown_since = followed.rounds_failed = 0
-        if followed.ballot.disputed(now):
-            self._rest(followed, now)
+    def _end_round(self, tracked: TrackedName, now: int) -> None:
+        if tracked.answered:
+            self._end_answered_round(tracked, now)
         else:
-            self._rest(followed, now + round(followed.lifetime * BESIDE))
-
-    def _round_over(self, followed: Followed, now: int) -> None:
-        """All that this round could ask has been heard: the question rests."""
-        if followed.heard:
-            if followed.confirming and followed.ballot.count(now, final=True):
-                self._changed(followed)
-            if followed.confirming and not followed.ballot.disputed(now):
-                for server in followed.ballot.outvoted:
-                    if isinstance(server, int) and server < len(self.servers.all):
-                        self.servers.all[server].dissented_at = now
-            followed.rounds_failed = followed.unknown_since = 0
-            part = EARLIEST + SPAN * fraction(self._dispatcher, followed.question)
-            self._rest(followed, now + round(followed.lifetime * part))
-            beside, followed.beside = followed.beside, []
-            for question, server, extra, at in beside:
-                self._take_extra(question, server, extra, at)
-            self._ask_addresses(now)
-            return
-        followed.unknown_since = followed.unknown_since or now
+            self._end_failed_round(tracked, now)
+
+    def _end_answered_round(self, tracked: TrackedName, now: int) -> None:
+        if tracked.confirming:
+            if tracked.quorum.tally(now, final=True):
+                self.names.mark_changed(tracked)
+            if not tracked.quorum.is_disputed(now):
+                self._note_dissent(tracked, now)
+        tracked.failed_rounds = 0
+        tracked.failing_since = 0
+        fraction = REFRESH_AT + REFRESH_SPREAD * stable_fraction(self._dispatcher, tracked.question)
+        self.names.schedule(tracked, now + round(tracked.ttl_us * fraction))
+        additional_answers, tracked.additional = tracked.additional, []
+        for additional in additional_answers:
+            self._take_additional(additional, additional.received_at)
+        self.names.track_new_targets(now)
+
+    def _end_failed_round(self, tracked: TrackedName, now: int) -> None:
+        tracked.failing_since = tracked.failing_since or now
         budgets = self.settings.budgets
-        rest = min(budgets.rest_s * 2 ** min(followed.rounds_failed, 32), budgets.longest_rest_s) * 1e6
-        followed.rounds_failed += 1
-        part = 0.75 + 0.5 * fraction(self._dispatcher, followed.question, followed.rounds_failed)
-        self._rest(followed, now + round(rest * part))
-
-    # --- book-keeping ---
-
-    def _follow(self, question: Question, now: int) -> Followed:
-        followed = self.followed.get(question)
-        if followed is None:
-            ballot = Ballot(len(self.servers.all), doubts_none=question.kind is not Kind.AAAA)
-            followed = self.followed[question] = Followed(question, ballot)
-            self._rest(followed, now + (self._spread(question) if question.kind is Kind.SRV else 0))
-        return followed
-
-    def _spread(self, question: Question) -> int:
-        return round(
-            self.settings.budgets.start_spread_s * 1e6 * fraction(self._dispatcher, question, "start")
+        doubled_s = budgets.backoff_s * 2 ** min(tracked.failed_rounds, MAX_BACKOFF_DOUBLINGS)
+        backoff_us = min(doubled_s, budgets.max_backoff_s) * 1e6
+        tracked.failed_rounds += 1
+        jitter = stable_fraction(self._dispatcher, tracked.question, tracked.failed_rounds)
+        factor = BACKOFF_JITTER_MIN + BACKOFF_JITTER_SPREAD * jitter
+        self.names.schedule(tracked, now + round(backoff_us * factor))
+
+    def _note_dissent(self, tracked: TrackedName, now: int) -> None:
+        for server in tracked.quorum.outvoted_servers:
+            # The votes of a snapshot have no nameserver, and a reload may have removed one.
+            if isinstance(server, int) and server < len(self.nameservers.health):
+                self.nameservers.health[server].dissented_at = now
+
+    # --- queries ---
+
+    def _has_room_in_flight(self) -> bool:
+        return len(self._in_flight) < self.settings.budgets.max_in_flight
+
+    def _count_attempt(self, tracked: TrackedName, now: int) -> None:
+        if not tracked.attempts:
+            self._budget.first_attempt()
+            if self.counters.refresh_delays_us is not None and tracked.fresh_until:
+                self.counters.refresh_delays_us.append(now - tracked.scheduled_at)
+        tracked.attempts += 1
+
+    def _query(self, tracked: TrackedName, server: int, *, over_tcp: bool, ask_for: str = "") -> Query:
+        """Count a query in, for the name of the question unless `ask_for` says otherwise."""
+        tracked.queried.add(server)
+        self._last_id += 1
+        health = self.nameservers.health[server]
+        health.query_sent()
+        query = Query(
+            self._last_id,
+            server,
+            tracked.question,
+            ask_for or tracked.question.name,
+            over_tcp=over_tcp,
+            edns=health.supports_edns,
         )
-
-    def _rest(self, followed: Followed, until: int) -> None:
-        self._turns += 1
-        followed.due_at, followed.turn = until, self._turns
-        heappush(self._timetable, (until, self._turns, followed))
-
-    def _watch(self, followed: Followed) -> None:
-        """Whatever becomes of its queries, what nobody renews ends by the stale bound."""
-        if followed.ballot.held and not followed.watched:
-            followed.watched = True
-            self._turns += 1
-            end = min(each.until for each in followed.ballot.held.values()) + self.stale
-            heappush(self._ends, (end, self._turns, followed))
-
-    def _drop_old(self, now: int) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            _, _, followed = heappop(self._ends)
-            followed.watched = False
-            if followed.alive:
-                if followed.ballot.expire(now, self.stale):
-                    self._changed(followed)
-                self._watch(followed)
-        self._ask_addresses(now)
-
-    def _changed(self, followed: Followed) -> None:
-        question = followed.question
-        if question.kind is Kind.SRV:
-            self.changed.add(question.name)
-            self._need_targets(question.name)
-        else:
-            self.changed |= self._needed_by.get(question.name, set())
-            self._bare.add(question.name)
-
-    def _need_targets(self, name: str) -> None:
-        """Follow the addresses of the targets that are listed, and of no others."""
-        before = self._targets[name]
-        wanted = {key.target for key in self.roots[name].ballot.held}
-        for target in wanted - before:
-            self._needed_by.setdefault(target, set()).add(name)
-            self._bare.add(target)
-        for target in before - wanted:
-            self._unneed(target, name)
-        self._targets[name] = wanted
-
-    def _ask_addresses(self, now: int) -> None:
-        """Both kinds are asked for where no address came beside the record."""
-        bare, self._bare = self._bare, set()
-        for target in bare:
-            if target in self._needed_by and not self.addresses(target):
-                for kind in ADDRESSES:
-                    self._follow(Question(target, kind), now)
-
-    def _unneed(self, target: str, name: str) -> None:
-        users = self._needed_by.get(target, set())
-        users.discard(name)
-        if not users:
-            self._needed_by.pop(target, None)
-            for kind in ADDRESSES:
-                self._drop(Question(target, kind))
-
-    def _unfollow_root(self, name: str) -> None:
-        for target in self._targets.pop(name):
-            self._unneed(target, name)
-        del self.roots[name]
-        self._drop(Question(name, Kind.SRV))
-        self.changed.add(name)
-
-    def _drop(self, question: Question) -> None:
-        if (followed := self.followed.pop(question, None)) is not None:
-            followed.alive, followed.turn = False, -1
+        self._in_flight[query.id] = query, tracked
+        self.counters.queries += 1
+        return query
--- a/hazelbend/dns_discovery/settings.py
+++ b/hazelbend/dns_discovery/settings.py
@@ -1,5 +1,7 @@
-"""`deploy/srv.toml`: its schema, by msgspec, and what a schema cannot say. A fault is a ValueError that names
-the key. Times are whole seconds there, and microseconds from here on."""
+"""The schema of `deploy/srv.toml`, and what a schema cannot say. Times are seconds here.
+
+The fields have the keys of the file by `msgspec.field(name=...)` where their names differ.
+"""
 
 from __future__ import annotations
 
@@ -9,112 +11,143 @@
 import msgspec
 from msgspec import Meta
 
-from hazelbend.dns_discovery.answers import canonical
+from hazelbend.dns_discovery.answers import canonical_name
 from hazelbend.schema import convert
 
 Seconds = Annotated[float, Meta(gt=0, le=31_536_000)]
-Whole = Annotated[int, Meta(ge=1, le=1_000_000)]
+MAX_PORT = 65_535
+MIN_DOTS_IN_SRV_NAME = 2  # _service._protocol.domain
 
 
 class Nameserver(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Address of a nameserver, `host:port` or `[host]:port`."""
+
     address: str
 
     @property
     def endpoint(self) -> tuple[str, int]:
+        """IP address and port."""
         host, _, port = self.address.rpartition(":")
         return host.strip("[]"), int(port)
 
 
-class Name(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An SRV name to follow, and what its boxes are: DNS tells neither zone nor kind."""
+class SrvName(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """An SRV name to track, and the zone and kind of its endpoints, which DNS does not tell."""
 
     name: str
     zone: str
     kind: str
     cell: Annotated[int, Meta(ge=0, le=65_535)] = 0
     weight_scale: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # a server's weight for an SRV weight of 1
-    most_targets: Annotated[int, Meta(ge=1, le=10_000)] = 1_000
+    max_targets: Annotated[int, Meta(ge=1, le=10_000)] = msgspec.field(default=1_000, name="most_targets")
+
 
+class TtlBounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Bounds of TTLs, and how long records and tombstones last."""
 
-class Lifetimes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    least_s: Seconds = 5.0
-    most_s: Seconds = 3_600.0
-    stale_s: Seconds = 86_400.0  # how long past its lifetime an answer that nobody renews stands (RFC 8767)
-    gone_s: Seconds = 3_600.0  # how long a box that the box list took off stays off, whatever SRV says
+    min_s: Seconds = msgspec.field(default=5.0, name="least_s")
+    max_s: Seconds = msgspec.field(default=3_600.0, name="most_s")
+    stale_s: Seconds = 86_400.0  # how long past its TTL a record that is not renewed is used (RFC 8767)
+    # How long SRV cannot bring back an endpoint that the endpoint list removed.
+    tombstone_s: Seconds = msgspec.field(default=3_600.0, name="gone_s")
 
 
-class Budgets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    per_s: Annotated[float, Meta(gt=0, le=1e6)] = 100.0  # queries a second, of all kinds together
-    at_once: Whole = 64
+class QueryBudgets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Limits on queries, their time-out and their retries."""
+
+    queries_per_s: Annotated[float, Meta(gt=0, le=1e6)] = msgspec.field(default=100.0, name="per_s")
+    max_in_flight: Annotated[int, Meta(ge=1, le=1_000_000)] = msgspec.field(default=64, name="at_once")
     timeout_s: Annotated[float, Meta(ge=0.01, le=30)] = 1.0
-    tries: Annotated[int, Meta(ge=1, le=10)] = 3  # of one question in a row; then it rests
-    retry_part: Annotated[float, Meta(ge=0, le=10)] = 0.2  # second and further tries, as a part of the first
-    rest_s: Seconds = 1.0  # after all tries have failed; doubled each time
-    longest_rest_s: Seconds = 30.0
-    start_spread_s: Annotated[float, Meta(ge=0, le=600)] = 1.0  # first questions are spread over this
+    max_attempts: Annotated[int, Meta(ge=1, le=10)] = msgspec.field(default=3, name="tries")  # in a round
+    # Retries as a ratio of first attempts.
+    retry_ratio: Annotated[float, Meta(ge=0, le=10)] = msgspec.field(default=0.2, name="retry_part")
+    # After a round that failed; it doubles with each.
+    backoff_s: Seconds = msgspec.field(default=1.0, name="rest_s")
+    max_backoff_s: Seconds = msgspec.field(default=30.0, name="longest_rest_s")
+    start_spread_s: Annotated[float, Meta(ge=0, le=600)] = 1.0  # first queries are spread over this
+
 
+class PriorityPools(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """When endpoints of another SRV priority take over."""
 
-class Pools(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    return_s: Annotated[float, Meta(ge=0, le=86_400)] = 5.0  # a better priority must be able for so long
-    look_s: Annotated[float, Meta(ge=0.01, le=10)] = 0.1
+    # A better priority must be able to take work for this long.
+    failback_delay_s: Annotated[float, Meta(ge=0, le=86_400)] = msgspec.field(default=5.0, name="return_s")
+    check_interval_s: Annotated[float, Meta(ge=0.01, le=10)] = msgspec.field(default=0.1, name="look_s")
 
 
-class Snapshots(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SnapshotFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Where the last known records are kept."""
+
     path: str
-    every_s: Seconds = 5.0  # written at most so often
+    interval_s: Seconds = msgspec.field(default=5.0, name="every_s")  # between writes, at least
 
 
 class SrvSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    nameserver: tuple[Nameserver, ...]
-    name: tuple[Name, ...] = ()
+    """The whole file."""
+
+    nameservers: tuple[Nameserver, ...] = msgspec.field(name="nameserver")
+    names: tuple[SrvName, ...] = msgspec.field(default=(), name="name")
     enabled: bool = True
-    lifetimes: Lifetimes = Lifetimes()
-    budgets: Budgets = Budgets()
-    pools: Pools = Pools()
-    snapshot: Snapshots | None = None
+    ttl_bounds: TtlBounds = msgspec.field(default=TtlBounds(), name="lifetimes")
+    budgets: QueryBudgets = QueryBudgets()
+    pools: PriorityPools = PriorityPools()
+    snapshot: SnapshotFile | None = None
 
 
 def read_settings(table: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]) -> SrvSettings:
-    """A decoded TOML table; zones and kinds are the names that the site's settings have."""
+    """A decoded TOML table. Zones and kinds are the names in the site's settings.
+
+    Raises:
+        ValueError: the table has a fault; the text names the key.
+    """
     settings = convert(table, SrvSettings)
-    _check(settings, zones, kinds)
+    _check_nameservers(settings.nameservers)
+    _check_names(settings.names, zones, kinds)
+    bounds = settings.ttl_bounds
+    if bounds.min_s > bounds.max_s:
+        raise ValueError(f"lifetimes.least_s: {bounds.min_s:g} is over most_s, {bounds.max_s:g}")
+    if settings.budgets.backoff_s > settings.budgets.max_backoff_s:
+        raise ValueError("budgets.rest_s: over longest_rest_s")
+    if settings.snapshot is not None and not settings.snapshot.path:
+        raise ValueError("snapshot.path: empty")
     return settings
 
 
-def _check(settings: SrvSettings, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-    if not settings.nameserver:
+def _check_nameservers(nameservers: tuple[Nameserver, ...]) -> None:
+    if not nameservers:
         raise ValueError("nameserver: none is named")
-    seen: set[object] = set()
-    for index, server in enumerate(settings.nameserver):
-        host, _, port = server.address.rpartition(":")
-        try:
-            ipaddress.ip_address(host.strip("[]"))
-            good = port.isascii() and port.isdecimal() and 0 < int(port) < 65_536
-        except ValueError:
-            good = False
-        if not good:
-            raise ValueError(f"nameserver[{index}].address: {server.address!r} is no address:port")
+    seen: set[tuple[str, int]] = set()
+    for index, server in enumerate(nameservers):
+        path = f"nameserver[{index}].address"
+        if not _is_address(server.address):
+            raise ValueError(f"{path}: {server.address!r} is no address:port")
         if server.endpoint in seen:
-            raise ValueError(f"nameserver[{index}].address: {server.address!r} stands there twice")
+            raise ValueError(f"{path}: {server.address!r} stands there twice")
         seen.add(server.endpoint)
-    for index, name in enumerate(settings.name):
-        where = f"name[{index}]"
+
+
+def _is_address(address: str) -> bool:
+    host, _, port = address.rpartition(":")
+    try:
+        ipaddress.ip_address(host.strip("[]"))
+        return port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
+    except ValueError:
+        return False
+
+
+def _check_names(names: tuple[SrvName, ...], zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+    seen: set[str] = set()
+    for index, name in enumerate(names):
+        path = f"name[{index}]"
         try:
-            known = canonical(name.name)
+            canonical = canonical_name(name.name)
         except ValueError as error:
-            raise ValueError(f"{where}.name: {name.name!r}: {error}") from None
-        if not name.name.startswith("_") or name.name.count(".") < 2:
-            raise ValueError(f"{where}.name: {name.name!r} is no _service._protocol.domain (RFC 2782)")
-        if known in seen:
-            raise ValueError(f"{where}.name: {name.name!r} stands there twice")
-        seen.add(known)
-        for key, value, names in (("zone", name.zone, zones), ("kind", name.kind, kinds)):
-            if value not in names:
-                raise ValueError(f"{where}.{key}: {value!r} is none of {', '.join(names) or 'the settings'}")
-    bounds = settings.lifetimes
-    if bounds.least_s > bounds.most_s:
-        raise ValueError(f"lifetimes.least_s: {bounds.least_s:g} is over most_s, {bounds.most_s:g}")
-    if settings.budgets.rest_s > settings.budgets.longest_rest_s:
-        raise ValueError("budgets.rest_s: over longest_rest_s")
-    if settings.snapshot is not None and not settings.snapshot.path:
-        raise ValueError("snapshot.path: empty")
+            raise ValueError(f"{path}.name: {name.name!r}: {error}") from None
+        if not name.name.startswith("_") or name.name.count(".") < MIN_DOTS_IN_SRV_NAME:
+            raise ValueError(f"{path}.name: {name.name!r} is no _service._protocol.domain (RFC 2782)")
+        if canonical in seen:
+            raise ValueError(f"{path}.name: {name.name!r} stands there twice")
+        seen.add(canonical)
+        for key, value, known in (("zone", name.zone, zones), ("kind", name.kind, kinds)):
+            if value not in known:
+                raise ValueError(f"{path}.{key}: {value!r} is none of {', '.join(known) or 'the settings'}")
--- a/hazelbend/dns_discovery/snapshot.py
+++ b/hazelbend/dns_discovery/snapshot.py
@@ -1,7 +1,7 @@
-"""The last good answers as a file, for a start with no nameserver reachable.
+"""The last known records as a file, for a start while no nameserver responds.
 
-One JSON object: the format's name, its version, a digest of the body, and the body. What is torn, foreign, or
-of a newer version raises SnapshotError, and nothing of it is used. Times are Unix microseconds.
+The file is one JSON object: the name of the format, its version, a digest of the body, and the body. Fields
+have the keys of the file by `msgspec.field(name=...)` where their names differ. Times are Unix microseconds.
 """
 
 from __future__ import annotations
@@ -10,108 +10,144 @@
 import os
 from hashlib import blake2b
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
-from hazelbend.dns_discovery.answers import BoxKey, Kind, Question, Rank
+from hazelbend.dns_discovery.answers import ADDRESS_TYPES, EndpointKey, Question, RecordType, SrvPreference
 from hazelbend.dns_discovery.resolver import Resolver
+from hazelbend.dns_discovery.tracked_names import TrackedName
 
-FORMAT, VERSION = "hazelbend-names", 1
-MOST_BYTES = 64 * 1024 * 1024
+FORMAT = "hazelbend-names"
+VERSION = 1
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class SnapshotError(Exception):
-    """The file cannot be used; the text says why."""
+    """The file cannot be used, nor any part of it; the text gives the reason."""
 
 
-class Service(msgspec.Struct, array_like=True):
+class SrvRecord(msgspec.Struct, array_like=True):
+    """One accepted SRV record."""
+
     target: str
     port: int
     priority: int
     weight: int
-    until: int
+    expires_at: int
+
 
+class AddressRecord(msgspec.Struct, array_like=True):
+    """One accepted A or AAAA record."""
 
-class Address(msgspec.Struct, array_like=True):
     address: str
-    until: int
+    expires_at: int
 
 
-class Services(msgspec.Struct):
+class SrvRecords(msgspec.Struct):
+    """The accepted records of an SRV name."""
+
     name: str
-    items: list[Service]
+    records: list[SrvRecord] = msgspec.field(name="items")
+
 
+class AddressRecords(msgspec.Struct):
+    """The accepted addresses of a target."""
 
-class Addresses(msgspec.Struct):
     name: str
-    kind: str
-    items: list[Address]
+    record_type: str = msgspec.field(name="kind")
+    records: list[AddressRecord] = msgspec.field(name="items")
 
 
-class GoneBox(msgspec.Struct):
+class TombstoneRecord(msgspec.Struct):
+    """An endpoint that the endpoint list removed."""
+
     host: str
-    at: int
+    removed_at: int = msgspec.field(name="at")
     dial: str
     target: str = ""
     port: int = 0
 
 
-class Body(msgspec.Struct):
+class Snapshot(msgspec.Struct):
+    """All that is kept."""
+
     written_at: int
-    services: list[Services]
-    addresses: list[Addresses]
-    gone: list[GoneBox] = []
-    started: dict[str, int] = {}  # boxes of SRV alone: since when they run
+    srv_records: list[SrvRecords] = msgspec.field(name="services")
+    address_records: list[AddressRecords] = msgspec.field(name="addresses")
+    tombstones: list[TombstoneRecord] = msgspec.field(default_factory=list, name="gone")
+    started: dict[str, int] = {}  # endpoints that only SRV lists: when they started
 
 
 class Envelope(msgspec.Struct):
+    """The file: what the body is, and its digest."""
+
     format: str
     version: int
     digest: str
     body: msgspec.Raw
 
 
-def take(resolver: Resolver, gone: list[GoneBox], started: dict[str, int], now: int) -> Body:
-    services, addresses = [], []
-    for question, followed in resolver.followed.items():
-        held = followed.ballot.held
-        if not held:
+def capture(
+    resolver: Resolver, tombstones: list[TombstoneRecord], started: dict[str, int], now: int
+) -> Snapshot:
+    """What the resolver has accepted now, with the state of the endpoints."""
+    srv_records = []
+    address_records = []
+    for question, tracked in resolver.names.by_question.items():
+        if not tracked.quorum.accepted:
             continue
-        if question.kind is Kind.SRV:
-            rows = [
-                Service(key.target, key.port, each.value.priority, each.value.weight, each.until)
-                for key, each in held.items()
-            ]
-            services.append(Services(question.name, rows))
+        if question.record_type is RecordType.SRV:
+            srv_records.append(SrvRecords(question.name, _srv_records(tracked)))
         else:
-            listed = [Address(address, each.until) for address, each in held.items()]
-            addresses.append(Addresses(question.name, question.kind.name, listed))
-    return Body(now, services, addresses, gone, started)
-
-
-def restore(resolver: Resolver, body: Body, now: int) -> None:
-    """Take over what is still within its bound; a time that lies too far ahead is brought back to it."""
-    latest = now + round(resolver.settings.lifetimes.most_s * 1e6)
-    for each in body.services:
-        found = {
-            BoxKey(row.target, row.port): (Rank(row.priority, row.weight), min(row.until, latest))
-            for row in each.items
+            addresses = [
+                AddressRecord(address, record.expires_at)
+                for address, record in tracked.quorum.accepted.items()
+            ]
+            address_records.append(AddressRecords(question.name, question.record_type.name, addresses))
+    return Snapshot(now, srv_records, address_records, tombstones, started)
+
+
+def _srv_records(tracked: TrackedName) -> list[SrvRecord]:
+    return [
+        SrvRecord(key.target, key.port, record.value.priority, record.value.weight, record.expires_at)
+        for key, record in tracked.quorum.accepted.items()
+    ]
+
+
+def restore(resolver: Resolver, snapshot: Snapshot, now: int) -> None:
+    """Accept the records that are within the stale bound.
+
+    A clock that was set back may make times lie ahead of the longest TTL; they are brought back to it.
+    """
+    latest = now + round(resolver.settings.ttl_bounds.max_s * 1e6)
+    for srv in snapshot.srv_records:
+        services = {
+            EndpointKey(record.target, record.port): (
+                SrvPreference(record.priority, record.weight),
+                min(record.expires_at, latest),
+            )
+            for record in srv.records
         }
-        resolver.restore(Question(each.name, Kind.SRV), found, now)
-    for listed in body.addresses:
-        if listed.kind in (Kind.A.name, Kind.AAAA.name):
-            question = Question(listed.name, Kind[listed.kind])
-            times = {row.address: (None, min(row.until, latest)) for row in listed.items}
-            resolver.restore(question, times, now)
+        resolver.restore(Question(srv.name, RecordType.SRV), services, now)
+    for host in snapshot.address_records:
+        if host.record_type in [record_type.name for record_type in ADDRESS_TYPES]:
+            question = Question(host.name, RecordType[host.record_type])
+            addresses = {record.address: (None, min(record.expires_at, latest)) for record in host.records}
+            resolver.restore(question, addresses, now)
+
 
+def encode(snapshot: Snapshot) -> bytes:
+    """The content of a file."""
+    body = msgspec.json.encode(snapshot)
+    return msgspec.json.encode(Envelope(FORMAT, VERSION, _digest(body), msgspec.Raw(body)))
 
-def encode(body: Body) -> bytes:
-    text = msgspec.json.encode(body)
-    return msgspec.json.encode(Envelope(FORMAT, VERSION, _digest(text), msgspec.Raw(text)))
 
+def decode(data: bytes) -> Snapshot:
+    """Read the content of a file.
 
-def decode(data: bytes) -> Body:
+    Raises:
+        SnapshotError: it is torn, damaged, of another format or of another version.
+    """
     try:
         envelope = msgspec.json.decode(data, type=Envelope)
     except msgspec.DecodeError as error:
@@ -123,52 +159,69 @@
     if _digest(bytes(envelope.body)) != envelope.digest:
         raise SnapshotError("damaged: its digest does not match")
     try:
-        return msgspec.json.decode(envelope.body, type=Body)
+        return msgspec.json.decode(envelope.body, type=Snapshot)
     except msgspec.DecodeError as error:
         raise SnapshotError(f"a body of another shape: {error}") from None
 
 
-def from_object(value: Any) -> Body:
-    """A body that came within other JSON: an upgrade's. SnapshotError if it is none."""
+def from_object(value: object) -> Snapshot:
+    """A snapshot that came within other JSON, from the process before in an upgrade.
+
+    Raises:
+        SnapshotError: it is none.
+    """
     try:
-        return msgspec.convert(value, Body)
+        return msgspec.convert(value, Snapshot)
     except msgspec.ValidationError as error:
         raise SnapshotError(str(error)) from None
 
 
-def read(path: Path) -> Body | None:
-    """None if there is no file."""
+def read_file(path: Path) -> Snapshot | None:
+    """The snapshot in a file; None if there is no file.
+
+    Raises:
+        SnapshotError: it cannot be read or used.
+    """
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         return None
     except OSError as error:
         raise SnapshotError(error.strerror or str(error)) from None
-    if len(data) > MOST_BYTES:
+    if len(data) > MAX_FILE_BYTES:
         raise SnapshotError("over 64 MiB")
     return decode(data)
 
 
-def write(path: Path, data: bytes) -> None:
-    """In one step: a reader finds the old file or the new one, also after a loss of power. OSError if not."""
-    beside = path.with_name(f"{path.name}.{os.getpid()}.new")
+def write_file(path: Path, data: bytes) -> None:
+    """Replace the file in one step: a reader finds the old or the new one, also after a loss of power.
+
+    Raises:
+        OSError: it cannot be written; the old file stays.
+    """
+    new_file = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
-        with beside.open("wb") as file:
+        with new_file.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        beside.replace(path)
-        folder = os.open(path.parent, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+        new_file.replace(path)
+        _sync_directory(path.parent)
     except OSError:
         with contextlib.suppress(OSError):
-            beside.unlink()
+            new_file.unlink()
         raise
 
 
-def _digest(text: bytes) -> str:
-    return blake2b(text, digest_size=16).hexdigest()
+def _sync_directory(path: Path) -> None:
+    """Without it the new name may be lost in a loss of power."""
+    directory = os.open(path, os.O_RDONLY)
+    try:
+        os.fsync(directory)
+    finally:
+        os.close(directory)
+
+
+def _digest(body: bytes) -> str:
+    return blake2b(body, digest_size=16).hexdigest()
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -29,7 +29,7 @@
 from immutables import Map
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.dns_discovery.answers import BoxKey, Rank, canonical
+from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference, canonical_name
 from hazelbend.endpoints.rule import ListSays, SrvSays, Verdict, decide
 from hazelbend.routing.ports import Endpoint, EndpointList
 
@@ -38,7 +38,7 @@
 class Claim:
     """What an SRV name says of a box."""
 
-    rank: Rank
+    rank: SrvPreference
     addresses: tuple[str, ...]
     zone: int
     kind: int
@@ -54,7 +54,7 @@
     """A box that the box list took off."""
 
     at: int
-    key: BoxKey | None
+    key: EndpointKey | None
     dial: str
 
 
@@ -62,7 +62,7 @@
 class Member:
     entry: Endpoint
     sources: tuple[str, ...]  # "box list", "stomp", or SRV names
-    key: BoxKey | None = None
+    key: EndpointKey | None = None
     spare: bool = False
 
 
@@ -85,14 +85,14 @@
         self.view = View()
         self.list_failed = False
         self._listed: Map[str, Endpoint] = Map()
-        self._by_key: Index[BoxKey] = Map()  # of what is listed
+        self._by_key: Index[EndpointKey] = Map()  # of what is listed
         self._by_dial: Index[str] = Map()
         self.gone: Map[str, Gone] = Map()
-        self._gone_keys: Index[BoxKey] = Map()
+        self._gone_keys: Index[EndpointKey] = Map()
         self._gone_dials: Index[str] = Map()
-        self._claims: Map[BoxKey, Map[str, Claim]] = Map()
-        self._names: Map[str, Map[BoxKey, Claim]] = Map()
-        self._claimed_dials: Map[str, frozenset[BoxKey]] = Map()
+        self._claims: Map[EndpointKey, Map[str, Claim]] = Map()
+        self._names: Map[str, Map[EndpointKey, Claim]] = Map()
+        self._claimed_dials: Map[str, frozenset[EndpointKey]] = Map()
         self._open: dict[str, int] = {}  # of an SRV name: the worst priority that is open
         self._started: dict[str, int] = {}  # remembered from before a start
         self.renamed: list[tuple[str, str]] = []  # boxes known by another name now; whoever reads clears it
@@ -106,7 +106,7 @@
             return news
         self.list_failed = False
         before, touched = self.view.members, set[str]()
-        keys: set[BoxKey] = set()
+        keys: set[EndpointKey] = set()
         if news.whole:
             named = {entry.host for entry in news.entries}
             for host in [each for each in self._listed if each not in named]:
@@ -125,7 +125,7 @@
             return EndpointList(self.entries(), whole=True, seq=news.seq)
         return EndpointList(self._difference(before, touched, keys), seq=news.seq)
 
-    def hear_name(self, name: str, boxes: Mapping[BoxKey, Claim], now: int) -> EndpointList:
+    def hear_name(self, name: str, boxes: Mapping[EndpointKey, Claim], now: int) -> EndpointList:
         """The boxes that an SRV name lists now, and no others; the changes."""
         before, old = self.view.members, self._names.get(name, Map())
         keys = {key for key in old if key not in boxes}
@@ -174,7 +174,7 @@
         """Boxes that the list took off long ago may come by SRV again, unless the list cannot be heard."""
         if self.list_failed:
             return EndpointList()
-        before, keys = self.view.members, set[BoxKey]()
+        before, keys = self.view.members, set[EndpointKey]()
         for host, gone in list(self.gone.items()):
             if gone.at + self.gone_for <= now:
                 named = self._unmark(host, gone)
@@ -207,14 +207,14 @@
             if LIST not in each.sources and each.key is not None
         }
 
-    def list_says(self, key: BoxKey) -> ListSays:
+    def list_says(self, key: EndpointKey) -> ListSays:
         host = self._list_host(key)
         if host is not None:
             state = self._listed[host].state
             return ListSays.SERVING if state is WorkerState.READY else ListSays.DRAINING
         return ListSays.GONE if self._gone_host(key) is not None else ListSays.NEVER
 
-    def member_name(self, key: BoxKey) -> str | None:
+    def member_name(self, key: EndpointKey) -> str | None:
         """By which name the view has a box of SRV; None if it does not."""
         host = self._list_host(key) or str(key)
         return host if host in self.view.members else None
@@ -229,7 +229,7 @@
 
     # --- steps ---
 
-    def _list(self, entry: Endpoint) -> set[BoxKey]:
+    def _list(self, entry: Endpoint) -> set[EndpointKey]:
         """Take an entry of the box list; the boxes of SRV that this may concern."""
         old = self._listed.get(entry.host)
         if old is not None and old.dial == entry.dial:
@@ -249,7 +249,7 @@
             keys |= self._unmark(mark, self.gone[mark])
         return keys | self._related(key, entry.dial)
 
-    def _unlist(self, host: str, now: int) -> set[BoxKey]:
+    def _unlist(self, host: str, now: int) -> set[EndpointKey]:
         """The list has taken it off. One that it never had, and says is gone, is gone as well."""
         entry = self._listed.get(host)
         if entry is None:
@@ -259,7 +259,7 @@
         self._mark(host, Gone(now, _key(entry), entry.dial))
         return keys
 
-    def _unindex(self, entry: Endpoint) -> set[BoxKey]:
+    def _unindex(self, entry: Endpoint) -> set[EndpointKey]:
         key = _key(entry)
         if key is not None:
             self._by_key = _less(self._by_key, key, entry.host)
@@ -272,31 +272,31 @@
             self._gone_keys = _with(self._gone_keys, gone.key, host)
         self._gone_dials = _with(self._gone_dials, gone.dial, host)
 
-    def _unmark(self, host: str, gone: Gone) -> set[BoxKey]:
+    def _unmark(self, host: str, gone: Gone) -> set[EndpointKey]:
         self.gone = _without(self.gone, host)
         if gone.key is not None:
             self._gone_keys = _less(self._gone_keys, gone.key, host)
         self._gone_dials = _less(self._gone_dials, gone.dial, host)
         return self._related(gone.key, gone.dial)
 
-    def _related(self, key: BoxKey | None, dial: str) -> set[BoxKey]:
+    def _related(self, key: EndpointKey | None, dial: str) -> set[EndpointKey]:
         found = set(self._claimed_dials.get(dial, frozenset()))
         if key is not None and key in self._claims:
             found.add(key)
         return found
 
-    def _forget_dials(self, key: BoxKey, claims: Map[str, Claim]) -> None:
+    def _forget_dials(self, key: EndpointKey, claims: Map[str, Claim]) -> None:
         for dial in {dial for each in claims.values() for dial in each.dials(key.port)}:
             held = self._claimed_dials.get(dial, frozenset()) - {key}
             self._claimed_dials = (
                 self._claimed_dials.set(dial, held) if held else _without(self._claimed_dials, dial)
             )
 
-    def _dials(self, key: BoxKey) -> Iterable[str]:
+    def _dials(self, key: EndpointKey) -> Iterable[str]:
         for claim in self._claims.get(key, Map()).values():
             yield from claim.dials(key.port)
 
-    def _list_host(self, key: BoxKey) -> str | None:
+    def _list_host(self, key: EndpointKey) -> str | None:
         """Of several that it may be, the first by name: alike at all dispatchers."""
         if hosts := self._by_key.get(key):
             return min(hosts)
@@ -304,13 +304,13 @@
             (min(self._by_dial[each]) for each in self._dials(key) if each in self._by_dial), default=None
         )
 
-    def _gone_host(self, key: BoxKey) -> str | None:
+    def _gone_host(self, key: EndpointKey) -> str | None:
         if hosts := self._gone_keys.get(key):
             return min(hosts)
         dials = (each for each in self._dials(key) if each in self._gone_dials)
         return min((min(self._gone_dials[each]) for each in dials), default=None)
 
-    def _renew(self, hosts: Iterable[str], keys: Iterable[BoxKey], now: int) -> None:
+    def _renew(self, hosts: Iterable[str], keys: Iterable[EndpointKey], now: int) -> None:
         """Work these boxes out anew."""
         members, hosts, keys = self.view.members, set(hosts), set(keys)
         hosts |= {found for found in map(self._list_host, keys) if found is not None}
@@ -339,7 +339,7 @@
             members = change.finish()
         self._publish(members)
 
-    def _srv_member(self, key: BoxKey, old: Member | None, now: int) -> Member:
+    def _srv_member(self, key: EndpointKey, old: Member | None, now: int) -> Member:
         claims = self._claims[key]
         names = tuple(sorted(claims))
         claim = claims[names[0]]
@@ -364,7 +364,7 @@
         return Member(entry, names, key, spare)
 
     def _difference(
-        self, before: Map[str, Member], hosts: Iterable[str], keys: Iterable[BoxKey]
+        self, before: Map[str, Member], hosts: Iterable[str], keys: Iterable[EndpointKey]
     ) -> tuple[Endpoint, ...]:
         """What has changed of these, as changes of a list: what left is gone."""
         names = dict.fromkeys(hosts) | dict.fromkeys(map(str, keys))
@@ -382,13 +382,13 @@
             self.view = View(self.view.version + 1, members)
 
 
-def _key(entry: Endpoint) -> BoxKey | None:
+def _key(entry: Endpoint) -> EndpointKey | None:
     """What SRV would call this box."""
     _host, _, port = entry.dial.rpartition(":")
     if not port.isdecimal():
         return None
     try:
-        return BoxKey(canonical(entry.host.removesuffix(f":{port}")), int(port))
+        return EndpointKey(canonical_name(entry.host.removesuffix(f":{port}")), int(port))
     except ValueError:
         return None
 
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -17,16 +17,17 @@
 
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery import snapshot
-from hazelbend.dns_discovery.answers import BoxKey, Kind, Question, canonical
-from hazelbend.dns_discovery.resolver import Followed, Resolver
-from hazelbend.dns_discovery.settings import Name, SrvSettings
+from hazelbend.dns_discovery.answers import EndpointKey, Question, RecordType, canonical_name
+from hazelbend.dns_discovery.resolver import Resolver
+from hazelbend.dns_discovery.settings import SrvName, SrvSettings
+from hazelbend.dns_discovery.tracked_names import TrackedName
 from hazelbend.endpoints.merger import LIST, STOMP, Claim, Gone, Membership
 from hazelbend.endpoints.pool import Pool
 from hazelbend.endpoints.rule import SrvSays, srv_says
 from hazelbend.program.log import Sparing
 from hazelbend.program.parts import CommandError, Ground, Part, Show, table
 from hazelbend.routing.ports import Endpoint, EndpointList
-from hazelbend.transport.dns.name_source import NameSource
+from hazelbend.transport.dns.resolver_driver import ResolverDriver
 
 log = logging.getLogger("hazelbend.names")
 
@@ -53,11 +54,11 @@
         self._ground, self._reader = ground, ground.conf.reader
         self.settings = settings = self._wanted()
         self._clock, self._router = ground.router.clock, ground.router
-        self.membership = Membership(round(settings.lifetimes.gone_s * 1e6))
+        self.membership = Membership(round(settings.ttl_bounds.tombstone_s * 1e6))
         self.resolver = Resolver(settings, ground.conf.name)
-        self._names: dict[str, Name] = {canonical(each.name): each for each in settings.name}
+        self._names: dict[str, SrvName] = {canonical_name(each.name): each for each in settings.names}
         self._pools: dict[str, Pool] = {}
-        self._source = NameSource(self.resolver, self._clock.now, self._names_changed)
+        self._source = ResolverDriver(self.resolver, self._clock.now, self._names_changed)
         self._tiered: set[str] = set()  # names whose boxes have several priorities
         self._looking = self._closed = False
         self._told_at = 0
@@ -75,13 +76,13 @@
         now, self._router.guest_watcher = self._clock.now(), self.hear_guest
         body = self._last_known(handed_over)
         if body is not None:
-            gone = {each.host: Gone(each.at, _box_key(each), each.dial) for each in body.gone}
+            gone = {each.host: Gone(each.removed_at, _box_key(each), each.dial) for each in body.tombstones}
             self.membership.restore(gone, body.started)
         self.membership.hear_list(EndpointList(known.entries, whole=True, seq=known.seq), now)
-        self.resolver.begin(now, self._names)
+        self.resolver.track_only(self._names, now)
         if body is not None:
             snapshot.restore(self.resolver, body, now)
-            names, self.resolver.changed = self.resolver.changed, set()
+            names, self.resolver.names.changed = self.resolver.names.changed, set()
             for name in sorted(names):
                 self._hear_boxes(name, now)
             self._look(now)
@@ -90,7 +91,7 @@
         return EndpointList(self.membership.entries(), whole=True, seq=known.seq)
 
     async def start(self) -> None:
-        self._source.pump()
+        self._source.run_due()
         self._look_later()
 
     def _wanted(self) -> SrvSettings:
@@ -104,15 +105,18 @@
             return
         now, before = self._clock.now(), self.settings
         self.settings, self._reader = settings, reader
-        self._names = {canonical(each.name): each for each in settings.name}
-        self.membership.gone_for = round(settings.lifetimes.gone_s * 1e6)
-        self.resolver.change(settings, now)
-        self.resolver.begin(now, self._names)
-        self.resolver.changed |= self._names.keys()  # zone, kind or scale may be others
-        if (settings.nameserver, settings.budgets.timeout_s) != (before.nameserver, before.budgets.timeout_s):
+        self._names = {canonical_name(each.name): each for each in settings.names}
+        self.membership.gone_for = round(settings.ttl_bounds.tombstone_s * 1e6)
+        self.resolver.reconfigure(settings, now)
+        self.resolver.track_only(self._names, now)
+        self.resolver.names.changed |= self._names.keys()  # zone, kind or scale may be others
+        if (settings.nameservers, settings.budgets.timeout_s) != (
+            before.nameservers,
+            before.budgets.timeout_s,
+        ):
             self._source.reconnect()
         else:
-            self._source.pump()
+            self._source.run_due()
 
     def stop(self) -> None:
         """From here on the list is what discovery says."""
@@ -174,7 +178,7 @@
             key: Claim(
                 rank, addresses, zone, kind, conf.cell, max(rank.weight, LEAST_WEIGHT) * conf.weight_scale
             )
-            for key, (rank, addresses) in self.resolver.boxes(name).items()
+            for key, (rank, addresses) in self.resolver.names.endpoints(name).items()
         }
         several = len({each.rank.priority for each in claims.values()}) > 1
         (self._tiered.add if several else self._tiered.discard)(name)
@@ -217,7 +221,7 @@
                 able[priority] = able.get(priority, False) or (ready and not held)
             pool = self._pools[name]
             was = pool.level
-            level = pool.look(able, now, round(self.settings.pools.return_s * 1e6))
+            level = pool.look(able, now, round(self.settings.pools.failback_delay_s * 1e6))
             if level != was:
                 self._log.info("%s: open up to priority %s (%s before)", name, level, was)
             self._tell(self.membership.open_to(name, level, now))
@@ -241,7 +245,9 @@
             self._told_at = now
             self._tell(self.membership.forget_gone(now))
             self._log_unknown()
-        self._look_timer = asyncio.get_running_loop().call_later(self.settings.pools.look_s, self._look_later)
+        self._look_timer = asyncio.get_running_loop().call_later(
+            self.settings.pools.check_interval_s, self._look_later
+        )
 
     # --- snapshots ---
 
@@ -249,24 +255,24 @@
         """What the next process of an upgrade begins with."""
         return dict(msgspec.to_builtins(self._body()))
 
-    def _body(self) -> snapshot.Body:
+    def _body(self) -> snapshot.Snapshot:
         gone = [
-            snapshot.GoneBox(
+            snapshot.TombstoneRecord(
                 host, each.at, each.dial, *((each.key.target, each.key.port) if each.key else ())
             )
             for host, each in self.membership.gone.items()
         ]
-        return snapshot.take(self.resolver, gone, self.membership.by_srv(), self._clock.now())
+        return snapshot.capture(self.resolver, gone, self.membership.by_srv(), self._clock.now())
 
     def _encoded(self) -> bytes:
         return snapshot.encode(self._body())
 
-    def _last_known(self, handed_over: dict[str, Any]) -> snapshot.Body | None:
+    def _last_known(self, handed_over: dict[str, Any]) -> snapshot.Snapshot | None:
         try:
             if handed_over:
                 return snapshot.from_object(handed_over)
             if self.settings.snapshot is not None:
-                return snapshot.read(Path(self.settings.snapshot.path))
+                return snapshot.read_file(Path(self.settings.snapshot.path))
         except snapshot.SnapshotError as error:
             self.snapshot_error = str(error)
             log.warning("snapshot: %s; it is not used", error)
@@ -274,7 +280,7 @@
 
     def _save_later(self) -> None:
         if self.settings.snapshot is not None and self._save_timer is None:
-            wait = self.settings.snapshot.every_s
+            wait = self.settings.snapshot.interval_s
             self._save_timer = asyncio.get_running_loop().call_later(wait, self._save)
 
     def _save(self) -> None:
@@ -289,7 +295,7 @@
 
     def _write(self, path: Path, data: bytes) -> None:
         try:
-            snapshot.write(path, data)
+            snapshot.write_file(path, data)
         except OSError as error:
             if self.snapshot_error != str(error):
                 log.warning("snapshot: cannot be written: %s", error)
@@ -309,7 +315,7 @@
         rows: list[tuple[object, ...]] = [
             ("SOURCE", "STATE", "BOXES"),
             ("box list", "failed" if self.membership.list_failed else heard, len(self.membership.listed())),
-            ("SRV names", f"{len(self.resolver.roots)} followed", len(named)),
+            ("SRV names", f"{len(self.resolver.names.roots)} followed", len(named)),
             ("stomp", "connected", sum(each.sources == (STOMP,) for each in members)),
             ("gone", "taken off by the box list", len(self.membership.gone)),
         ]
@@ -318,9 +324,9 @@
             more += f"; snapshot: {self.snapshot_error}"
         servers: list[tuple[object, ...]] = [("NAMESERVER", "STATE", "ASKED", "FAILED", "LAST ERROR")]
         now = self._clock.now()
-        for conf, each in zip(self.settings.nameserver, self.resolver.servers.all, strict=True):
-            state = "rests" if each.rests(now) else "serves"
-            servers.append((conf.address, state, each.asked, each.failed, each.last_error or "-"))
+        for conf, each in zip(self.settings.nameservers, self.resolver.nameservers.health, strict=True):
+            state = "rests" if each.is_backing_off(now) else "serves"
+            servers.append((conf.address, state, each.queries, each.failures, each.last_error or "-"))
         return "\n".join([table(rows), "", table(servers), "", more])
 
     def _show_names(self, name: str = "") -> str:
@@ -337,7 +343,7 @@
         return table(rows)
 
     def _show_records(self, name: str) -> str:
-        if name not in self.resolver.roots:
+        if name not in self.resolver.names.roots:
             raise CommandError(f"{name!r} is not followed; see: show names")
         head = ("TARGET", "PORT", "PRIORITY", "WEIGHT", "ADDRESSES", "BOX LIST SAYS")
         return table([head, *((key.target, key.port, *rest) for key, *rest in self.records(name))])
@@ -345,7 +351,7 @@
     def rows(self) -> list[NameRow]:
         now, members = self._clock.now(), self.membership.view.members
         rows = []
-        for name, followed in sorted(self.resolver.roots.items()):
+        for name, followed in sorted(self.resolver.names.roots.items()):
             hosts = self.membership.priorities(name)
             rows.append(
                 NameRow(
@@ -354,30 +360,30 @@
                     len(hosts),
                     sum(not members[host].spare for host in hosts),
                     self._pools[name].level if name in self._pools else None,
-                    (self._good_until(followed) - now) / 1e6 if followed.good_until else 0.0,
-                    (now - followed.unknown_since) / 1e6 if followed.unknown_since else 0.0,
-                    followed.error,
+                    (self._good_until(followed) - now) / 1e6 if followed.fresh_until else 0.0,
+                    (now - followed.failing_since) / 1e6 if followed.failing_since else 0.0,
+                    followed.last_error,
                 )
             )
         return rows
 
-    def records(self, name: str) -> list[tuple[BoxKey, int, int, str, str]]:
+    def records(self, name: str) -> list[tuple[EndpointKey, int, int, str, str]]:
         """Of one name: target and port, priority, weight, addresses, and how it stands with the box list."""
-        followed = self.resolver.roots[name]
+        followed = self.resolver.names.roots[name]
         return [
             (
                 key,
                 rank.priority,
                 rank.weight,
-                " ".join(self.resolver.addresses(key.target)) or "-",
+                " ".join(self.resolver.names.addresses(key.target)) or "-",
                 self.membership.list_says(key).value,
             )
-            for key, rank in sorted(followed.ballot.items.items())
+            for key, rank in sorted(followed.quorum.values.items())
         ]
 
     def counts(self) -> dict[str, int]:
         """Figures for the operators' door."""
-        totals, states = self.resolver.totals, [row.state for row in self.rows()]
+        totals, states = self.resolver.counters, [row.state for row in self.rows()]
         members = self.membership.view.members.values()
         return {
             "names.followed": len(states),
@@ -388,35 +394,35 @@
             "names.queries": totals.queries,
             "names.retries": totals.retries,
             "names.answers": totals.answers,
-            "names.failures": totals.unknown,
+            "names.failures": totals.failures,
         }
 
-    def _state(self, followed: Followed, now: int) -> str:
-        if not followed.good_until:
-            return "not asked yet" if not followed.unknown_since else SrvSays.UNKNOWN.value
-        listed = bool(followed.ballot.held)
-        return srv_says(listed, followed.unknown_since > 0, followed.good_until <= now).value
+    def _state(self, followed: TrackedName, now: int) -> str:
+        if not followed.fresh_until:
+            return "not asked yet" if not followed.failing_since else SrvSays.UNKNOWN.value
+        listed = bool(followed.quorum.accepted)
+        return srv_says(listed, followed.failing_since > 0, followed.fresh_until <= now).value
 
-    def _good_until(self, followed: Followed) -> int:
+    def _good_until(self, followed: TrackedName) -> int:
         """The least of the name's own lifetime and those of its targets' addresses."""
-        times = [followed.good_until]
-        for key in followed.ballot.held:
-            for kind in (Kind.A, Kind.AAAA):
-                each = self.resolver.followed.get(Question(key.target, kind))
-                if each is not None and each.ballot.held:
-                    times.append(each.good_until)
+        times = [followed.fresh_until]
+        for key in followed.quorum.accepted:
+            for kind in (RecordType.A, RecordType.AAAA):
+                each = self.resolver.names.by_question.get(Question(key.target, kind))
+                if each is not None and each.quorum.accepted:
+                    times.append(each.fresh_until)
         return min(times)
 
     def _log_unknown(self) -> None:
         """A line when a name becomes unknown, and when it is answered again."""
-        now_unknown = {name for name, each in self.resolver.roots.items() if each.unknown_since}
+        now_unknown = {name for name, each in self.resolver.names.roots.items() if each.failing_since}
         for name in sorted(now_unknown - self._was_unknown):
-            self._log.warning("%s: unknown: %s", name, self.resolver.roots[name].error)
+            self._log.warning("%s: unknown: %s", name, self.resolver.names.roots[name].last_error)
         for name in sorted(self._was_unknown - now_unknown):
             self._log.info("%s: answered again", name)
         self._was_unknown = now_unknown
         self._log.flush()
 
 
-def _box_key(each: snapshot.GoneBox) -> BoxKey | None:
-    return BoxKey(each.target, each.port) if each.target else None
+def _box_key(each: snapshot.TombstoneRecord) -> EndpointKey | None:
+    return EndpointKey(each.target, each.port) if each.target else None
--- a/hazelbend/protocol/dns.py
+++ b/hazelbend/protocol/dns.py
@@ -1,12 +1,14 @@
-"""DNS on the wire, by dnspython's message codec: queries to bytes, bytes to what they mean.
+"""DNS messages: queries to bytes, and bytes to the results of queries, by dnspython's message codec.
 
-RFC 1035 (messages), 2308 (negative answers), 2782 (SRV), 5452 (what an answer must match), 6891 (EDNS0),
-and draft-vixie-dnsext-dns0x20 (random case). Numbers and case come from the caller, so that all here is a
-function of its arguments.
+RFC 1035 (messages), 2308 (negative answers), 2782 (SRV), 5452 (what an answer must match), 6891 (EDNS0), and
+draft-vixie-dnsext-dns0x20 (random case of letters). The caller draws the random numbers, so that all
+functions here depend on their arguments alone.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import dns.edns
 import dns.exception
 import dns.flags
@@ -18,63 +20,94 @@
 import dns.rrset
 
 from hazelbend.dns_discovery.answers import (
-    MOST_ALIASES,
-    Alias,
-    BoxKey,
-    Good,
-    Items,
-    Kind,
-    Meaning,
-    Nothing,
+    ADDRESS_TYPES,
+    MAX_CNAME_CHAIN,
+    CnameAlias,
+    EndpointKey,
+    NegativeAnswer,
+    PositiveAnswer,
+    QueryFailure,
+    QueryResult,
     Question,
-    Rank,
-    Truncated,
-    Unknown,
+    Records,
+    RecordType,
+    SrvPreference,
+    TruncatedAnswer,
 )
 
-PAYLOAD = 1_232  # bytes over UDP that are not fragmented on usual paths
+EDNS_PAYLOAD_BYTES = 1_232  # UDP datagrams of this size are not fragmented on usual paths
+HEADER_BYTES = 12
+MAX_REASON_LENGTH = 200
+ADDRESS_TYPE_NUMBERS = tuple(record_type.value for record_type in ADDRESS_TYPES)
+# Error codes of servers that may not know EDNS (RFC 6891, section 7).
+EDNS_ERRORS = (dns.rcode.FORMERR, dns.rcode.NOTIMP, dns.rcode.BADVERS)
 
 
 class MismatchError(Exception):
-    """The bytes are not an answer to this query: another id, another question, another case."""
+    """The bytes are not an answer to this query: another id, question, or case of letters (RFC 5452)."""
+
+
+class CnameChainError(Exception):
+    """The CNAME records in an answer lead nowhere; the text gives the reason."""
+
+
+@dataclass(slots=True, frozen=True)
+class _ChainEnd:
+    """Where the CNAME records in an answer lead."""
+
+    owner: dns.name.Name
+    rrset: dns.rrset.RRset | None  # the records that were asked for, if the answer has them
+    cname_ttl_s: int | None  # the least TTL of the CNAME records; None: there are none
 
 
-def write_query(name: str, kind: Kind, number: int, case: int, edns: bool) -> tuple[bytes, dns.name.Name]:
-    """A query of this id, its letters' case by the bits of `case`; its bytes, and the name as written."""
-    asked = _mixed(dns.name.from_text(name), case)
-    rdtype = dns.rdatatype.RdataType.make(kind.value)
-    query = dns.message.make_query(asked, rdtype, use_edns=0 if edns else None, payload=PAYLOAD)
-    query.id = number
+def encode_query(
+    name: str, record_type: RecordType, query_id: int, case_bits: int, *, edns: bool
+) -> tuple[bytes, dns.name.Name]:
+    """The bytes of a query, and the name as it is written there: `case_bits` are the case of its letters."""
+    asked = _mix_case(dns.name.from_text(name), case_bits)
+    rdtype = dns.rdatatype.RdataType.make(record_type.value)
+    query = dns.message.make_query(asked, rdtype, use_edns=0 if edns else None, payload=EDNS_PAYLOAD_BYTES)
+    query.id = query_id
     return query.to_wire(), asked
 
 
-def _mixed(name: dns.name.Name, case: int) -> dns.name.Name:
+def _mix_case(name: dns.name.Name, case_bits: int) -> dns.name.Name:
+    """The name with each letter in upper case if its bit is set."""
     labels = []
     for label in name.labels:
-        written = bytearray(label.lower())
-        for place, byte in enumerate(written):
-            if 97 <= byte <= 122:
-                written[place] = byte - 32 * (case & 1)
-                case >>= 1
-        labels.append(bytes(written))
+        mixed = bytearray(label.lower())
+        for index, byte in enumerate(mixed):
+            if ord("a") <= byte <= ord("z"):
+                mixed[index] = byte - 32 * (case_bits & 1)
+                case_bits >>= 1
+        labels.append(bytes(mixed))
     return dns.name.Name(labels)
 
 
-def read_answer(data: bytes, number: int, asked: dns.name.Name, question: Question, tcp: bool) -> Meaning:
-    """What the answer to that query means. MismatchError if these bytes are not an answer to it."""
-    if len(data) < 12 or int.from_bytes(data[:2]) != number:
-        raise MismatchError("wrong id" if len(data) >= 12 else "cut short")
+def decode_answer(
+    data: bytes, query_id: int, asked: dns.name.Name, question: Question, *, over_tcp: bool
+) -> QueryResult:
+    """The result of the query that has this id and this name.
+
+    Raises:
+        MismatchError: these bytes are not an answer to it.
+    """
+    if len(data) < HEADER_BYTES:
+        raise MismatchError("cut short")
+    if int.from_bytes(data[:2]) != query_id:
+        raise MismatchError("wrong id")
     try:
         message = dns.message.from_wire(data, ignore_trailing=False)
-        return _read(message, asked, question, tcp)
+        _check_question(message, asked, question)
+        return _result(message, asked, question, over_tcp)
     except MismatchError:
         raise
     except dns.message.Truncated as error:
         message = error.message()  # type: ignore[no-untyped-call]
         _check_question(message, asked, question)
-        return Unknown("truncated over TCP") if tcp else Truncated()
-    except Exception as error:  # whatever a codec makes of hostile bytes, they are an answer without sense
-        return Unknown(f"malformed: {str(error) or type(error).__name__}"[:200])
+        return _truncated(over_tcp)
+    except Exception as error:  # the codec raises many types on malformed messages
+        return QueryFailure(f"malformed: {str(error) or type(error).__name__}"[:MAX_REASON_LENGTH])
 
 
 def _check_question(message: dns.message.Message, asked: dns.name.Name, question: Question) -> None:
@@ -85,100 +118,142 @@
     if len(message.question) != 1:
         raise MismatchError("wrong question")
     [found] = message.question
-    if found.rdtype != question.kind.value or found.rdclass != dns.rdataclass.IN or found.name != asked:
+    same_type = found.rdtype == question.record_type.value and found.rdclass == dns.rdataclass.IN
+    if not same_type or found.name != asked:
         raise MismatchError("wrong question")
+    # Names are equal in any case; here the case must come back as well.
     if found.name.labels != asked.labels:
         raise MismatchError("wrong case of the question")
 
 
-def _read(message: dns.message.Message, asked: dns.name.Name, question: Question, tcp: bool) -> Meaning:
-    _check_question(message, asked, question)
+def _result(
+    message: dns.message.Message, asked: dns.name.Name, question: Question, over_tcp: bool
+) -> QueryResult:
     if message.flags & dns.flags.TC:
-        return Unknown("truncated over TCP") if tcp else Truncated()
+        return _truncated(over_tcp)
+    if (failure := _failure(message)) is not None:
+        return failure
+    try:
+        end = _follow_cnames(message, question)
+    except CnameChainError as error:
+        return QueryFailure(str(error))
+    if end.rrset is None:
+        return _result_without_records(message, asked, end.owner)
+    ttl_s = end.rrset.ttl if end.cname_ttl_s is None else min(end.cname_ttl_s, end.rrset.ttl)
+    if question.record_type is RecordType.SRV:
+        return _srv_answer(message, question, end.rrset, ttl_s)
+    return PositiveAnswer({rdata.address: None for rdata in end.rrset}, ttl_s)
+
+
+def _truncated(over_tcp: bool) -> QueryResult:
+    return QueryFailure("truncated over TCP") if over_tcp else TruncatedAnswer()
+
+
+def _failure(message: dns.message.Message) -> QueryFailure | None:
+    """What the response code and the flags say against the answer."""
     rcode = message.rcode()
-    if rcode == dns.rcode.FORMERR or rcode == dns.rcode.NOTIMP or rcode == dns.rcode.BADVERS:
-        return Unknown(dns.rcode.to_text(rcode), plain=True)
+    if rcode in EDNS_ERRORS:
+        return QueryFailure(dns.rcode.to_text(rcode), edns_suspected=True)
     if rcode == dns.rcode.REFUSED:
-        return Unknown("REFUSED", unreachable=True)
+        return QueryFailure("REFUSED", server_unreachable=True)
     if rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-        return Unknown(dns.rcode.to_text(rcode))
+        return QueryFailure(dns.rcode.to_text(rcode))
     if not message.flags & (dns.flags.AA | dns.flags.RA):
-        return Unknown("lame: neither authoritative nor recursive")
-    owner, lifetime, records = _follow_aliases(message, question)
-    if isinstance(records, str):
-        return Unknown(records)
-    if records is None:
-        soa = _soa(message)
-        if rcode == dns.rcode.NXDOMAIN:
-            return Nothing("NXDOMAIN", soa or 0)
-        if soa is not None:
-            return Nothing("NODATA", soa)
-        if owner != asked:
-            return Alias(_text(owner))
-        if any(each.rdtype == dns.rdatatype.NS for each in message.authority):
-            return Unknown("lame: a referral")
-        return Nothing("NODATA")
-    lifetime = records.ttl if lifetime is None else min(lifetime, records.ttl)
-    if question.kind is not Kind.SRV:
-        return Good({rdata.address: None for rdata in records}, lifetime)
-    if len(records) == 1 and records[0].target == dns.name.root:
-        return Nothing("no such service: the target is the root", lifetime)
-    items: dict[BoxKey, Rank] = {}
-    for rdata in sorted(records, key=lambda each: (-each.priority, each.weight)):
+        return QueryFailure("lame: neither authoritative nor recursive")
+    return None
+
+
+def _result_without_records(
+    message: dns.message.Message, asked: dns.name.Name, owner: dns.name.Name
+) -> QueryResult:
+    """A negative answer, or an alias or a referral that the server did not follow."""
+    ttl_s = _negative_ttl(message)
+    if message.rcode() == dns.rcode.NXDOMAIN:
+        return NegativeAnswer("NXDOMAIN", ttl_s or 0)
+    if ttl_s is not None:
+        return NegativeAnswer("NODATA", ttl_s)
+    if owner != asked:
+        return CnameAlias(_canonical(owner))
+    if any(rrset.rdtype == dns.rdatatype.NS for rrset in message.authority):
+        return QueryFailure("lame: a referral")
+    return NegativeAnswer("NODATA")
+
+
+def _srv_answer(
+    message: dns.message.Message, question: Question, rrset: dns.rrset.RRset, ttl_s: int
+) -> QueryResult:
+    if len(rrset) == 1 and rrset[0].target == dns.name.root:
+        return NegativeAnswer("no such service: the target is the root", ttl_s)
+    records: dict[EndpointKey, SrvPreference] = {}
+    # Of several records of one endpoint the lowest priority, then the highest weight, comes last and wins.
+    for rdata in sorted(rrset, key=lambda rdata: (-rdata.priority, rdata.weight)):
         if rdata.target != dns.name.root and rdata.port:
-            items[BoxKey(_text(rdata.target), rdata.port)] = Rank(rdata.priority, rdata.weight)
-    return Good(items, lifetime, _extra(message, question, items))
+            key = EndpointKey(_canonical(rdata.target), rdata.port)
+            records[key] = SrvPreference(rdata.priority, rdata.weight)
+    return PositiveAnswer(records, ttl_s, _additional_addresses(message, question, records))
 
 
-def _follow_aliases(
-    message: dns.message.Message, question: Question
-) -> tuple[dns.name.Name, int | None, dns.rrset.RRset | str | None]:
-    """Where the chain of CNAMEs in the answer ends, its least lifetime, and the records there; or a fault."""
-    owner, lifetime, seen = dns.name.from_text(question.name), None, set()
-    if message.question:
-        owner = message.question[0].name
+def _follow_cnames(message: dns.message.Message, question: Question) -> _ChainEnd:
+    """Follow the CNAME records in the answer section.
+
+    Raises:
+        CnameChainError: they are a loop, or too many.
+    """
+    owner = message.question[0].name if message.question else dns.name.from_text(question.name)
+    ttl_s: int | None = None
+    seen = set()
     while True:
-        for each in message.answer:
-            if each.name == owner and each.rdtype == question.kind.value:
-                return owner, lifetime, each
-        for each in message.answer:
-            if each.name == owner and each.rdtype == dns.rdatatype.CNAME:
-                break
-        else:
-            return owner, lifetime, None
+        rrset = _find_rrset(message, owner, question.record_type.value)
+        if rrset is not None:
+            return _ChainEnd(owner, rrset, ttl_s)
+        cname = _find_rrset(message, owner, dns.rdatatype.CNAME)
+        if cname is None:
+            return _ChainEnd(owner, None, ttl_s)
         seen.add(owner)
-        owner = each[0].target
-        lifetime = each.ttl if lifetime is None else min(lifetime, each.ttl)
+        owner = cname[0].target
+        ttl_s = cname.ttl if ttl_s is None else min(ttl_s, cname.ttl)
         if owner in seen:
-            return owner, lifetime, "a loop of aliases"
-        if len(seen) > MOST_ALIASES:
-            return owner, lifetime, "a chain of aliases over the bound"
+            raise CnameChainError("a loop of aliases")
+        if len(seen) > MAX_CNAME_CHAIN:
+            raise CnameChainError("a chain of aliases over the bound")
 
 
-def _soa(message: dns.message.Message) -> int | None:
-    """How long a negative answer holds (RFC 2308, section 5); None if it does not say."""
-    for each in message.authority:
-        if each.rdtype == dns.rdatatype.SOA:
-            return int(min(each.ttl, each[0].minimum))
+def _find_rrset(message: dns.message.Message, owner: dns.name.Name, rdtype: int) -> dns.rrset.RRset | None:
+    for rrset in message.answer:
+        if rrset.name == owner and rrset.rdtype == rdtype:
+            return rrset
     return None
 
 
-def _extra(message: dns.message.Message, question: Question, items: Items) -> dict[Question, Good]:
-    """Addresses of the targets from the additional section, if the target lies in the domain that was asked
-    about: `site.example.org` for `_jobs._tcp.site.example.org`. Others may be anybody's word."""
+def _negative_ttl(message: dns.message.Message) -> int | None:
+    """TTL of a negative answer in seconds, by its SOA record (RFC 2308, section 5); None without one."""
+    for rrset in message.authority:
+        if rrset.rdtype == dns.rdatatype.SOA:
+            return int(min(rrset.ttl, rrset[0].minimum))
+    return None
+
+
+def _additional_addresses(
+    message: dns.message.Message, question: Question, records: Records
+) -> dict[Question, PositiveAnswer]:
+    """Addresses of the targets, from the additional section and in bailiwick.
+
+    In bailiwick is a target in the domain that was asked about: `site.example.org` for
+    `_jobs._tcp.site.example.org`. Other addresses may be forged.
+    """
     labels = dns.name.from_text(question.name).labels
-    domain = dns.name.Name([each for each in labels if not each.startswith(b"_")])
-    targets = {key.target for key in items if isinstance(key, BoxKey)}
-    found = {}
-    for each in message.additional:
-        if each.rdclass != dns.rdataclass.IN or each.rdtype not in (Kind.A.value, Kind.AAAA.value):
+    domain = dns.name.Name([label for label in labels if not label.startswith(b"_")])
+    targets = {key.target for key in records if isinstance(key, EndpointKey)}
+    found: dict[Question, PositiveAnswer] = {}
+    for rrset in message.additional:
+        if rrset.rdclass != dns.rdataclass.IN or rrset.rdtype not in ADDRESS_TYPE_NUMBERS:
             continue
-        target = _text(each.name)
-        if target in targets and each.name.is_subdomain(domain) and domain != dns.name.root:
-            kind = Kind(int(each.rdtype))
-            found[Question(target, kind)] = Good({rdata.address: None for rdata in each}, each.ttl)
+        target = _canonical(rrset.name)
+        if target in targets and rrset.name.is_subdomain(domain) and domain != dns.name.root:
+            addressed = Question(target, RecordType(int(rrset.rdtype)))
+            found[addressed] = PositiveAnswer({rdata.address: None for rdata in rrset}, rrset.ttl)
     return found
 
 
-def _text(name: dns.name.Name) -> str:
+def _canonical(name: dns.name.Name) -> str:
     return name.canonicalize().to_text(omit_final_dot=True)
--- a/hazelbend/transport/dns/__init__.py
+++ b/hazelbend/transport/dns/__init__.py
@@ -1,1 +1,1 @@
-"""The DNS client and what drives the resolver."""
+"""Sockets to nameservers, and the driver of the resolver."""
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -73,7 +73,7 @@
     return machine
 
 
-def srv_snapshot(content: bytes) -> snapshot.Body:
+def srv_snapshot(content: bytes) -> snapshot.Snapshot:
     """Of a whole file, or of its body alone, as in the state that an upgrade hands over."""
     value = msgspec.json.decode(content)
     return snapshot.decode(content) if "digest" in value else snapshot.from_object(value)
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -6,38 +6,38 @@
 from srv_kit import NAME, nameservers, zone
 
 from hazelbend.dns_discovery.answers import (
-    Alias,
-    BoxKey,
-    Good,
-    Kind,
-    Nothing,
+    CnameAlias,
+    EndpointKey,
+    NegativeAnswer,
+    PositiveAnswer,
+    QueryFailure,
     Question,
-    Rank,
-    Truncated,
-    Unknown,
+    RecordType,
+    SrvPreference,
+    TruncatedAnswer,
 )
-from hazelbend.dns_discovery.resolver import Ask
+from hazelbend.dns_discovery.resolver import Query
 from hazelbend.standins.dns import FAULTS, Fault
 from hazelbend.transport.dns.dns_client import DnsClient
 
 BOXES = {
-    BoxKey("b1.konya-1.example.org", 7101): Rank(0, 1),
-    BoxKey("b2.konya-1.example.org", 7102): Rank(1, 5),
+    EndpointKey("b1.konya-1.example.org", 7101): SrvPreference(0, 1),
+    EndpointKey("b2.konya-1.example.org", 7102): SrvPreference(1, 5),
 }
 ZONE = zone(("b1", 7101), ("b2", 7102, 1, 5))
 MEANT = {
-    "truncated": Truncated,
-    "truncated-always": Truncated,
+    "truncated": TruncatedAnswer,
+    "truncated-always": TruncatedAnswer,
     "servfail": "SERVFAIL",
     "refused": "REFUSED",
     "formerr": "FORMERR",
     "formerr-edns": "FORMERR",
-    "nxdomain": Nothing,
-    "empty": Nothing,
+    "nxdomain": NegativeAnswer,
+    "empty": NegativeAnswer,
     "lame": "lame",
     "referral": "lame",
     "alias-loop": "loop of aliases",
-    "alias-away": Alias,
+    "alias-away": CnameAlias,
     "silent": "no answer in time",
     "slow": "no answer in time",
     "wrong-id": "no answer in time",
@@ -46,30 +46,34 @@
     "garbage": "",
     "cut": "malformed",
     "compression-loop": "malformed",
-    "half-tcp": Truncated,
-    "close-tcp": Truncated,
-    "oversized": Truncated,
+    "half-tcp": TruncatedAnswer,
+    "close-tcp": TruncatedAnswer,
+    "oversized": TruncatedAnswer,
 }
 OVER_TCP = {
-    "truncated": Good,
+    "truncated": PositiveAnswer,
     "truncated-always": "truncated over TCP",
     "half-tcp": "closed",
     "close-tcp": "closed",
-    "oversized": Good,
+    "oversized": PositiveAnswer,
     "wrong-id": "no answer in time",
     "wrong-question": "wrong question",
     "cut": "malformed",
 }
 
 
-def ask(what, tcp=False, name=NAME, kind=Kind.SRV, timeout=20.0):
+def query_of(query_id, over_tcp=False):
+    return Query(query_id, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=over_tcp, edns=True)
+
+
+def ask(what, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
     async def run():
         async with nameservers(1, ZONE) as [server]:
             if what:
                 server.faults = [Fault(what, delay=60.0)]
             host, _, port = server.address.rpartition(":")
             client = DnsClient(((host, int(port)),), timeout)
-            meaning = await client.ask(Ask(1, 0, Question(name, kind), name, tcp, True))
+            meaning = await client.query(Query(1, 0, Question(name, kind), name, over_tcp=tcp, edns=True))
             client.close()
             return meaning, server.queries
 
@@ -83,7 +87,7 @@
 
 def check(meaning, wanted):
     if isinstance(wanted, str):
-        assert isinstance(meaning, Unknown) and wanted in meaning.why, meaning
+        assert isinstance(meaning, QueryFailure) and wanted in meaning.reason, meaning
     else:
         assert isinstance(meaning, wanted), meaning
 
@@ -105,15 +109,15 @@
 @pytest.mark.parametrize("tcp", [False, True])
 def test_a_good_answer_with_addresses_beside_it(tcp):
     meaning, [query] = ask("", tcp)
-    assert meaning.items == BOXES and meaning.lifetime == 5 and query.tcp is tcp
-    addresses = {question.name: good.items for question, good in meaning.extra.items()}
+    assert meaning.records == BOXES and meaning.ttl_s == 5 and query.tcp is tcp
+    addresses = {question.name: good.records for question, good in meaning.additional.items()}
     assert addresses == {key.target: {"127.0.0.1": None} for key in BOXES}
 
 
 def test_what_is_not_there():
-    for name, kind, why in (("_arama._tcp.adana-1.example.org", Kind.SRV, "NXDOMAIN"),
-                            ("b1.konya-1.example.org", Kind.AAAA, "NODATA")):  # fmt: skip
-        assert ask("", name=name, kind=kind)[0] == Nothing(why, 5)
+    for name, kind, why in (("_arama._tcp.adana-1.example.org", RecordType.SRV, "NXDOMAIN"),
+                            ("b1.konya-1.example.org", RecordType.AAAA, "NODATA")):  # fmt: skip
+        assert ask("", name=name, kind=kind)[0] == NegativeAnswer(why, 5)
 
 
 def test_an_answer_that_is_none_does_not_end_the_query():
@@ -123,7 +127,9 @@
         async with nameservers(1, ZONE) as [server]:
             server.faults = [Fault("slow", delay=0.2)]
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
-            asking = asyncio.create_task(client.ask(Ask(1, 0, Question(NAME, Kind.SRV), NAME, False, True)))
+            asking = asyncio.create_task(
+                client.query(Query(1, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True))
+            )
             while not server.queries:
                 await asyncio.sleep(0.005)
             [query] = server.queries
@@ -131,7 +137,7 @@
             server._udp.sendto(forged, ("127.0.0.1", query.port))
             return await asking
 
-    assert asyncio.run(run()).items == BOXES
+    assert asyncio.run(run()).records == BOXES
 
 
 def test_ids_ports_and_case_are_drawn_anew():
@@ -139,7 +145,9 @@
         async with nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
             for number in range(20):
-                await client.ask(Ask(number, 0, Question(NAME, Kind.SRV), NAME, False, True))
+                await client.query(
+                    Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True)
+                )
             return server.queries
 
     queries = asyncio.run(run())
@@ -150,14 +158,17 @@
     async def run():
         async with nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
-            asks = [Ask(number, 0, Question(NAME, Kind.SRV), NAME, True, True) for number in range(50)]
-            meanings = await asyncio.gather(*map(client.ask, asks))
-            meanings.append(await client.ask(asks[0]))
+            asks = [
+                Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=True, edns=True)
+                for number in range(50)
+            ]
+            meanings = await asyncio.gather(*map(client.query, asks))
+            meanings.append(await client.query(asks[0]))
             client.close()
             return meanings, server.queries
 
     meanings, queries = asyncio.run(run())
-    assert all(isinstance(each, Good) for each in meanings) and len(queries) == 51
+    assert all(isinstance(each, PositiveAnswer) for each in meanings) and len(queries) == 51
     assert len({each.port for each in queries}) == 1
 
 
@@ -166,8 +177,10 @@
         async with nameservers(1, ZONE) as [server]:
             port = int(server.address.rpartition(":")[2])
         client = DnsClient((("127.0.0.1", port),), 5.0)
-        question = Question(NAME, Kind.SRV)
-        return [await client.ask(Ask(1, 0, question, NAME, tcp, True)) for tcp in (False, True)]
+        question = Question(NAME, RecordType.SRV)
+        return [
+            await client.query(Query(1, 0, question, NAME, over_tcp=tcp, edns=True)) for tcp in (False, True)
+        ]
 
     for meaning in asyncio.run(run()):
-        assert isinstance(meaning, Unknown) and meaning.unreachable, meaning
+        assert isinstance(meaning, QueryFailure) and meaning.server_unreachable, meaning
--- a/tests/test_dns_wire.py
+++ b/tests/test_dns_wire.py
@@ -11,15 +11,22 @@
 from parser_kit import SEEDS, garbage
 from srv_kit import NAME
 
-from hazelbend.dns_discovery.answers import Good, Kind, Nothing, Question, Truncated, Unknown
-from hazelbend.protocol.dns import MismatchError, read_answer, write_query
+from hazelbend.dns_discovery.answers import (
+    NegativeAnswer,
+    PositiveAnswer,
+    QueryFailure,
+    Question,
+    RecordType,
+    TruncatedAnswer,
+)
+from hazelbend.protocol.dns import MismatchError, decode_answer, encode_query
 
-QUESTION = Question(NAME, Kind.SRV)
+QUESTION = Question(NAME, RecordType.SRV)
 
 
 def answer(*rows, number=7, case=0, extra=(), flags="QR AA", question=QUESTION):
     """The bytes of an answer, and what it answers."""
-    data, asked = write_query(question.name, question.kind, number, case, True)
+    data, asked = encode_query(question.name, question.record_type, number, case, edns=True)
     response = dns.message.make_response(dns.message.from_wire(data))
     response.flags = dns.flags.from_text(flags)
     for owner, ttl, kind, *texts in rows:
@@ -30,7 +37,7 @@
 
 
 def read(data, asked, question=QUESTION, tcp=False):
-    return read_answer(data, 7, asked, question, tcp)
+    return decode_answer(data, 7, asked, question, over_tcp=tcp)
 
 
 SRV = (f"{NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
@@ -40,29 +47,29 @@
     extra = [("a.konya-1.example.org.", 60, "A", "127.0.0.1"), ("b.else.example.", 60, "A", "127.0.0.9"),
              ("c.konya-1.example.org.", 60, "A", "127.0.0.8")]  # fmt: skip
     meaning = read(*answer(SRV, extra=extra))
-    assert meaning.lifetime == 30 and len(meaning.items) == 2
-    assert set(meaning.extra) == {Question("a.konya-1.example.org", Kind.A)}
+    assert meaning.ttl_s == 30 and len(meaning.records) == 2
+    assert set(meaning.additional) == {Question("a.konya-1.example.org", RecordType.A)}
 
 
 def test_the_lifetime_is_the_least_along_a_chain():
     rows = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
-    assert read(*answer(*rows)).lifetime == 10
+    assert read(*answer(*rows)).ttl_s == 10
 
 
 def test_chains_without_end_are_told():
     loop = [("x.example.", 30, "CNAME", f"{NAME}."), (f"{NAME}.", 30, "CNAME", "x.example.")]
-    assert "loop" in read(*answer(*loop)).why
+    assert "loop" in read(*answer(*loop)).reason
     chain = [(f"n{number}.", 30, "CNAME", f"n{number + 1}.") for number in range(20)]
-    assert "over the bound" in read(*answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).why
+    assert "over the bound" in read(*answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).reason
 
 
 def test_the_root_as_target_means_no_such_service():
-    assert isinstance(read(*answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), Nothing)
+    assert isinstance(read(*answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
 
 
 def test_case_is_mixed_by_its_bits_and_must_come_back():
     data, asked = answer(SRV, case=0b1011010101)
-    assert asked.to_text() != asked.to_text().lower() and isinstance(read(data, asked), Good)
+    assert asked.to_text() != asked.to_text().lower() and isinstance(read(data, asked), PositiveAnswer)
     try:
         read(data, dns.name.from_text(NAME))
     except MismatchError as error:
@@ -72,7 +79,7 @@
 
 
 def test_a_question_is_no_answer():
-    data, asked = write_query(NAME, Kind.SRV, 7, 0, True)
+    data, asked = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
     try:
         read(data, asked)
     except MismatchError:
@@ -80,7 +87,7 @@
     raise AssertionError
 
 
-MEANINGS = (Good, Nothing, Unknown, Truncated)
+MEANINGS = (PositiveAnswer, NegativeAnswer, QueryFailure, TruncatedAnswer)
 
 
 def any_meaning(data, asked, tcp):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 
 from hazelbend.decisions.interface import WorkerState
-from hazelbend.dns_discovery.answers import BoxKey, Rank
+from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
 from hazelbend.endpoints.merger import LIST, STOMP, Claim, Membership
 from hazelbend.endpoints.pool import Pool
 from hazelbend.endpoints.rule import ListSays, SrvSays, Verdict, decide, srv_says
 from hazelbend.routing.ports import Endpoint, EndpointList
 
 READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
-KEY = BoxKey("a.konya-1.example.org", 7101)
+KEY = EndpointKey("a.konya-1.example.org", 7101)
 HOST, DIAL, NAME = "a.konya-1.example.org", "127.0.0.1:7101", "_arama._tcp.konya-1.example.org"
 HOUR = 3_600_000_000
 
@@ -24,7 +24,7 @@
 
 
 def claim(priority=0, addresses=("127.0.0.1",), weight=2.0):
-    return Claim(Rank(priority, 1), tuple(addresses), 1, 1, 0, weight)
+    return Claim(SrvPreference(priority, 1), tuple(addresses), 1, 1, 0, weight)
 
 
 def listing(*entries, whole=True):
@@ -84,7 +84,7 @@
 def test_the_same_host_with_another_port_is_another_box():
     members = Membership(HOUR)
     members.hear_list(listing(entry()), 1)
-    told = members.hear_name(NAME, {BoxKey(HOST, 7102): claim()}, 2)
+    told = members.hear_name(NAME, {EndpointKey(HOST, 7102): claim()}, 2)
     assert [each.host for each in told.entries] == [f"{HOST}:7102"]
 
 
@@ -127,7 +127,7 @@
 
 def test_a_reader_never_sees_half_of_a_version():
     members = Membership(HOUR)
-    keys = [BoxKey(f"b{number}.example.org", 1) for number in range(50)]
+    keys = [EndpointKey(f"b{number}.example.org", 1) for number in range(50)]
     members.hear_name(NAME, {key: claim(addresses=(f"127.0.1.{n}",)) for n, key in enumerate(keys)}, 1)
     held = members.view
     rows = dict(held.members)
@@ -137,7 +137,7 @@
 
 
 HOSTS = [f"h{number}.example.org" for number in range(3)]
-KEYS = [BoxKey(host, 1) for host in HOSTS]
+KEYS = [EndpointKey(host, 1) for host in HOSTS]
 ADDRESSES = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 states = st.sampled_from([READY, DRAINING, GONE])
 entries = st.builds(
@@ -222,8 +222,8 @@
     members = Membership(HOUR)
     steps = [
         lambda: members.hear_list(listing(entry(), entry("s-2", "127.0.0.2:7101", DRAINING)), 1),
-        lambda: members.hear_name("n1", {KEY: claim(), BoxKey("b.example.org", 1): claim(10)}, 1),
-        lambda: members.hear_name("n2", {BoxKey("b.example.org", 1): claim(0)}, 1),
+        lambda: members.hear_name("n1", {KEY: claim(), EndpointKey("b.example.org", 1): claim(10)}, 1),
+        lambda: members.hear_name("n2", {EndpointKey("b.example.org", 1): claim(0)}, 1),
         lambda: members.hear_guest(entry("stomp/box", "")),
     ]
     for number in itertools.chain.from_iterable((each,) * (1 + twice) for each in order):
@@ -242,7 +242,7 @@
 def test_spare_boxes_get_nothing_until_their_priority_opens():
     members = Membership(HOUR)
     members.open_to(NAME, 0, 0)
-    first, spare = BoxKey("a.example.org", 1), BoxKey("b.example.org", 1)
+    first, spare = EndpointKey("a.example.org", 1), EndpointKey("b.example.org", 1)
     told = members.hear_name(NAME, {first: claim(0), spare: claim(10)}, 1)
     assert {each.host: each.state for each in told.entries} == {str(first): READY, str(spare): DRAINING}
     [opened] = members.open_to(NAME, 10, 2).entries
