--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -181,10 +181,15 @@
     asyncio.run(run())
 
 
+ANSWER_LIFETIME_S = 0.1  # seconds that a nameserver's answer counts as a vote
+
+
 @pytest.mark.parametrize("lie", ["nxdomain", "empty", "old zone"])
 def test_one_nameserver_of_three_lies_and_the_pool_stays(tmp_path, lie):
+    lifetimes = f"least_s = {ANSWER_LIFETIME_S}\nmost_s = {ANSWER_LIFETIME_S}"
+
     async def run():
-        async with srv_site(tmp_path, count=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (app, _, servers):
+        async with srv_site(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
             await until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             changes = []
@@ -202,6 +207,8 @@
                     liar.faults = []
                     if lie == "old zone":
                         liar.zones = true
+                    # Else its last lie may stand beside the first lie of the next one, and two outvote one.
+                    await asyncio.sleep(2 * ANSWER_LIFETIME_S)
             assert set(statuses) == {200} and not changes and await boxes_of(app) == boxes
 
     asyncio.run(run())
