--- a/benchmarks/router_latency.py
+++ b/benchmarks/router_latency.py
@@ -19,15 +19,15 @@
 import aiohttp
 
 from example.fleet.run import CONFIGURATION, CONTROL_PORT, HTTP_PORT, MACHINES, ExampleFleet
-from hazelbend.standins.model_worker import ModelWorker, ModelWorkerSettings
+from hazelbend.fakes.model_worker import FakeModelWorker, FakeModelWorkerSettings
 
-IMMEDIATE_WORKER = ModelWorkerSettings(
+IMMEDIATE_WORKER = FakeModelWorkerSettings(
     service="echo",
     host="127.0.0.9",
     port=18300,
     zone="z1",
     controls=tuple(f"{ip}:{CONTROL_PORT}" for ip in MACHINES),
-    token_seconds=0.0,
+    token_s=0.0,
     events=1,
 )
 ROUTE = {
@@ -51,7 +51,7 @@
     calls = parser.parse_args().calls
     with tempfile.TemporaryDirectory() as folder:
         fleet = ExampleFleet(Path(folder))
-        worker = ModelWorker(IMMEDIATE_WORKER)
+        worker = FakeModelWorker(IMMEDIATE_WORKER)
         try:
             await fleet.start()
             await worker.start()
--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -54,7 +54,15 @@
         for n in range(count)
     ]
     path.write_text(SOA + "\n".join(rows) + "\n")
-    words = [sys.executable, "-m", "hazelbend.standins.dns", str(path), "--listen", "127.0.0.1:0", "--count"]
+    words = [
+        sys.executable,
+        "-m",
+        "hazelbend.fakes.nameserver",
+        str(path),
+        "--listen",
+        "127.0.0.1:0",
+        "--count",
+    ]
     process = subprocess.Popen(words, stdout=subprocess.PIPE, text=True)
     assert process.stdout is not None
     return process, process.stdout.readline().split()[-1]
--- a/example/fleet/run.py
+++ b/example/fleet/run.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from hazelbend.standins.model_worker import ModelWorker, ModelWorkerSettings
+from hazelbend.fakes.model_worker import FakeModelWorker, FakeModelWorkerSettings
 
 HTTP_PORT = 18144  # of routers, for clients
 READINESS_PORT = 18140  # of routers, for readiness and metrics
@@ -60,7 +60,7 @@
         self._folder = folder
         self._output = output
         self.processes: dict[tuple[str, str], asyncio.subprocess.Process] = {}  # by role and IP
-        self.workers: list[ModelWorker] = []
+        self.workers: list[FakeModelWorker] = []
 
     async def start(self) -> None:
         """Start everything, put a first configuration, and wait until all routers are ready."""
@@ -75,7 +75,8 @@
 
     async def _start_worker(self, port: int, phase: str) -> None:
         control_addresses = tuple(f"{ip}:{CONTROL_PORT}" for ip in MACHINES)
-        worker = ModelWorker(ModelWorkerSettings("llm", WORKER_IP, port, "z1", phase, control_addresses))
+        settings = FakeModelWorkerSettings("llm", WORKER_IP, port, "z1", phase, control_addresses)
+        worker = FakeModelWorker(settings)
         await worker.start()
         self.workers.append(worker)
 
@@ -170,8 +171,9 @@
             print(f"status {status}")
             print(body.decode())
             for worker in fleet.workers:
-                seen = worker.seen
-                print(f"{worker.address} {worker.settings.phase}: read {seen.read}, ran {seen.run}")
+                received = worker.received
+                requests = f"prefill {received.prefill}, decode {received.decode}"
+                print(f"{worker.address} {worker.settings.phase}: {requests}")
         finally:
             await fleet.close()
 
--- a/tests/srv_kit.py
+++ b/tests/srv_kit.py
@@ -11,8 +11,8 @@
 from site_kit import ToyServer, site
 
 from hazelbend.dns_discovery.settings import SrvSettings, read_settings
+from hazelbend.fakes.nameserver import FakeNameserver
 from hazelbend.program.app import App
-from hazelbend.standins.dns import StandInNameserver
 
 NAME = "_arama._tcp.konya-1.example.org"
 SECOND = 1_000_000
@@ -56,8 +56,8 @@
 
 
 @asynccontextmanager
-async def nameservers(count: int, text: str) -> AsyncIterator[list[StandInNameserver]]:
-    servers = [StandInNameserver() for _ in range(count)]
+async def nameservers(count: int, text: str) -> AsyncIterator[list[FakeNameserver]]:
+    servers = [FakeNameserver() for _ in range(count)]
     for each in servers:
         each.serve_zone(text)
         await each.start()
@@ -71,7 +71,7 @@
 @asynccontextmanager
 async def srv_site(
     folder: Path, toys: int = 2, count: int = 1, stomp: str = "", listed: int = 0, ttl: int = 1, **more: Any
-) -> AsyncIterator[tuple[App, list[ToyServer], list[StandInNameserver]]]:
+) -> AsyncIterator[tuple[App, list[ToyServer], list[FakeNameserver]]]:
     """Toys that SRV names (`toy-0`, ... of NAME), further ones that the box list names, and nameservers."""
     toml = {key: more.pop(key) for key in ("lifetimes", "budgets", "pools", "snapshot") if key in more}
     boxes = [ToyServer(f"toy-{number}") for number in range(toys)]
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -17,7 +17,7 @@
     TruncatedAnswer,
 )
 from hazelbend.dns_discovery.resolver import Query
-from hazelbend.standins.dns import FAULTS, Fault
+from hazelbend.fakes.dns_faults import Fault, FaultKind
 from hazelbend.transport.dns.dns_client import DnsClient
 
 BOXES = {
@@ -70,7 +70,7 @@
     async def run():
         async with nameservers(1, ZONE) as [server]:
             if what:
-                server.faults = [Fault(what, delay=60.0)]
+                server.faults = [Fault(what, delay_s=60.0)]
             host, _, port = server.address.rpartition(":")
             client = DnsClient(((host, int(port)),), timeout)
             meaning = await client.query(Query(1, 0, Question(name, kind), name, over_tcp=tcp, edns=True))
@@ -93,10 +93,10 @@
 
 
 def test_every_fault_has_its_meaning():
-    assert set(MEANT) == set(FAULTS)
+    assert set(MEANT) == set(FaultKind)
 
 
-@pytest.mark.parametrize("what", FAULTS)
+@pytest.mark.parametrize("what", [kind.value for kind in FaultKind])
 def test_what_goes_wrong_over_udp(what):
     check(ask(what, timeout=patience(MEANT[what]))[0], MEANT[what])
 
@@ -125,7 +125,7 @@
 
     async def run():
         async with nameservers(1, ZONE) as [server]:
-            server.faults = [Fault("slow", delay=0.2)]
+            server.faults = [Fault("slow", delay_s=0.2)]
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
             asking = asyncio.create_task(
                 client.query(Query(1, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True))
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -48,8 +48,8 @@
     },
     "console": {"program"},
     "benchlink": {"decisions"},
-    "standins": set(),
-    "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "program", "standins"},
+    "fakes": set(),
+    "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "program", "fakes"},
 }
 WIRES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
 TEXT = {"orjson"}  # of the operators' configuration, which is the control layer's to check
@@ -112,7 +112,7 @@
         "hazelbend.schema",
         "hazelbend.dns_discovery",
         "hazelbend.endpoints",
-        "hazelbend.standins",
+        "hazelbend.fakes",
         "hazelbend.cli",
         "hazelbend.control",
         "hazelbend.placement",
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -19,9 +19,9 @@
 from test_reload import changed
 from test_upgrade import ready, run_beside
 
+from hazelbend.fakes.dns_faults import Fault
 from hazelbend.program.app import App
 from hazelbend.program.console_server import CommandError, Commands
-from hazelbend.standins.dns import Fault
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
 
@@ -197,7 +197,7 @@
             async with load(app) as statuses:
                 for liar in servers:
                     if lie == "old zone":
-                        true = liar.zones.copy()
+                        true = dict(liar.zones.by_origin)
                         liar.serve_zone(zone(("toy-0", port_of(min(boxes))), ("old", 9)))
                     else:
                         liar.faults = [Fault(lie)]
@@ -206,7 +206,7 @@
                     assert sum(len(each.queries) for each in servers) > asked
                     liar.faults = []
                     if lie == "old zone":
-                        liar.zones = true
+                        liar.zones.by_origin = true
                     # Else its last lie may stand beside the first lie of the next one, and two outvote one.
                     await asyncio.sleep(2 * ANSWER_LIFETIME_S)
             assert set(statuses) == {200} and not changes and await boxes_of(app) == boxes
@@ -437,7 +437,7 @@
     toy, dns = free_port(), free_port()
     start(str(ROOT / "example/toy_server.py"), f"127.0.0.1:{toy}")
     (tmp_path / "zone").write_text(zone(("toy-0", toy), ttl=1))
-    start("-m", "hazelbend.standins.dns", str(tmp_path / "zone"), "--listen", f"127.0.0.1:{dns}")
+    start("-m", "hazelbend.fakes.nameserver", str(tmp_path / "zone"), "--listen", f"127.0.0.1:{dns}")
     return toy, f"127.0.0.1:{dns}"
 
 
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -62,8 +62,8 @@
     await eventually(complete)
     status, body = await fleet.send_prompt(MACHINES[0], "a1")
     assert status == 200 and body.count(b"data: token") == 5
-    [prefill_worker] = [worker for worker in fleet.workers if worker.seen.read]
-    [decode_worker] = [worker for worker in fleet.workers if worker.seen.run]
+    [prefill_worker] = [worker for worker in fleet.workers if worker.received.prefill]
+    [decode_worker] = [worker for worker in fleet.workers if worker.received.decode]
     assert (prefill_worker.settings.phase, decode_worker.settings.phase) == ("prefill", "decode")
 
     # The leader is killed: the others accept a change, and it catches up after a restart.
