--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -1,12 +1,12 @@
-"""Quotas on virtual time: dispatchers that admit at the same time, from one book, with faults between them.
+"""Quotas on virtual time: dispatchers that admit at the same time, from one ledger, with faults between them.
 
     python -m benchmarks.quota_sim --schedules 200    random faults; every count that must be 0 is checked
     python -m benchmarks.quota_sim --defect NAME      until the planted mistake is found
     python -m benchmarks.quota_sim --compare          beside a fixed split, asking for each job, and gossip
 
-What is checked after every event: `Book.check`, `Purse.check`, and by the servers' own count of what runs
-that no account has more in service than its limit. The book stands for the fleet's record, which is checked
-elsewhere: its answers are late, lost, doubled and out of order, and whoever leads changes.
+Checked after every event: the invariants of quotas/invariants.py, and, by the servers' own count, that no
+account has more jobs in service than its limit. The ledger stands for the replicated log, which other tests
+check: responses are late, lost, repeated and out of order, and the leader changes.
 """
 
 from __future__ import annotations
@@ -24,24 +24,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hazelbend.quotas.book import (
-    Account,
-    Answer,
-    Book,
-    BrokenRuleError,
-    Give,
-    Open,
-    SetAccounts,
-    Settle,
-    Terms,
-)
-from hazelbend.quotas.purse import Purse, Request, Unit
-from hazelbend.quotas.watch import Watch
+from hazelbend.quotas.allocation import AllocationClient, Permit, Request
+from hazelbend.quotas.expiry_watcher import AllocationExpiryWatcher
+from hazelbend.quotas.invariants import BrokenInvariantError, check_client, check_ledger
+from hazelbend.quotas.ledger import QuotaLedger
+from hazelbend.quotas.operations import Account, OpenEpoch, QuotaResponse, Reclaim, ReturnUnits, SetAccounts
+from hazelbend.quotas.timing import QuotaTerms
 
 S = 1_000_000
 HANGS = 0.2  # of jobs, where there are faults: they run for as long as can be
-LONG = Terms()
-SHORT = Terms(ttl=1 * S, longest=2 * S)  # so that a schedule of 20 s has many tranches' ends
+LONG = QuotaTerms()
+# So short that many allocations end in a schedule of 20 s.
+SHORT = QuotaTerms(allocation_ttl_us=1 * S, max_job_time_us=2 * S)
 DEFECTS = (
     "a holder goes on after its time",
     "a unit given back twice",
@@ -63,12 +57,12 @@
 
     identity: str
     rate: float = 1.0  # of its clock
-    purses: dict[str, Purse] = field(default_factory=dict)
+    clients: dict[str, AllocationClient] = field(default_factory=dict)
     stopped_until: int = 0
     cut_until: int = 0
     dead: bool = False
     due: int = 1 << 62  # when it is pumped next
-    later: list[tuple[Unit, str]] = field(default_factory=list)  # ends that came while it was stopped
+    later: list[tuple[Permit, str]] = field(default_factory=list)  # ends that came while it was stopped
 
     def clock(self, now: int) -> int:
         return round(now * self.rate)
@@ -81,7 +75,7 @@
         machines: int = 3,
         *,
         accounts: tuple[Account, ...] = (),
-        terms: Terms = LONG,
+        terms: QuotaTerms = LONG,
         load: float = 1.5,
         faults: bool = True,
         defect: str = "",
@@ -100,11 +94,11 @@
         self.leaves = [each for each in self.accounts if each.parent]
         self.load, self.run = load, run
         self.now, self.events, self.number = 0, [], 0
-        self.book, self.watch = Book(terms), Watch(terms)
-        self.book.begin(1)
-        self.book.do(Open())  # nothing was written out before
-        self.book.do(SetAccounts(self.accounts))
-        self.watch.look(self.book, 0)
+        self.ledger, self.watcher = QuotaLedger(terms), AllocationExpiryWatcher(terms)
+        self.ledger.begin(1)
+        self.ledger.execute(OpenEpoch())  # nothing was written out before
+        self.ledger.execute(SetAccounts(self.accounts))
+        self.watcher.observe(self.ledger, 0)
         self.machines = [self._machine(number) for number in range(machines)]
         self.running: Counter[str] = Counter()
         self.count: Counter[str] = Counter()
@@ -116,11 +110,11 @@
 
     def _machine(self, number: int) -> Machine:
         self.number += 1
-        drift = self.terms.drift if self.faults else 0.0
+        drift = self.terms.max_clock_drift if self.faults else 0.0
         machine = Machine(f"m{number}#{self.number}", self.chance.uniform(1 - drift, 1 + drift))
         for each in self.leaves:
             clock = machine.clock(self.now)
-            machine.purses[each.name] = Purse(each.name, machine.identity, self.terms, clock)
+            machine.clients[each.name] = AllocationClient(each.name, machine.identity, self.terms, clock)
         return machine
 
     # --- time ---
@@ -143,11 +137,11 @@
             self.check()
 
     def check(self) -> None:
-        self.before = self.book.check(self.before)
+        self.before = check_ledger(self.ledger, self.before)
         for machine in self.machines:
             if not machine.dead and machine.stopped_until <= self.now:
-                for purse in machine.purses.values() if self.defect != DEFECTS[0] else ():
-                    purse.check(machine.clock(self.now))
+                for client in machine.clients.values() if self.defect != DEFECTS[0] else ():
+                    check_client(client, machine.clock(self.now))
         parents: Counter[str] = Counter()
         for each in self.leaves:
             parents[each.parent] += self.running[each.name]
@@ -160,7 +154,9 @@
         self.count["overshoot"] = max(self.count["overshoot"], running - limit)
         if running > limit:
             at = f"{self.now / S:.3f} s"
-            raise BrokenRuleError(f"overshoot: {running} of {name} are in service at {at}, {limit} may be")
+            raise BrokenInvariantError(
+                f"overshoot: {running} of {name} are in service at {at}, {limit} may be"
+            )
 
     # --- jobs ---
 
@@ -180,40 +176,40 @@
         if machine.dead or machine.stopped_until > self.now:
             self.count["nobody there"] += 1
             return
-        purse, clock = machine.purses[account], machine.clock(self.now)
+        client, clock = machine.clients[account], machine.clock(self.now)
         if self.defect == "a holder goes on after its time":
-            clock = min(clock, purse.until - 1)
-        unit = purse.admit(clock)
-        if unit is None:
+            clock = min(clock, client.expires_at - 1)
+        permit = client.admit(clock)
+        if permit is None:
             self.count["refused"] += 1
             self.pump(index)
             return
         self.count["admitted"] += 1
         self._account_use()
         self.running[account] += 1
-        longest = self.terms.longest
+        longest = self.terms.max_job_time_us
         took = min(round(self.chance.expovariate(1 / self.run)), longest)
         if self.faults and self.chance.random() < HANGS:
             took = longest  # a server that hangs keeps it for as long as can be
-        self.at(self.now + took, lambda: self.end(index, machine, account, unit))
+        self.at(self.now + took, lambda: self.end(index, machine, account, permit))
 
-    def end(self, index: int, machine: Machine, account: str, unit: Unit) -> None:
+    def end(self, index: int, machine: Machine, account: str, permit: Permit) -> None:
         self._account_use()
         self.running[account] -= 1
         if machine.dead:
             return
         if machine.stopped_until > self.now:
-            machine.later.append((unit, account))
+            machine.later.append((permit, account))
             return
-        self._ended(machine, account, unit)
+        self._ended(machine, account, permit)
         self.pump(index)
 
-    def _ended(self, machine: Machine, account: str, unit: Unit) -> None:
-        purse = machine.purses[account]
-        purse.ended(unit, machine.clock(self.now))
+    def _ended(self, machine: Machine, account: str, permit: Permit) -> None:
+        client = machine.clients[account]
+        client.release(permit, machine.clock(self.now))
         twice = self.defect == "a unit given back twice" and self.chance.random() < 0.1
-        if twice and unit.token == purse.token:
-            purse.used = max(purse.used - 1, 0)
+        if twice and permit.token == client.token:
+            client.used = max(client.used - 1, 0)
 
     def _account_use(self) -> None:
         span = self.now - self.used_at
@@ -227,17 +223,17 @@
         if machine.dead or machine.stopped_until > self.now:
             return
         now = machine.clock(self.now)
-        for purse in machine.purses.values():
-            kept = purse.units
-            if self.defect == "a holder goes on after its time" and purse.token:
-                purse.until = max(purse.until, now + 1)
-            request = purse.tick(now)
+        for client in machine.clients.values():
+            units_before = client.units
+            if self.defect == "a holder goes on after its time" and client.token:
+                client.expires_at = max(client.expires_at, now + 1)
+            request = client.tick(now)
             if request is not None:
                 late = self.defect == "units kept until the gift is answered"
-                if late and isinstance(request.operation, Give):
-                    purse.units = kept
-                self.send(index, machine, purse, request)
-        due = min(purse.due for purse in machine.purses.values())
+                if late and isinstance(request, ReturnUnits):
+                    client.units = units_before
+                self.send(index, machine, client, request)
+        due = min(client.next_at for client in machine.clients.values())
         due = self.now + max(round((due - now) / machine.rate), 1_000) if due < 1 << 62 else due
         if due < 1 << 62 and not self.now < machine.due <= due:
             machine.due = due
@@ -253,49 +249,56 @@
             return self.chance.randrange(4 * S)
         return self.chance.randrange(1_000, 20_000)
 
-    def send(self, index: int, machine: Machine, purse: Purse, request: Request) -> None:
+    def send(self, index: int, machine: Machine, client: AllocationClient, request: Request) -> None:
         self.count["messages"] += 2
         if machine.cut_until > self.now:
             return
         for _ in range(1 + (self.faults and self.chance.random() < 0.05)):
             if self.chance.random() >= self.loss:
-                self.at(self.now + self.delay(), lambda: self.taken(index, machine, purse, request))
-
-    def taken(self, index: int, machine: Machine, purse: Purse, request: Request) -> None:
-        operation = request.operation
-        if self.defect == "a late gift is carried out" and isinstance(operation, Give):
-            tranche = self.book.state.held.get(operation.account, {}).get(operation.holder)
-            if tranche is not None and operation.number <= tranche.number:
-                tranche.units -= min(operation.units, tranche.units)
-        answer = self.book.do(operation)
-        self.watch.look(self.book, self.now)
+                self.at(self.now + self.delay(), lambda: self.taken(index, machine, client, request))
+
+    def taken(self, index: int, machine: Machine, client: AllocationClient, request: Request) -> None:
+        if self.defect == "a late gift is carried out" and isinstance(request, ReturnUnits):
+            allocation = self.ledger.state.allocations.get(request.account, {}).get(request.holder)
+            if allocation is not None and request.request_number <= allocation.request_number:
+                allocation.units -= min(request.units, allocation.units)
+        response = self.ledger.execute(request)
+        self.watcher.observe(self.ledger, self.now)
         if self.chance.random() < self.loss or machine.cut_until > self.now:
             return
-        self.at(self.now + self.delay(), lambda: self.answered(index, machine, purse, request, answer))
+        self.at(self.now + self.delay(), lambda: self.answered(index, machine, client, request, response))
 
-    def answered(self, index: int, machine: Machine, purse: Purse, request: Request, answer: Answer) -> None:
-        if machine.dead or machine.purses.get(purse.account) is not purse:
+    def answered(
+        self,
+        index: int,
+        machine: Machine,
+        client: AllocationClient,
+        request: Request,
+        response: QuotaResponse,
+    ) -> None:
+        if machine.dead or machine.clients.get(client.account) is not client:
             return
         if machine.stopped_until > self.now:
-            self.at(machine.stopped_until, lambda: self.answered(index, machine, purse, request, answer))
+            self.at(machine.stopped_until, lambda: self.answered(index, machine, client, request, response))
             return
         now = machine.clock(self.now)
-        purse.answered(request.number, answer, now)
+        client.handle_response(request.request_number, response, now)
         self.pump(index)
 
     # --- who leads, and what goes wrong ---
 
     def lead(self) -> None:
-        for operation in self.watch.over(self.book, self.now):
-            self.book.do(operation)
+        for operation in self.watcher.expired(self.ledger, self.now):
+            self.ledger.execute(operation)
             if self.defect.startswith("units dropped"):
-                for account, doubts in list(self.book.state.doubt.items()):
-                    for token in list(doubts):
-                        self.book.do(Settle(account, token))
+                for account, units_by_token in list(self.ledger.state.in_doubt.items()):
+                    for token in list(units_by_token):
+                        self.ledger.execute(Reclaim(account, token))
         if self.defect == "a new epoch is open at once":
-            self.book.state.open = True
-        self.watch.look(self.book, self.now)
-        due = min(self.watch.due(self.book), self.now + 100_000)  # what comes later may be due earlier
+            self.ledger.state.is_open = True
+        self.watcher.observe(self.ledger, self.now)
+        # What is applied later may be due earlier.
+        due = min(self.watcher.next_at(self.ledger), self.now + 100_000)
         self.at(max(due, self.now + 10_000), self.lead)
 
     def fault(self) -> None:
@@ -307,18 +310,18 @@
             machine.dead = True
             self.at(self.now + self.chance.randrange(2 * S), lambda: self.start(index))
         elif kind == "stop":
-            machine.stopped_until = self.now + self.chance.randrange(2 * self.terms.ttl)
+            machine.stopped_until = self.now + self.chance.randrange(2 * self.terms.allocation_ttl_us)
             self.at(machine.stopped_until, lambda: self.wake(index, machine))
         elif kind == "cut":
-            machine.cut_until = self.now + self.chance.randrange(2 * self.terms.ttl)
+            machine.cut_until = self.now + self.chance.randrange(2 * self.terms.allocation_ttl_us)
         elif kind == "leader":
-            self.watch = Watch(self.terms)
-            self.watch.look(self.book, self.now)
+            self.watcher = AllocationExpiryWatcher(self.terms)
+            self.watcher.observe(self.ledger, self.now)
         elif kind == "epoch" and self.chance.random() < 0.1:
-            self.book.begin(self.book.state.epoch + 1)
-            self.book.do(SetAccounts(self.accounts))
+            self.ledger.begin(self.ledger.state.epoch + 1)
+            self.ledger.execute(SetAccounts(self.accounts))
             self.before = {}
-            self.watch.look(self.book, self.now)
+            self.watcher.observe(self.ledger, self.now)
         elif kind == "shift":
             self.part = {each.name: self.chance.choice((0.1, 1.0, 2.0)) for each in self.leaves}
         self.at(self.now + self.chance.randrange(5 * S), self.fault)
@@ -333,8 +336,8 @@
         # What was under way when it stopped goes on first: a job between its check and its send is a job
         # that was admitted before; what comes is checked by the clock as it is now.
         ended, machine.later = machine.later, []
-        for unit, account in ended:
-            self._ended(machine, account, unit)
+        for permit, account in ended:
+            self._ended(machine, account, permit)
         self.pump(index)
 
 
@@ -345,7 +348,7 @@
         world = World(seed, machines, defect=defect, terms=SHORT, load=3.0)
         try:
             world.play(round(seconds * S))
-        except BrokenRuleError as error:
+        except BrokenInvariantError as error:
             count += world.count
             return {"schedules": seed - first + 1, "broken": [str(error)], "seed": seed, **count}
         count += world.count
@@ -376,7 +379,7 @@
         self._account_use()
         self.running[account] += 1
         self.own[index][account] += 1
-        took = min(round(self.chance.expovariate(1 / self.run)), self.terms.longest)
+        took = min(round(self.chance.expovariate(1 / self.run)), self.terms.max_job_time_us)
         self.at(self.now + took, lambda: self._over_with(index, account))
 
     def _over_with(self, index: int, account: str) -> None:
@@ -435,7 +438,7 @@
         self._serve(index, account, 0)
 
 
-WAYS = {Split: "fixed split", Counted: "asked for each job", Gossip: "gossip", World: "tranches"}
+WAYS = {Split: "fixed split", Counted: "asked for each job", Gossip: "gossip", World: "allocations"}
 
 
 def compare(seconds: float, seeds: int) -> list[dict[str, Any]]:
--- a/hazelbend/quotas/__init__.py
+++ b/hazelbend/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on tenants that all dispatchers of a fleet hold together: pure, told the time, without I/O."""
+"""Limits on tenants that all dispatchers of a fleet enforce together. Engines without I/O."""
--- /dev/null
+++ b/hazelbend/quotas/allocation.py
@@ -0,0 +1,204 @@
+"""One dispatcher's units of one account: what it may admit, allocate more of, and return.
+
+    EMPTY  --response to Allocate, with units-->          OPEN, until its time is over
+    OPEN   --response to a later Allocate-->              OPEN, until a later time
+    OPEN   --its time is over, or it is lost-->           EMPTY; its jobs run on and count as in doubt
+    OPEN   --units idle, or wanted back: ReturnUnits-->   OPEN with less, from before the request is sent
+
+`admit` decides on a job without a request. Each admitted job has a `Permit`, which returns its unit once. A
+permit of an earlier allocation returns nothing, as the ledger counts its unit as in doubt.
+
+Time: the holder counts an allocation's shortened time from before its request was sent
+(leases/time_bounds.py). One request at a time is in flight, and requests are numbered, so that a response is
+about the allocation that is held, and a request that comes late to the ledger changes nothing. A response
+about an allocation that has ended meanwhile is void: jobs of it run on and would not be counted.
+
+Invariant: used <= units <= what the ledger has for this token whenever `admit` gives a permit, and now <
+expires_at.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from hazelbend.leases.time_bounds import NEVER, holder_ttl_us
+from hazelbend.quotas.operations import Allocate, QuotaResponse, Reason, ReturnUnits
+from hazelbend.quotas.timing import QuotaTerms
+
+RENEWALS_PER_TTL = 3
+REQUEST_TIMEOUTS_PER_TTL = 6  # after one of these a request counts as lost
+MIN_REQUEST_INTERVAL_US = 50_000  # where more units are wanted at once
+IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, which others may want
+KEEP_AFTER_REJECTION_US = 100_000  # a holder that rejected a job so recently returns nothing to others
+ARRIVAL_WINDOW_US = 300_000  # time constant of the arrival rate
+INITIAL_SERVICE_TIME_US = 500_000.0
+SERVICE_TIME_SAMPLES = 20.0  # weight of the mean service time
+MIN_DEMAND = 0.1  # jobs in service; less wants no unit
+IDLE_SHARE = 8  # an allocation keeps one idle unit for so many, and at least one
+RETRYABLE_REASONS = (Reason.LATE, Reason.NOT_OPEN, Reason.BUSY)
+
+
+Request = Allocate | ReturnUnits
+
+
+@dataclass(slots=True, eq=False)
+class Permit:
+    """The right of one job to be in service."""
+
+    token: int
+    admitted_at: int
+    returned: bool = False
+
+
+class AllocationClient:
+    """The holder of one allocation. Times are microseconds of one clock that never goes back."""
+
+    def __init__(self, account: str, holder: str, terms: QuotaTerms, now: int) -> None:
+        """`holder`: an identity that stands for one run of a process, and is never used again."""
+        self.account = account
+        self.holder = holder
+        self.terms = terms
+        self.holder_ttl_us = holder_ttl_us(terms.allocation_ttl_us, terms.max_clock_drift)
+        self.token = 0
+        self.units = 0
+        self.used = 0
+        self.expires_at = 0
+        self.wanted_back = 0  # by others, as of the last response
+        self.arrivals = 0.0  # jobs, admitted or not, each with a weight that falls with its age
+        self.last_arrival_at = now
+        self.mean_service_time_us = INITIAL_SERVICE_TIME_US
+        self.rejections = 0  # since the last request
+        self.last_rejection_at = now - KEEP_AFTER_REJECTION_US
+        self.in_flight: Request | None = None
+        self.last_request_number = 0
+        self.sent_at = now - MIN_REQUEST_INTERVAL_US  # of the last request
+
+    # --- for each job ---
+
+    def admit(self, now: int) -> Permit | None:
+        """Admit a job, if a unit is free. It must end with `release`."""
+        self.arrivals = self._recent_arrivals(now) + 1
+        self.last_arrival_at = now
+        if now < self.expires_at and self.used < self.units:
+            self.used += 1
+            return Permit(self.token, now)
+        self.rejections += 1
+        self.last_rejection_at = now
+        return None
+
+    def release(self, permit: Permit, now: int) -> None:
+        """The job has ended. A second call for it changes nothing."""
+        if permit.returned:
+            return
+        permit.returned = True
+        service_time_us = now - permit.admitted_at
+        self.mean_service_time_us += (service_time_us - self.mean_service_time_us) / SERVICE_TIME_SAMPLES
+        if permit.token == self.token:
+            self.used -= 1
+
+    def retry_after(self, now: int) -> int:
+        """Microseconds after which a rejected job may be retried: not before the ledger's next response."""
+        return max(self.sent_at + MIN_REQUEST_INTERVAL_US - now, MIN_REQUEST_INTERVAL_US)
+
+    # --- requests to the ledger ---
+
+    @property
+    def next_at(self) -> int:
+        """When `tick` has something to do."""
+        if self.in_flight is not None:
+            return self._request_deadline()
+        if not self.token:
+            return self.sent_at + MIN_REQUEST_INTERVAL_US if self.rejections else NEVER
+        interval = self.terms.allocation_ttl_us // RENEWALS_PER_TTL
+        if self.rejections > 0 or self.wanted_back:
+            interval = MIN_REQUEST_INTERVAL_US
+        elif self.units > self.used:
+            interval = min(interval, IDLE_POLL_INTERVAL_US)
+        return min(self.expires_at, self.sent_at + interval)
+
+    def tick(self, now: int) -> Request | None:
+        """The request to send now, if there is one."""
+        if self.token and now >= self.expires_at:
+            self._lose()
+        if self.in_flight is not None and now >= self._request_deadline():
+            self.in_flight = None
+        if self.in_flight is not None or now < self.next_at:
+            return None
+        self.last_request_number += 1
+        self.sent_at = now
+        self.in_flight = self._next_request(now)
+        if self.in_flight is not None:
+            self.rejections = 0
+        return self.in_flight
+
+    def handle_response(self, request_number: int, response: QuotaResponse | None, now: int) -> None:
+        """Take in the response to a request. None: no leader has answered."""
+        request = self.in_flight
+        if request is None or request_number != request.request_number:
+            return
+        self.in_flight = None
+        if response is None or response.reason in RETRYABLE_REASONS:
+            return
+        if not response.token:
+            if self.token:
+                self._lose()
+            return
+        self.wanted_back = response.wanted_back
+        if isinstance(request, Allocate) and request.token == self.token:
+            # Otherwise that allocation has ended meanwhile: its jobs run on and would not be counted.
+            self._renewed(response, now)
+
+    def _request_deadline(self) -> int:
+        return self.sent_at + self.terms.allocation_ttl_us // REQUEST_TIMEOUTS_PER_TTL
+
+    def _next_request(self, now: int) -> Request | None:
+        number = self.last_request_number
+        idle = self._returnable_units(now)
+        if self.token and idle > 0:
+            self.units -= idle  # from here on, whatever becomes of the request
+            self.wanted_back = 0
+            return ReturnUnits(self.account, self.holder, self.token, idle, number)
+        wanted = max(self._wanted_units(now), 1 if self.rejections else 0)
+        if not wanted and not self.units:
+            self._lose()  # nothing is held or wanted: the ledger lets it expire
+            return None
+        return Allocate(self.account, self.holder, wanted, number, self.token)
+
+    def _renewed(self, response: QuotaResponse, now: int) -> None:
+        self.token = response.token
+        self.units = response.units
+        self.expires_at = max(self.expires_at, self.sent_at + self.holder_ttl_us)
+        if now >= self.expires_at:
+            self._lose()
+
+    def _lose(self) -> None:
+        self.token = 0
+        self.units = 0
+        self.used = 0
+        self.expires_at = 0
+        self.wanted_back = 0
+
+    # --- demand ---
+
+    def _recent_arrivals(self, now: int) -> float:
+        age = min(self.last_arrival_at - now, 0)
+        return self.arrivals * math.exp(age / ARRIVAL_WINDOW_US)
+
+    def _wanted_units(self, now: int) -> int:
+        """Units for the jobs that arrive, and a reserve against chance.
+
+        As many jobs are in service as arrive in one's service time (Little's law), and seldom more than its
+        square root beyond that (square-root staffing).
+        """
+        demand = self._recent_arrivals(now) / ARRIVAL_WINDOW_US * self.mean_service_time_us
+        wanted = math.ceil(demand + math.sqrt(demand)) if demand > MIN_DEMAND else 0
+        return max(wanted, self.used)
+
+    def _returnable_units(self, now: int) -> int:
+        """Units to return now."""
+        if self.wanted_back and now > self.last_rejection_at + KEEP_AFTER_REJECTION_US:
+            reserve = int(math.sqrt(self.used) / 2)
+            return max(min(self.wanted_back, self.units - self.used - reserve), 0)
+        idle = self.units - self._wanted_units(now)
+        return idle if idle > max(1, self.units // IDLE_SHARE) else 0
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -39,7 +39,9 @@
 from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
 from hazelbend.protocol.discovery import EndpointListCodec
-from hazelbend.quotas import book
+from hazelbend.quotas import ledger
+from hazelbend.quotas import operations as quota_operations
+from hazelbend.quotas.timing import QuotaTerms
 from hazelbend.transport.http import worker_orders
 from hazelbend.transport.storage.control_store import ControlStore
 from hazelbend.transport.storage.soft_state_file import write_soft_state
@@ -67,8 +69,8 @@
     return Form(read, write, msgspec.json.encode, msgspec.json.decode)
 
 
-def quota_machine(content: bytes) -> book.Book:
-    machine = book.Book(book.Terms())
+def quota_machine(content: bytes) -> ledger.QuotaLedger:
+    machine = ledger.QuotaLedger(QuotaTerms())
     machine.restore(content)
     return machine
 
@@ -116,8 +118,10 @@
         config_state_machine.ConfigChange | config_state_machine.ForceNewCluster
     ),
     "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
-    "quota_operation": Form(msgspec.msgpack.Decoder(book.Operation).decode, book.encode),
-    "quota_answer": msgpack_form(book.Answer),
+    "quota_operation": Form(
+        msgspec.msgpack.Decoder(quota_operations.Operation).decode, quota_operations.encode
+    ),
+    "quota_answer": msgpack_form(quota_operations.QuotaResponse),
     "quota_snapshot": Form(quota_machine, lambda machine: machine.snapshot()),
     "srv_snapshot": json_form(srv_snapshot, snapshot.encode),
     "handover_state": json_form(
@@ -148,7 +152,7 @@
     "lease_operation": lease_operations.Operation,
     "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
     "configuration_entry": config_state_machine.ConfigChange | config_state_machine.ForceNewCluster,
-    "quota_operation": book.Operation,
+    "quota_operation": quota_operations.Operation,
 }
 
 
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -43,7 +43,7 @@
 from hazelbend.placement.prompt import parse_prompt
 from hazelbend.placement.reliability import AttemptOutcome, FailureCosts
 from hazelbend.placement.routes import decode_route_table
-from hazelbend.quotas import book
+from hazelbend.quotas import operations as quota_operations
 from hazelbend.system.control_status import control_status
 from hazelbend.waiting import terms
 from hazelbend.waiting.engine import Engine
@@ -148,16 +148,16 @@
     """Dispatchers that draw units from a book, which loses and gets requests late."""
     trace = Trace()
     world = quota_sim.World(4, 3, terms=quota_sim.SHORT, load=3.0)
-    do = world.book.do
+    do = world.ledger.execute
 
     def recorded(operation: Any) -> Any:
         answer = do(operation)
-        trace.add(book.encode(operation), answer)
+        trace.add(quota_operations.encode(operation), answer)
         return answer
 
-    world.book.do = recorded  # type: ignore[method-assign]
+    world.ledger.execute = recorded  # type: ignore[method-assign]
     world.play(20 * S)
-    trace.add(world.book.snapshot())
+    trace.add(world.ledger.snapshot())
     return trace
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -18,7 +18,7 @@
     "consensus": set(),
     "gossip": {"consensus"},
     "leases": {"schema", "consensus", "gossip"},
-    "quotas": set(),
+    "quotas": {"leases"},  # fencing tokens, and time without synchronized clocks
     "control": {"consensus"},
     "placement": {"decisions", "control"},
     "forwarding": {"control", "placement"},
