--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -1,9 +1,10 @@
-"""The calls of workers and operators to a control process."""
+"""The HTTP API of a control process: heartbeats of workers, configurations and status for operators."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from dataclasses import dataclass
 
 import msgspec
 import picologging
@@ -12,44 +13,75 @@
 from hazelbend.control.announcements import AnnouncementOutcome
 from hazelbend.control.config_state_machine import ChangeResult, decompress_body
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
-from hazelbend.control.outputs import PutOutcome, ReadOutcome
+from hazelbend.control.outputs import Answer, PutOutcome, ReadOutcome
 from hazelbend.protocol.control_calls import read_heartbeat
-from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
-from hazelbend.system.control_status import control_status
-from hazelbend.system.settings import Settings, split_address
+from hazelbend.system.control_node import ControlNode
+from hazelbend.system.settings import split_address
 from hazelbend.transport.http.asgi_server import HttpRequest, HttpResponse
 
 log = picologging.getLogger("hazelbend.control")
 
-LEADER_WAIT = 0.7  # seconds that a call waits for a leader to be known
-LEADER_LOOK = 0.02
+LEADER_TIMEOUT_S = 0.7  # for a call that waits until a leader is known
+LEADER_POLL_S = 0.02
 JSON = "application/json"
 
+NOT_FOUND = HttpResponse(404, b"no such call\n")
+CONFIG_CONFLICT = HttpResponse(412, b"another version is current\n")
+CONFIG_NOT_ABOVE = HttpResponse(400, b"version: not above the current one\n")
+CONFIG_FORGOTTEN = HttpResponse(503, b"too old to know whether it was taken; read the configuration\n")
+CONFIG_UNKNOWN = HttpResponse(503, b"not known whether it was taken; send it again\n")
+
+
+class CallRejectedError(Exception):
+    """A call that gets an error response."""
+
+    def __init__(self, response: HttpResponse) -> None:
+        self.response = response
+        super().__init__(f"{response.status} {response.body!r}")
+
+
+@dataclass(slots=True, frozen=True)
+class _ConfigChange:
+    base_version: int  # the version that the operator has changed
+    version: int
+    body: bytes
+
 
 class ControlApi:
-    """Answers calls from what the agreement knows, and through it."""
+    """Answers calls through the engine of a `ControlNode`."""
+
+    def __init__(self, node: ControlNode, address: str) -> None:
+        """`address`: of this API; the others have the same port."""
+        self._node = node
+        self._port = split_address(address)[1]
 
-    def __init__(self, settings: Settings, agreement: Agreement) -> None:
-        self._settings, self._agreement = settings, agreement
+    async def answer(self, request: HttpRequest) -> HttpResponse:
+        """The response to any request."""
+        try:
+            return await self._dispatch(request)
+        except CallRejectedError as error:
+            return error.response
+
+    async def _dispatch(self, request: HttpRequest) -> HttpResponse:
+        match (request.method, request.path):
+            case ("POST", "/config/put"):
+                return await self._put_config(request)
+            case ("GET", "/config/get"):
+                return await self._get_config(request)
+            case ("GET", "/status"):
+                return self._status()
+            case ("POST", "/refound"):
+                return self._force_new_cluster()
+        return await self._dispatch_worker_call(request)
 
-    async def answer(self, call: HttpRequest) -> HttpResponse:
-        """The answer to any call."""
-        engine = self._agreement.engine
-        match (call.method, call.path.split("/")):
+    async def _dispatch_worker_call(self, request: HttpRequest) -> HttpResponse:
+        match (request.method, request.path.split("/")):
             case ("POST", ["", "instances", instance, "heartbeat"]):
-                return await self._heartbeat(instance, call.body)
+                return await self._heartbeat(instance, request.body)
             case ("POST", ["", "instances", instance, "deregister"]):
-                return await self._worker_done(engine.handle_deregistration(instance, clock()))
-            case ("POST", ["", "config", "put"]):
-                return await self._put(call)
-            case ("GET", ["", "config", "get"]):
-                return await self._get()
-            case ("GET", ["", "status"]):
-                return self._status()
-            case ("POST", ["", "refound"]):
-                return self._refound()
-        return HttpResponse(404, b"no such call\n")
+                return await self._deregister(instance)
+        return NOT_FOUND
 
     # --- workers ---
 
@@ -57,87 +89,104 @@
         try:
             record = read_heartbeat(instance, body)
         except ValueError as error:
-            return HttpResponse(400, f"{error}\n".encode())
-        engine, now = self._agreement.engine, clock()
-        number = engine.handle_heartbeat(record, now)
-        if number is None and not engine.reaches_quorum_peers(now):
-            self._agreement.pump()
+            raise CallRejectedError(HttpResponse(400, f"{error}\n".encode())) from None
+        now = clock()
+        number = self._node.engine.handle_heartbeat(record, now)
+        if number is None and not self._node.engine.reaches_quorum_peers(now):
+            self._node.advance()
             return HttpResponse(503, b"no other control process can be reached from here\n")
-        return await self._worker_done(number)
+        return await self._wait_for_replicas(number)
+
+    async def _deregister(self, instance: str) -> HttpResponse:
+        return await self._wait_for_replicas(self._node.engine.handle_deregistration(instance, clock()))
 
-    async def _worker_done(self, number: int | None) -> HttpResponse:
+    async def _wait_for_replicas(self, number: int | None) -> HttpResponse:
+        """Wait until enough control processes hold the record. None: there is nothing to wait for."""
         if number is None:
-            self._agreement.pump()
+            self._node.advance()
             return HttpResponse(200, b"{}", JSON)
-        answer = await self._agreement.wait_for(number)
+        answer = await self._node.wait_for_answer(number)
         if not isinstance(answer, AnnouncementOutcome) or not answer.held:
             return HttpResponse(503, b"too few control processes hold it\n")
         return HttpResponse(200, b"{}", JSON)
 
-    # --- operators ---
+    # --- configurations ---
 
-    async def _put(self, call: HttpRequest) -> HttpResponse:
-        base = call.headers.get("base-version", "0")
-        if not (base.isascii() and base.isdecimal()):
-            return HttpResponse(400, b"Base-Version: no whole number\n")
-        try:
-            version = check_configuration(call.body)
-        except InvalidConfigurationError as error:
-            return HttpResponse(400, "".join(f"{each}\n" for each in error.findings).encode())
-        redirect = await self._redirect(call.path)
-        if redirect is not None:
-            return redirect
-        number = self._agreement.engine.put(int(base), version, call.body, clock())
+    async def _put_config(self, request: HttpRequest) -> HttpResponse:
+        change = _read_config_change(request)
+        await self._require_leadership(request.path)
+        number = self._node.engine.put(change.base_version, change.version, change.body, clock())
         if number is None:
             return HttpResponse(503, b"no majority that is large enough\n")
-        answer = await self._agreement.wait_for(number)
-        match answer.result if isinstance(answer, PutOutcome) else None:
-            case ChangeResult.ACCEPTED:
-                return HttpResponse(200, b'{"version":%d}' % version, JSON)
-            case ChangeResult.CONFLICT:
-                return HttpResponse(412, b"another version is current\n")
-            case ChangeResult.NOT_ABOVE:
-                return HttpResponse(400, b"version: not above the current one\n")
-            case ChangeResult.FORGOTTEN:
-                return HttpResponse(503, b"too old to know whether it was taken; read the configuration\n")
-        return HttpResponse(503, b"not known whether it was taken; send it again\n")
-
-    async def _get(self) -> HttpResponse:
-        redirect = await self._redirect("/config/get")
-        if redirect is not None:
-            return redirect
-        number = self._agreement.engine.read(clock())
-        answer = await self._agreement.wait_for(number) if number is not None else None
+        return _put_response(await self._node.wait_for_answer(number), change.version)
+
+    async def _get_config(self, request: HttpRequest) -> HttpResponse:
+        await self._require_leadership(request.path)
+        number = self._node.engine.read(clock())
+        answer = await self._node.wait_for_answer(number) if number is not None else None
         if not isinstance(answer, ReadOutcome) or answer.config is None:
             return HttpResponse(503, b"no majority answers\n")
         if not answer.config.version:
             return HttpResponse(404, b"no configuration yet\n")
         return HttpResponse(200, decompress_body(answer.config), JSON)
 
-    def _refound(self) -> HttpResponse:
-        try:
-            epoch = self._agreement.engine.force_new_cluster(clock())
-        except ValueError as error:
-            return HttpResponse(409, f"{error}\n".encode())
-        log.warning("control: epoch %d is founded here by an operator", epoch)
-        self._agreement.pump()
-        return HttpResponse(200, b'{"epoch":%d}' % epoch, JSON)
+    async def _require_leadership(self, path: str) -> None:
+        """Wait until this process leads.
 
-    async def _redirect(self, path: str) -> HttpResponse | None:
-        """None once this process leads; else the way to the leader, or 503 where none is known."""
-        engine = self._agreement.engine
-        end = time.monotonic() + LEADER_WAIT
+        Raises:
+            CallRejectedError: another process leads (a redirect to it), or no leader is known in time.
+        """
+        engine = self._node.engine
+        deadline = time.monotonic() + LEADER_TIMEOUT_S
         while not engine.raft.settled:
             leader = engine.leader
             if leader and leader != engine.identity:
                 host = split_address(address_of(leader))[0]
-                port = split_address(self._settings.control_address)[1]
-                return HttpResponse(307, headers={"Location": f"http://{host}:{port}{path}"})
-            if time.monotonic() >= end:
-                return HttpResponse(503, b"no leader is known\n")
-            await asyncio.sleep(LEADER_LOOK)
-        return None
+                location = f"http://{host}:{self._port}{path}"
+                raise CallRejectedError(HttpResponse(307, headers={"Location": location}))
+            if time.monotonic() >= deadline:
+                raise CallRejectedError(HttpResponse(503, b"no leader is known\n"))
+            await asyncio.sleep(LEADER_POLL_S)
+
+    # --- operators ---
 
     def _status(self) -> HttpResponse:
-        status = control_status(self._agreement.engine, self._agreement.config.version, clock())
+        from hazelbend.system.control_status import control_status  # most processes are never asked
+
+        status = control_status(self._node.engine, self._node.config.version, clock())
         return HttpResponse(200, msgspec.json.encode(status) + b"\n", JSON)
+
+    def _force_new_cluster(self) -> HttpResponse:
+        try:
+            epoch = self._node.engine.force_new_cluster(clock())
+        except ValueError as error:
+            return HttpResponse(409, f"{error}\n".encode())
+        log.warning("control: an operator has forced a new cluster, epoch %d", epoch)
+        self._node.advance()
+        return HttpResponse(200, b'{"epoch":%d}' % epoch, JSON)
+
+
+def _read_config_change(request: HttpRequest) -> _ConfigChange:
+    """Raises CallRejectedError."""
+    base_version = request.headers.get("base-version", "0")
+    if not (base_version.isascii() and base_version.isdecimal()):
+        raise CallRejectedError(HttpResponse(400, b"Base-Version: no whole number\n"))
+    try:
+        version = check_configuration(request.body)
+    except InvalidConfigurationError as error:
+        findings = "".join(f"{finding}\n" for finding in error.findings)
+        raise CallRejectedError(HttpResponse(400, findings.encode())) from None
+    return _ConfigChange(int(base_version), version, request.body)
+
+
+def _put_response(answer: Answer | None, version: int) -> HttpResponse:
+    match answer.result if isinstance(answer, PutOutcome) else None:
+        case ChangeResult.ACCEPTED:
+            return HttpResponse(200, b'{"version":%d}' % version, JSON)
+        case ChangeResult.CONFLICT:
+            return CONFIG_CONFLICT
+        case ChangeResult.NOT_ABOVE:
+            return CONFIG_NOT_ABOVE
+        case ChangeResult.FORGOTTEN:
+            return CONFIG_FORGOTTEN
+    return CONFIG_UNKNOWN
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -1,4 +1,4 @@
-"""The control process: agreement, watches, orders and API, wired together."""
+"""The control process: engine, API, publisher and phase orders, wired together."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 from hazelbend.consensus.identity import address_of
 from hazelbend.control import messages as m
+from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.load_table import CacheTable, RouterLoad
 from hazelbend.control.outputs import ControlSettings
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
 from hazelbend.system.control_api import ControlApi
-from hazelbend.system.phase_orders import PhaseOrders
+from hazelbend.system.control_node import ControlNode
+from hazelbend.system.phase_orders import PhaseOrderSender
 from hazelbend.system.settings import Settings, split_address
 from hazelbend.system.soft_state_saver import SoftStateSaver
 from hazelbend.system.update_publisher import UpdatePublisher
@@ -23,8 +24,8 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-LARGEST_CALL = 8 * 1024 * 1024  # bytes of a call's body
-SOFT_STATE = "soft-state"  # file beside the store
+MAX_CALL_BODY_BYTES = 8 * 1024 * 1024
+SOFT_STATE_FILE = "soft-state"  # in the data directory
 
 
 class ControlDaemon:
@@ -32,83 +33,90 @@
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        engine_settings = ControlSettings(
-            address=settings.control_peer_address,
-            seeds=settings.seed_peer_addresses,
-            counts_for_quorum=settings.counts_for_quorum,
-            may_bootstrap=settings.bootstrap,
-            tolerance=settings.tolerated_losses,
-            heartbeat_us=settings.heartbeat_us,
-            lease_us=settings.lease_us,
-        )
-        folder = settings.data_dir
-        self._agreement = Agreement(
-            engine_settings,
-            ControlStore(folder) if folder is not None else None,
-            lambda config: self._publisher.publish_config(config),
-            self._workers_changed,
-        )
+        data_dir = settings.data_dir
+        store = ControlStore(data_dir) if data_dir is not None else None
+        soft_state_path = data_dir / SOFT_STATE_FILE if data_dir is not None else None
         caches = CacheTable()
-        soft_state = folder / SOFT_STATE if folder is not None else None
-        self._soft_state = SoftStateSaver(self._agreement, caches, soft_state)
-        self._publisher = UpdatePublisher(self._agreement, caches)
-        self._orders = PhaseOrders(
-            self._agreement, self._publisher.loads.totals, self._publisher.publish_fleet_status
+        self._node = ControlNode(
+            _engine_settings(settings),
+            store,
+            on_config=self._publish_config,
+            on_workers=self._workers_changed,
+        )
+        self._soft_state = SoftStateSaver(self._node, caches, soft_state_path)
+        self._publisher = UpdatePublisher(self._node, caches)
+        self._phase_orders = PhaseOrderSender(
+            self._node, self._publisher.loads.totals, announce=self._publisher.publish_fleet_status
         )
-        self._api = AsgiServer(ControlApi(settings, self._agreement).answer, LARGEST_CALL)
-        self._server = FrameServer(self._hear, self._gone)
-        self._senders: dict[FrameConnection, str] = {}  # addresses of control processes
+        api = ControlApi(self._node, settings.control_address)
+        self._api_server = AsgiServer(api.answer, MAX_CALL_BODY_BYTES)
+        self._frame_server = FrameServer(self._frame_received, self._connection_closed)
+        self._peer_addresses: dict[FrameConnection, str] = {}  # of control processes that have said hello
 
     async def start(self) -> None:
-        """Recall, then serve."""
-        await self._agreement.restore()
-        await self._server.listen(*split_address(self._settings.control_peer_address))
-        await self._api.listen(*split_address(self._settings.control_address))
+        """Restore the saved state, then serve."""
+        await self._node.restore()
+        await self._frame_server.listen(*split_address(self._settings.control_peer_address))
+        await self._api_server.listen(*split_address(self._settings.control_address))
         await self._soft_state.restore()
         self._publisher.start()
         self._soft_state.start()
-        self._orders.start()
-        self._agreement.pump()
+        self._phase_orders.start()
+        self._node.advance()
 
     async def close(self) -> None:
-        """Hand the lead over and end."""
-        self._orders.close()
-        await self._agreement.hand_over()
-        await self._api.close()
+        """Hand over the leadership, answer the calls in flight, and end."""
+        self._phase_orders.close()
+        await self._node.hand_over_leadership()
+        await self._api_server.close()
         self._publisher.close()
         self._soft_state.close()
-        await self._agreement.close()
-        await self._server.close()
+        await self._node.close()
+        await self._frame_server.close()
 
     def reload(self, settings: Settings) -> None:
-        """The settings file has changed: the seeds may be others."""
-        self._agreement.engine.learn_seeds(settings.seed_peer_addresses, clock())
+        """Take changed seeds; all else holds until the next start."""
+        self._node.engine.learn_seeds(settings.seed_peer_addresses, clock())
+
+    def _publish_config(self, config: StoredConfig) -> None:
+        self._publisher.publish_config(config)
 
     def _workers_changed(self, records: list[WorkerRecord]) -> None:
         self._publisher.publish_workers(records)
-        self._orders.workers_changed()
+        self._phase_orders.workers_changed()
 
-    def _hear(self, connection: FrameConnection, frame: bytes) -> None:
+    def _frame_received(self, connection: FrameConnection, frame: bytes) -> None:
         try:
             body = m.decode(frame)
         except msgspec.DecodeError as error:
-            log.warning("control: %s: no message: %s", connection.peer_ip, error)
+            log.warning("control: %s: undecodable message, disconnecting: %s", connection.peer_ip, error)
             connection.close()
             return
         match body:
             case m.Watch():
                 self._publisher.subscribe(connection, body)
             case m.Ping():
-                pong = msgspec.structs.replace(self._agreement.confirmation(), sent_at=body.sent_at)
-                connection.send(m.encode(pong))
+                connection.send(m.encode(self._node.confirmation(body)))
             case RouterLoad():
                 self._publisher.merge_router_load(connection, body)
             case m.PeerHello():
-                sender = self._senders.setdefault(connection, address_of(body.identity))
-                self._agreement.receive(sender, body)
-            case _ if connection in self._senders:
-                self._agreement.receive(self._senders[connection], body)
+                sender = self._peer_addresses.setdefault(connection, address_of(body.identity))
+                self._node.receive(sender, body)
+            case _ if connection in self._peer_addresses:
+                self._node.receive(self._peer_addresses[connection], body)
 
-    def _gone(self, connection: FrameConnection) -> None:
-        self._senders.pop(connection, None)
+    def _connection_closed(self, connection: FrameConnection) -> None:
+        self._peer_addresses.pop(connection, None)
         self._publisher.connection_closed(connection)
+
+
+def _engine_settings(settings: Settings) -> ControlSettings:
+    return ControlSettings(
+        address=settings.control_peer_address,
+        seeds=settings.seed_peer_addresses,
+        counts_for_quorum=settings.counts_for_quorum,
+        may_bootstrap=settings.bootstrap,
+        tolerance=settings.tolerated_losses,
+        heartbeat_us=settings.heartbeat_us,
+        lease_us=settings.lease_us,
+    )
--- /dev/null
+++ b/hazelbend/system/control_event_log.py
@@ -0,0 +1,90 @@
+"""Logs the changes of a control engine that an on-call engineer wants to know of, one line each."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+import picologging
+
+from hazelbend.control.engine import ControlEngine
+
+log = picologging.getLogger("hazelbend.control")
+
+QUORUM_LOST_AFTER_US = 1_500_000  # without a majority's confirmation
+SECOND_US = 1_000_000
+
+
+class ControlEventLog:
+    """Compares the state of an engine with its state at the last call."""
+
+    def __init__(self) -> None:
+        self._leader = ""
+        self._led_term = 0  # 0: it was not the leader
+        self._voters: tuple[str, ...] = ()
+        self._quorum_lost_at: int | None = None
+        self._conflicting_epoch = 0
+        self._catching_up: set[str] = set()
+
+    def observe(self, engine: ControlEngine, now: int) -> None:
+        """Log what has changed."""
+        self._observe_leader(engine)
+        self._observe_voters(engine)
+        self._observe_quorum(engine, now)
+        self._observe_transfers(engine)
+        self._observe_conflicting_epoch(engine)
+
+    def _observe_leader(self, engine: ControlEngine) -> None:
+        term = engine.raft.persistent.term
+        if self._led_term and not engine.raft.leads:
+            log.warning("control: stepped down in term %d; term %d now", self._led_term, term)
+        self._led_term = term if engine.raft.leads else 0
+        if engine.leader != self._leader:
+            self._leader = engine.leader
+            log.info("control: leader %s, term %d", self._leader or "unknown", term)
+
+    def _observe_voters(self, engine: ControlEngine) -> None:
+        voters = engine.raft.voters
+        if voters == self._voters:
+            return
+        joined = sorted(set(voters) - set(self._voters))
+        left = sorted(set(self._voters) - set(voters))
+        self._voters = voters
+        log.info("control: voters %s; joined: %s; left: %s", _names(voters), _names(joined), _names(left))
+
+    def _observe_quorum(self, engine: ControlEngine, now: int) -> None:
+        if not engine.settings.counts_for_quorum or not engine.raft.persistent.epoch:
+            return
+        age = engine.raft.confirmed_age(now)
+        confirmed = age is not None and age < QUORUM_LOST_AFTER_US
+        if confirmed and self._quorum_lost_at is not None:
+            seconds = (now - self._quorum_lost_at) / SECOND_US
+            log.info("control: quorum restored after %.1f s", seconds)
+            self._quorum_lost_at = None
+        elif not confirmed and self._quorum_lost_at is None:
+            self._quorum_lost_at = now
+            log.warning("control: no quorum: configuration calls get 503, routers keep what they have")
+
+    def _observe_transfers(self, engine: ControlEngine) -> None:
+        peers = engine.raft.peers
+        catching_up = {name for name, peer in peers.items() if peer.transfer is not None}
+        for name in sorted(catching_up - self._catching_up):
+            behind = engine.raft.persistent.last - peers[name].match
+            log.info("control: replica %s is behind by %d entries: catching up", name, behind)
+        for name in sorted(self._catching_up - catching_up):
+            log.info("control: replica %s has caught up or is unreachable", name)
+        self._catching_up = catching_up
+
+    def _observe_conflicting_epoch(self, engine: ControlEngine) -> None:
+        if engine.raft.foreign_epoch == self._conflicting_epoch:
+            return
+        self._conflicting_epoch = engine.raft.foreign_epoch
+        log.error(
+            "control: another cluster, epoch %d, was bootstrapped elsewhere; this process stays in epoch %d: "
+            "an operator must choose one",
+            self._conflicting_epoch,
+            engine.raft.persistent.epoch,
+        )
+
+
+def _names(identities: Sequence[str]) -> str:
+    return " ".join(identities) or "none"
--- /dev/null
+++ b/hazelbend/system/control_node.py
@@ -0,0 +1,212 @@
+"""Runs a control engine: gives it the time and messages, persists its state, and sends its output."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+import time
+from collections.abc import Callable
+
+import picologging
+
+from hazelbend.control import messages as m
+from hazelbend.control.config_state_machine import StoredConfig
+from hazelbend.control.engine import ControlEngine
+from hazelbend.control.outputs import Answer, ControlSettings, DurableOutput, ImmediateOutput
+from hazelbend.control.workers import WorkerRecord
+from hazelbend.system.clock import clock
+from hazelbend.system.control_event_log import ControlEventLog
+from hazelbend.system.state_persister import StateNotSavedError, StatePersister
+from hazelbend.transport.peer.frame_link import FrameLink
+from hazelbend.transport.storage.control_store import ControlStore
+
+log = picologging.getLogger("hazelbend.control")
+
+SECOND_US = 1_000_000
+ANSWER_TIMEOUT_S = 0.9  # for an API call that waits for the engine
+SAVE_RETRY_DELAY_S = 0.2  # after a write that the disk refused
+MIN_TICK_INTERVAL_S = 0.001
+HAND_OVER_TIMEOUT_S = 0.6  # at the end, for another process to become leader
+HAND_OVER_POLL_S = 0.02
+LAST_SAVE_TIMEOUT_S = 0.6  # at the end, for a save that runs
+IDENTITY_BYTES = 4  # of randomness in the identity of a process without saved state
+SEED_BITS = 63
+
+
+class ControlNode:
+    """One running control engine.
+
+    Output that depends on the state that must survive a crash is sent once this state is saved (Raft,
+    figure 2: "updated on stable storage before responding to RPCs"); all other output is sent at once.
+
+    `on_config` gets each configuration that comes into force, `on_workers` the workers that have changed.
+    """
+
+    engine: ControlEngine  # from `restore` on
+
+    def __init__(
+        self,
+        settings: ControlSettings,
+        store: ControlStore | None,
+        on_config: Callable[[StoredConfig], None],
+        on_workers: Callable[[list[WorkerRecord]], None],
+    ) -> None:
+        self.config = StoredConfig()  # the one in force
+        self.confirmed_at: int | None = None  # when a majority confirmed that `config` was the newest
+        self._settings = settings
+        self._persister = StatePersister(store)
+        self._on_config = on_config
+        self._on_workers = on_workers
+        self._links: dict[str, FrameLink] = {}  # by address of the control process
+        self._pending_answers: dict[int, asyncio.Future[Answer]] = {}  # by number
+        self._save_task: asyncio.Task[None] | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._event_log = ControlEventLog()
+        self._closed = False
+
+    # --- start and end ---
+
+    async def restore(self) -> None:
+        """Create the engine, from the saved state if there is any."""
+        restored = await self._persister.restore(self._settings.address)
+        state = restored[0] if restored is not None else None
+        identity = f"{secrets.token_hex(IDENTITY_BYTES)}@{self._settings.address}"
+        seed = secrets.randbits(SEED_BITS)
+        self.engine = ControlEngine(identity, self._settings, seed, clock(), time.time, state)
+        if restored is not None:
+            commit_index = restored[1]
+            self.engine.raft.restore_commit(commit_index, clock())
+            self.config = self.engine.machine.current
+        log.info("control: started as %s, %s", self.engine.identity, "restored" if state else "new")
+
+    async def hand_over_leadership(self) -> None:
+        """Before a graceful shutdown: tell the others, and wait until another one leads, if this one did."""
+        handed_over = self.engine.leave(clock())
+        self.advance()
+        if not handed_over:
+            return
+        deadline = time.monotonic() + HAND_OVER_TIMEOUT_S
+        while self.engine.raft.leads and time.monotonic() < deadline:  # noqa: ASYNC110 (the engine has no I/O)
+            await asyncio.sleep(HAND_OVER_POLL_S)
+
+    async def close(self) -> None:
+        """Stop the engine; a save that runs is completed."""
+        self._closed = True
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        if self._save_task is not None:
+            await asyncio.wait([self._save_task], timeout=LAST_SAVE_TIMEOUT_S)
+        for link in self._links.values():
+            link.reconnect()
+
+    # --- running the engine ---
+
+    def receive(self, sender: str, body: m.Body) -> None:
+        """A message of the control process at this address has arrived."""
+        self.engine.receive(sender, body, clock())
+        self.advance()
+
+    def advance(self) -> None:
+        """Tick the engine if it is time, take its output, and set the timer for the next tick.
+
+        To be called after each call that may leave output in the engine.
+        """
+        if self._closed:
+            return
+        engine = self.engine
+        if clock() >= engine.next_tick_at:
+            engine.tick(clock())
+        self._send_immediate(engine.take_immediate_output())
+        if self._save_task is None:
+            if engine.has_durable_output:
+                self._save_task = asyncio.create_task(self._save_and_send())
+            else:
+                self.confirmed_at = engine.raft.confirmed_at
+        self._set_tick_timer()
+        self._event_log.observe(engine, clock())
+
+    def _set_tick_timer(self) -> None:
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        delay_s = max((self.engine.next_tick_at - clock()) / SECOND_US, MIN_TICK_INTERVAL_S)
+        self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self.advance)
+
+    async def wait_for_answer(self, number: int) -> Answer | None:
+        """Wait for the engine's answer of this number; None where it does not come in time."""
+        self.advance()
+        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        self._pending_answers[number] = future
+        try:
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                return await future
+        except TimeoutError:
+            return None
+        finally:
+            del self._pending_answers[number]
+
+    def confirmation(self, ping: m.Ping) -> m.Pong:
+        """The answer to a router's ping: which configuration is in force, and how old its confirmation is."""
+        age = None if self.confirmed_at is None else max(clock() - self.confirmed_at, 0)
+        return m.Pong(ping.sent_at, self.config.version, age)
+
+    # --- output ---
+
+    async def _save_and_send(self) -> None:
+        """Save, then send, until nothing is left; output that arises meanwhile is included."""
+        engine = self.engine
+        try:
+            while engine.has_durable_output:
+                output = engine.take_durable_output()
+                await self._persister.save_changes(engine.raft)
+                self._send_durable(output)
+            await self._persister.save_commit_index(engine.raft)
+        except StateNotSavedError as error:
+            # The output is lost, as on a bad link: this process abstains until it can save again.
+            log.error("control: store: %s; this process abstains until writes succeed", error)
+            for answer in engine.discard_durable_output():
+                self._resolve(answer)
+            await asyncio.sleep(SAVE_RETRY_DELAY_S)
+        finally:
+            self._save_task = None
+
+    def _send_immediate(self, output: ImmediateOutput) -> None:
+        for address, body in output.out:
+            self.send(address, m.encode(body))
+        for answer in output.answers:
+            # Later, since its caller comes to wait for it only after this call.
+            asyncio.get_running_loop().call_soon(self._resolve, answer)
+        if output.news:
+            self._on_workers(output.news)
+
+    def _send_durable(self, output: DurableOutput) -> None:
+        for address, messages in output.out:
+            self.send(address, m.encode(messages))
+        for answer in output.answers:
+            self._resolve(answer)
+        self.confirmed_at = output.confirmed_at
+        if output.config.version > self.config.version:
+            self.config = output.config
+            log.info("control: configuration %d is in force", output.config.version)
+            self._on_config(output.config)
+
+    def _resolve(self, answer: Answer) -> None:
+        future = self._pending_answers.get(answer.number)
+        if future is not None and not future.done():
+            future.set_result(answer)
+
+    def send(self, address: str, frame: bytes) -> None:
+        """Send an encoded message to the control process at this address; it may be lost."""
+        link = self._links.get(address)
+        if link is None:
+            link = FrameLink(address, _ignore_frame, lambda: self._link_opened(address))
+            self._links[address] = link
+        link.send(frame)
+
+    def _link_opened(self, address: str) -> None:
+        """Messages to this address may have been lost before: it is sent all workers."""
+        self.engine.send_worker_snapshot(address, clock())
+        asyncio.get_running_loop().call_soon(self.advance)
+
+
+def _ignore_frame(content: bytes) -> None:
+    """Control processes answer over links of their own."""
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -1,60 +1,103 @@
-"""What `GET /status` tells people of a control process."""
+"""The body of `GET /status`: what a control process knows, for operators.
+
+The names of the JSON's keys are those of the fields, except where a field says otherwise.
+"""
 
 from __future__ import annotations
 
+import msgspec
+
 from hazelbend.control.engine import ControlEngine
 
+MILLISECOND_US = 1_000
 
-def control_status(engine: ControlEngine, version: int, now: int) -> dict[str, object]:
-    """Values for JSON. `version`: of the configuration that is told to routers; times in milliseconds."""
-    record = engine.raft
-    age = record.confirmed_age(now)
-    return {
-        "me": engine.identity,
-        "leader": engine.leader,
-        "epoch": record.persistent.epoch,
-        "foreign_epoch": record.foreign_epoch or None,
-        "term": record.persistent.term,
-        "voters": record.voters,
-        "lost": [
-            each
-            for each in record.voters
-            if each != engine.identity and engine.peers.is_replaceable(each, now)
-        ],
-        "joining": sorted(record.learners),
-        "commit": record.commit,
-        "version": version,
-        "confirmed_ms_ago": None if age is None else age // 1_000,
-        "replicas": _replicas(engine, now),
-        "controls": (engine.settings.address, *engine.peers.alive(now)),
-        "routers": sorted(engine.watching_routers),
-        "workers": _workers(engine, now),
-    }
+
+class ReplicaStatus(msgspec.Struct, frozen=True):
+    """What the leader knows of another replica of the log."""
+
+    confirms: bool  # it answered the last heartbeat or the one before
+    answered_ms_ago: int
+    behind: int  # entries of the log
+    bytes_to_come: int  # of a snapshot that is being sent
+
+
+class WorkerStatus(msgspec.Struct, frozen=True):
+    """A worker as this process knows it."""
+
+    instance: str
+    service: str
+    address: str
+    state: str
+    phase: str
+    heard_ms_ago: int
+
+
+class ControlStatus(msgspec.Struct, frozen=True):
+    """A control process. Addresses are those for traffic inside the fleet."""
+
+    identity: str = msgspec.field(name="me")
+    leader: str  # empty where it is unknown
+    epoch: int  # of the cluster
+    conflicting_epoch: int | None = msgspec.field(name="foreign_epoch")  # of a cluster bootstrapped elsewhere
+    term: int
+    voters: tuple[str, ...]
+    lost: list[str]  # voters that may be replaced
+    joining: list[str]  # processes that catch up before they become voters
+    commit_index: int = msgspec.field(name="commit")
+    config_version: int = msgspec.field(name="version")  # in force
+    confirmed_ms_ago: int | None  # since a majority has confirmed this process's state
+    replicas: dict[str, ReplicaStatus]  # by identity; only at the leader
+    control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of processes that are alive
+    routers: list[str]  # that are subscribed here
+    workers: list[WorkerStatus]
+
+
+def control_status(engine: ControlEngine, config_version: int, now: int) -> ControlStatus:
+    """The status at this time. `config_version`: of the configuration in force."""
+    raft = engine.raft
+    confirmed_age = raft.confirmed_age(now)
+    other_voters = [voter for voter in raft.voters if voter != engine.identity]
+    return ControlStatus(
+        identity=engine.identity,
+        leader=engine.leader,
+        epoch=raft.persistent.epoch,
+        conflicting_epoch=raft.foreign_epoch or None,
+        term=raft.persistent.term,
+        voters=raft.voters,
+        lost=[voter for voter in other_voters if engine.peers.is_replaceable(voter, now)],
+        joining=sorted(raft.learners),
+        commit_index=raft.commit,
+        config_version=config_version,
+        confirmed_ms_ago=None if confirmed_age is None else confirmed_age // MILLISECOND_US,
+        replicas=_replicas(engine, now),
+        control_addresses=(engine.settings.address, *engine.peers.alive(now)),
+        routers=sorted(engine.watching_routers),
+        workers=_workers(engine, now),
+    )
 
 
-def _replicas(engine: ControlEngine, now: int) -> dict[str, object]:
-    """What the leader knows of the others: who confirms it, and who is behind by how much."""
-    record = engine.raft
+def _replicas(engine: ControlEngine, now: int) -> dict[str, ReplicaStatus]:
+    raft = engine.raft
     return {
-        name: {
-            "confirms": peer.round >= record.round - 1,
-            "answered_ms_ago": (now - peer.heard_at) // 1_000,
-            "behind": record.persistent.last - peer.match,
-            "bytes_to_come": len(peer.transfer.content) - peer.transfer.offset if peer.transfer else 0,
-        }
-        for name, peer in record.peers.items()
+        identity: ReplicaStatus(
+            confirms=peer.round >= raft.round - 1,
+            answered_ms_ago=(now - peer.heard_at) // MILLISECOND_US,
+            behind=raft.persistent.last - peer.match,
+            bytes_to_come=len(peer.transfer.content) - peer.transfer.offset if peer.transfer else 0,
+        )
+        for identity, peer in raft.peers.items()
     }
 
 
-def _workers(engine: ControlEngine, now: int) -> list[dict[str, object]]:
+def _workers(engine: ControlEngine, now: int) -> list[WorkerStatus]:
     return [
-        {
-            "instance": each.record.instance,
-            "service": each.record.service,
-            "address": each.record.address,
-            "state": each.record.state.name.lower(),
-            "phase": each.record.phase,
-            "heard_ms_ago": (now - each.heard_at) // 1_000,
-        }
-        for each in engine.registry.tracked.values()
+        WorkerStatus(
+            instance=worker.record.instance,
+            service=worker.record.service,
+            address=worker.record.address,
+            state=worker.record.state.name.lower(),
+            phase=worker.record.phase,
+            heard_ms_ago=(now - worker.heard_at) // MILLISECOND_US,
+        )
+        for worker in engine.registry.tracked.values()
     ]
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -1,9 +1,12 @@
-"""Gives the orders of the phase planner to workers, while this process leads."""
+"""Sends the phase planner's orders to workers, while this process leads.
+
+An order makes a worker change its phase (prefill or decode). It carries a fencing token, and is sent only
+once a majority has confirmed that this process still leads, so that two leaders never order at a time.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 from collections.abc import Callable
 
 import picologging
@@ -11,65 +14,88 @@
 from hazelbend.control.load_table import Load
 from hazelbend.control.outputs import ReadOutcome
 from hazelbend.control.phase_planner import PhaseOrder
-from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
+from hazelbend.system.control_node import ControlNode
 
 log = picologging.getLogger("hazelbend.control")
 
-PLAN_PERIOD = 0.5  # seconds between two looks at the parts that workers play
-PLAN_DELAY = 0.05  # after a change of workers, so that several at once are one look
+PLAN_PERIOD_S = 0.5
+PLAN_DELAY_S = 0.05  # after a change of workers, so that several changes at once are planned for once
+ORDER_OPERATION = "phase"
+
 
+class PhaseOrderSender:
+    """Plans regularly, and soon after each change of workers.
 
-class PhaseOrders:
-    """Looks, and orders."""
+    `loads` gives the requests in flight by worker. `announce` tells routers that a worker changes its phase.
+    """
 
     def __init__(
-        self, agreement: Agreement, loads: Callable[[], dict[str, Load]], announce: Callable[[], None]
+        self, node: ControlNode, loads: Callable[[], dict[str, Load]], announce: Callable[[], None]
     ) -> None:
-        """`announce` lets routers know of an order before it is given."""
-        self._agreement, self._loads, self._announce = agreement, loads, announce
+        self._node = node
+        self._loads = loads
+        self._announce = announce
         self._task: asyncio.Task[None] | None = None
-        self._changed = asyncio.Event()
+        self._workers_changed = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to look."""
-        self._task = asyncio.create_task(self._plan())
+        """Begin to plan."""
+        self._task = asyncio.create_task(self._plan_regularly())
 
     def close(self) -> None:
-        """No further orders."""
+        """Send no more orders."""
         if self._task is not None:
             self._task.cancel()
 
     def workers_changed(self) -> None:
-        """Look soon: a worker may have announced its end."""
-        self._changed.set()
+        """Plan soon: a worker may have begun to drain."""
+        self._workers_changed.set()
 
-    async def _plan(self) -> None:
+    async def _plan_regularly(self) -> None:
         while True:
-            with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._changed.wait(), PLAN_PERIOD)
-                await asyncio.sleep(PLAN_DELAY)
-            self._changed.clear()
-            for order in self._agreement.engine.phase_orders(self._loads(), clock()):
-                await self._order(order)
-
-    async def _order(self, order: PhaseOrder) -> None:
-        """Let routers know first, then order, if a majority confirms that this process still leads."""
-        # Imported here: it takes time that a start does not have, and most processes never give an order.
+            await self._wait_for_change()
+            self._workers_changed.clear()
+            for order in self._node.engine.phase_orders(self._loads(), clock()):
+                await self._send(order)
+
+    async def _wait_for_change(self) -> None:
+        """Wait until shortly after a change of workers, or for the period."""
+        try:
+            async with asyncio.timeout(PLAN_PERIOD_S):
+                await self._workers_changed.wait()
+        except TimeoutError:
+            return
+        await asyncio.sleep(PLAN_DELAY_S)
+
+    async def _send(self, order: PhaseOrder) -> None:
+        # Imported here: slow to import, and most processes never send an order.
         from hazelbend.transport.http.worker_orders import Order, OrderResult, send_order
 
-        engine = self._agreement.engine
-        token = engine.order_token(clock())
-        self._announce()
-        number = engine.read(clock())
-        confirmed = await self._agreement.wait_for(number) if number is not None else None
-        is_confirmed = isinstance(confirmed, ReadOutcome) and confirmed.config is not None
-        if not is_confirmed or token is None or engine.order_token(clock()) != token:
-            log.warning("control: %s is not ordered to %s: no majority confirms", order.instance, order.phase)
+        engine = self._node.engine
+        token = await self._confirmed_token()
+        if token is None:
+            log.warning("control: %s not ordered to %s: no quorum", order.instance, order.phase)
             engine.planner.refused(order)
             return
-        call = Order("phase", order.phase, engine.identity, token)
-        result = await send_order(order.address, order.instance, call)
-        log.info("control: %s is to %s: %s", order.instance, order.phase, result.value)
+        body = Order(ORDER_OPERATION, order.phase, engine.identity, token)
+        result = await send_order(order.address, order.instance, body)
+        log.info("control: %s ordered to %s: %s", order.instance, order.phase, result.value)
         if result is OrderResult.REFUSED:
             engine.planner.refused(order)
+
+    async def _confirmed_token(self) -> int | None:
+        """The fencing token of an order, once a majority has confirmed that this process leads.
+
+        Routers are told meanwhile. The token is compared once more after the confirmation: a process that
+        has stepped down in between knows the next leader's term, whose token it must not use.
+        """
+        engine = self._node.engine
+        token = engine.order_token(clock())
+        self._announce()
+        number = engine.read(clock())
+        answer = await self._node.wait_for_answer(number) if number is not None else None
+        confirmed = isinstance(answer, ReadOutcome) and answer.config is not None
+        if not confirmed or engine.order_token(clock()) != token:
+            return None
+        return token
--- a/hazelbend/system/soft_state_saver.py
+++ b/hazelbend/system/soft_state_saver.py
@@ -14,8 +14,8 @@
 
 from hazelbend.control import messages as m
 from hazelbend.control.load_table import CacheTable
-from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
+from hazelbend.system.control_node import ControlNode
 from hazelbend.transport.storage.soft_state_file import read_soft_state, write_soft_state
 
 log = picologging.getLogger("hazelbend.control")
@@ -29,8 +29,8 @@
     Without a path it does nothing.
     """
 
-    def __init__(self, agreement: Agreement, caches: CacheTable, path: Path | None) -> None:
-        self._agreement = agreement
+    def __init__(self, node: ControlNode, caches: CacheTable, path: Path | None) -> None:
+        self._node = node
         self._caches = caches
         self._path = path
         self._saved_content = b""
@@ -48,7 +48,7 @@
         except msgspec.DecodeError as error:
             log.warning("control: soft state: ignored, undecodable: %s", error)
             return
-        engine = self._agreement.engine
+        engine = self._node.engine
         engine.restore_workers(state.workers, clock())
         engine.peak_router_count = max(state.routers, 1)
         self._caches.add(state.cached)
@@ -66,7 +66,7 @@
     async def _save_regularly(self, path: Path) -> None:
         while True:
             await asyncio.sleep(SAVE_PERIOD_S)
-            engine = self._agreement.engine
+            engine = self._node.engine
             state = m.SoftState(engine.registry.records(), self._caches.all(), engine.peak_router_count)
             content = m.encode_soft_state(state)
             if content == self._saved_content:
--- /dev/null
+++ b/hazelbend/system/state_persister.py
@@ -0,0 +1,83 @@
+"""Persists the consensus state of a control process, and restores it at the start.
+
+Without a store (no data directory) nothing is persisted: such a process begins anew at each start.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+
+import picologging
+
+from hazelbend.consensus import state_codec
+from hazelbend.consensus.persistent_state import PersistentState
+from hazelbend.consensus.raft import RaftNode
+from hazelbend.transport.storage.control_store import ControlStore, Part, StoreError
+
+log = picologging.getLogger("hazelbend.control")
+
+RESTORE_RETRY_DELAY_S = 0.2
+
+
+class StateNotSavedError(Exception):
+    """The disk refused a write; what depends on it must not be sent."""
+
+
+class StatePersister:
+    """Saves the changes of a `RaftNode`, in the order in which they were made."""
+
+    def __init__(self, store: ControlStore | None) -> None:
+        self._store = store
+        self._saved_commit = 0
+        self._has_full_state = False  # the store holds a full state, to which changes can be added
+
+    async def restore(self, address: str) -> tuple[PersistentState, int] | None:
+        """The state that was saved by the process of this address, and its commit index; None: there is none.
+
+        Waits for a disk that refuses to be read.
+        """
+        while self._store is not None:
+            try:
+                restored = await self._store.open(address)
+            except StoreError as error:
+                log.error("control: store: can't be opened, retrying: %s", error)
+                await asyncio.sleep(RESTORE_RETRY_DELAY_S)
+                continue
+            if restored is not None:
+                self._has_full_state = True
+                self._saved_commit = restored[1]
+            return restored
+        return None
+
+    async def save_changes(self, raft: RaftNode) -> None:
+        """Save all changes since the last call.
+
+        Raises:
+            StateNotSavedError: nothing was saved; the next call saves the full state.
+        """
+        parts = state_codec.changed_parts(raft)
+        if parts and self._store is not None:
+            await self._save(self._store, raft, parts)
+
+    async def save_commit_index(self, raft: RaftNode) -> None:
+        """Save the commit index if it has changed since it was last saved.
+
+        Raises:
+            StateNotSavedError: nothing was saved; the next call saves the full state.
+        """
+        if self._store is not None and raft.commit != self._saved_commit:
+            await self._save(self._store, raft, [])
+
+    async def _save(self, store: ControlStore, raft: RaftNode, parts: Sequence[Part]) -> None:
+        if not self._has_full_state:
+            parts = state_codec.whole_parts(raft.persistent)
+        commit = raft.commit
+        try:
+            await store.save(parts, commit)
+        except StoreError as error:
+            self._has_full_state = False
+            raft.promise_changed = True  # so that there is something to save
+            raise StateNotSavedError(str(error)) from error
+        self._saved_commit = commit
+        self._has_full_state = True
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -16,8 +16,8 @@
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.load_table import CachedPrefix, CacheTable, LoadTable, LoadUpdate, Outcomes, RouterLoad
 from hazelbend.control.workers import WorkerRecord, WorkerState
-from hazelbend.system.agreement import Agreement
 from hazelbend.system.clock import clock
+from hazelbend.system.control_node import ControlNode
 from hazelbend.transport.peer.frame_link import FrameConnection
 
 log = picologging.getLogger("hazelbend.control")
@@ -38,9 +38,9 @@
 class UpdatePublisher:
     """All subscriptions to this process."""
 
-    def __init__(self, agreement: Agreement, caches: CacheTable) -> None:
+    def __init__(self, node: ControlNode, caches: CacheTable) -> None:
         self.loads = LoadTable()
-        self._agreement = agreement
+        self._node = node
         self._caches = caches
         self._subscribers: dict[FrameConnection, _Subscriber] = {}
         self._loads_changed = False
@@ -65,7 +65,7 @@
 
         A process without a vote has no configuration to send: it names those that have, and disconnects.
         """
-        engine = self._agreement.engine
+        engine = self._node.engine
         if not engine.settings.counts_for_quorum:
             connection.send(m.encode(engine.fleet_status(clock())))
             connection.close()
@@ -91,17 +91,17 @@
         is_from_router = connection in self._subscribers
         if is_from_router:  # other control processes have other subscribers
             frame = m.encode(load)
-            for address in self._agreement.engine.peers.alive_quorum_peers(clock()):
-                self._agreement.send(address, frame)
+            for address in self._node.engine.peers.alive_quorum_peers(clock()):
+                self._node.send(address, frame)
 
     def _update_router_set(self) -> None:
         routers = {subscriber.router for subscriber in self._subscribers.values()}
-        self._agreement.engine.watching_routers = routers
+        self._node.engine.watching_routers = routers
 
     def _complete_state(self, request: m.Watch) -> list[m.Body]:
         """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
-        engine = self._agreement.engine
-        config = self._agreement.config
+        engine = self._node.engine
+        config = self._node.config
         loads = self.loads.all_others(request.router) if request.loads else {}
         bodies: list[m.Body] = [m.WorkerUpdate(0, engine.registry.records())]
         if config.version > request.version:
@@ -143,7 +143,7 @@
 
     def publish_fleet_status(self) -> None:
         """Send the periodic update on the fleet now."""
-        self._broadcast(self._agreement.engine.fleet_status(clock()))
+        self._broadcast(self._node.engine.fleet_status(clock()))
 
     def _broadcast(self, body: m.Body) -> None:
         frame = m.encode(body)
@@ -155,7 +155,7 @@
             await asyncio.sleep(FLEET_STATUS_PERIOD_S)
             self.publish_fleet_status()
             if any(subscriber.config_pending for subscriber in self._subscribers.values()):
-                self._send_pending_configs(self._agreement.config)
+                self._send_pending_configs(self._node.config)
 
     async def _publish_loads_regularly(self) -> None:
         while True:
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -25,7 +25,7 @@
 from hazelbend.control.phase_planner import PhaseOrder
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry, WorkerState
 from hazelbend.system import phase_orders
-from hazelbend.system.phase_orders import PhaseOrders
+from hazelbend.system.phase_orders import PhaseOrderSender
 from hazelbend.transport.http import worker_orders
 from hazelbend.transport.http.worker_orders import OrderResult
 
@@ -253,7 +253,7 @@
     class Confirming:
         engine = leader
 
-        async def wait_for(self, number: int) -> ReadOutcome:
+        async def wait_for_answer(self, number: int) -> ReadOutcome:
             if number == steps_down:
                 leader.raft.receive(
                     Message(
@@ -271,11 +271,11 @@
     monkeypatch.setattr(phase_orders, "clock", lambda: fleet.now)
     assert fleet.until(lambda: leader.order_token(fleet.now) is not None, 6 * S)
     token = leader.order_token(fleet.now)
-    orders = PhaseOrders(Confirming(), dict, lambda: None)
+    orders = PhaseOrderSender(Confirming(), dict, lambda: None)
     steps_down = 0
-    asyncio.run(orders._order(order))
+    asyncio.run(orders._send(order))
     steps_down = leader._number + 1
-    asyncio.run(orders._order(order))
+    asyncio.run(orders._send(order))
     assert sent == [token]
 
 
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -217,7 +217,7 @@
         raise AssertionError("it is slow, not gone")
 
 
-class ControlInForce:
+class FakeControlNode:
     """What an update publisher needs of a control node, with a real engine."""
 
     def __init__(self) -> None:
@@ -227,17 +227,17 @@
 
 
 async def test_a_router_that_reads_slowly_is_sent_the_newest_configuration_and_none_between():
-    agreement, router = ControlInForce(), SlowRouter()
-    publisher = UpdatePublisher(agreement, CacheTable())
+    node, router = FakeControlNode(), SlowRouter()
+    publisher = UpdatePublisher(node, CacheTable())
     publisher.subscribe(router, control_messages.Watch("r", 1))
     router.unsent_bytes, router.sent = 0, []
     for version in range(2, 40):
-        agreement.config = StoredConfig(version, b"x" * 100_000)
-        publisher.publish_config(agreement.config)
+        node.config = StoredConfig(version, b"x" * 100_000)
+        publisher.publish_config(node.config)
     assert [body.version for body in router.sent] == [2]
     router.unsent_bytes = 0
-    publisher._send_pending_configs(agreement.config)
-    publisher._send_pending_configs(agreement.config)
+    publisher._send_pending_configs(node.config)
+    publisher._send_pending_configs(node.config)
     assert [body.version for body in router.sent] == [2, 39]
 
 
