--- a/hazelbend/decisions/brain.py
+++ b/hazelbend/decisions/brain.py
@@ -13,13 +13,16 @@
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.discovery_retry import LARGE_FLEET, DiscoveryRetry
+from hazelbend.decisions.fleet_plan import FleetPlan, preference_order
 from hazelbend.decisions.formulas import drained
 from hazelbend.decisions.interface import Effect, Group, Outcome, WorkerState
-from hazelbend.decisions.records import LAGS, Attempt, Lag, Mean, Refresh, Request, Worker, find
-from hazelbend.decisions.repeats import may_begin, may_send
-from hazelbend.decisions.slow_start import SlowStart, give_back, spend
-from hazelbend.decisions.soundness import Soundness
-from hazelbend.decisions.unseen import Fleet, key_places
+from hazelbend.decisions.reliability import FailureEstimate
+from hazelbend.decisions.report_age import CANDIDATE_AGES_US, ReportLag, ReportPeriod
+from hazelbend.decisions.request import Attempt, Request, find_attempt
+from hazelbend.decisions.retry_rules import allows_attempt, still_allows_attempt
+from hazelbend.decisions.slow_start import SlowStart, release_budget, spend_budget
+from hazelbend.decisions.statistics import Mean
+from hazelbend.decisions.worker import Worker
 
 K_MAX = 20  # the paper's truncation of a worker's job count
 MEMORY = 60.0  # samples a mean rests on: some seconds' worth, so that a worker that has slowed down shows
@@ -48,10 +51,10 @@
 def expected_jobs(worker: Worker, now: int, rate: float) -> float:
     """E[N] in mean jobs. Own unfinished jobs are known not to have left, so they are a floor; departures fall
     on all jobs alike, and free slots let none go. What peers have sent since nears the usual level."""
-    age, level = max(now - worker.counted_at, 0), worker.crowd * rate
-    came = level * (1 - exp(-age * rate / max(worker.most, level + 1)))
-    leaving = rate * age * worker.others / max(worker.others + worker.load, worker.most)
-    return worker.load + came + drained(worker.others, leaving)
+    age, level = max(now - worker.peer_jobs_at, 0), worker.background_load * rate
+    came = level * (1 - exp(-age * rate / max(worker.concurrency, level + 1)))
+    leaving = rate * age * worker.peer_jobs / max(worker.peer_jobs + worker.own_load, worker.concurrency)
+    return worker.own_load + came + drained(worker.peer_jobs, leaving)
 
 
 class Dispatcher:
@@ -75,7 +78,7 @@
         self.usuals: dict[int, Mean] = {}  # by machine kind: others' jobs over the size, by reports
         self.sizes: dict[int, float] = {}  # by machine kind: the highest weight listed
         self.paces: dict[int, Mean] = {}  # by machine kind: run times over the expected
-        self.refresh, self.lag, self.fleet = Refresh(), Lag(), Fleet()
+        self.refresh, self.lag, self.fleet = ReportPeriod(), ReportLag(), FleetPlan()
         self.slowness, self.erring = Mean(CLASS_PRIOR, CLASS_PRIOR), Mean()  # run times; times to an error
         self.rates, self.weights = Mean(1.0, 1.0), Mean(1.0, 1.0)  # of workers that served, in mean jobs
         self.out: list[face.Action] = []
@@ -119,7 +122,7 @@
 
     def avoided(self, now: int) -> set[face.WorkerId]:
         """The listed workers that are shut out now."""
-        return {number for number, worker in self.workers.items() if worker.shut_until > now}
+        return {number for number, worker in self.workers.items() if worker.backoff_until > now}
 
     def _members(self, event: face.MembershipUpdate, now: int) -> None:
         if event.kind is face.ListKind.FAILED:
@@ -142,12 +145,17 @@
             self.workers.pop(entry.worker, None)
             return
         if (worker := self.workers.get(entry.worker)) is None:
-            worker = self.workers[entry.worker] = Worker(entry, 0.0, counted_at=now)
+            worker = self.workers[entry.worker] = Worker(entry, 0.0, peer_jobs_at=now)
         elif entry.started_at > worker.entry.started_at:  # a fresh process: nothing runs there
-            worker.others, worker.counted_at, worker.keys, worker.soundness = 0, now, {}, Soundness()
+            worker.peer_jobs, worker.peer_jobs_at, worker.cached_keys, worker.reliability = (
+                0,
+                now,
+                {},
+                FailureEstimate(),
+            )
             self._trust(worker, now)
         worker.entry, worker.weight = entry, max(entry.weight, 1e-6)
-        worker.lot = float(not self.plans and self.settings.warmth(entry.started_at, now) < 1.0)
+        worker.lottery_number = float(not self.plans and self.settings.warmth(entry.started_at, now) < 1.0)
         if self.settings.weights_fall_with_load:
             self._weigh(worker, now)
         self._set_rate(worker, now)
@@ -156,7 +164,7 @@
         """A weight that falls with load reports it too: a kind's highest, over 1 and the jobs held a core."""
         kind = worker.entry.machine_kind
         self.sizes[kind] = max(worker.weight, self.sizes.get(kind, 0.0))
-        if load := worker.weighed(self.sizes[kind]):
+        if load := worker.load_from_weight(self.sizes[kind]):
             self._report(worker, load, now)
 
     def _report(self, worker: Worker, load: face.LoadReport, now: int) -> None:
@@ -170,12 +178,12 @@
         worker.reported_at = now
         if age is None:
             return
-        worker.counted_at = now - age - worker.round_trip // 2
-        worker.others = max(round(min(held, K_MAX)) - worker.own.at(worker.counted_at), 0)
-        worker.runs_at_once(held - queued + (load.free_slots or 0.0))
+        worker.peer_jobs_at = now - age - worker.round_trip // 2
+        worker.peer_jobs = max(round(min(held, K_MAX)) - worker.own_jobs.at(worker.peer_jobs_at), 0)
+        worker.observe_slots(held - queued + (load.free_slots or 0.0))
         self._set_rate(worker, now)  # its size is to be that of this report
-        self.usuals.setdefault(worker.entry.machine_kind, Mean()).add(worker.others / worker.size, MEMORY)
-        worker.usual.add(worker.others / worker.size, LEVEL_MEMORY)
+        self.usuals.setdefault(worker.entry.machine_kind, Mean()).add(worker.peer_jobs / worker.size, MEMORY)
+        worker.usual_level.add(worker.peer_jobs / worker.size, LEVEL_MEMORY)
         self._set_rate(worker, now)
 
     def _learn(self, attempt: Attempt, now: int) -> None:
@@ -184,8 +192,8 @@
         self.runs[request.class_index].add(run := max(now - started_at, 1))
         ratio = min(run / request.work, LONGEST_RATIO)
         (self.runs_without if attempt.fetches else self.runs_with).add(ratio)
-        worker.ratio.add(ratio, MEMORY)
-        self.rates.add(worker.most / max(worker.ratio.value, SHORTEST_RATIO))
+        worker.run_time_ratio.add(ratio, MEMORY)
+        self.rates.add(worker.concurrency / max(worker.run_time_ratio.value, SHORTEST_RATIO))
         self.slowness.add(ratio, MEMORY)
         self.paces.setdefault(worker.entry.machine_kind, Mean()).add(ratio, MEMORY)
         self.weights.add(worker.weight)
@@ -193,30 +201,34 @@
     def _set_rate(self, worker: Worker, now: int) -> None:
         """By own runs and what a unit of listed weight is worth; then how much of others usually is there."""
         worker.rated_at, kind = now, self.usuals.get(worker.entry.machine_kind, Mean())
-        worker.most = max(worker.slots / self.width.value, 1.0)
-        listed = worker.most * self.weights.value / (self.rates.value * worker.weight)
+        worker.concurrency = max(worker.slots / self.width.value, 1.0)
+        listed = worker.concurrency * self.weights.value / (self.rates.value * worker.weight)
         if self.plans or (worker.slots and not self.settings.weights_tell):
             # The list tells no sizes: reports do, and runs on all of a kind tell how fast its cores are.
             pace = self.paces.get(worker.entry.machine_kind, Mean())
-            listed = pace.beside(self.slowness.value, CLASS_PRIOR)
-        ratio = worker.ratio.beside(listed, RATE_PRIOR)
+            listed = pace.with_prior(self.slowness.value, CLASS_PRIOR)
+        ratio = worker.run_time_ratio.with_prior(listed, RATE_PRIOR)
         if self.plans and self.settings.weights_tell:  # a listed size: jobs at once, times their speed
-            worker.most = max(worker.weight * ratio / self.slowness.value / self.width.value, 1.0)
+            worker.concurrency = max(worker.weight * ratio / self.slowness.value / self.width.value, 1.0)
         typical = self.rates.value * self.slowness.value  # jobs at once, of one that has said nothing yet
-        worker.size = (worker.most if worker.slots else typical) * listed / ratio
-        worker.rate = worker.most / (ratio * self.work.value)
-        usual = kind.value * (not worker.lot)  # a cold one is not as full as its kind
-        worker.crowd = worker.usual.beside(usual, LEVEL_PRIOR) * worker.size / worker.rate
+        worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
+        worker.rate = worker.concurrency / (ratio * self.work.value)
+        usual = kind.value * (not worker.lottery_number)  # a cold one is not as full as its kind
+        worker.background_load = worker.usual_level.with_prior(usual, LEVEL_PRIOR) * worker.size / worker.rate
 
     def _in_budget(self, worker: Worker, cost: float, rate: float, now: int) -> bool:
         return self.slow_start.allows(worker, cost, rate, self.settings, self.born, now)
 
     def _able(self, request: Request, among: list[Worker] | dict[Worker, None], now: int) -> list[Worker]:
         job, tried = request.job, {attempt.worker for attempt in request.attempts}
-        well = [worker for worker in among if worker.shut_until <= now and worker in self.ready]
-        able = [worker for worker in well if self.slow_start.has_lot(worker) and worker not in tried]
+        well = [worker for worker in among if worker.backoff_until <= now and worker in self.ready]
+        able = [worker for worker in well if self.slow_start.may_use(worker) and worker not in tried]
         able = [worker for worker in able if job.machine_kind in (-1, worker.entry.machine_kind)]
-        if job.effect is Effect.KEYED and job.group is not Group.ALL and (first := request.may_have_run):
+        if (
+            job.effect is Effect.KEYED
+            and job.group is not Group.ALL
+            and (first := request.first_possible_run)
+        ):
             # A repeat may only go where the first attempt's runner shares its keys.
             part = attrgetter("entry.zone" if job.group is Group.ZONE else "entry.cell")
             able = [worker for worker in able if part(worker) == part(first.worker)]
@@ -225,31 +237,31 @@
     def _charge(self, worker: Worker, now: int) -> float:
         """What sending there costs of the result: another zone, a connection to be opened."""
         rules, away = self.settings, worker.entry.zone != self.settings.zone
-        opens = worker.sends or now >= worker.freed_at + rules.keepalive
+        opens = worker.attempts or now >= worker.connection_idle_at + rules.keepalive
         return away * rules.cross_zone_charge + (rules.handshake_charge if opens else 0.0)
 
     def _delays(self, request: Request, workers: list[Worker], now: int) -> list[Row]:
         """(E[N] + 1) / mu, behind what charges (as delays that cost as much) and a key's data make of it."""
         job, rows = request.job, []
         worth = (job.objective + job.stretch * request.work) * (1 + job.late_worth)  # about over what is lost
-        order = key_places(request.key, workers) if request.key and not self.plans else {}
+        order = preference_order(request.key, workers) if request.key and not self.plans else {}
         fetch = max(self.runs_without.value - self.runs_with.value, 0.0) * self.work.value
         told = self.plans and self.settings.tells_start
-        waits = self.fleet.wait(self.requests.values(), now) if told else 0.0
+        waits = self.fleet.queueing_delay(self.requests.values(), now) if told else 0.0
         last = job.effect is Effect.UNSAFE or len(request.attempts) + 1 >= self.settings.max_attempts
         for worker in workers:
             if now > worker.rated_at + RATED:
                 self._set_rate(worker, now)
             # An error loses what can't be tried again; else it takes its time, over and over.
-            risk = worker.soundness.risk(now)
+            risk = worker.reliability.risk(now)
             lost = risk * worth if last else risk / (1 - risk) * self.erring.value
             rate = worker.rate * self.settings.warmth(worker.entry.started_at, now)
-            if worker.lot and not self._in_budget(worker, request.cost, rate, now):
+            if worker.lottery_number and not self._in_budget(worker, request.cost, rate, now):
                 continue
             extra = lost if self.plans else lost + self._charge(worker, now) * worth  # a plan goes first
-            if order and request.key not in worker.keys:
+            if order and request.key not in worker.cached_keys:
                 extra += fetch * order[worker]
-            run, delay = worker.most / rate, (expected_jobs(worker, now, rate) + 1) / rate
+            run, delay = worker.concurrency / rate, (expected_jobs(worker, now, rate) + 1) / rate
             # By a plan all are alike full: jobs wait as long anywhere, and what own ones add decides.
             row = (delay - 1 / rate + extra, waits + run) if self.plans else (delay + extra, delay)
             rows.append((*row, run, worker))
@@ -263,41 +275,47 @@
         able, near = self._able(request, self.ready, now), self.settings.zone
         if self.settings.reports_inline:
             rows = nsmallest(self.probes + 1, self._delays(request, able, now), key=itemgetter(0))
-            request.sample = [row[-1] for row in rows]
-            asked = [each for each in request.sample if now > each.reported_at + ASK_OLD][: self.probes]
+            request.candidates = [row[-1] for row in rows]
+            asked = [each for each in request.candidates if now > each.reported_at + ASK_OLD][: self.probes]
         else:
             idle = now - self.settings.keepalive  # since when a connection is still open
-            cheap = [w for w in able if w.freed_at > idle and not w.sends and w.entry.zone == near]
-            of = ((cheap, SAMPLE // 2), (able, SAMPLE), ([worker for worker in able if worker.lot], SAMPLE))
+            cheap = [
+                w for w in able if w.connection_idle_at > idle and not w.attempts and w.entry.zone == near
+            ]
+            of = (
+                (cheap, SAMPLE // 2),
+                (able, SAMPLE),
+                ([worker for worker in able if worker.lottery_number], SAMPLE),
+            )
             drawn = [each for some, most in of for each in self.random.sample(some, min(most, len(some)))]
             rows = self._delays(request, list(dict.fromkeys(drawn)), now)
-            request.sample = [row[-1] for row in nsmallest(SAMPLE, rows, key=itemgetter(0))]
+            request.candidates = [row[-1] for row in nsmallest(SAMPLE, rows, key=itemgetter(0))]
             fresh = now - self.refresh.period / 2  # who answered since would hardly say anything else
-            asked = [each for each in request.sample[: self.probes] if each.reported_at < fresh]
-        request.asking = len(asked)
+            asked = [each for each in request.candidates[: self.probes] if each.reported_at < fresh]
+        request.pending_probes = len(asked)
         for worker in asked:
-            if not worker.askers:
+            if not worker.waiting_requests:
                 self._probe(worker, now)
-            worker.askers.append(request)
+            worker.waiting_requests.append(request)
         if asked:
             self.out.append(face.StartTimer(wait, REQUEST_TIMERS + 2 * request.id + 1))
         return bool(asked)
 
     def _pick(self, request: Request, now: int) -> Row | None:
         """argmin (E[N] + 1) / mu over the ready workers that can run the job: all, or those it has drawn."""
-        able, request.sample = self._able(request, request.sample or self.ready, now), []
+        able, request.candidates = self._able(request, request.candidates or self.ready, now), []
         if self.plans and able:
-            if self.random.random() < self.fleet.idle:
+            if self.random.random() < self.fleet.unassigned:
                 return None
-            able = self.random.choices(able, self.fleet.parts(request.key, able), k=DRAWN)
+            able = self.random.choices(able, self.fleet.weights(request.key, able), k=DRAWN)
         turn = self.random.randrange(len(able) or 1)  # of equals not always the first
         return min(self._delays(request, able[turn:] + able[:turn], now), key=itemgetter(0), default=None)
 
     def _ask_silent(self, now: int) -> None:
         """In a large fleet own answers bring few reports: a worker that is sent nothing would seem full."""
         for worker in self.ready:
-            old = now - max(worker.reported_at, worker.asked_at) > REPORT_OLD
-            if old and worker.shut_until <= now and self.may_ask >= 1:
+            old = now - max(worker.reported_at, worker.probed_at) > REPORT_OLD
+            if old and worker.backoff_until <= now and self.may_ask >= 1:
                 self.may_ask -= 1
                 self._probe(worker, now)
 
@@ -305,13 +323,13 @@
         """Work that will be late makes the next late too: it waits here for a free slot, or is refused."""
         _, delay, run, worker = choice
         waits = delay > run and (worker.slots > 0 or self.plans)
-        return waits and delay - run > self._room(request, choice, request.aim - now)
+        return waits and delay - run > self._room(request, choice, request.target - now)
 
     def _room(self, request: Request, choice: Row, left: float) -> float:
         """The longest wait there that lets it be in time; the less it is worth for its work beside a dearer
         class, the nearer to what lets such a job after it be in time: in overload it takes its place."""
         _, _, run, worker = choice
-        pace, adds = run / self.work.value, request.cost * run / worker.most
+        pace, adds = run / self.work.value, request.cost * run / worker.concurrency
         own, worth = (left - pace * request.work) / LATE_MARGIN, self._worth(request.job, request.class_index)
         rooms = [own]
         for index, job in enumerate(self.settings.classes):
@@ -334,40 +352,47 @@
         request = Request(event.request, job, event.job_class, deadline, aim, work, cost, event.key)
         self.requests[request.id] = request
         if self.plans:
-            self.fleet.asked(event.key)
+            self.fleet.count_job(event.key)
         if not self._ask(request, now):
             self._dispatch(request, now)
 
     def _dispatch(self, request: Request, now: int) -> None:
-        choice = self._pick(request, now) if (allowed := may_send(request, self.settings, now)) else None
+        choice = (
+            self._pick(request, now) if (allowed := allows_attempt(request, self.settings, now)) else None
+        )
         if choice and not self._too_late(request, choice, now):
             self._send(request, choice, now)
-        elif not request.is_out and (not allowed or (choice and not request.job.late_worth)):
+        elif not request.is_in_flight and (not allowed or (choice and not request.job.late_worth)):
             # Where a late answer earns nothing, a client that tries again may get one in time.
             self._close(request, now, choice)
-        elif not request.is_out:
+        elif not request.is_in_flight:
             if request.id not in self.held:
                 # Where a late answer earns nothing, what is late is given up, and told so at once.
                 until = request.deadline - 2 * self.settings.tick
-                until = until if request.job.late_worth else min(until, round(request.aim))
+                until = until if request.job.late_worth else min(until, round(request.target))
                 self.out.append(face.StartTimer(max(until - now, 0), REQUEST_TIMERS + 2 * request.id))
             self.held[request.id] = request
 
     def _send(self, request: Request, choice: Row, now: int) -> None:
         self.held.pop(request.id, None)
         _, delay, _, worker = choice
-        fetches, patience = request.key != 0 and request.key not in worker.keys, PAUSE + SILENCE * delay
+        fetches, patience = (
+            request.key != 0 and request.key not in worker.cached_keys,
+            PAUSE + SILENCE * delay,
+        )
         attempt = Attempt(request, len(request.attempts), worker, now, patience, request.cost, fetches)
-        attempt.process = worker.entry.started_at
+        attempt.process_started_at = worker.entry.started_at
         request.attempts.append(attempt)
-        request.asking = 0  # one that was held may be sent before all it asked have answered: no copy then
+        request.pending_probes = (
+            0  # one that was held may be sent before all it asked have answered: no copy then
+        )
         worker.add(attempt)
         if worker.backoff:  # one trial at a time: the next goes after another wait, unless there is a sign
             self._suspect(worker, now)
         if request.key:
             worker.use_key(request.key, max(worker.slots, 1.0))  # it keeps at least the data its slots need
-        if worker.lot:
-            spend(attempt, now)
+        if worker.lottery_number:
+            spend_budget(attempt, now)
         self.out.append(face.Send(request.id, worker.entry.worker))
 
     def may_begin(self, request: face.RequestId, number: int, now: int) -> bool:
@@ -379,63 +404,65 @@
         if (
             attempt.outcome is not None
             or worker not in self.ready
-            or worker.entry.started_at != attempt.process
+            or worker.entry.started_at != attempt.process_started_at
         ):
             return False
-        if not may_begin(attempt, self.settings, now):
+        if not still_allows_attempt(attempt, self.settings, now):
             return False
-        if not late or not worker.lot:
+        if not late or not worker.lottery_number:
             return True
-        give_back(attempt)  # its budget is that of the window in which it arrives
+        release_budget(attempt)  # its budget is that of the window in which it arrives
         rate = worker.rate * self.settings.warmth(worker.entry.started_at, now)
         if allowed := self._in_budget(worker, attempt.cost, rate, now):
-            spend(attempt, now)
+            spend_budget(attempt, now)
         return allowed
 
     def _ended(self, event: face.AttemptEnded, now: int) -> None:
-        if not (attempt := find(self.requests, event)):
+        if not (attempt := find_attempt(self.requests, event)):
             return
         attempt.outcome, worker, request = event.outcome, attempt.worker, attempt.request
         if event.outcome in face.NEVER_ARRIVED:
-            give_back(attempt)
-        worker.drop(attempt, now, LAGS[-1] + worker.round_trip)
+            release_budget(attempt)
+        worker.remove(attempt, now, CANDIDATE_AGES_US[-1] + worker.round_trip)
         if event.load is not None:
             self._report(worker, event.load, now)
         if event.outcome is Outcome.ERROR:
             self.erring.add(now - attempt.sent_at, MEMORY)
             if all(each.outcome is not Outcome.ERROR for each in request.attempts if each is not attempt):
-                worker.soundness.see(True, now)  # a request that fails everywhere says nothing of them
+                worker.reliability.record(
+                    now, is_error=True
+                )  # a request that fails everywhere says nothing of them
         elif event.outcome is Outcome.SERVED:
-            worker.soundness.see(False, now)
+            worker.reliability.record(now, is_error=False)
             self._trust(worker, now)
             self._learn(attempt, now)
             self._try_held(now, worker)
         elif event.outcome is Outcome.TIMED_OUT:  # it may have left unseen, so it drains: no shut-out
-            worker.others, worker.counted_at = worker.others + 1, now
+            worker.peer_jobs, worker.peer_jobs_at = worker.peer_jobs + 1, now
         elif event.outcome is Outcome.FULL:  # as good as a report that it holds all that are counted
             self._trust(worker, now)
-            worker.others, worker.counted_at = max(K_MAX - len(worker.sends), 0), now
+            worker.peer_jobs, worker.peer_jobs_at = max(K_MAX - len(worker.attempts), 0), now
         elif event.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED) and not event.stale:
             worker.resets += 1  # one may be the connection's own; a process that died fails the next as well
             if worker.resets > RESETS or worker.backoff or event.outcome is Outcome.CONNECT_FAILED:
                 self._suspect(worker, now)
         if event.closed or request.closed:
             self._finish(request)
-        elif not request.is_out:
+        elif not request.is_in_flight:
             self._dispatch(request, now)
 
     def _finish(self, request: Request) -> None:
         """The request is answered: copies still out are called back, and it is forgotten with the last."""
         self.held.pop(request.id, None)
         if not request.closed and self.settings.cancel_allowed:
-            self.out += [face.Cancel(request.id, each.number) for each in request.still_out]
+            self.out += [face.Cancel(request.id, each.number) for each in request.in_flight]
         request.closed = True
-        if not request.is_out:
+        if not request.is_in_flight:
             self.requests.pop(request.id, None)
 
     def _close(self, request: Request, now: int, choice: Row | None = None) -> None:
         """The final answer: a refusal where it is true that trying again does no harm."""
-        job, ran = request.job, request.may_have_run
+        job, ran = request.job, request.first_possible_run
         repeats = job.effect is Effect.SAFE or (job.effect is Effect.KEYED and job.group is Group.ALL)
         after = self._retry_after(request, choice, now)
         self.out.append(face.Refuse(request.id, after) if repeats or not ran else face.Fail(request.id))
@@ -444,7 +471,7 @@
     def _retry_after(self, request: Request, choice: Row | None, now: int) -> int:
         """When one more try may be taken: the best wait has drained, or a worker gets its trial."""
         if choice is None:
-            trials = [worker.shut_until - now for worker in self.ready if worker.shut_until > now]
+            trials = [worker.backoff_until - now for worker in self.ready if worker.backoff_until > now]
             return round(max(min(trials, default=self.work.value), self.settings.tick))
         room = self._room(request, choice, request.job.objective + request.job.stretch * request.work)
         return round(max(choice[1] - choice[2] - max(room, 0.0), self.settings.tick))
@@ -461,29 +488,31 @@
             self.out.append(face.Subscribe())
         elif not for_pick and number in self.held:
             self._close(self.held[number], now)
-        elif for_pick and number in self.requests and self.requests[number].asking > 0:
-            self.requests[number].asking = 0
+        elif for_pick and number in self.requests and self.requests[number].pending_probes > 0:
+            self.requests[number].pending_probes = 0
             self._dispatch(self.requests[number], now)
 
     def _try_held(self, now: int, freed: Worker | None = None) -> None:
         request = next(reversed(self.held.values()), None)  # under overload the newest alone can be in time
-        if request and request.asking <= 0 and (freed or not self._ask(request, now)):
-            request.sample = [freed] if freed else []  # nothing new is known of the others
+        if request and request.pending_probes <= 0 and (freed or not self._ask(request, now)):
+            request.candidates = [freed] if freed else []  # nothing new is known of the others
             self._dispatch(request, now)
 
     def _upkeep(self, now: int) -> None:
         pause = round(min(max(self.work.value / 2, FIRST_UPKEEP), LAST_UPKEEP))
         self.out.append(face.StartTimer(pause, UPKEEP_TIMER))
-        for attempt in [each for request in self.requests.values() for each in request.still_out]:
+        for attempt in [each for request in self.requests.values() for each in request.in_flight]:
             if not self._silent(attempt, now) or self._is_asked(attempt, now):
                 continue
             heard = max(attempt.heard_at, attempt.sent_at)  # where its worker speaks, it is that connection
             if not attempt.worker.backoff and attempt.worker.heard_at <= heard:
                 self._suspect(attempt.worker, now)
-            if attempt is attempt.request.attempts[-1] and may_send(attempt.request, self.settings, now):
+            if attempt is attempt.request.attempts[-1] and allows_attempt(
+                attempt.request, self.settings, now
+            ):
                 self._dispatch(attempt.request, now)  # a second copy elsewhere, where the class allows it
         if self.plans:
-            self.fleet.survey([each for each in self.ready if each.shut_until <= now], self.settings, now)
+            self.fleet.update([each for each in self.ready if each.backoff_until <= now], self.settings, now)
         elif now >= self.slow_start.drawn_at + self.settings.fall_window:
             self.slow_start.draw(self.workers.values(), self.settings, self.random, now)
         self._ask_silent(now)
@@ -492,14 +521,14 @@
     def _is_asked(self, attempt: Attempt, now: int) -> bool:
         """In a large fleet silence may mean full of others' jobs: the worker is asked, and may answer."""
         worker = attempt.worker
-        if not self.asks or attempt.started_at or attempt.passed >= OVERTAKEN:
+        if not self.asks or attempt.started_at or attempt.overtaken_by >= OVERTAKEN:
             return False
-        if worker.asked_at <= max(worker.heard_at, attempt.sent_at):
+        if worker.probed_at <= max(worker.heard_at, attempt.sent_at):
             self._probe(worker, now)
-        return now <= worker.asked_at + PAUSE
+        return now <= worker.probed_at + PAUSE
 
     def _probe(self, worker: Worker, now: int) -> None:
-        worker.asked_at = now
+        worker.probed_at = now
         self.out.append(face.Probe(worker.entry.worker))
 
     def _silent(self, attempt: Attempt, now: int) -> bool:
@@ -507,27 +536,27 @@
         every, worker = self.settings.progress_interval, attempt.worker
         if attempt.started_at:
             return every > 0 and now - attempt.heard_at > every + PAUSE
-        unheard = now - max(worker.heard_at, attempt.sent_at) > attempt.patience
-        return self.settings.tells_start and (unheard or attempt.passed >= OVERTAKEN)
+        unheard = now - max(worker.heard_at, attempt.sent_at) > attempt.silence_limit
+        return self.settings.tells_start and (unheard or attempt.overtaken_by >= OVERTAKEN)
 
     def _suspect(self, worker: Worker, now: int) -> None:
         """Nothing goes there for a while, then one trial job, and so on, each time after a longer wait."""
         worker.backoff = min(max(2 * worker.backoff, FIRST_BACKOFF), LAST_BACKOFF)
-        worker.shut_until = now + round(worker.backoff * self.random.uniform(0.75, 1.25))
+        worker.backoff_until = now + round(worker.backoff * self.random.uniform(0.75, 1.25))
 
     def _trust(self, worker: Worker, now: int) -> None:
-        worker.heard_at, worker.shut_until, worker.backoff, worker.resets = now, 0, 0, 0
+        worker.heard_at, worker.backoff_until, worker.backoff, worker.resets = now, 0, 0, 0
 
     def _heard(self, event: face.JobStarted | face.JobProgress | face.StreamStarted, now: int) -> None:
-        if not (attempt := find(self.requests, event)):
+        if not (attempt := find_attempt(self.requests, event)):
             return
         attempt.heard_at = now
         if isinstance(event, face.JobStarted):
             attempt.started_at = now
             if self.plans:
-                self.fleet.started(now)
-            for earlier in takewhile(lambda each: each is not attempt, attempt.worker.sends):
-                earlier.passed += 1
+                self.fleet.count_start(now)
+            for earlier in takewhile(lambda each: each is not attempt, attempt.worker.attempts):
+                earlier.overtaken_by += 1
         self._trust(attempt.worker, now)
 
     def _probed(self, event: face.ProbeEnded, now: int) -> None:
@@ -538,10 +567,10 @@
         if event.load is not None:
             worker.round_trip = min(worker.round_trip or event.elapsed, event.elapsed)
             self._report(worker, event.load, now)
-        askers, worker.askers = worker.askers, []
+        askers, worker.waiting_requests = worker.waiting_requests, []
         for request in askers:
-            request.asking -= 1
-            if request.asking == 0 and not request.closed:
+            request.pending_probes -= 1
+            if request.pending_probes == 0 and not request.closed:
                 self._dispatch(request, now)
-        if worker.others + worker.load + 1 <= worker.most:
+        if worker.peer_jobs + worker.own_load + 1 <= worker.concurrency:
             self._try_held(now, worker)
--- /dev/null
+++ b/hazelbend/decisions/learned_state.py
@@ -0,0 +1,174 @@
+"""What a dispatcher has learnt, as plain values, for the process that takes over from it.
+
+Own attempts in flight are exported as jobs of peers: another process goes on with them. The keys of the
+exported values are a stored format, shared by program versions, and older than the names in the code.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import astuple
+from math import isfinite
+from typing import Any
+
+from hazelbend.decisions.brain import K_MAX, LAST_BACKOFF, Dispatcher, expected_jobs
+from hazelbend.decisions.reliability import FailureEstimate
+from hazelbend.decisions.statistics import Mean
+from hazelbend.decisions.worker import ColdAttempt, Worker
+
+# Attributes by their stored keys.
+MEANS = {
+    "work": "work",
+    "width": "width",
+    "runs_with": "runs_with",
+    "runs_without": "runs_without",
+    "rates": "rates",
+    "weights": "weights",
+    "slowness": "slowness",
+    "erring": "erring",
+}
+WORKER_NUMBERS = {
+    "slots": "slots",
+    "crowd": "background_load",
+    "rate": "rate",
+    "most": "concurrency",
+}
+WORKER_TIMES = {
+    "rated_at": "rated_at",
+    "heard_at": "heard_at",
+    "shut_until": "backoff_until",
+    "backoff": "backoff",
+    "resets": "resets",
+    "round_trip": "round_trip",
+}
+
+
+def export_state(dispatcher: Dispatcher, now: int) -> dict[str, Any]:
+    """Return all that the next process can use, as plain values."""
+    return {
+        "means": {key: _export_mean(getattr(dispatcher, name)) for key, name in MEANS.items()},
+        "share": _export_mean(dispatcher.slow_start.own_traffic),
+        "runs": [_export_mean(mean) for mean in dispatcher.runs],
+        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.usuals.items()],
+        "paces": [[kind, _export_mean(mean)] for kind, mean in dispatcher.paces.items()],
+        "misses": dispatcher.lag.errors,
+        "part": dispatcher.slow_start.share,
+        "workers": [_export_worker(number, worker, now) for number, worker in dispatcher.workers.items()],
+    }
+
+
+def _export_worker(number: int, worker: Worker, now: int) -> dict[str, Any]:
+    return {
+        "worker": number,
+        "started_at": worker.entry.started_at,
+        "others": min(round(expected_jobs(worker, now, worker.rate)), K_MAX),
+        "keys": list(worker.cached_keys),
+        "spent": [(attempt.at, attempt.cost) for attempt in worker.cold_attempts],
+        "ratio": _export_mean(worker.run_time_ratio),
+        **{key: getattr(worker, name) for key, name in (WORKER_NUMBERS | WORKER_TIMES).items()},
+        "usual": _export_mean(worker.usual_level),
+        "size": worker.size,
+        "soundness": astuple(worker.reliability),
+    }
+
+
+def import_state(dispatcher: Dispatcher, state: dict[str, Any], now: int) -> None:
+    """Take over what another process has exported, for the workers that are listed.
+
+    Raises:
+        ValueError: the values are of no use; nothing is changed.
+    """
+    try:
+        means = {name: _mean(state["means"][key]) for key, name in MEANS.items() if key in state["means"]}
+        # An earlier version has it among the means.
+        stored_traffic = state.get("share", state["means"].get("share"))
+        own_traffic = (
+            _mean(stored_traffic) if stored_traffic is not None else dispatcher.slow_start.own_traffic
+        )
+        runs = [_mean(value) for value in state["runs"]]
+        # An earlier version exports levels over the rate instead, which mean something else.
+        usuals = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
+        paces = {int(kind): _mean(value) for kind, value in state.get("paces", [])}
+        lag_errors = [_number(value) for value in state["misses"]]
+        share = _number(state["part"])
+        listed = [(_find_worker(dispatcher, values), values) for values in state["workers"]]
+        workers = [
+            (worker, _worker_attributes(values, now)) for worker, values in listed if worker is not None
+        ]
+    except (KeyError, TypeError, OverflowError) as error:
+        raise ValueError(f"no memory of a dispatcher: {error!r}") from None
+    if len(runs) != len(dispatcher.runs) or len(lag_errors) != len(dispatcher.lag.errors):
+        raise ValueError("the memory of a dispatcher of another kind")
+    for name, mean in means.items():
+        setattr(dispatcher, name, mean)
+    dispatcher.runs = runs
+    dispatcher.usuals = usuals
+    dispatcher.paces = paces
+    dispatcher.lag.errors = lag_errors
+    dispatcher.slow_start.own_traffic = own_traffic
+    dispatcher.slow_start.share = share
+    for worker, attributes in workers:
+        for name, value in attributes.items():
+            setattr(worker, name, value)
+
+
+def _find_worker(dispatcher: Dispatcher, values: dict[str, Any]) -> Worker | None:
+    """Return the worker that the values are about, unless its process is a newer one."""
+    worker = dispatcher.workers.get(values["worker"])
+    return worker if worker and worker.entry.started_at == values["started_at"] else None
+
+
+def _worker_attributes(values: dict[str, Any], now: int) -> dict[str, Any]:
+    found: dict[str, Any] = {"run_time_ratio": _mean(values["ratio"])}
+    found |= {name: _number(values[key]) for key, name in WORKER_NUMBERS.items()}
+    found |= {name: int(_number(values[key])) for key, name in WORKER_TIMES.items()}
+    if found["rate"] <= 0 or found["concurrency"] < 1:
+        raise ValueError("a worker without a rate")
+    found["rated_at"] = min(found["rated_at"], now)
+    found["heard_at"] = min(found["heard_at"], now)
+    found["backoff_until"] = min(found["backoff_until"], now + 2 * LAST_BACKOFF)
+    found["backoff"] = min(found["backoff"], LAST_BACKOFF)
+    found["peer_jobs"] = int(_number(values["others"]))
+    found["peer_jobs_at"] = now
+    found["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
+    found["size"] = _number(values.get("size", 1.0))
+    if found["size"] <= 0:
+        raise ValueError("a worker without a size")
+    found["reliability"] = _failure_estimate(values.get("soundness"), now)
+    found["cached_keys"] = {int(_number(key)): None for key in values["keys"]}
+    found["cold_attempts"] = deque(
+        ColdAttempt(int(_number(at)), _number(cost)) for at, cost in values["spent"]
+    )
+    return found
+
+
+def _failure_estimate(value: object, now: int) -> FailureEstimate:
+    """Import an estimate; an earlier version of the program exports none."""
+    if value is None:
+        return FailureEstimate()
+    failing, errors, successes, updated_at = (_number(number) for number in _sequence(value))
+    if failing > 1:
+        raise ValueError("a chance above one")
+    return FailureEstimate(failing, errors, successes, min(int(updated_at), now))
+
+
+def _export_mean(mean: Mean) -> tuple[float, float]:
+    return mean.count, mean.total
+
+
+def _mean(value: object) -> Mean:
+    count, total = _sequence(value)
+    return Mean(_number(count), _number(total))
+
+
+def _sequence(value: object) -> Iterable[object]:
+    if not isinstance(value, Iterable):
+        raise TypeError(f"no sequence: {value!r}")
+    return value
+
+
+def _number(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
+        raise ValueError(f"no number: {value!r}")
+    return value
--- /dev/null
+++ b/hazelbend/decisions/reliability.py
@@ -0,0 +1,58 @@
+"""How likely a worker is to fail its next attempt. Estimates only; nothing is selected here.
+
+A worker is either healthy, and errs in a small part of its attempts, or it is failing, in an unknown part of
+its attempts for which all values are equally likely at first. Each result moves the probability that it is
+failing by Bayes' rule; the part in which it fails is learnt from the results seen while it was believed to be
+failing. A healthy worker errs once in a thousand attempts, so that one error already makes failing the more
+likely of the two; a success speaks against it the more, the fewer attempts a failing worker would serve. The
+belief fades towards the prior without new results, since failures come and go.
+
+Only results that say something about the worker count: of a request that has failed elsewhere before, the
+request is as likely to be at fault.
+"""
+
+from dataclasses import dataclass
+from math import exp
+
+HEALTHY_ERROR_RATE = 0.001  # of a healthy worker's attempts: 0 to 2 in 1,000 in production
+PRIOR_FAILING = 0.05  # probability that an unknown worker is failing: on some days a sixth of all are
+FADE_TIME_US = 20_000_000  # about the duration of a failure: 5 to 30 s were recorded
+
+
+@dataclass(slots=True, eq=False)
+class FailureEstimate:
+    """The belief about one worker. `export_state` stores the fields in this order."""
+
+    failing: float = PRIOR_FAILING  # probability that it is failing, at `updated_at`
+    errors: float = 0.0  # results attributed to failing
+    successes: float = 0.0
+    updated_at: int = 0
+
+    def faded(self, now: int) -> tuple[float, float, float]:
+        """Return the probability that it is failing, and the errors and successes that still count."""
+        kept = exp(min(self.updated_at - now, 0) / FADE_TIME_US)
+        failing = PRIOR_FAILING + (self.failing - PRIOR_FAILING) * kept
+        return failing, self.errors * kept, self.successes * kept
+
+    def risk(self, now: int) -> float:
+        """Return the probability that its next attempt ends in an error."""
+        failing, errors, successes = self.faded(now)
+        return failing * (1 + errors) / (2 + errors + successes) + (1 - failing) * HEALTHY_ERROR_RATE
+
+    def record(self, now: int, *, is_error: bool) -> None:
+        """Learn from the result of an attempt."""
+        failing, errors, successes = self.faded(now)
+        error_rate = (1 + errors) / (2 + errors + successes)
+        if is_error:
+            likelihood_failing = error_rate
+            likelihood_healthy = HEALTHY_ERROR_RATE
+        else:
+            likelihood_failing = 1 - error_rate
+            likelihood_healthy = 1 - HEALTHY_ERROR_RATE
+        failing = (
+            failing * likelihood_failing / (failing * likelihood_failing + (1 - failing) * likelihood_healthy)
+        )
+        self.errors = errors + failing * is_error
+        self.successes = successes + failing * (not is_error)
+        self.failing = failing
+        self.updated_at = now
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -12,7 +12,8 @@
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.decisions.brain import expected_jobs
 from hazelbend.decisions.interface import WorkerEntry
-from hazelbend.decisions.records import Mean, Worker
+from hazelbend.decisions.statistics import Mean
+from hazelbend.decisions.worker import Worker
 from hazelbend.placement.prefix_cache import PrefixCache
 from hazelbend.placement.reliability import Reliability
 
@@ -34,8 +35,8 @@
 
     def expected(self, now: int) -> float:
         """Estimate E[N]."""
-        self.jobs.most = self.concurrency
-        self.jobs.crowd = self.jobs.usual.value / self.rate
+        self.jobs.concurrency = self.concurrency
+        self.jobs.background_load = self.jobs.usual_level.value / self.rate
         return expected_jobs(self.jobs, now, self.rate)
 
     def delay(self, size: float, now: int) -> float:
@@ -44,24 +45,24 @@
 
     def add(self, size: float) -> None:
         """Count an own attempt that was sent, of so many jobs."""
-        self.jobs.load += size
+        self.jobs.own_load += size
         self.own_jobs += 1
 
     def remove(self, size: float) -> None:
         """Take back an own attempt that has ended."""
         self.own_jobs -= 1
-        self.jobs.load = max(self.jobs.load - size, 0.0) if self.own_jobs else 0.0
+        self.jobs.own_load = max(self.jobs.own_load - size, 0.0) if self.own_jobs else 0.0
 
     def apply_report(self, peer_jobs: int, now: int) -> None:
         """Take the jobs of all peers from a load report: n0 at t0 of the estimate."""
-        self.jobs.others = peer_jobs
-        self.jobs.counted_at = now
-        self.jobs.usual.add(peer_jobs, LEVEL_MEMORY_REPORTS)
+        self.jobs.peer_jobs = peer_jobs
+        self.jobs.peer_jobs_at = now
+        self.jobs.usual_level.add(peer_jobs, LEVEL_MEMORY_REPORTS)
 
     def add_rate_sample(self, rate: float) -> None:
         """Learn from a measured rate."""
         self.rate_samples.add(rate, RATE_MEMORY_SAMPLES)
-        self.rate = self.rate_samples.beside(self.rate, 1.0)
+        self.rate = self.rate_samples.with_prior(self.rate, 1.0)
 
 
 @dataclass(slots=True, eq=False)
--- a/hazelbend/placement/fleet_view.py
+++ b/hazelbend/placement/fleet_view.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.decisions.records import Mean
+from hazelbend.decisions.statistics import Mean
 from hazelbend.placement.choices import Attempt, Stage
 from hazelbend.placement.estimates import WorkerEstimate
 from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, Policy
@@ -81,13 +81,13 @@
 
     def prefill_backlog(self, worker: WorkerEstimate, now: int) -> float:
         """Estimate E[N] of prefill, in units, from all routers."""
-        worker.prefill.jobs.load = self.own_prefill_backlog(worker, now)
+        worker.prefill.jobs.own_load = self.own_prefill_backlog(worker, now)
         return worker.prefill.expected(now)
 
     def prefill_delay(self, worker: WorkerEstimate, tokens: int, now: int) -> float:
         """Estimate the microseconds until a worker has prefilled so many new tokens."""
         model = self.prefill_model(worker.record)
-        slowness = worker.slowness.beside(1.0, self._policy.slowness_prior_samples)
+        slowness = worker.slowness.with_prior(1.0, self._policy.slowness_prior_samples)
         worker.prefill.rate = 1 / (model.unit_time * slowness)
         units = self.prefill_backlog(worker, now) + tokens / PREFILL_UNIT_TOKENS
         return model.overhead + units / worker.prefill.rate
@@ -122,7 +122,9 @@
         time w delays those that arrive after it by w * utilization / (1 - utilization).
         """
         mean = self._prefill_utilization.get(service, Mean())
-        utilization = mean.beside(self._policy.initial_utilization, self._policy.utilization_prior_reports)
+        utilization = mean.with_prior(
+            self._policy.initial_utilization, self._policy.utilization_prior_reports
+        )
         factor = self._policy.max_queueing_factor
         if utilization < 1.0:
             factor = min(utilization / (1.0 - utilization), factor)
@@ -133,7 +135,7 @@
         busy_by_service: dict[str, list[bool]] = {}
         for worker in self.workers.values():
             if worker.record.phase == Stage.PREFILL.value and worker.accepts_work:
-                is_busy = worker.prefill.own_jobs > 0 or worker.prefill.jobs.others > 0
+                is_busy = worker.prefill.own_jobs > 0 or worker.prefill.jobs.peer_jobs > 0
                 busy_by_service.setdefault(worker.record.service, []).append(is_busy)
         for service, busy in busy_by_service.items():
             mean = self._prefill_utilization.setdefault(service, Mean())
--- a/hazelbend/placement/reliability.py
+++ b/hazelbend/placement/reliability.py
@@ -1,6 +1,6 @@
 """How likely a worker is to fail or to reject a request, and what that adds to the cost of choosing it.
 
-Each worker has two estimates of the decision module (`hazelbend.decisions.soundness`): the probability that
+Each worker has two estimates of the decision module (`hazelbend.decisions.reliability`): the probability that
 an attempt there fails (an error, a reset), and the probability that it rejects a request although it has
 capacity. Both learn from own attempts and from outcomes that peers report, and fade with time. The cost of a
 choice is its delay plus, for each of the two, the probability times the time that such an outcome costs the
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hazelbend.decisions.soundness import Soundness
+from hazelbend.decisions.reliability import FailureEstimate
 
 OWN_ZONE_PRECEDENCE_US = 2_000_000  # after an outcome in the own zone, reports of others are ignored
-UNKNOWN_WORKER_RISK = Soundness().risk(0)
+UNKNOWN_WORKER_RISK = FailureEstimate().risk(0)
 SUSPECT_RISK = 0.1  # excess risk from which a worker's successes are reported to peers as well
 
 
@@ -46,8 +46,8 @@
 class Reliability:
     """The reliability of one worker, as the routers of one zone see it."""
 
-    failures: Soundness = field(default_factory=Soundness)
-    rejections: Soundness = field(default_factory=Soundness)
+    failures: FailureEstimate = field(default_factory=FailureEstimate)
+    rejections: FailureEstimate = field(default_factory=FailureEstimate)
     own_zone_observed_at: int | None = None
     has_clean_record: bool = True  # neither failure nor rejection so far: spares computing the two risks
 
@@ -65,10 +65,10 @@
             return
         self.has_clean_record &= outcome is AttemptOutcome.SERVED
         if outcome is AttemptOutcome.REJECTED:
-            self.rejections.see(True, now)
+            self.rejections.record(now, is_error=True)
             return
-        self.failures.see(outcome is AttemptOutcome.FAILED, now)
-        self.rejections.see(False, now)
+        self.failures.record(now, is_error=outcome is AttemptOutcome.FAILED)
+        self.rejections.record(now, is_error=False)
 
     def expected_cost(self, costs: FailureCosts, now: int) -> float:
         """Return the expected cost of an unsuccessful outcome, in microseconds."""
@@ -85,7 +85,7 @@
         return excess > SUSPECT_RISK
 
 
-def _excess_risk(estimate: Soundness, now: int) -> float:
+def _excess_risk(estimate: FailureEstimate, now: int) -> float:
     """Return the risk beyond that of an unknown worker.
 
     With the whole risk, requests would crowd at the few workers that a router happens to have tried lately.
--- a/hazelbend/placement/selector.py
+++ b/hazelbend/placement/selector.py
@@ -162,7 +162,7 @@
 
     def _expected_hit_tokens(self, service: str, prompt: Prompt) -> int:
         """Estimate the cached tokens at the preferred worker, where nobody has reported any of the prefix."""
-        hit_rate = self._fleet.hit_rate(service).beside(
+        hit_rate = self._fleet.hit_rate(service).with_prior(
             self._policy.initial_hit_rate, self._policy.hit_rate_prior_samples
         )
         return round(hit_rate * prompt.shared_prefix_tokens)
@@ -179,7 +179,7 @@
         policy = self._policy
         for worker in workers:
             first_event = self._fleet.first_event_time(worker.record.service)
-            overhead = first_event.beside(policy.initial_first_event_us, policy.first_event_prior_samples)
+            overhead = first_event.with_prior(policy.initial_first_event_us, policy.first_event_prior_samples)
             expected = overhead + worker.requests.delay(1.0, now)
             cost = expected + self._penalty(worker, now) + self._failure_cost(worker, failure_costs, now)
             known = best.get(worker.record.zone)
--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -13,7 +13,7 @@
 import orjson
 
 from hazelbend.decisions.brain import Dispatcher
-from hazelbend.decisions.memory import recall, remember
+from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.program import config
 from hazelbend.program import parts as joining
 from hazelbend.program.console_server import ConsoleServer
@@ -220,7 +220,7 @@
         if list(state.class_names) != self._class_names:
             return
         try:
-            remember(self.module, state.learned, self.router.clock.now())
+            import_state(self.module, state.learned, self.router.clock.now())
         except ValueError as error:
             log.warning("what the process before has learnt cannot be used: %s", error)
         else:
@@ -256,7 +256,7 @@
             heard[0] if heard else table.listed(),
             table.held_back(),
             self.router.open_ids,
-            recall(self.module, now),
+            export_state(self.module, now),
             {name: state for name, part in self.parts.items() if (state := part.state())},
         )
 
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -33,7 +33,7 @@
 from hazelbend.control.phase_planner import PhasePlanner
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.decisions import interface as face
-from hazelbend.decisions import memory as decision_memory
+from hazelbend.decisions import learned_state
 from hazelbend.decisions.brain import Dispatcher
 from hazelbend.gossip.messages import Packet
 from hazelbend.leases import lease_table
@@ -343,7 +343,7 @@
                 handle(face.AttemptEnded(request, worker, attempt, outcome, False, run, said))
             case _:
                 handle(event)
-    trace.add(decision_memory.recall(dispatcher, now), sorted(dispatcher.avoided(now)))
+    trace.add(learned_state.export_state(dispatcher, now), sorted(dispatcher.avoided(now)))
     trace.add(next_draws(dispatcher))
     return trace
 
@@ -362,11 +362,11 @@
                 load = face.LoadReport(float(action.worker), 1.0, 2.0)
                 end = face.AttemptEnded(request, action.worker, 0, outcome, False, 40 * MS, load)
                 dispatcher.handle(end, now + 40 * MS)
-    known: dict[str, Any] = json.loads(json.dumps(decision_memory.recall(dispatcher, now)))
+    known: dict[str, Any] = json.loads(json.dumps(learned_state.export_state(dispatcher, now)))
     fresh = Dispatcher(DISPATCHERS["inline"], 7)
     fresh.handle(face.MembershipUpdate(face.ListKind.FULL, entries), now)
-    decision_memory.remember(fresh, known, now)
-    passed_on = json.loads(json.dumps(decision_memory.recall(fresh, now)))
+    learned_state.import_state(fresh, known, now)
+    passed_on = json.loads(json.dumps(learned_state.export_state(fresh, now)))
     return {"passed": digits(known), "passed on": digits(passed_on)}
 
 
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -341,7 +341,7 @@
                 for each in flow.attempts
                 if not each.over
             )
-            assert counted == mine and len(worker.sends) <= out[number]
+            assert counted == mine and len(worker.attempts) <= out[number]
 
 
 TestCrossings = CrossingMachine.TestCase
--- a/tests/test_estimate.py
+++ b/tests/test_estimate.py
@@ -11,7 +11,8 @@
 
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.brain import K_MAX, Dispatcher, drained, expected_jobs
-from hazelbend.decisions.records import Attempt, Request, Worker
+from hazelbend.decisions.request import Attempt, Request
+from hazelbend.decisions.worker import Worker
 
 
 def poisson(d: int, load: float) -> float:
@@ -68,7 +69,7 @@
     worker = make_worker()
     for _ in range(own):
         send(worker, 0)
-    worker.others = others
+    worker.peer_jobs = others
     share = others / (others + own) if others else 0.0
     chances = update([0.0] * (others + own) + [1.0], 1e-6 * share * elapsed, own)
     mean = sum(n * p for n, p in enumerate(chances))
@@ -79,7 +80,7 @@
 def test_an_old_report_says_nothing_and_a_new_one_all(others, level, slots):
     """Guards against the herd on workers whose old reports, drained to nothing, made them look empty."""
     worker = make_worker()
-    worker.others, worker.most, worker.crowd = others, float(slots), level / 1e-6
+    worker.peer_jobs, worker.concurrency, worker.background_load = others, float(slots), level / 1e-6
     assert expected_jobs(worker, 0, 1e-6) == pytest.approx(others)
     assert expected_jobs(worker, 10**9, 1e-6) == pytest.approx(level, rel=1e-3)
 
@@ -87,7 +88,7 @@
 def test_free_slots_let_no_job_go():
     """Two jobs on a worker of eight slots leave no faster than two run."""
     wide, narrow = make_worker(8e-6), make_worker(2e-6)
-    wide.others, wide.most, narrow.others, narrow.most = 2, 8.0, 2, 2.0
+    wide.peer_jobs, wide.concurrency, narrow.peer_jobs, narrow.concurrency = 2, 8.0, 2, 2.0
     assert expected_jobs(wide, 500_000, 8e-6) == pytest.approx(expected_jobs(narrow, 500_000, 2e-6))
 
 
@@ -100,7 +101,7 @@
     dispatcher._report(dispatcher.workers[1], dy.LoadReport(0.0, 0.0, 4.0), 2_000)
     for worker in dispatcher.workers.values():
         dispatcher._set_rate(worker, 3_000)
-    level = {each: worker.crowd * worker.rate for each, worker in dispatcher.workers.items()}
+    level = {each: worker.background_load * worker.rate for each, worker in dispatcher.workers.items()}
     assert level[6] > 1.0
     assert level[3] == 0.0
 
@@ -118,8 +119,8 @@
         model.advance(2_000)
         model.end(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0))
         model.advance(2_000_000)
-        assert worker.crowd * worker.rate < 2.0, "a report of one job stands for no more"
-        assert expected_jobs(worker, model.now, worker.rate) < worker.most
+        assert worker.background_load * worker.rate < 2.0, "a report of one job stands for no more"
+        assert expected_jobs(worker, model.now, worker.rate) < worker.concurrency
     assert not model.refused
 
 
@@ -135,17 +136,17 @@
             report = dy.LoadReport(in_flight=8.0, queued=0.0, free_slots=0.0)
             model.end(request, dy.Outcome.SERVED, load=report)
     workers = model.dispatcher.workers
-    usual = [worker.crowd * worker.rate for worker in workers.values()]
+    usual = [worker.background_load * worker.rate for worker in workers.values()]
     model.dispatcher._set_rate(workers[3], model.now)
     assert workers[3].slots == 0
-    assert workers[3].crowd * workers[3].rate > 0.7 * min(usual[:3]) > 4.0
+    assert workers[3].background_load * workers[3].rate > 0.7 * min(usual[:3]) > 4.0
 
 
 def test_a_send_that_a_report_holds_is_not_counted_twice():
     worker = make_worker()
     send(worker, 100)
     make_dispatcher(worker)._report(worker, dy.LoadReport(in_flight=1.0), 1_000_000)
-    assert (worker.others, expected_jobs(worker, 1_000_000, 1e-6)) == (0, 1.0)
+    assert (worker.peer_jobs, expected_jobs(worker, 1_000_000, 1e-6)) == (0, 1.0)
 
 
 def test_age_of_reports_is_learned_from_own_jobs():
@@ -158,18 +159,18 @@
         if step % 20 < 8:
             out.append(send(worker, now))
         elif out:
-            worker.drop(out.pop(0), now, 10**9)
+            worker.remove(out.pop(0), now, 10**9)
         if step % 5 == 0:
-            seen = worker.own.at(now - 800_000)
+            seen = worker.own_jobs.at(now - 800_000)
             dispatcher._report(worker, dy.LoadReport(in_flight=seen + 3.0, free_slots=step / 1e6), now)
-    assert now - worker.counted_at == pytest.approx(800_000, abs=100_001)
+    assert now - worker.peer_jobs_at == pytest.approx(800_000, abs=100_001)
 
 
 def test_heavy_and_wide_jobs_count_by_their_work():
     worker = make_worker()
     attempt = send(worker, 0, cost=3.5)
     assert expected_jobs(worker, 0, 1e-6) == 3.5
-    worker.drop(attempt, 10, 10**9)
+    worker.remove(attempt, 10, 10**9)
     assert expected_jobs(worker, 10, 1e-6) == 0.0
 
 
@@ -195,12 +196,12 @@
         dispatcher._report(dispatcher.workers[worker], dy.LoadReport(9.0, 5.0, 0.0), now)
     for worker in dispatcher.workers.values():
         dispatcher._set_rate(worker, now)
-    assert dispatcher.workers[3].crowd == 0.0 < dispatcher.workers[2].crowd
+    assert dispatcher.workers[3].background_load == 0.0 < dispatcher.workers[2].background_load
     dispatcher.slow_start.draw(
         dispatcher.workers.values(), dispatcher.settings, dispatcher.random, now + 10_000_000
     )
     dispatcher._set_rate(dispatcher.workers[3], now + 10_000_000)
-    assert dispatcher.workers[3].crowd > 0.0
+    assert dispatcher.workers[3].background_load > 0.0
 
 
 @given(
@@ -214,19 +215,19 @@
         now += step
         if ends and out:
             attempt = out.pop(which % len(out))
-            worker.drop(attempt, now, memory)
+            worker.remove(attempt, now, memory)
             spans.append((attempt.sent_at, now))
         else:
             out.append(send(worker, now))
     spans += [(each.sent_at, 10**9) for each in out]
     for age in ages:
         at = now - age
-        assert worker.own.at(at) == sum(sent <= at < ended for sent, ended in spans)
+        assert worker.own_jobs.at(at) == sum(sent <= at < ended for sent, ended in spans)
 
 
 def test_own_jobs_are_remembered_in_bounded_room():
     """Guards the cost of a report, which grew with all the jobs of the last seconds."""
     worker = make_worker()
     for now in range(0, 10_000_000, 1_000):
-        worker.drop(send(worker, now), now + 500, 100_000)
-    assert len(worker.own.times) <= 2 * (2 * 100 + 64)
+        worker.remove(send(worker, now), now + 500, 100_000)
+    assert len(worker.own_jobs.times) <= 2 * (2 * 100 + 64)
--- a/tests/test_soundness.py
+++ b/tests/test_failure_estimate.py
@@ -8,7 +8,7 @@
 from model import Model
 
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.soundness import AT_FIRST, SLIP, SPELL, Soundness
+from hazelbend.decisions.reliability import FADE_TIME_US, HEALTHY_ERROR_RATE, PRIOR_FAILING, FailureEstimate
 
 ONCE = dy.JobClass(effect=dy.Effect.UNSAFE, objective=2_000_000)
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=2_000_000)
@@ -17,31 +17,35 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 10_000_000)), max_size=60))
 def test_a_risk_is_a_chance_and_each_result_moves_it_its_own_way(results):
-    soundness, now = Soundness(), 0
+    reliability, now = FailureEstimate(), 0
     for error, gap in results:
         now += gap
-        before = soundness.risk(now)
+        before = reliability.risk(now)
         assert 0 < before < 1
-        soundness.see(error, now)
-        assert soundness.risk(now) > before if error else soundness.risk(now) <= before
+        reliability.record(now, is_error=error)
+        assert reliability.risk(now) > before if error else reliability.risk(now) <= before
 
 
 def test_the_first_error_is_bayes_rule_with_every_part_alike():
-    soundness = Soundness()
-    soundness.see(True, 0)
-    odds = AT_FIRST / (1 - AT_FIRST) * 0.5 / SLIP  # a part drawn evenly from 0 to 1 gives an error in half
-    assert soundness.failing == pytest.approx(odds / (1 + odds))
+    reliability = FailureEstimate()
+    reliability.record(0, is_error=True)
+    odds = (
+        PRIOR_FAILING / (1 - PRIOR_FAILING) * 0.5 / HEALTHY_ERROR_RATE
+    )  # a part drawn evenly from 0 to 1 gives an error in half
+    assert reliability.failing == pytest.approx(odds / (1 + odds))
 
 
 def test_a_spell_is_believed_over_in_time_and_one_that_is_served_sooner():
-    soundness = Soundness()
+    reliability = FailureEstimate()
     for at in range(10):
-        soundness.see(True, at)
-    assert soundness.risk(10) > 0.8 > 0.4 > soundness.risk(SPELL) > soundness.risk(5 * SPELL)
-    assert soundness.risk(100 * SPELL) == pytest.approx(Soundness().risk(0))
+        reliability.record(at, is_error=True)
+    assert (
+        reliability.risk(10) > 0.8 > 0.4 > reliability.risk(FADE_TIME_US) > reliability.risk(5 * FADE_TIME_US)
+    )
+    assert reliability.risk(100 * FADE_TIME_US) == pytest.approx(FailureEstimate().risk(0))
     for at in range(10, 40):
-        soundness.see(False, at)
-    assert soundness.risk(40) < 0.1
+        reliability.record(at, is_error=False)
+    assert reliability.risk(40) < 0.1
 
 
 class Site(Model):
@@ -120,7 +124,9 @@
     model.arrive(0)
     for attempt in range(3):
         model.end(0, dy.Outcome.ERROR, attempt)
-    suspects = [each for each in model.dispatcher.workers.values() if each.soundness.failing > AT_FIRST]
+    suspects = [
+        each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING
+    ]
     assert [each.entry.worker for each in suspects] == [model.sends[0][1]]
 
 
@@ -128,6 +134,6 @@
     site = Site(ONCE, failing=1)
     site.play(2, (0,))
     [bad] = site.failing
-    assert site.dispatcher.workers[bad].soundness.failing > 0.5
+    assert site.dispatcher.workers[bad].reliability.failing > 0.5
     site.list_workers(dy.WorkerEntry(bad, started_at=site.now), kind=dy.ListKind.DELTA)
-    assert site.dispatcher.workers[bad].soundness.failing == AT_FIRST
+    assert site.dispatcher.workers[bad].reliability.failing == PRIOR_FAILING
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,8 +12,10 @@
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.brain import MEMORY, MOST_PROBES, Dispatcher
 from hazelbend.decisions.discovery_retry import FIRST_EACH, DiscoveryRetry
-from hazelbend.decisions.records import Mean, Refresh, Worker
-from hazelbend.decisions.unseen import COLD_SAFETY
+from hazelbend.decisions.report_age import ReportPeriod
+from hazelbend.decisions.statistics import Mean
+from hazelbend.decisions.worker import Worker
+from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
 from hazelbend.transport.http import discovery_watch
 from hazelbend.transport.http.discovery_watch import HOLD_GRACE
 import itertools
@@ -62,7 +64,7 @@
         model.dispatcher._report(worker, dy.LoadReport(0.0, 0.0, 4.0), model.now)
     model.advance(100_000)
     model.list_workers(dy.WorkerEntry(1, weight=2.0), dy.WorkerEntry(2, weight=6.0), kind=dy.ListKind.DELTA)
-    assert [model.dispatcher.workers[worker].others for worker in (1, 2)] == [8, 0]
+    assert [model.dispatcher.workers[worker].peer_jobs for worker in (1, 2)] == [8, 0]
 
 
 def play_cold(seed: int, dispatchers: int) -> tuple[list[int], int]:
@@ -183,7 +185,7 @@
     for number, run in enumerate(runs):
         request = dispatcher.handle(dy.RequestArrived(number, 5_000_000), now) and dispatcher.requests[number]
         [attempt] = request.attempts
-        attempt.worker.drop(attempt, now, 0)
+        attempt.worker.remove(attempt, now, 0)
         attempt.worker = dispatcher.workers[1]
         attempt.worker.add(attempt)
         dispatcher.handle(dy.JobStarted(number, 1, 0), now)
@@ -335,8 +337,8 @@
             dispatcher.workers.values(), settings, dispatcher.random, now + second * 1_000_000
         )
         assert (
-            dispatcher.slow_start.part * dispatchers
-            <= COLD_SAFETY * settings.fall_multiple * settings.fall_window
+            dispatcher.slow_start.share * dispatchers
+            <= SAFE_COLD_FRACTION * settings.fall_multiple * settings.fall_window
         )
 
 
@@ -417,7 +419,7 @@
 def test_the_age_of_reports_is_learnt_from_how_often_they_change(period):
     """Guards against an age fitted to own jobs, which are one in 40 here: it was anything from 0 to 3.2 s,
     so that what others had sent since was left out, or more had left than were there."""
-    refresh, chance, errors, now = Refresh(), random.Random(1), [], 10_000_000
+    refresh, chance, errors, now = ReportPeriod(), random.Random(1), [], 10_000_000
     worker = Worker(dy.WorkerEntry(1), 1.0)
     for _ in range(800):
         now += round(chance.expovariate(1 / 500_000))
@@ -437,12 +439,12 @@
     model.advance(200_000)
     answer(model, {})
     worker = model.dispatcher.workers[1]
-    since = worker.counted_at
+    since = worker.peer_jobs_at
     model.advance(600_000)
     model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
-    assert worker.counted_at == since, "what has come since goes on being reckoned with"
+    assert worker.peer_jobs_at == since, "what has come since goes on being reckoned with"
     model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
-    assert worker.counted_at > since and worker.others == 3
+    assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
     model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
-    assert worker.counted_at > model.now - 2_000_000, "an idle server may say the same for long"
+    assert worker.peer_jobs_at > model.now - 2_000_000, "an idle server may say the same for long"
--- a/tests/test_unseen.py
+++ b/tests/test_fleet_plan.py
@@ -11,8 +11,8 @@
 
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.brain import Dispatcher
-from hazelbend.decisions.records import Worker
-from hazelbend.decisions.unseen import Fleet, shares
+from hazelbend.decisions.fleet_plan import FleetPlan, work_shares
+from hazelbend.decisions.worker import Worker
 
 SLOTS, RUN = 4, 200_000  # of each server; microseconds of a mean job
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=600_000)
@@ -132,30 +132,32 @@
 
 def test_what_no_server_has_room_for_is_left_out_of_the_plan():
     """A key that would fill every server, and keys that leave too little of a server: no part is below 0."""
-    plan, settings = Fleet(), dy.Settings()
+    plan, settings = FleetPlan(), dy.Settings()
     workers = [Worker(dy.WorkerEntry(each), 1.0, rate=1.0) for each in range(1, 6)]
     for _ in range(40):
-        plan.asked(7)
+        plan.count_job(7)
     for key in [8] * 5 + [9] * 5 + [10]:
-        plan.asked(key)
-    plan.survey(workers, settings, 0)
-    for worker, part in zip(workers, plan.parts(7, workers), strict=True):
+        plan.count_job(key)
+    plan.update(workers, settings, 0)
+    for worker, part in zip(workers, plan.weights(7, workers), strict=True):
         assert 0.0 <= part <= 0.2 + 1e-9, f"more than its part of the work: {worker.entry.worker}"
-    given = [sum(parts[worker] for parts in plan.popular.values() if worker in parts) for worker in workers]
-    both = [one + plan.rest[worker] for one, worker in zip(given, workers, strict=True)]
+    given = [
+        sum(parts[worker] for parts in plan.popular_shares.values() if worker in parts) for worker in workers
+    ]
+    both = [one + plan.other_shares[worker] for one, worker in zip(given, workers, strict=True)]
     assert both == pytest.approx([0.2] * 5)
-    assert sum(plan.parts(7, workers)) == pytest.approx(39 / 51)
-    assert any(plan.parts(10, workers)), "a key that came once goes to what is left"
-    assert plan.parts(7, workers[:1]) != [0.0], "where none of its servers may be used, to any"
+    assert sum(plan.weights(7, workers)) == pytest.approx(39 / 51)
+    assert any(plan.weights(10, workers)), "a key that came once goes to what is left"
+    assert plan.weights(7, workers[:1]) != [0.0], "where none of its servers may be used, to any"
 
 
 def test_of_what_was_asked_long_ago_little_is_remembered():
-    plan = Fleet()
+    plan = FleetPlan()
     for key in range(5_000):
-        plan.asked(key)
-        plan.asked(1)
-    assert len(plan.seen) <= 1_024
-    assert plan.seen[1] / plan.jobs == pytest.approx(0.5, abs=0.2)
+        plan.count_job(key)
+        plan.count_job(1)
+    assert len(plan.key_counts) <= 1_024
+    assert plan.key_counts[1] / plan.job_count == pytest.approx(0.5, abs=0.2)
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -210,8 +212,8 @@
     dispatcher.handle(dy.RequestArrived(1, 10_000_000), now)
     [attempt] = dispatcher.requests[1].attempts
     run = dispatcher.runs[0].value
-    assert attempt.worker.most > 3, "several jobs at once, by its listed size"
-    assert attempt.patience >= 3 * run
+    assert attempt.worker.concurrency > 3, "several jobs at once, by its listed size"
+    assert attempt.silence_limit >= 3 * run
     dispatcher.handle(dy.TimerFired(0), now + round(2 * run))
     assert not attempt.worker.backoff
 
@@ -222,18 +224,18 @@
     now = 100_000_000
     cold = [Worker(dy.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
     warm = [Worker(dy.WorkerEntry(each), 1.0, rate=2.0) for each in range(5, 7)]
-    assert sum(shares(cold, settings, now).values()) == pytest.approx(0.1 * 2.0 * 0.6)
-    both = shares(cold + warm, settings, now)
+    assert sum(work_shares(cold, settings, now).values()) == pytest.approx(0.1 * 2.0 * 0.6)
+    both = work_shares(cold + warm, settings, now)
     assert sum(both.values()) == pytest.approx(1.0)
     assert both[cold[0]] == pytest.approx(0.1 * 2.0 * 0.6 / 8), (
         "its part as if all were warm, times what is safe"
     )
-    assert shares(cold, settings, now + 10_000_000) == dict.fromkeys(cold, 0.25)
-    plan = Fleet()
-    plan.survey(cold, settings, now)
-    assert plan.idle == pytest.approx(0.88)
-    plan.survey([], settings, now)
-    assert plan.idle == 0.0, "with no server at all nothing is drawn"
+    assert work_shares(cold, settings, now + 10_000_000) == dict.fromkeys(cold, 0.25)
+    plan = FleetPlan()
+    plan.update(cold, settings, now)
+    assert plan.unassigned == pytest.approx(0.88)
+    plan.update([], settings, now)
+    assert plan.unassigned == 0.0, "with no server at all nothing is drawn"
 
 
 def test_a_job_that_was_just_sent_tells_of_no_wait():
@@ -246,7 +248,7 @@
 def test_one_that_is_alone_has_nobody_to_count():
     site = Site(dispatchers=1, servers=4, seed=1)
     site.play(200, load=0.5)
-    assert all(worker.crowd == 0 for worker in site.fleet[0].workers.values())
+    assert all(worker.background_load == 0 for worker in site.fleet[0].workers.values())
 
 
 @pytest.mark.parametrize("told", [{"reports_inline": True}, {"weights_fall_with_load": True}])
--- a/tests/test_golden_runs.py
+++ b/tests/test_golden_runs.py
@@ -17,7 +17,7 @@
 from site_kit import ROOT
 
 from hazelbend.decisions import interface as face
-from hazelbend.decisions import memory
+from hazelbend.decisions import learned_state
 from hazelbend.decisions.brain import Dispatcher
 
 GOLDEN = json.loads(golden_runs.RUNS.read_text())
@@ -55,8 +55,8 @@
         face.WorkerEntry(each["worker"], started_at=each["started_at"]) for each in known["workers"]
     )
     dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_000_000)
-    memory.remember(dispatcher, known, 4_000_000)
-    recalled = golden_runs.digits(json.loads(json.dumps(memory.recall(dispatcher, 4_000_000))))
+    learned_state.import_state(dispatcher, known, 4_000_000)
+    recalled = golden_runs.digits(json.loads(json.dumps(learned_state.export_state(dispatcher, 4_000_000))))
     assert recalled["means"] == known["means"] and recalled["usuals"] == known["usuals"]
     assert [sorted(each) for each in recalled["workers"]] == [sorted(each) for each in known["workers"]]
     assert sorted(recalled) == sorted(known)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -95,7 +95,7 @@
     model.dispatcher._report(worker, dy.LoadReport(12.0, 8.0, 0.0), model.now)
     model.dispatcher._suspect(worker, model.now)
     model.list_workers(dy.WorkerEntry(1, started_at=model.now), kind=dy.ListKind.DELTA)
-    assert (worker.others, worker.shut_until) == (0, 0)
+    assert (worker.peer_jobs, worker.backoff_until) == (0, 0)
 
 
 def test_a_worker_that_turned_work_away_is_taken_for_full():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 from hazelbend.decisions import Dispatcher, Settings
 from hazelbend.decisions import interface as face
-from hazelbend.decisions.memory import recall, remember
+from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     FlowIdUpdate,
@@ -50,7 +50,7 @@
                 event = face.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
                 dispatcher.handle(event, now + 40_000)
     dispatcher._suspect(dispatcher.workers[2], now)
-    dispatcher.workers[2].soundness.see(True, now)
+    dispatcher.workers[2].reliability.record(now, is_error=True)
     dispatcher.handle(face.RequestArrived(1_000, 5_000_000), 4_100_000)
     return dispatcher
 
@@ -62,16 +62,18 @@
 def test_what_was_learnt_goes_on():
     old, new, now = seasoned(), fresh(), 4_200_000
     assert old.avoided(now) == {2} and new.avoided(now) == set()
-    remember(new, passed(recall(old, now)), now)
+    import_state(new, passed(export_state(old, now)), now)
     assert new.avoided(now) == {2}
     assert [each.value for each in new.runs] == [each.value for each in old.runs]
-    held = {number: len(worker.sends) for number, worker in old.workers.items()}
+    held = {number: len(worker.attempts) for number, worker in old.workers.items()}
     assert held[3]
     for number, worker in new.workers.items():
-        assert worker.rate == old.workers[number].rate and not worker.sends
-        assert worker.usual == old.workers[number].usual and worker.size == old.workers[number].size
-        assert worker.soundness.risk(now) == old.workers[number].soundness.risk(now)
-        assert worker.others >= bool(held[number]), "the old one's jobs run there still"
+        assert worker.rate == old.workers[number].rate and not worker.attempts
+        assert (
+            worker.usual_level == old.workers[number].usual_level and worker.size == old.workers[number].size
+        )
+        assert worker.reliability.risk(now) == old.workers[number].reliability.risk(now)
+        assert worker.peer_jobs >= bool(held[number]), "the old one's jobs run there still"
     [sent] = [
         each for each in new.handle(face.RequestArrived(1, 5_000_000), now) if isinstance(each, face.Send)
     ]
@@ -82,49 +84,49 @@
     old, new = seasoned(), Dispatcher(SETTINGS, 7)
     entries = (ENTRIES[0], face.WorkerEntry(2, started_at=4_000_000))
     new.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_150_000)
-    remember(new, passed(recall(old, 4_200_000)), 4_200_000)
-    assert new.avoided(4_200_000) == set() and new.workers[1].others and 3 not in new.workers
+    import_state(new, passed(export_state(old, 4_200_000)), 4_200_000)
+    assert new.avoided(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
 
 
 def test_levels_by_the_rate_that_an_earlier_version_passes_on_are_not_taken():
     """They are of another unit: some 10^5 of the new one, so that every server would seem full for long."""
     old, new, now = seasoned(), fresh(), 4_200_000
-    memory = passed(recall(old, now))
+    memory = passed(export_state(old, now))
     memory["levels"] = [[kind, [10.0, 1e7]] for kind, _ in memory.pop("usuals")]
     for each in memory["workers"]:
         each["level"] = each.pop("usual")
         del each["size"]
-    remember(new, memory, now)
+    import_state(new, memory, now)
     assert new.usuals == {} and new.avoided(now) == {2}
     for worker in new.workers.values():
         new._set_rate(worker, now)
-        assert worker.crowd == 0.0
+        assert worker.background_load == 0.0
 
 
 def test_the_share_of_cold_workers_is_read_where_an_earlier_version_has_it():
     """It stood among the means, and stands by itself now; a version that passes none on leaves the own."""
     old, now = seasoned(), 4_200_000
-    old.slow_start.own_part.add(0.25, 60.0)
+    old.slow_start.own_traffic.add(0.25, 60.0)
     for place in ("share", "means", "nowhere"):
-        new, memory = fresh(), passed(recall(old, now))
-        before = new.slow_start.own_part.value
+        new, memory = fresh(), passed(export_state(old, now))
+        before = new.slow_start.own_traffic.value
         share = memory.pop("share") if place != "share" else None
         if place == "means":
             memory["means"]["share"] = share
-        remember(new, memory, now)
-        kept = before if place == "nowhere" else old.slow_start.own_part.value
-        assert new.slow_start.own_part.value == pytest.approx(kept)
+        import_state(new, memory, now)
+        kept = before if place == "nowhere" else old.slow_start.own_traffic.value
+        assert new.slow_start.own_traffic.value == pytest.approx(kept)
 
 
 @given(SEEDS)
 def test_a_memory_that_is_no_use_changes_nothing(seed):
-    text, new = orjson.dumps(recall(seasoned(), 4_200_000)), fresh()
-    before = recall(new, 4_200_000)
+    text, new = orjson.dumps(export_state(seasoned(), 4_200_000)), fresh()
+    before = export_state(new, 4_200_000)
     try:
         memory = orjson.loads(garbage(text, seed))
-        remember(new, memory if isinstance(memory, dict) else {}, 4_200_000)
+        import_state(new, memory if isinstance(memory, dict) else {}, 4_200_000)
     except ValueError:
-        assert recall(new, 4_200_000) == before
+        assert export_state(new, 4_200_000) == before
     actions = new.handle(face.RequestArrived(1, 5_000_000), 4_300_000)
     assert any(isinstance(each, face.Send) for each in actions) or new.held, "it goes on deciding"
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -145,7 +145,7 @@
     model.advance(600_000)
     assert [worker for _, worker, request in model.sends if request == 0] == [1, 2]
     assert len(model.sends) == 5, "of the others none"
-    assert model.dispatcher.workers[1].shut_until == 0
+    assert model.dispatcher.workers[1].backoff_until == 0
 
 
 def test_a_job_that_misses_one_note_of_progress_is_copied_in_time():
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -31,5 +31,5 @@
     model.jobs[0].tries[0].outcome = dy.Outcome.CONNECT_FAILED
     actions = model.tell(dy.AttemptEnded(0, 1, 0, dy.Outcome.CONNECT_FAILED))
     [answer] = [action for action in actions if isinstance(action, dy.Refuse)]
-    shut_until = model.dispatcher.workers[1].shut_until
+    shut_until = model.dispatcher.workers[1].backoff_until
     assert answer.retry_after == shut_until - model.now > 0
