--- a/hazelbend/forwarding/admission.py
+++ b/hazelbend/forwarding/admission.py
@@ -32,7 +32,8 @@
         wait = MAX_CONFIGURATION_WAIT_US
         if request.timeout_us is not None:
             wait = min(wait, request.timeout_us // 2)
-        while self._fleet.route_table is None and self._clock() < request.arrived_at + wait:
+        wait_until = request.arrived_at + wait
+        while self._fleet.route_table is None and self._clock() < wait_until:  # noqa: ASYNC110 (virtual clock)
             await asyncio.sleep(CONFIGURATION_POLL_S)
         return self._fleet.route_table
 
--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -268,7 +268,7 @@
 
     def _share_descriptors(self) -> None:
         self.client_listener.connection_limit = _half(self.conf, self._siblings)
-        self.pool.limit(_half(self.conf, self._siblings))
+        self.pool.set_limit(_half(self.conf, self._siblings))
 
     async def _open(self, listen: Callable[[], Awaitable[None]]) -> None:
         """Take an address. In an upgrade the process before may still hold it: then it is taken when free."""
@@ -326,7 +326,7 @@
         names = (each.name for each in fields(conf) if each.compare)
         changed = [name for name in names if getattr(conf, name) != getattr(old, name)]
         if _pool_settings(conf) != _pool_settings(old):
-            self.pool.change(_pool_settings(conf))
+            self.pool.apply_settings(_pool_settings(conf))
         self.client_listener.catalogue = conf.catalogue
         self._share_descriptors()
         if (conf.catalogue, conf.load_fields) != (old.catalogue, old.load_fields):
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -1,4 +1,4 @@
-"""Requests to backends over HTTP, by aiohttp's client: what it is told to send, once, following nothing."""
+"""The dispatcher's requests to backends over HTTP, by aiohttp's client: each is written once."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
+from functools import partial
 
 import aiohttp
 from yarl import URL
@@ -15,111 +16,108 @@
 from hazelbend.protocol.worker_lines import MAX_LINE_BYTES, LoadReportFields, outcome_of_status, read_line
 from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Forwarded, Job, News
 from hazelbend.transport.http.aiohttp_client import (
-    CheckedRequest,
-    RequestWriting,
+    RequestProgress,
+    RequestWithdrawnError,
     StaleConnectionError,
-    WithdrawnError,
-    close_longest_idle,
     close_when_idle,
-    open_session,
+    open_checked_session,
     raw_url,
-    writing_trace,
+    send_once,
+    trim_idle_connections,
 )
 
 log = logging.getLogger("hazelbend.backends")
 
-KEEPALIVE_MARGIN = 0.5  # seconds before the backend's limit at which an idle connection is dropped
-UNUSED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-REST_WAIT = 0.02  # seconds in which the rest of an answer that has said all must come
-REST_PARTS = 64  # parts of it that are read
+TIMEOUT_HEADER = "X-Timeout-Ms"
+KEEPALIVE_MARGIN_S = 0.5  # before the backend's limit, at which an idle connection is closed
+DRAIN_TIMEOUT_S = 0.02  # in which the rest of a response must come, whose result is known
+MAX_DRAIN_READS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class PoolSettings:
-    """What the configuration says of connections to backends."""
+    """What the configuration says about connections to backends."""
 
     connect_timeout: float  # seconds
     keepalive: float  # seconds
-    connections: int  # at most so many at once
+    connections: int  # at most so many in use
     fields: LoadReportFields
 
 
 class ConnectionPool:
-    """The one client session for all backends."""
+    """The client session for all backends, and the limit of its connections."""
 
     def __init__(self, settings: PoolSettings) -> None:
-        self.settings, self.session = settings, self._open(settings)
-        self._ending: set[asyncio.Task[None]] = set()
+        self.settings = settings
+        self.session = _open_session(settings)
+        self._closing_sessions: set[asyncio.Task[None]] = set()
         self._in_use = 0
 
     @contextmanager
-    def place(self) -> Iterator[bool]:
-        """A place among the connections, or False: to wait for one would look like the backend's fault, and
-        what was true of the backend when it was chosen would be old by then."""
-        free = self._in_use < self.settings.connections
-        self._in_use += free
-        close_longest_idle(self.session, self.settings.connections - self._in_use)
+    def reserve_connection(self) -> Iterator[bool]:
+        """Yield whether one of the connections is free, and hold it for the block.
+
+        Nobody waits for one: the wait would look like the backend's fault, and what was known about the
+        backend when it was selected would be out of date.
+        """
+        is_free = self._in_use < self.settings.connections
+        self._in_use += is_free
+        trim_idle_connections(self.session, self.settings.connections - self._in_use)
         try:
-            yield free
+            yield is_free
         finally:
-            self._in_use -= free
+            self._in_use -= is_free
 
-    def limit(self, connections: int) -> None:
-        """So many at once from now on; those that are open stay."""
+    def set_limit(self, connections: int) -> None:
+        """Change the limit; open connections stay."""
         self.settings = replace(self.settings, connections=connections)
 
-    def change(self, settings: PoolSettings) -> None:
-        """What is out goes on as it began; what comes next goes by the new settings."""
-        before, self.settings = self.session, settings
-        self.session = self._open(settings)
-        ending = asyncio.create_task(close_when_idle(before))
-        self._ending.add(ending)
-        ending.add_done_callback(self._ending.discard)
-
-    @staticmethod
-    def _open(settings: PoolSettings) -> aiohttp.ClientSession:
-        keepalive = settings.keepalive
-        connector = aiohttp.TCPConnector(
-            limit=0,  # by `place`
-            keepalive_timeout=max(keepalive - KEEPALIVE_MARGIN, keepalive / 2),
-            use_dns_cache=False,
-        )
-        return open_session(
-            connector,
-            aiohttp.ClientTimeout(total=None, sock_connect=settings.connect_timeout),
-            auto_decompress=False,
-            request_class=CheckedRequest,
-            skip_auto_headers=UNUSED_HEADERS,
-            read_bufsize=2 * MAX_LINE_BYTES,
-            trace_configs=[writing_trace()],
-        )
+    def apply_settings(self, settings: PoolSettings) -> None:
+        """Use new settings for new requests; those in flight end on the session that they began on."""
+        replaced = self.session
+        self.settings = settings
+        self.session = _open_session(settings)
+        closing = asyncio.create_task(close_when_idle(replaced))
+        self._closing_sessions.add(closing)
+        closing.add_done_callback(self._closing_sessions.discard)
 
-    def client(self, dial: str) -> HttpBackendClient:
-        """The way to the backend at this address."""
-        return HttpBackendClient(self, dial)
+    def client(self, address: str) -> HttpBackendClient:
+        """Return the client of the backend at this address."""
+        return HttpBackendClient(self, address)
 
     async def close(self) -> None:
         """Close all connections at once."""
-        for ending in self._ending:
-            ending.cancel()
+        for closing in self._closing_sessions:
+            closing.cancel()
         await self.session.close()
 
 
+def _open_session(settings: PoolSettings) -> aiohttp.ClientSession:
+    keepalive_s = settings.keepalive
+    connector = aiohttp.TCPConnector(
+        limit=0,  # by `reserve_connection`
+        keepalive_timeout=max(keepalive_s - KEEPALIVE_MARGIN_S, keepalive_s / 2),
+        use_dns_cache=False,
+    )
+    return open_checked_session(connector, settings.connect_timeout, 2 * MAX_LINE_BYTES)
+
+
 class HttpBackendClient:
-    """The way to one backend."""
+    """Implements `routing.ports.BackendClient` for one backend."""
 
-    def __init__(self, pool: ConnectionPool, dial: str) -> None:
-        self._pool, self._base = pool, f"http://{dial}"
+    def __init__(self, pool: ConnectionPool, address: str) -> None:
+        self._pool = pool
+        self._base_url = f"http://{address}"
 
     def close(self) -> None:
-        """Idle connections of a backend that is gone run out by themselves."""
+        """See the Protocol. The idle connections of a backend that is gone time out by themselves."""
 
     async def attempt(
         self, job: Job, before_first_byte: BeforeFirstByte, tell: Callable[[News | Forwarded], None]
     ) -> AttemptResult:
-        """Connect, check again, write, and read the answer. Cancelled, it closes its connection."""
-        with self._pool.place() as free:
-            if not free:
+        """See the Protocol. Where it is cancelled, its connection is closed."""
+        with self._pool.reserve_connection() as is_free:
+            if not is_free:
                 return AttemptResult(Outcome.NOT_SENT)
             return await self._attempt(job, before_first_byte, tell)
 
@@ -129,78 +127,59 @@
         headers = {"X-Request-ID": job.id}
         if job.idempotency_key is not None:
             headers["Idempotency-Key"] = job.idempotency_key
-        writing = RequestWriting(bool(job.body), before_first_byte, tell)
+        progress = RequestProgress(
+            before_first_byte,
+            TIMEOUT_HEADER,
+            has_body=bool(job.body),
+            on_written=partial(tell, Forwarded()),
+        )
         try:
-            response = await self._post(job, headers, writing)
-        except WithdrawnError:
+            url = raw_url(self._base_url, job.target)
+            response = await send_once(self._pool, "POST", url, progress, body=job.body, headers=headers)
+        except RequestWithdrawnError:
             return AttemptResult(Outcome.NOT_SENT)
         except aiohttp.ConnectionTimeoutError:
             return AttemptResult(Outcome.CONNECT_FAILED)
         except (aiohttp.ClientError, OSError):
-            outcome = Outcome.RESET if writing.whole else Outcome.CONNECT_FAILED
-            return AttemptResult(outcome, stale=writing.reused_connection)
+            outcome = Outcome.RESET if progress.is_written else Outcome.CONNECT_FAILED
+            return AttemptResult(outcome, stale=progress.reused_connection)
         try:
-            return await self._read(response, job, tell)
+            return await self._read_result(response, job, tell)
         except (aiohttp.ClientError, OSError):
             return AttemptResult(Outcome.RESET)
         except (ValueError, aiohttp.http_exceptions.HttpProcessingError) as error:
-            # What a backend says wrongly is its outcome, and no fault of ours: a line without end among it.
-            log.warning("%s: %s", self._base, error)
+            # A response that cannot be parsed, as a line without end, is the backend's failure and not ours.
+            log.warning("%s: %s", self._base_url, error)
             return AttemptResult(Outcome.ERROR)
         finally:
-            response.close()  # unless it was read to its end and so released, the connection goes
-
-    async def _post(
-        self, job: Job, headers: dict[str, str], writing: RequestWriting
-    ) -> aiohttp.ClientResponse:
-        """Write the request, once, on the first connection that is fit for it."""
-        while True:
-            try:
-                return await self._pool.session.post(
-                    raw_url(self._base, job.target),
-                    data=job.body,
-                    headers=headers,
-                    allow_redirects=False,
-                    trace_request_ctx=writing,
-                    middlewares=(writing.bind,),
-                )
-            except StaleConnectionError:
-                writing.reused_connection = False
-
-    async def _read(
+            response.close()  # closes its connection, unless it was read to its end
+
+    async def _read_result(
         self, response: aiohttp.ClientResponse, job: Job, tell: Callable[[News | Forwarded], None]
     ) -> AttemptResult:
+        """Read lines of progress up to the one with the result."""
         if response.status != 200:
-            outcome = outcome_of_status(response.status, response.headers.get("X-Not-Processed") == "1")
+            is_not_processed = response.headers.get("X-Not-Processed") == "1"
+            outcome = outcome_of_status(response.status, is_not_processed)
             load = self._pool.settings.fields.read_text(response.headers.get("X-Server-Load"))
-            await self._finish(response)
+            await _drain(response)
             return AttemptResult(outcome, load=load)
         while line := await response.content.readline():
             if not line.endswith(b"\n"):
                 return AttemptResult(Outcome.RESET)
             if not line.strip():
                 continue
-            said = read_line(line, job.id, self._pool.settings.fields)
-            if isinstance(said, News):
-                tell(said)
-            elif said is not None:
-                await self._finish(response)
-                return said
+            message = read_line(line, job.id, self._pool.settings.fields)
+            if isinstance(message, News):
+                tell(message)
+            elif message is not None:
+                await _drain(response)
+                return message
         return AttemptResult(Outcome.RESET)
 
-    async def _finish(self, response: aiohttp.ClientResponse) -> None:
-        """Read the rest of an answer that has said all, so that its connection can be used again."""
-        try:
-            async with asyncio.timeout(REST_WAIT):
-                for _ in range(REST_PARTS):
-                    if not await response.content.readany():
-                        return
-        except (TimeoutError, aiohttp.ClientError, OSError):
-            return
-
     async def probe(self, patience: int) -> AttemptResult:
-        """Ask for the load report; `patience` in microseconds."""
-        url = URL(self._base + "/load", encoded=True)
+        """See the Protocol."""
+        url = URL(self._base_url + "/load", encoded=True)
         try:
             async with (
                 asyncio.timeout(patience / 1e6),
@@ -213,3 +192,14 @@
             return AttemptResult(Outcome.TIMED_OUT)
         except (aiohttp.ClientError, OSError, StaleConnectionError):
             return AttemptResult(Outcome.CONNECT_FAILED)
+
+
+async def _drain(response: aiohttp.ClientResponse) -> None:
+    """Read the rest of a response whose result is known, so that its connection can be reused."""
+    try:
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):
+            for _ in range(MAX_DRAIN_READS):
+                if not await response.content.readany():
+                    return
+    except (TimeoutError, aiohttp.ClientError, OSError):
+        return
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -26,6 +26,14 @@
 MAX_INVALID_REQUEST_DELAY_S = 0.5
 
 
+class JobRejectedError(Exception):
+    """A request that is not accepted as a job; the text is for the client."""
+
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
+        self.status = status
+
+
 class PendingJob(Protocol):
     """A job that was accepted: it is routed, or waits to be."""
 
@@ -84,23 +92,26 @@
             return _closing_response(400, str(error))
         connection.request_received()
         try:
-            job = read_job(request.raw_path, request.headers, body, self.catalogue)
-            if queueing_time_s > MIN_QUEUEING_TIME_S:
-                job = replace(job, patience=max(job.patience - round(queueing_time_s * 1e6), 1))
-        except BadRequestError as error:
-            return web.Response(status=400, text=f"{error}\n")
-        if self._router.holds(job.id):
-            return web.Response(status=409, text="a request of this id is open\n")
-        try:
-            pending = self._router.take(job) if self.gate is None else self.gate(job, request.headers)
-        except BadRequestError as error:
-            return web.Response(status=400, text=f"{error}\n")
+            pending = self._accept_job(request, body, queueing_time_s)
+        except JobRejectedError as error:
+            return web.Response(status=error.status, text=f"{error}\n")
         try:
             return _http_response(await pending.reply())
         except asyncio.CancelledError:
             pending.leave()  # the client has closed its connection
             raise
 
+    def _accept_job(self, request: web.BaseRequest, body: bytes, queueing_time_s: float) -> PendingJob:
+        try:
+            job = read_job(request.raw_path, request.headers, body, self.catalogue)
+            if queueing_time_s > MIN_QUEUEING_TIME_S:
+                job = replace(job, patience=max(job.patience - round(queueing_time_s * 1e6), 1))
+            if self._router.holds(job.id):
+                raise JobRejectedError(409, "a request of this id is open")
+            return self._router.take(job) if self.gate is None else self.gate(job, request.headers)
+        except BadRequestError as error:
+            raise JobRejectedError(400, str(error)) from None
+
     def _health_response(self) -> web.Response:
         if self.accepts_clients:
             return web.Response(status=200, text="ok\n")
--- a/hazelbend/transport/http/half_close.py
+++ b/hazelbend/transport/http/half_close.py
@@ -12,14 +12,17 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import TypeAlias
 
 LINGER_S = 1.0  # that a half-closed connection is read, once all is written
 MAX_LINGER_S = 10.0  # after which the connection of a peer that reads nothing is aborted
 READ_AHEAD_BYTES = 64 * 1024  # buffered while reading is paused: a body of the largest size
 
 
+Buffer: TypeAlias = bytes | bytearray | memoryview
+
+
 class HalfClosingTransport(asyncio.Transport):
     """Wraps the transport of a TCP connection."""
 
@@ -128,11 +131,11 @@
 
     # --- delegated to the wrapped transport ---
 
-    def write(self, data: Any) -> None:
+    def write(self, data: Buffer) -> None:
         """See `asyncio.WriteTransport`."""
         self._inner.write(data)
 
-    def writelines(self, list_of_data: Any) -> None:
+    def writelines(self, list_of_data: Iterable[Buffer]) -> None:
         """See `asyncio.WriteTransport`."""
         self._inner.writelines(list_of_data)
 
@@ -144,7 +147,7 @@
         """See `asyncio.WriteTransport`."""
         return self._inner.can_write_eof()
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
+    def get_extra_info(self, name: str, default: object = None) -> object:
         """See `asyncio.BaseTransport`."""
         return self._inner.get_extra_info(name, default)
 
--- a/hazelbend/transport/http/http_listener.py
+++ b/hazelbend/transport/http/http_listener.py
@@ -152,7 +152,7 @@
         """Wait until no connection is open, at most so long."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        while self._has_connections() and loop.time() < deadline:
+        while self._has_connections() and loop.time() < deadline:  # noqa: ASYNC110 (four collections)
             await asyncio.sleep(CLOSED_POLL_S)
 
     def _has_connections(self) -> bool:
--- a/hazelbend/transport/http/worker_client.py
+++ b/hazelbend/transport/http/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to workers over HTTP/1.1, by aiohttp's client: each is sent once, on a fit connection."""
+"""Calls to workers over HTTP/1.1, by aiohttp's client: each request is written once, on a fit connection."""
 
 from __future__ import annotations
 
@@ -16,23 +16,22 @@
 )
 from hazelbend.forwarding.ports import BeforeFirstByte, Headers, WorkerCall
 from hazelbend.transport.http.aiohttp_client import (
-    CheckedRequest,
-    RequestWriting,
+    RequestProgress,
+    RequestWithdrawnError,
     StaleConnectionError,
-    WithdrawnError,
-    keep_idle,
-    open_session,
+    open_checked_session,
     raw_url,
-    writing_trace,
+    send_once,
+    set_keepalive,
 )
 
-CONNECT_WAIT = 0.35  # seconds
-KEEPALIVE = 4.0  # seconds that an idle connection is kept where the worker has not said
-KEEPALIVE_MARGIN = 0.6  # of what a worker has said
-READ_BUFFER = 64 * 1024
-FREE_WAIT = 1.0  # seconds for the call that frees a handle
-TIME_FIELD = "Deadline-Ms"
-SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+CONNECT_TIMEOUT_S = 0.35
+DEFAULT_KEEPALIVE_S = 4.0  # that an idle connection is kept, where no worker has said less
+KEEPALIVE_RATIO = 0.6  # of what a worker has said: its own close must not cross a request
+READ_BUFFER_BYTES = 64 * 1024
+FREE_HANDLE_TIMEOUT_S = 1.0
+DEADLINE_HEADER = "Deadline-Ms"
+# Not forwarded (RFC 9110, section 7.6.1); Content-Length is written anew for the body.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -45,7 +44,7 @@
         "content-length",
     }
 )
-FAILED = (aiohttp.ClientError, OSError, ValueError, aiohttp.http_exceptions.HttpProcessingError)
+CALL_ERRORS = (aiohttp.ClientError, OSError, ValueError, aiohttp.http_exceptions.HttpProcessingError)
 
 
 class HttpWorkerResponse:
@@ -60,140 +59,120 @@
             if name.lower() not in HOP_BY_HOP_HEADERS
         )
         self.not_executed = response.status == 421 or "Not-Executed" in response.headers
-        self.reported_in_flight = _reported_in_flight(response.headers.get("Server-Load"))
+        self.reported_in_flight = _requests_in_flight(response.headers.get("Server-Load"))
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """See the Protocol."""
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
-        except FAILED as error:
+        except CALL_ERRORS as error:
             raise ResponseBrokenError(str(error)) from None
 
     async def body(self) -> bytes:
         """See the Protocol."""
         try:
             return await self._response.read()
-        except FAILED as error:
+        except CALL_ERRORS as error:
             raise ResponseBrokenError(str(error)) from None
 
     def close(self) -> None:
         """See the Protocol."""
-        self._response.close()  # a body that was read whole has released its connection before
+        self._response.close()  # after a complete body the connection is already back in the pool
 
 
 class HttpWorkerClient:
     """Implements `forwarding.ports.WorkerClient`."""
 
-    def __init__(self, connections: int) -> None:
+    def __init__(self, connection_limit: int) -> None:
         connector = aiohttp.TCPConnector(
-            limit=connections, keepalive_timeout=KEEPALIVE, use_dns_cache=False, force_close=False
-        )
-        self._keepalive = KEEPALIVE
-        self._session = open_session(
-            connector,
-            aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_WAIT),
-            auto_decompress=False,
-            request_class=CheckedRequest,
-            skip_auto_headers=SKIPPED,
-            read_bufsize=READ_BUFFER,
-            trace_configs=[writing_trace()],
+            limit=connection_limit,
+            keepalive_timeout=DEFAULT_KEEPALIVE_S,
+            use_dns_cache=False,
+            force_close=False,
         )
+        self._keepalive_s = DEFAULT_KEEPALIVE_S
+        self.session = open_checked_session(connector, CONNECT_TIMEOUT_S, READ_BUFFER_BYTES)
 
     async def send(self, call: WorkerCall, before_first_byte: BeforeFirstByte) -> HttpWorkerResponse:
         """See the Protocol."""
         request = call.request
-        begun = False
-
-        def check() -> int | None:
-            nonlocal begun
-            left = before_first_byte()
-            begun = left is not None
-            return left
-
-        writing = RequestWriting(bool(request.body), check, lambda news: None, TIME_FIELD)
-        headers = [*request.headers, ("Host", request.host), ("Request-Id", request.id), *call.extra_headers]
+        progress = RequestProgress(before_first_byte, DEADLINE_HEADER, has_body=bool(request.body))
+        headers = [
+            *request.headers,
+            ("Host", request.host),
+            ("Request-Id", request.id),
+            *call.extra_headers,
+        ]
         try:
-            response = await self._request(
-                request.method, call.address, request.target, request.body, headers, writing
+            url = raw_url(f"http://{call.address}", request.target)
+            response = await send_once(
+                self, request.method, url, progress, body=request.body or None, headers=headers
             )
-        except WithdrawnError:
+        except RequestWithdrawnError:
             raise SendWithdrawnError from None
-        except FAILED as error:
-            if begun:
+        except CALL_ERRORS as error:
+            if progress.is_permitted:
                 raise ResponseBrokenError(str(error)) from None
             raise WorkerUnreachableError(str(error)) from None
-        self._heed_keepalive(response.headers.get("Keep-Alive"))
-        if not _answers(response, request.id, writing.reused_connection):
+        self._apply_keepalive(response.headers.get("Keep-Alive"))
+        if not _is_response_to(request.id, response, on_reused_connection=progress.reused_connection):
             response.close()
-            writing.end_connection()
+            progress.discard_connection()
             raise InvalidResponseError("the response to another request")
         return HttpWorkerResponse(response)
 
-    def _heed_keepalive(self, text: str | None) -> None:
+    def _apply_keepalive(self, header: str | None) -> None:
         """The shortest time that any worker has named holds for all: to close early costs little."""
-        seconds = _keepalive_seconds(text)
-        if seconds is not None and seconds * KEEPALIVE_MARGIN < self._keepalive:
-            self._keepalive = seconds * KEEPALIVE_MARGIN
-            keep_idle(self._session, self._keepalive)
-
-    async def _request(
-        self,
-        method: str,
-        address: str,
-        target: str,
-        body: bytes,
-        headers: list[tuple[str, str]],
-        writing: RequestWriting,
-    ) -> aiohttp.ClientResponse:
-        while True:
-            try:
-                return await self._session.request(
-                    method,
-                    raw_url(f"http://{address}", target),
-                    data=body or None,
-                    headers=headers,
-                    allow_redirects=False,
-                    trace_request_ctx=writing,
-                    middlewares=(writing.bind,),
-                )
-            except StaleConnectionError:
-                writing.reused_connection = False
+        worker_keepalive_s = _keepalive_timeout_s(header)
+        if worker_keepalive_s is None:
+            return
+        keepalive_s = worker_keepalive_s * KEEPALIVE_RATIO
+        if keepalive_s < self._keepalive_s:
+            self._keepalive_s = keepalive_s
+            set_keepalive(self.session, keepalive_s)
 
     async def free_handle(self, address: str, instance: str, handle: str) -> None:
         """See the Protocol."""
         url = raw_url(f"http://{address}", f"/kv-handle/{handle}")
         headers = {"Expect-Instance": instance}  # the address may be another worker's by now
-        with contextlib.suppress(TimeoutError, StaleConnectionError, *FAILED):
-            async with asyncio.timeout(FREE_WAIT), self._session.delete(url, headers=headers) as response:
+        with contextlib.suppress(TimeoutError, StaleConnectionError, *CALL_ERRORS):
+            async with (
+                asyncio.timeout(FREE_HANDLE_TIMEOUT_S),
+                self.session.delete(url, headers=headers) as response,
+            ):
                 await response.read()
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._session.close()
+        await self.session.close()
+
 
+def _is_response_to(request_id: str, response: aiohttp.ClientResponse, *, on_reused_connection: bool) -> bool:
+    """Whether it is the response to this request.
 
-def _answers(response: aiohttp.ClientResponse, request_id: str, reused: bool) -> bool:
-    """Whether it is the answer to this request. A failure may come without an id, as from a worker that has
-    not understood the request, but not on a connection on which it may be a late answer to another one."""
-    echoed = response.headers.get("Request-Id")
-    if echoed is None:
-        return response.status >= 300 and not reused
-    return echoed == request_id
+    A failure may come without an id, as from a worker that could not parse the request, but not on a reused
+    connection: there it may be a late response to the request before.
+    """
+    echoed_id = response.headers.get("Request-Id")
+    if echoed_id is None:
+        return response.status >= 300 and not on_reused_connection
+    return echoed_id == request_id
 
 
-def _keepalive_seconds(text: str | None) -> float | None:
-    """What `Keep-Alive: timeout=5, max=9` says."""
-    for part in (text or "").split(","):
-        name, _, value = part.strip().partition("=")
+def _keepalive_timeout_s(header: str | None) -> float | None:
+    """Return the time-out of a header like `Keep-Alive: timeout=5, max=9`."""
+    for parameter in (header or "").split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdecimal():
             return float(value)
     return None
 
 
-def _reported_in_flight(text: str | None) -> int | None:
-    """Requests that run and wait, of `Server-Load`: running, waiting, slots."""
-    parts = (text or "").split(",")
-    if len(parts) < 2 or not all(part.strip().isdecimal() for part in parts[:2]):
+def _requests_in_flight(server_load: str | None) -> int | None:
+    """Return the running and the queued requests of `Server-Load: running,queued,slots`."""
+    counts = (server_load or "").split(",")
+    if len(counts) < 2 or not all(count.strip().isdecimal() for count in counts[:2]):
         return None
-    return int(parts[0]) + int(parts[1])
+    running, queued = counts[:2]
+    return int(running) + int(queued)
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -576,4 +576,4 @@
     worker.says = [OK.replace(b"Server-Load: 3,1,8", b"Keep-Alive: timeout=2")]
     answer = await client.send(call_of(worker), lambda: 1_000_000)
     await answer.body()
-    assert client._session.connector._keepalive_timeout < 2
+    assert client.session.connector._keepalive_timeout < 2
--- a/tests/test_worker_calls.py
+++ b/tests/test_worker_calls.py
@@ -16,7 +16,7 @@
 
 from hazelbend.forwarding.errors import NotSentError, OutcomeUnknownError
 from hazelbend.forwarding.ports import ClientRequest, WorkerCall
-from hazelbend.transport.http import aiohttp_client, worker_client
+from hazelbend.transport.http import aiohttp_client
 from hazelbend.transport.http.worker_client import HttpWorkerClient
 
 pytestmark = pytest.mark.anyio
@@ -204,7 +204,7 @@
         session._retry_connection = True
         return session
 
-    monkeypatch.setattr(worker_client, "open_session", retrying)
+    monkeypatch.setattr(aiohttp_client, "open_session", retrying)
     client = HttpWorkerClient(10)
     heard = []
 
