--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -93,7 +93,7 @@
     import sys
 
     sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-    from site_kit import STOMP, StandIn, site
+    from site_kit import STOMP, FakeStompClient, site
 
     lanes = [
         {"name": "station-detail", "deadline_us": 3_000_000, "objective_us": 300_000,
@@ -131,7 +131,7 @@
             after = f"X-After: {', '.join(f'n{number}-{each}' for each in range(3))}\r\n"
             await asyncio.gather(*near, post("reserve", f"r{number}", b"60", after))
 
-        peer = await StandIn.connect(app.stomp.port)
+        peer = await FakeStompClient.connect(app.stomp.port)
         peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
         sent, began, number = 0, loop.time(), 0
         while loop.time() < began + seconds:
--- a/tests/site_kit.py
+++ b/tests/site_kit.py
@@ -1,6 +1,6 @@
-"""A small site on loopback for tests: the program in-process, toy servers, and STOMP stand-ins.
+"""A small site on loopback for tests: the program in-process, toy servers, and fake STOMP peers.
 
-The stand-ins are written from the public STOMP specification, apart from hazelbend's own codec, so that the
+The fakes are written from the public STOMP specification, apart from hazelbend's own codec, so that the
 two cannot share a mistake; test_stomp_front.py holds their frames against stomp.py.
 """
 
@@ -96,14 +96,14 @@
 
 
 @asynccontextmanager
-async def running(app: App, *standins: Any) -> AsyncIterator[App]:
-    """The program, started; closed at once afterwards, and then what stands in for the rest of its site."""
+async def running(app: App, *fakes: Any) -> AsyncIterator[App]:
+    """The program, started; closed at once afterwards, and then the fakes of the rest of its site."""
     await app.start()
     try:
         yield app
     finally:
         await app.close()
-        for each in standins:
+        for each in fakes:
             await each.close()
 
 
@@ -115,7 +115,7 @@
 
 
 @dataclass
-class StandInFrame:
+class FakeStompFrame:
     command: str
     headers: dict[str, str]
     body: bytes = b""
@@ -133,17 +133,17 @@
 
 
 @dataclass
-class StandIn:
-    """A STOMP peer: a client, or the ground of a box."""
+class FakeStompClient:
+    """A STOMP peer: a client, or what a worker is built on."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    frames: list[StandInFrame] = field(default_factory=list)
+    frames: list[FakeStompFrame] = field(default_factory=list)
     closed: bool = False
     task: asyncio.Task[None] | None = None
 
     @classmethod
-    async def connect(cls, port: int, login: str = "dashboard", **headers: str) -> StandIn:
+    async def connect(cls, port: int, login: str = "dashboard", **headers: str) -> FakeStompClient:
         peer = cls(*await asyncio.open_connection("127.0.0.1", port))
         peer.task = asyncio.create_task(peer._listen())
         hello = {"accept-version": "1.1,1.2", "host": "hazelbend", "login": login, "passcode": SECRET}
@@ -159,7 +159,7 @@
         named = {"class": job_class, "tenant": "ege-volt", "request-id": request_id} | headers
         self.send("SEND", body, destination="/hazelbend/jobs", **named)
 
-    def of(self, command: str) -> list[StandInFrame]:
+    def of(self, command: str) -> list[FakeStompFrame]:
         return [frame for frame in self.frames if frame.command == command]
 
     def answers(self) -> dict[str, list[str]]:
@@ -190,23 +190,23 @@
                     body = (await self.reader.readexactly(int(headers["content-length"]) + 1))[:-1]
                 else:
                     body = (await self.reader.readuntil(b"\x00"))[:-1]
-                self.frames.append(StandInFrame(line.decode().strip(), headers, body))
+                self.frames.append(FakeStompFrame(line.decode().strip(), headers, body))
                 self.arrived(self.frames[-1])
         except (OSError, asyncio.IncompleteReadError):
             pass
         self.closed = True
 
-    def arrived(self, frame: StandInFrame) -> None: ...
+    def arrived(self, frame: FakeStompFrame) -> None: ...
 
 
 @dataclass
-class StandInBox(StandIn):
-    """A partner's box: it does with each job what the job's body says, as the toy server does."""
+class FakeStompWorker(FakeStompClient):
+    """A partner's worker: it does with each job what the job's body says, as the toy server does."""
 
     ran: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
 
-    def arrived(self, frame: StandInFrame) -> None:
+    def arrived(self, frame: FakeStompFrame) -> None:
         if frame.command != "MESSAGE":
             return
         if frame.headers["type"] == "cancel":
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from site_kit import StandIn, site, until
+from site_kit import FakeStompClient, site, until
 from test_client_listener import open_kept, request, talk
 from test_ops_door import OPS, asked
 from test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
@@ -132,9 +132,9 @@
 
     async def run():
         async with site(tmp_path, ops=OPS) as (app, _):
-            idle = await StandIn.connect(app.stomp.port, client_id="idle")
-            busy = await StandIn.connect(app.stomp.port, client_id="busy")
-            box = await StandIn.connect(app.stomp.port, login="box-1")
+            idle = await FakeStompClient.connect(app.stomp.port, client_id="idle")
+            busy = await FakeStompClient.connect(app.stomp.port, client_id="busy")
+            box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             busy.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             busy.job("b", b"1000")
             await until(lambda: app.router.flows)
@@ -146,7 +146,7 @@
             await asyncio.sleep(drain.OVER)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
             monkeypatch.setattr("hazelbend.transport.stomp.stomp_listener.YOUNG", 2.0)
-            late = await StandIn.connect(app.stomp.port, client_id="late")
+            late = await FakeStompClient.connect(app.stomp.port, client_id="late")
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
             await until(lambda: late.closed)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from pysnmp.proto.rfc1902 import OctetString
-from site_kit import StandIn, site, until
+from site_kit import FakeStompClient, site, until
 from test_client_listener import request, talk
 from test_ops_door import OPS, asked
 
@@ -81,9 +81,9 @@
 def test_both_fronts_count_alike_a_full_mailbox_too(tmp_path):
     async def run():
         async with site(tmp_path, ops=OPS) as (app, _):
-            peer = await StandIn.connect(app.stomp.port)
+            peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
-            box = await StandIn.connect(app.stomp.port, login="box-1")
+            box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             box.send("SUBSCRIBE", id="w", destination="/hazelbend/work")
             await until(lambda: len(app.router.table.servers) == 2)
             app.router.hold_back("toy-0", True)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from parser_kit import SEEDS, garbage, survives
-from site_kit import StandIn, host_entry, site, until
+from site_kit import FakeStompClient, host_entry, site, until
 from test_client_listener import request, talk
 
 from hazelbend.decisions import Dispatcher, Settings
@@ -278,7 +278,7 @@
             own_id = blake2b(b"dashboard\0s", digest_size=16).hexdigest()
             there.tell(own_id, True)
             await until(lambda: here.holds(own_id))
-            peer = await StandIn.connect(app.stomp.port)
+            peer = await FakeStompClient.connect(app.stomp.port)
             peer.job("s", b"1")
             await until(lambda: peer.closed)
             assert "open in another process" in peer.of("ERROR")[0].headers["message"], "the other front"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 import orjson
-from site_kit import SETTINGS, STOMP, StandIn, ToyServer, host_entry, site, until
+from site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
 from test_client_listener import request, talk
 from test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
 
@@ -83,7 +83,7 @@
 def test_settings_limits_and_names_apply_at_once_and_stomp_stays_connected(tmp_path):
     async def run():
         async with site(tmp_path) as (app, [toy]):
-            peer = await StandIn.connect(app.stomp.port)
+            peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             lanes = [*SETTINGS["lanes"], {"name": "plan", "deadline_us": 3_000_000, "semantics": "read_like"}]
             limits = SETTINGS["limits"] | {"keepalive_us": 2_000_000, "connect_timeout_us": 100_000}
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 from pace import pace
-from site_kit import ROOT, SETTINGS, STOMP, StandIn, ToyServer, host_entry, site, until
+from site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
 from srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
 from test_client_listener import request, talk
 from test_program import ask, free_port, start, wait_for  # noqa: F401
@@ -331,7 +331,7 @@
             await until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
             await until(lambda: app.parts["srv"]._source.queries_in_flight)
-            peer = await StandIn.connect(app.stomp.port)
+            peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with load(app) as statuses:
                 peer.job("over-stomp", b"5")
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -7,7 +7,7 @@
 
 import stomp
 from parser_kit import garbage, pieces
-from site_kit import SECRET, STOMP, StandIn, StandInBox, site, until, write_frame
+from site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, until, write_frame
 
 from hazelbend.transport.stomp import stomp_listener
 
@@ -15,8 +15,8 @@
 WORK = {"id": "w", "destination": "/hazelbend/work"}
 
 
-async def client(port: int, login: str = "dashboard", ack: str = "auto", **headers: str) -> StandIn:
-    peer = await StandIn.connect(port, login, **headers)
+async def client(port: int, login: str = "dashboard", ack: str = "auto", **headers: str) -> FakeStompClient:
+    peer = await FakeStompClient.connect(port, login, **headers)
     assert peer.frames[0].command == "CONNECTED", peer.frames
     peer.send("SUBSCRIBE", ack=ack, **ANSWERS)
     return peer
@@ -42,7 +42,7 @@
 async def box_and_client(folder):
     """A site whose only server is a box."""
     async with site(folder, toys=0) as (app, _):
-        box = await StandInBox.connect(app.stomp.port, "box-1")
+        box = await FakeStompWorker.connect(app.stomp.port, "box-1")
         box.send("SUBSCRIBE", **WORK)
         await until(lambda: app.boxes.connected == 1)
         yield app, box, await client(app.stomp.port)
@@ -59,7 +59,7 @@
     async def run():
         async with site(tmp_path, toys=1) as (app, [toy]):
             port = app.stomp.port
-            box = await StandInBox.connect(port, "box-1")
+            box = await FakeStompWorker.connect(port, "box-1")
             box.send("SUBSCRIBE", **WORK)
             await until(lambda: app.boxes.connected == 1)
             peer = await client(port)
@@ -143,7 +143,7 @@
 
     async def run():
         async with site(tmp_path) as (app, _):
-            quiet = await StandIn.connect(app.stomp.port)
+            quiet = await FakeStompClient.connect(app.stomp.port)
             await client(app.stomp.port, client_id="another")
             quiet.job("one", b"1", receipt="taken")
             await until(lambda: quiet.of("RECEIPT"))
@@ -223,7 +223,7 @@
         async with box_and_client(tmp_path) as (app, box, peer):
             peer.job("one", b"hang", "reserve", deadline="500")
             await until(lambda: box.ran)
-            again = await StandInBox.connect(app.stomp.port, "box-1")
+            again = await FakeStompWorker.connect(app.stomp.port, "box-1")
             again.send("SUBSCRIBE", **WORK)
             await until(lambda: box.closed)
             assert "taken its place" in box.of("ERROR")[0].headers["message"]
@@ -294,10 +294,10 @@
                 [error] = peer.of("ERROR")
                 assert words in error.headers["message"]
                 assert not peer.of("RECEIPT")
-            stranger = await StandIn.connect(app.stomp.port, "dashboard", passcode="guess")
+            stranger = await FakeStompClient.connect(app.stomp.port, "dashboard", passcode="guess")
             await until(lambda: stranger.closed)
             assert [frame.command for frame in stranger.frames] == ["ERROR"]
-            old = await StandIn.connect(app.stomp.port, accept_version="1.0")
+            old = await FakeStompClient.connect(app.stomp.port, accept_version="1.0")
             assert old.frames[0].headers["version"] == "1.1,1.2", "the specification asks to name them"
             other = await client(app.stomp.port, "partner")
             other.job("1", tenant="ege-volt")
@@ -417,10 +417,10 @@
     async def run():
         text = STOMP.replace("[[client]]", "connections = 3\n[[client]]", 1)
         async with site(tmp_path, stomp=text) as (app, _):
-            known = await StandIn.connect(app.stomp.port)
+            known = await FakeStompClient.connect(app.stomp.port)
             silent = [await asyncio.open_connection("127.0.0.1", app.stomp.port) for _ in range(8)]
             await until(lambda: app.stomp.connections == 3)
-            peer = await StandIn.connect(app.stomp.port, "partner")
+            peer = await FakeStompClient.connect(app.stomp.port, "partner")
             assert peer.of("CONNECTED") and not known.closed and app.stomp.connections <= 3
             assert b"others wait" in await asyncio.wait_for(silent[0][0].read(), 10)
             for _, writer in silent:
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from site_kit import ROOT, SETTINGS, STOMP, StandIn, host_entry, site, until
+from site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, until
 from test_client_listener import request, talk
 from test_program import ask, free_port, start, wait_for  # noqa: F401
 from test_reload import changed
@@ -40,7 +40,7 @@
 
 
 async def stomp_client(app):
-    peer = await StandIn.connect(app.stomp.port)
+    peer = await FakeStompClient.connect(app.stomp.port)
     peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
     return peer
 
