--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -24,7 +24,8 @@
 from hazelbend.dns_discovery.answers import EndpointKey, PositiveAnswer, Question, RecordType, SrvPreference
 from hazelbend.dns_discovery.resolver import Query, Resolver
 from hazelbend.dns_discovery.settings import SrvSettings, read_settings
-from hazelbend.endpoints.merger import Claim, Membership
+from hazelbend.endpoints.merger import EndpointMerger
+from hazelbend.endpoints.srv_claims import SrvClaim
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import Endpoint, EndpointList
 from hazelbend.transport.dns.resolver_driver import ResolverDriver
@@ -124,37 +125,37 @@
 def merge(options: argparse.Namespace) -> None:
     """Half of the servers by the box list, half by a thousandth as many SRV names."""
     for count in options.servers:
-        members = Membership(3_600_000_000)
+        merger = EndpointMerger(3_600_000_000)
         half = count // 2
         entries = tuple(
             Endpoint(f"s-{n}", f"10.0.{n // 250}.{n % 250}:7101", 0, 0, 0, WorkerState.READY, 1.0, 0)
             for n in range(half)
         )
-        members.hear_list(EndpointList(entries, whole=True), 1)
-        pools: dict[str, dict[EndpointKey, Claim]] = {}
+        merger.apply_list(EndpointList(entries, whole=True), 1)
+        pools: dict[str, dict[EndpointKey, SrvClaim]] = {}
         for n in range(half):
             key = EndpointKey(f"b{n}.example.org", 7101)
-            claim = Claim(SrvPreference(0, 1), (f"10.1.{n // 250}.{n % 250}",), 0, 0, 0, 1.0)
+            claim = SrvClaim(SrvPreference(0, 1), (f"10.1.{n // 250}.{n % 250}",), 0, 0, 0, 1.0)
             pools.setdefault(f"n{n // 10}", {})[key] = claim
         for name, boxes in pools.items():
-            members.hear_name(name, boxes, 2)
+            merger.apply_srv(name, boxes, 2)
         times: dict[str, list[float]] = {"name": [], "list": [], "whole": []}
         changing = list(pools.items())[:: max(len(pools) // 200, 1)]
         for turn, (name, boxes) in enumerate(changing):
             fewer = dict(list(boxes.items())[1:])
             began = time.perf_counter()
-            members.hear_name(name, fewer, 3 + turn)
-            members.hear_name(name, boxes, 3 + turn)
+            merger.apply_srv(name, fewer, 3 + turn)
+            merger.apply_srv(name, boxes, 3 + turn)
             times["name"].append((time.perf_counter() - began) / 2)
             entry = entries[turn % half]
             began = time.perf_counter()
             for state in (WorkerState.DRAINING, WorkerState.READY):
                 changed = Endpoint(entry.host, entry.dial, 0, 0, 0, state, 1.0, 0)
-                members.hear_list(EndpointList((changed,)), 3 + turn)
+                merger.apply_list(EndpointList((changed,)), 3 + turn)
             times["list"].append((time.perf_counter() - began) / 2)
         for _ in range(5):
             began = time.perf_counter()
-            members.hear_list(EndpointList(entries, whole=True), 9)
+            merger.apply_list(EndpointList(entries, whole=True), 9)
             times["whole"].append(time.perf_counter() - began)
         row = {f"{what}_us": round(1e6 * statistics.median(each), 1) for what, each in times.items()}
         print(json.dumps({"servers": count, **row}), flush=True)
--- /dev/null
+++ b/hazelbend/endpoints/srv_claims.py
@@ -0,0 +1,90 @@
+"""What the SRV names report about endpoints."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+
+from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
+
+
+@dataclass(slots=True, frozen=True)
+class SrvClaim:
+    """What one SRV name reports about an endpoint, and what the settings say of the name's endpoints."""
+
+    preference: SrvPreference
+    addresses: tuple[str, ...]  # at least one
+    zone: int
+    kind: int
+    cell: int
+    weight: float
+
+    def dials(self, port: int) -> tuple[str, ...]:
+        """The addresses with the port, as the endpoint list writes them."""
+        return tuple(
+            f"[{address}]:{port}" if ":" in address else f"{address}:{port}" for address in self.addresses
+        )
+
+
+class SrvClaims:
+    """All claims: by SRV name, by endpoint, and by address."""
+
+    def __init__(self) -> None:
+        self._by_name: dict[str, dict[EndpointKey, SrvClaim]] = {}
+        self._by_key: dict[EndpointKey, dict[str, SrvClaim]] = {}
+        self._keys_by_dial: dict[str, set[EndpointKey]] = {}
+
+    def __contains__(self, key: EndpointKey) -> bool:
+        return key in self._by_key
+
+    def of_name(self, name: str) -> Mapping[EndpointKey, SrvClaim]:
+        """The claims of an SRV name, by endpoint."""
+        return self._by_name.get(name, {})
+
+    def of_key(self, key: EndpointKey) -> Mapping[str, SrvClaim]:
+        """The claims about an endpoint, by SRV name."""
+        return self._by_key.get(key, {})
+
+    def dials(self, key: EndpointKey) -> Iterator[str]:
+        """All addresses that are claimed for an endpoint. One may come several times."""
+        for claim in self.of_key(key).values():
+            yield from claim.dials(key.port)
+
+    def keys_of(self, key: EndpointKey | None, dial: str) -> set[EndpointKey]:
+        """The claimed endpoints that have this key or this address."""
+        found = set(self._keys_by_dial.get(dial, ()))
+        if key is not None and key in self._by_key:
+            found.add(key)
+        return found
+
+    def changed_keys(self, name: str, claims: Mapping[EndpointKey, SrvClaim]) -> set[EndpointKey]:
+        """The endpoints for which these differ from the SRV name's claims."""
+        before = self.of_name(name)
+        removed = {key for key in before if key not in claims}
+        return removed | {key for key, claim in claims.items() if before.get(key) != claim}
+
+    def replace(self, name: str, claims: Mapping[EndpointKey, SrvClaim], changed: set[EndpointKey]) -> None:
+        """Set the claims of an SRV name. `changed` are the endpoints for which they differ."""
+        of_name = self._by_name.setdefault(name, {})
+        for key in changed:
+            self._unindex_dials(key)
+            of_key = self._by_key.setdefault(key, {})
+            if (claim := claims.get(key)) is not None:
+                of_name[key] = claim
+                of_key[name] = claim
+            else:
+                del of_name[key]
+                del of_key[name]
+            if not of_key:
+                del self._by_key[key]
+            for dial in self.dials(key):
+                self._keys_by_dial.setdefault(dial, set()).add(key)
+        if not of_name:
+            del self._by_name[name]
+
+    def _unindex_dials(self, key: EndpointKey) -> None:
+        for dial in set(self.dials(key)):
+            keys = self._keys_by_dial[dial]
+            keys.discard(key)
+            if not keys:
+                del self._keys_by_dial[dial]
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -21,9 +21,10 @@
 from hazelbend.dns_discovery.resolver import Resolver
 from hazelbend.dns_discovery.settings import SrvName, SrvSettings
 from hazelbend.dns_discovery.tracked_names import TrackedName
-from hazelbend.endpoints.merger import LIST, STOMP, Claim, Gone, Membership
-from hazelbend.endpoints.pool import Pool
-from hazelbend.endpoints.rule import SrvSays, srv_says
+from hazelbend.endpoints.merger import EndpointMerger, Tombstone
+from hazelbend.endpoints.precedence import SrvReport, srv_report
+from hazelbend.endpoints.priority_pool import PriorityPool
+from hazelbend.endpoints.srv_claims import SrvClaim
 from hazelbend.program.log import Sparing
 from hazelbend.program.parts import CommandError, Ground, Part, Show, table
 from hazelbend.routing.ports import Endpoint, EndpointList
@@ -40,7 +41,7 @@
     """What operators see of one SRV name."""
 
     name: str
-    state: str  # a SrvSays, or "not asked yet"
+    state: str  # a SrvReport, or "not asked yet"
     boxes: int
     open: int  # of those, the ones that are not spare
     level: int | None
@@ -54,10 +55,10 @@
         self._ground, self._reader = ground, ground.conf.reader
         self.settings = settings = self._wanted()
         self._clock, self._router = ground.router.clock, ground.router
-        self.membership = Membership(round(settings.ttl_bounds.tombstone_s * 1e6))
+        self.merger = EndpointMerger(round(settings.ttl_bounds.tombstone_s * 1e6))
         self.resolver = Resolver(settings, ground.conf.name)
         self._names: dict[str, SrvName] = {canonical_name(each.name): each for each in settings.names}
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, PriorityPool] = {}
         self._source = ResolverDriver(self.resolver, self._clock.now, self._names_changed)
         self._tiered: set[str] = set()  # names whose boxes have several priorities
         self._looking = self._closed = False
@@ -76,9 +77,11 @@
         now, self._router.guest_watcher = self._clock.now(), self.hear_guest
         body = self._last_known(handed_over)
         if body is not None:
-            gone = {each.host: Gone(each.removed_at, _box_key(each), each.dial) for each in body.tombstones}
-            self.membership.restore(gone, body.started)
-        self.membership.hear_list(EndpointList(known.entries, whole=True, seq=known.seq), now)
+            gone = {
+                each.host: Tombstone(each.removed_at, _box_key(each), each.dial) for each in body.tombstones
+            }
+            self.merger.restore(gone, body.started)
+        self.merger.apply_list(EndpointList(known.entries, whole=True, seq=known.seq), now)
         self.resolver.track_only(self._names, now)
         if body is not None:
             snapshot.restore(self.resolver, body, now)
@@ -87,8 +90,8 @@
                 self._hear_boxes(name, now)
             self._look(now)
         for server in self._router.table.guests():
-            self.membership.hear_guest(server.entry)
-        return EndpointList(self.membership.entries(), whole=True, seq=known.seq)
+            self.merger.apply_connected(server.entry)
+        return EndpointList(self.merger.entries(), whole=True, seq=known.seq)
 
     async def start(self) -> None:
         self._source.run_due()
@@ -106,7 +109,7 @@
         now, before = self._clock.now(), self.settings
         self.settings, self._reader = settings, reader
         self._names = {canonical_name(each.name): each for each in settings.names}
-        self.membership.gone_for = round(settings.ttl_bounds.tombstone_s * 1e6)
+        self.merger.tombstone_us = round(settings.ttl_bounds.tombstone_s * 1e6)
         self.resolver.reconfigure(settings, now)
         self.resolver.track_only(self._names, now)
         self.resolver.names.changed |= self._names.keys()  # zone, kind or scale may be others
@@ -122,7 +125,7 @@
         """From here on the list is what discovery says."""
         self._closed = True
         self._router.guest_watcher = lambda entry: None
-        self._router.hear(EndpointList(self.membership.listed(), whole=True))
+        self._router.hear(EndpointList(self.merger.listed(), whole=True))
 
     async def close(self) -> None:
         self._closed = True
@@ -138,18 +141,18 @@
     # --- what sources say ---
 
     def listed(self) -> EndpointList:
-        return EndpointList(self.membership.listed(), whole=True)
+        return EndpointList(self.merger.listed(), whole=True)
 
     def hear(self, news: EndpointList) -> EndpointList:
         """The box list's news; what the table is to be told instead."""
-        told = self.membership.hear_list(news, self._clock.now())
+        told = self.merger.apply_list(news, self._clock.now())
         self._follow_renames()
         self._save_later()
         self._look_soon()  # when the table has it
         return told
 
     def hear_guest(self, entry: Endpoint) -> None:
-        self.membership.hear_guest(entry)
+        self.merger.apply_connected(entry)
 
     def servers_changed(self) -> None:
         """A server takes work again, or none: a pool's last may have gone."""
@@ -158,9 +161,9 @@
     def _names_changed(self, names: Iterable[str]) -> None:
         now = self._clock.now()
         for name in sorted(names):
-            before = len(self.membership.priorities(name))
+            before = len(self.merger.priorities(name))
             self._tell(self._hear_boxes(name, now))
-            if before != (boxes := len(self.membership.priorities(name))):
+            if before != (boxes := len(self.merger.priorities(name))):
                 self._log.info("%s: %d boxes (%d before)", name, boxes, before)
         self._look(now)
         self._save_later()
@@ -170,28 +173,28 @@
         if conf is None:
             self._pools.pop(name, None)
             self._tiered.discard(name)
-            told = self.membership.hear_name(name, {}, now)
-            self.membership.open_to(name, None, now)
+            told = self.merger.apply_srv(name, {}, now)
+            self.merger.open_priorities(name, None, now)
             return told
         zone, kind = self._reader.zone_and_kind(conf.zone, conf.kind)
         claims = {
-            key: Claim(
+            key: SrvClaim(
                 rank, addresses, zone, kind, conf.cell, max(rank.weight, LEAST_WEIGHT) * conf.weight_scale
             )
             for key, (rank, addresses) in self.resolver.names.endpoints(name).items()
         }
-        several = len({each.rank.priority for each in claims.values()}) > 1
+        several = len({each.preference.priority for each in claims.values()}) > 1
         (self._tiered.add if several else self._tiered.discard)(name)
-        pool, opened = self._pools.setdefault(name, Pool()), EndpointList()
+        pool, opened = self._pools.setdefault(name, PriorityPool()), EndpointList()
         if not several:
             # All open; and where further priorities come, they are spare from the start.
-            level = next((each.rank.priority for each in claims.values()), None)
+            level = next((each.preference.priority for each in claims.values()), None)
             pool.level = level
-            opened = self.membership.open_to(name, level, now)
+            opened = self.merger.open_priorities(name, level, now)
         elif pool.level is None:
-            able = {each.rank.priority: True for each in claims.values()}
-            opened = self.membership.open_to(name, pool.look(able, now, 0), now)
-        told = self.membership.hear_name(name, claims, now)
+            able = {each.preference.priority: True for each in claims.values()}
+            opened = self.merger.open_priorities(name, pool.update(able, now, 0), now)
+        told = self.merger.apply_srv(name, claims, now)
         return EndpointList(opened.entries + told.entries)
 
     def _tell(self, changes: EndpointList) -> None:
@@ -200,7 +203,7 @@
             self._router.hear(changes)
 
     def _follow_renames(self) -> None:
-        renamed, self.membership.renamed = self.membership.renamed, []
+        renamed, self.merger.renamed = self.merger.renamed, []
         for old, new in renamed:
             self._router.table.hold_back_as(old, new)
 
@@ -211,20 +214,20 @@
         if not self._tiered:
             return
         avoided, servers = self._router.decider.avoided(now), self._router.table.by_host
-        members = self.membership.view.members
+        members = self.merger.view.members
         for name in sorted(self._tiered):
             able: dict[int, bool] = {}
-            for host, priority in self.membership.priorities(name).items():
+            for host, priority in self.merger.priorities(name).items():
                 member, server = members[host], servers(host)
                 ready = member.spare or member.entry.state is WorkerState.READY
                 held = server is not None and (server.held_back or server.id in avoided)
                 able[priority] = able.get(priority, False) or (ready and not held)
             pool = self._pools[name]
             was = pool.level
-            level = pool.look(able, now, round(self.settings.pools.failback_delay_s * 1e6))
+            level = pool.update(able, now, round(self.settings.pools.failback_delay_s * 1e6))
             if level != was:
                 self._log.info("%s: open up to priority %s (%s before)", name, level, was)
-            self._tell(self.membership.open_to(name, level, now))
+            self._tell(self.merger.open_priorities(name, level, now))
 
     def _look_soon(self) -> None:
         """Not from within the table, which may be telling of a change in the middle of a list."""
@@ -243,7 +246,7 @@
         self._look(now)
         if now >= self._told_at + LOG_EVERY:
             self._told_at = now
-            self._tell(self.membership.forget_gone(now))
+            self._tell(self.merger.expire_tombstones(now))
             self._log_unknown()
         self._look_timer = asyncio.get_running_loop().call_later(
             self.settings.pools.check_interval_s, self._look_later
@@ -258,11 +261,11 @@
     def _body(self) -> snapshot.Snapshot:
         gone = [
             snapshot.TombstoneRecord(
-                host, each.at, each.dial, *((each.key.target, each.key.port) if each.key else ())
+                host, each.removed_at, each.dial, *((each.key.target, each.key.port) if each.key else ())
             )
-            for host, each in self.membership.gone.items()
+            for host, each in self.merger.tombstones.items()
         ]
-        return snapshot.capture(self.resolver, gone, self.membership.by_srv(), self._clock.now())
+        return snapshot.capture(self.resolver, gone, self.merger.srv_start_times(), self._clock.now())
 
     def _encoded(self) -> bytes:
         return snapshot.encode(self._body())
@@ -309,17 +312,17 @@
         return {"sources": self._show_sources, "names": self._show_names}
 
     def _show_sources(self) -> str:
-        members = self.membership.view.members.values()
+        members = self.merger.view.members.values()
         heard = "heard" if self._router.listed.is_set() else "as known"
-        named = [each for each in members if each.key is not None and LIST not in each.sources]
+        named = [each for each in members if each.is_srv_only]
         rows: list[tuple[object, ...]] = [
             ("SOURCE", "STATE", "BOXES"),
-            ("box list", "failed" if self.membership.list_failed else heard, len(self.membership.listed())),
+            ("box list", "failed" if self.merger.list_failed else heard, len(self.merger.listed())),
             ("SRV names", f"{len(self.resolver.names.roots)} followed", len(named)),
-            ("stomp", "connected", sum(each.sources == (STOMP,) for each in members)),
-            ("gone", "taken off by the box list", len(self.membership.gone)),
+            ("stomp", "connected", sum(each.is_connected for each in members)),
+            ("gone", "taken off by the box list", len(self.merger.tombstones)),
         ]
-        more = f"version {self.membership.view.version} of the view"
+        more = f"version {self.merger.view.version} of the view"
         if self.snapshot_error:
             more += f"; snapshot: {self.snapshot_error}"
         servers: list[tuple[object, ...]] = [("NAMESERVER", "STATE", "ASKED", "FAILED", "LAST ERROR")]
@@ -349,10 +352,10 @@
         return table([head, *((key.target, key.port, *rest) for key, *rest in self.records(name))])
 
     def rows(self) -> list[NameRow]:
-        now, members = self._clock.now(), self.membership.view.members
+        now, members = self._clock.now(), self.merger.view.members
         rows = []
         for name, followed in sorted(self.resolver.names.roots.items()):
-            hosts = self.membership.priorities(name)
+            hosts = self.merger.priorities(name)
             rows.append(
                 NameRow(
                     name,
@@ -376,7 +379,7 @@
                 rank.priority,
                 rank.weight,
                 " ".join(self.resolver.names.addresses(key.target)) or "-",
-                self.membership.list_says(key).value,
+                self.merger.list_report(key).value,
             )
             for key, rank in sorted(followed.quorum.values.items())
         ]
@@ -384,12 +387,12 @@
     def counts(self) -> dict[str, int]:
         """Figures for the operators' door."""
         totals, states = self.resolver.counters, [row.state for row in self.rows()]
-        members = self.membership.view.members.values()
+        members = self.merger.view.members.values()
         return {
             "names.followed": len(states),
-            "names.unknown": states.count(SrvSays.UNKNOWN.value),
-            "names.stale": states.count(SrvSays.STALE.value),
-            "names.boxes": sum(LIST not in each.sources and each.key is not None for each in members),
+            "names.unknown": states.count(SrvReport.UNKNOWN.value),
+            "names.stale": states.count(SrvReport.STALE.value),
+            "names.boxes": sum(each.is_srv_only for each in members),
             "names.spare": sum(each.spare for each in members),
             "names.queries": totals.queries,
             "names.retries": totals.retries,
@@ -399,9 +402,11 @@
 
     def _state(self, followed: TrackedName, now: int) -> str:
         if not followed.fresh_until:
-            return "not asked yet" if not followed.failing_since else SrvSays.UNKNOWN.value
+            return "not asked yet" if not followed.failing_since else SrvReport.UNKNOWN.value
         listed = bool(followed.quorum.accepted)
-        return srv_says(listed, followed.failing_since > 0, followed.fresh_until <= now).value
+        return srv_report(
+            listed=listed, failing=followed.failing_since > 0, ttl_over=followed.fresh_until <= now
+        ).value
 
     def _good_until(self, followed: TrackedName) -> int:
         """The least of the name's own lifetime and those of its targets' addresses."""
--- a/tests/test_membership.py
+++ b/tests/test_endpoints.py
@@ -8,9 +8,11 @@
 
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
-from hazelbend.endpoints.merger import LIST, STOMP, Claim, Membership
-from hazelbend.endpoints.pool import Pool
-from hazelbend.endpoints.rule import ListSays, SrvSays, Verdict, decide, srv_says
+from hazelbend.endpoints.merger import EndpointMerger
+from hazelbend.endpoints.precedence import Decision, ListReport, SrvReport, decide, srv_report
+from hazelbend.endpoints.priority_pool import PriorityPool
+from hazelbend.endpoints.srv_claims import SrvClaim
+from hazelbend.endpoints.view import LIST_SOURCE, STOMP_SOURCE
 from hazelbend.routing.ports import Endpoint, EndpointList
 
 READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
@@ -24,116 +26,116 @@
 
 
 def claim(priority=0, addresses=("127.0.0.1",), weight=2.0):
-    return Claim(SrvPreference(priority, 1), tuple(addresses), 1, 1, 0, weight)
+    return SrvClaim(SrvPreference(priority, 1), tuple(addresses), 1, 1, 0, weight)
 
 
 def listing(*entries, whole=True):
     return EndpointList(tuple(entries), whole=whole)
 
 
-@pytest.mark.parametrize("by_srv", SrvSays)
+@pytest.mark.parametrize("by_srv", SrvReport)
 @pytest.mark.parametrize("failed", [False, True])
-@pytest.mark.parametrize("by_list", ListSays)
+@pytest.mark.parametrize("by_list", ListReport)
 def test_the_rule_cell_by_cell(by_list, failed, by_srv):
     """Through the merge, not only the table: what the box gets in each cell, the list failed or not."""
-    members = Membership(HOUR)
-    if by_list is not ListSays.NEVER:
-        members.hear_list(listing(entry()), 1)
-    if by_list is ListSays.DRAINING:
-        members.hear_list(listing(entry(state=DRAINING), whole=False), 2)
-    if by_list is ListSays.GONE:
-        members.hear_list(listing(entry(state=GONE), whole=False), 2)
+    merger = EndpointMerger(HOUR)
+    if by_list is not ListReport.NEVER_LISTED:
+        merger.apply_list(listing(entry()), 1)
+    if by_list is ListReport.DRAINING:
+        merger.apply_list(listing(entry(state=DRAINING), whole=False), 2)
+    if by_list is ListReport.REMOVED:
+        merger.apply_list(listing(entry(state=GONE), whole=False), 2)
     if failed:
-        members.hear_list(EndpointList(failed=True), 3)
+        merger.apply_list(EndpointList(failed=True), 3)
     # Unknown and stale leave the last good answer standing: it is what the resolver goes on telling.
-    boxes = {} if by_srv is SrvSays.NOT_LISTED else {KEY: claim()}
-    members.hear_name(NAME, boxes, 10)
-    found = {each.entry.host: each.entry for each in members.view.members.values()}
+    boxes = {} if by_srv is SrvReport.NOT_LISTED else {KEY: claim()}
+    merger.apply_srv(NAME, boxes, 10)
+    found = {each.entry.host: each.entry for each in merger.view.members.values()}
     verdict = decide(by_list, by_srv)
-    if by_list is ListSays.SERVING or by_list is ListSays.DRAINING:
-        wanted = {HOST: entry(state=READY if by_list is ListSays.SERVING else DRAINING)}
-        assert verdict is Verdict.BY_LIST
-    elif by_list is ListSays.NEVER and by_srv is not SrvSays.NOT_LISTED:
+    if by_list is ListReport.SERVING or by_list is ListReport.DRAINING:
+        wanted = {HOST: entry(state=READY if by_list is ListReport.SERVING else DRAINING)}
+        assert verdict is Decision.AS_LISTED
+    elif by_list is ListReport.NEVER_LISTED and by_srv is not SrvReport.NOT_LISTED:
         wanted = {str(KEY): Endpoint(str(KEY), DIAL, 1, 1, 0, READY, 2.0, 10)}
-        assert verdict is Verdict.BY_SRV
+        assert verdict is Decision.BY_SRV
     else:
         wanted = {}
-        assert verdict in (Verdict.GONE, Verdict.ABSENT)
-    assert found == wanted and members.list_says(KEY) is by_list
+        assert verdict in (Decision.REMOVED, Decision.ABSENT)
+    assert found == wanted and merger.list_report(KEY) is by_list
 
 
 def test_how_a_name_stands():
-    assert srv_says(True, False, False) is SrvSays.LISTED
-    assert srv_says(True, True, False) is SrvSays.UNKNOWN
-    assert srv_says(True, True, True) is SrvSays.STALE
-    assert srv_says(False, True, True) is SrvSays.NOT_LISTED
+    assert srv_report(listed=True, failing=False, ttl_over=False) is SrvReport.LISTED
+    assert srv_report(listed=True, failing=True, ttl_over=False) is SrvReport.UNKNOWN
+    assert srv_report(listed=True, failing=True, ttl_over=True) is SrvReport.STALE
+    assert srv_report(listed=False, failing=True, ttl_over=True) is SrvReport.NOT_LISTED
 
 
 @pytest.mark.parametrize("dial, host", [(DIAL, "s-17"), ("127.0.0.9:7101", "A.Konya-1.Example.ORG.")])
 def test_one_box_by_its_name_or_by_its_address(dial, host):
-    members = Membership(HOUR)
-    members.hear_name(NAME, {KEY: claim()}, 1)
-    told = members.hear_list(listing(entry(host, dial)), 2)
+    merger = EndpointMerger(HOUR)
+    merger.apply_srv(NAME, {KEY: claim()}, 1)
+    told = merger.apply_list(listing(entry(host, dial)), 2)
     assert [each.host for each in told.entries] == [host], "it has the list's name, and is there once"
-    assert members.renamed == [(str(KEY), host)]
-    assert members.view.members[host].sources == (LIST, NAME)
-    gone = members.hear_list(listing(entry(host, dial, GONE), whole=False), 3)
+    assert merger.renamed == [(str(KEY), host)]
+    assert merger.view.members[host].sources == (LIST_SOURCE, NAME)
+    gone = merger.apply_list(listing(entry(host, dial, GONE), whole=False), 3)
     assert [(each.host, each.state) for each in gone.entries] == [(host, GONE)]
 
 
 def test_the_same_host_with_another_port_is_another_box():
-    members = Membership(HOUR)
-    members.hear_list(listing(entry()), 1)
-    told = members.hear_name(NAME, {EndpointKey(HOST, 7102): claim()}, 2)
+    merger = EndpointMerger(HOUR)
+    merger.apply_list(listing(entry()), 1)
+    told = merger.apply_srv(NAME, {EndpointKey(HOST, 7102): claim()}, 2)
     assert [each.host for each in told.entries] == [f"{HOST}:7102"]
 
 
 def test_what_the_list_took_off_stays_off_for_its_time_and_while_the_list_cannot_be_heard():
-    members = Membership(100)
-    members.hear_list(listing(entry()), 1)
-    members.hear_list(listing(), 10)
-    assert members.hear_name(NAME, {KEY: claim()}, 20).entries == ()
-    assert members.forget_gone(109).entries == ()
-    members.hear_list(EndpointList(failed=True), 109)
-    assert members.forget_gone(200).entries == ()
-    members.hear_list(listing(), 201)
-    [back] = members.forget_gone(202).entries
+    merger = EndpointMerger(100)
+    merger.apply_list(listing(entry()), 1)
+    merger.apply_list(listing(), 10)
+    assert merger.apply_srv(NAME, {KEY: claim()}, 20).entries == ()
+    assert merger.expire_tombstones(109).entries == ()
+    merger.apply_list(EndpointList(failed=True), 109)
+    assert merger.expire_tombstones(200).entries == ()
+    merger.apply_list(listing(), 201)
+    [back] = merger.expire_tombstones(202).entries
     assert (back.host, back.started_at) == (str(KEY), 202), "as just started"
-    assert members.renamed == [(HOST, str(KEY))], "a drain by hand goes along"
+    assert merger.renamed == [(HOST, str(KEY))], "a drain by hand goes along"
 
 
 def test_a_box_that_the_list_has_again_serves_at_once():
-    members = Membership(HOUR)
-    members.hear_list(listing(entry()), 1)
-    members.hear_name(NAME, {KEY: claim()}, 2)
-    members.hear_list(listing(entry(state=GONE), whole=False), 3)
-    [again] = members.hear_list(listing(entry(started_at=9), whole=False), 4).entries
-    assert (again.state, again.started_at) == (READY, 9) and not members.gone
+    merger = EndpointMerger(HOUR)
+    merger.apply_list(listing(entry()), 1)
+    merger.apply_srv(NAME, {KEY: claim()}, 2)
+    merger.apply_list(listing(entry(state=GONE), whole=False), 3)
+    [again] = merger.apply_list(listing(entry(started_at=9), whole=False), 4).entries
+    assert (again.state, again.started_at) == (READY, 9) and not merger.tombstones
 
 
 def test_a_box_is_as_just_started_when_it_comes_back_or_moves():
-    members = Membership(HOUR)
+    merger = EndpointMerger(HOUR)
     two = claim(addresses=("127.0.0.1", "127.0.0.2"))
-    assert [each.started_at for each in members.hear_name(NAME, {KEY: two}, 1).entries] == [1]
-    assert members.hear_name(NAME, {KEY: claim(addresses=("127.0.0.0", "127.0.0.1"))}, 2).entries == (), (
+    assert [each.started_at for each in merger.apply_srv(NAME, {KEY: two}, 1).entries] == [1]
+    assert merger.apply_srv(NAME, {KEY: claim(addresses=("127.0.0.0", "127.0.0.1"))}, 2).entries == (), (
         "it keeps the address that it has"
     )
-    [moved] = members.hear_name(NAME, {KEY: claim(addresses=("127.0.0.0",))}, 3).entries
+    [moved] = merger.apply_srv(NAME, {KEY: claim(addresses=("127.0.0.0",))}, 3).entries
     assert (moved.dial, moved.started_at) == ("127.0.0.0:7101", 3)
-    assert [each.state for each in members.hear_name(NAME, {}, 4).entries] == [GONE]
-    [back] = members.hear_name(NAME, {KEY: claim(addresses=("::1",))}, 5).entries
+    assert [each.state for each in merger.apply_srv(NAME, {}, 4).entries] == [GONE]
+    [back] = merger.apply_srv(NAME, {KEY: claim(addresses=("::1",))}, 5).entries
     assert (back.dial, back.started_at) == ("[::1]:7101", 5)
 
 
 def test_a_reader_never_sees_half_of_a_version():
-    members = Membership(HOUR)
+    merger = EndpointMerger(HOUR)
     keys = [EndpointKey(f"b{number}.example.org", 1) for number in range(50)]
-    members.hear_name(NAME, {key: claim(addresses=(f"127.0.1.{n}",)) for n, key in enumerate(keys)}, 1)
-    held = members.view
+    merger.apply_srv(NAME, {key: claim(addresses=(f"127.0.1.{n}",)) for n, key in enumerate(keys)}, 1)
+    held = merger.view
     rows = dict(held.members)
-    members.hear_name(NAME, {}, 2)
-    assert dict(held.members) == rows and not members.view.members
-    assert members.view.version == held.version + 1
+    merger.apply_srv(NAME, {}, 2)
+    assert dict(held.members) == rows and not merger.view.members
+    assert merger.view.version == held.version + 1
 
 
 HOSTS = [f"h{number}.example.org" for number in range(3)]
@@ -161,7 +163,7 @@
 @given(st.lists(events, max_size=25))
 def test_the_invariants_hold_in_any_order_of_events(steps):
     """Against a plain model of what each source said last."""
-    members, now, told = Membership(100), 0, {}
+    merger, now, told = EndpointMerger(100), 0, {}
     listed, off, names = {}, {}, {"n1": {}, "n2": {}}
 
     def hear(news):
@@ -176,7 +178,7 @@
         now += 1
         match step:
             case ("list", rows, whole):
-                hear(members.hear_list(listing(*rows, whole=whole), now))
+                hear(merger.apply_list(listing(*rows, whole=whole), now))
                 left = {row.host for row in rows if row.state is GONE}
                 left |= {host for host in listed if whole and host not in {row.host for row in rows}}
                 off |= {host: (now, listed.pop(host)) for host in left if host in listed}
@@ -188,20 +190,20 @@
                     if not any(host == other or each[1].dial == dial for other, dial in ports)
                 }
             case ("failed",):
-                hear(members.hear_list(EndpointList(failed=True), now))
+                hear(merger.apply_list(EndpointList(failed=True), now))
             case ("name", name, boxes):
                 names[name] = boxes
-                hear(members.hear_name(name, boxes, now))
+                hear(merger.apply_srv(name, boxes, now))
             case ("guest", state):
-                members.hear_guest(entry("stomp/box", "", state))
+                merger.apply_connected(entry("stomp/box", "", state))
             case ("open", name, priority):
-                hear(members.open_to(name, priority, now))
+                hear(merger.open_priorities(name, priority, now))
             case ("time", by):
                 now += by
-                if not members.list_failed:
+                if not merger.list_failed:
                     off = {host: each for host, each in off.items() if each[0] + 100 > now}
-                hear(members.forget_gone(now))
-        view = {host: each for host, each in members.view.members.items() if each.sources != (STOMP,)}
+                hear(merger.expire_tombstones(now))
+        view = {host: each for host, each in merger.view.members.items() if each.sources != (STOMP_SOURCE,)}
         assert {host: each.entry for host, each in view.items()} == told, "4: the differences are the view"
         for host, each in listed.items():
             assert view[host].entry == each, "1, 2: the list has the last word"
@@ -219,57 +221,57 @@
 
 @given(st.permutations(range(4)), st.booleans())
 def test_the_order_of_the_sources_does_not_matter(order, twice):
-    members = Membership(HOUR)
+    merger = EndpointMerger(HOUR)
     steps = [
-        lambda: members.hear_list(listing(entry(), entry("s-2", "127.0.0.2:7101", DRAINING)), 1),
-        lambda: members.hear_name("n1", {KEY: claim(), EndpointKey("b.example.org", 1): claim(10)}, 1),
-        lambda: members.hear_name("n2", {EndpointKey("b.example.org", 1): claim(0)}, 1),
-        lambda: members.hear_guest(entry("stomp/box", "")),
+        lambda: merger.apply_list(listing(entry(), entry("s-2", "127.0.0.2:7101", DRAINING)), 1),
+        lambda: merger.apply_srv("n1", {KEY: claim(), EndpointKey("b.example.org", 1): claim(10)}, 1),
+        lambda: merger.apply_srv("n2", {EndpointKey("b.example.org", 1): claim(0)}, 1),
+        lambda: merger.apply_connected(entry("stomp/box", "")),
     ]
     for number in itertools.chain.from_iterable((each,) * (1 + twice) for each in order):
         steps[number]()
-    rows = {host: (each.entry, each.sources) for host, each in members.view.members.items()}
+    rows = {host: (each.entry, each.sources) for host, each in merger.view.members.items()}
     assert rows == {
-        HOST: (entry(), (LIST, "n1")),
-        "s-2": (entry("s-2", "127.0.0.2:7101", DRAINING), (LIST,)),
+        HOST: (entry(), (LIST_SOURCE, "n1")),
+        "s-2": (entry("s-2", "127.0.0.2:7101", DRAINING), (LIST_SOURCE,)),
         "b.example.org:1": (
             Endpoint("b.example.org:1", "127.0.0.1:1", 1, 1, 0, READY, 2.0, 1), ("n1", "n2")
         ),
-        "stomp/box": (entry("stomp/box", ""), (STOMP,)),
+        "stomp/box": (entry("stomp/box", ""), (STOMP_SOURCE,)),
     }  # fmt: skip
 
 
 def test_spare_boxes_get_nothing_until_their_priority_opens():
-    members = Membership(HOUR)
-    members.open_to(NAME, 0, 0)
+    merger = EndpointMerger(HOUR)
+    merger.open_priorities(NAME, 0, 0)
     first, spare = EndpointKey("a.example.org", 1), EndpointKey("b.example.org", 1)
-    told = members.hear_name(NAME, {first: claim(0), spare: claim(10)}, 1)
+    told = merger.apply_srv(NAME, {first: claim(0), spare: claim(10)}, 1)
     assert {each.host: each.state for each in told.entries} == {str(first): READY, str(spare): DRAINING}
-    [opened] = members.open_to(NAME, 10, 2).entries
+    [opened] = merger.open_priorities(NAME, 10, 2).entries
     assert (opened.host, opened.state, opened.started_at) == (str(spare), READY, 1)
-    [shut] = members.open_to(NAME, 0, 3).entries
+    [shut] = merger.open_priorities(NAME, 0, 3).entries
     assert (shut.host, shut.state) == (str(spare), DRAINING)
 
 
 def test_a_pool_goes_down_at_once_and_up_late():
-    pool = Pool()
-    assert pool.look({0: True, 10: True, 20: True}, 0, 50) == 0
-    assert pool.look({0: False, 10: True, 20: True}, 1, 50) == 10
-    assert pool.look({0: True, 10: True, 20: True}, 10, 50) == 10 and pool.returns_at(50) == 60
-    assert pool.look({0: False, 10: True, 20: True}, 30, 50) == 10, "it left again: its time begins anew"
-    assert pool.look({0: True, 10: True, 20: True}, 40, 50) == 10
-    assert pool.look({0: True, 10: True, 20: True}, 89, 50) == 10
-    assert pool.look({0: True, 10: True, 20: True}, 90, 50) == 0
-    assert pool.look({0: False, 10: False, 20: False}, 91, 50) == 20, "none is able: all may be tried"
-    assert pool.look({}, 92, 50) is None
+    pool = PriorityPool()
+    assert pool.update({0: True, 10: True, 20: True}, 0, 50) == 0
+    assert pool.update({0: False, 10: True, 20: True}, 1, 50) == 10
+    assert pool.update({0: True, 10: True, 20: True}, 10, 50) == 10 and pool.failback_at(50) == 60
+    assert pool.update({0: False, 10: True, 20: True}, 30, 50) == 10, "it left again: its time begins anew"
+    assert pool.update({0: True, 10: True, 20: True}, 40, 50) == 10
+    assert pool.update({0: True, 10: True, 20: True}, 89, 50) == 10
+    assert pool.update({0: True, 10: True, 20: True}, 90, 50) == 0
+    assert pool.update({0: False, 10: False, 20: False}, 91, 50) == 20, "none is able: all may be tried"
+    assert pool.update({}, 92, 50) is None
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans(), st.booleans(), st.booleans())))
 def test_a_pool_always_has_an_able_box_open_if_there_is_one(steps):
-    pool, now = Pool(), 0
+    pool, now = PriorityPool(), 0
     for wait, *able in steps:
         now += wait
         by_priority = dict(zip((0, 10, 20), able, strict=True))
-        level = pool.look(by_priority, now, 50)
+        level = pool.update(by_priority, now, 50)
         able_open = [each for each, is_able in by_priority.items() if is_able and each <= level]
         assert able_open or not any(able)
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -137,7 +137,7 @@
                         [(at, gone, up)] = learned
                         assert gone.entry.host == host and not up
                         assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
-                        assert server.zones and host in app.parts["srv"].membership.gone
+                        assert server.zones and host in app.parts["srv"].merger.tombstones
                         await asyncio.sleep(0.01)
                         worst = max([worst, *(when - at for when, _ in toys[0].targets[had:])])
                         learned.clear()
