--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -16,7 +16,7 @@
 from hazelbend.consensus import replicator
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import Done, RaftNode
-from hazelbend.control import announcements, config_state_machine, engine, outputs
+from hazelbend.control import announcements, cluster_membership, config_state_machine, outputs
 from hazelbend.control.announcements import Announcements
 from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, StoredConfig
 from hazelbend.control.engine import ControlEngine
@@ -39,7 +39,7 @@
 
     def take_durable_output(self: ControlEngine) -> outputs.DurableOutput:
         output = original(self)
-        output.confirmed_at = self._greet_at
+        output.confirmed_at = self._next_hello_at
         return output
 
     return [(ControlEngine, "take_durable_output", take_durable_output)]
@@ -56,18 +56,18 @@
 
 
 def _stale_read() -> list[Patch]:
-    def read(self: ControlEngine, now: int) -> int:
-        number = self._next_number()
+    def read_config(self: ControlEngine, now: int) -> int:
+        number = self._next_request_id()
         self.raft.done.append(Done(number + STALE, True))
-        self._reads[number + STALE] = number
+        self._config_calls._reads[number + STALE] = number
         return number
 
-    return [(ControlEngine, "read", read)]
+    return [(ControlEngine, "read_config", read_config)]
 
 
 def _no_compare() -> list[Patch]:
     def apply(self: ConfigStateMachine, index: int, op: bytes) -> ChangeResult:
-        change = config_state_machine._entries.decode(op)
+        change = config_state_machine._entry_decoder.decode(op)
         self.current = StoredConfig(change.version, change.body)
         return ChangeResult.ACCEPTED
 
@@ -86,7 +86,7 @@
         original(self, change)
         self.floor = 0
 
-    return [(config_state_machine, "KEPT_DIGESTS", 4), (ConfigStateMachine, "_remember", remember)]
+    return [(config_state_machine, "MAX_ACCEPTED_DIGESTS", 4), (ConfigStateMachine, "_remember", remember)]
 
 
 def _wiped_voter_votes() -> list[Patch]:
@@ -105,11 +105,11 @@
     """A voter that is merely unheard is replaced in one step, before its copy is known to be gone."""
 
     def has_lost_state(self: PeerTable, identity: str) -> bool:
-        peer = self._table.get(identity.rpartition("@")[2])
+        peer = self._peers.get(identity.rpartition("@")[2])
         return peer is not None and not self._heard(peer)
 
     def heard(self: PeerTable, peer: Any) -> bool:
-        return max(each.heard_at for each in self._table.values()) - peer.heard_at < 800_000
+        return max(each.heard_at for each in self._peers.values()) - peer.heard_at < 800_000
 
     return [
         (PeerTable, "has_lost_state", has_lost_state),
@@ -129,7 +129,7 @@
         return tuple(sorted((*voters, fresh[0]))) if fresh else None
 
     return [
-        (engine, "next_voters", next_voters),
+        (cluster_membership, "next_voters", next_voters),
         (RaftNode, "confirmed_age", lambda self, now: 0),
         (ControlEngine, "quorum_exceeds_tolerance", True),
     ]
@@ -160,17 +160,17 @@
 
 def _number_alone() -> list[Patch]:
     """An answer counts whatever life it is for."""
-    original = Announcements.taken
+    original = Announcements.acknowledge
 
-    def taken(self: Announcements, answer: WorkerUpdateAck) -> None:
-        original(self, msgspec.structs.replace(answer, life=self._life))
+    def acknowledge(self: Announcements, ack: WorkerUpdateAck) -> None:
+        original(self, msgspec.structs.replace(ack, incarnation=self._incarnation))
 
-    return [(Announcements, "taken", taken)]
+    return [(Announcements, "acknowledge", acknowledge)]
 
 
 def _drain_by_one() -> list[Patch]:
     """A drain is acknowledged before anybody else holds it."""
-    return [(announcements._Announcement, "is_held", lambda self, tolerance: bool(self.holders))]
+    return [(announcements._PendingAnnouncement, "is_durable", lambda self, tolerance: bool(self.holders))]
 
 
 def _no_lease_before_orders() -> list[Patch]:
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -15,6 +15,7 @@
 from hazelbend.control import messages as m
 from hazelbend.control import outputs as co
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig
+from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 
 HEARTBEAT = 1_200 * MS
@@ -58,7 +59,7 @@
     life: int = 0
     frozen_until: int = 0
     saving: bool = False
-    waiting: dict[int, Callable[[co.Answer], None]] = field(default_factory=dict)
+    waiting: dict[int, Callable[[co.CallOutcome], None]] = field(default_factory=dict)
     published: int = 0  # the version that routers were told
     confirmed_at: int | None = None  # when that version was surely the newest
     back_at: int = 0
@@ -121,7 +122,7 @@
         if machine.engine is not None or machine.removed:
             return
         machine.life += 1
-        settings = co.ControlSettings(
+        settings = ControlSettings(
             address=address,
             seeds=self.seeds,
             counts_for_quorum=address not in self.observers,
@@ -216,41 +217,41 @@
         engine = machine.engine
         if engine is None:
             return
-        soft = engine.take_immediate_output()
-        if soft.news:
+        output = engine.take_immediate_output()
+        if output.changed_workers:
             for hear in self.on_worker_news:
-                hear(machine, soft.news)
-        for address, body in soft.out:
+                hear(machine, output.changed_workers)
+        for address, body in output.messages:
             self._send(machine.address, address, body)
-        for answer in soft.answers:
-            self._answer(machine, answer)
+        for outcome in output.outcomes:
+            self._answer(machine, outcome)
         if machine.saving or not engine.has_durable_output:
             return
-        said = engine.take_durable_output()
+        durable = engine.take_durable_output()
         parts = state_codec.changed_parts(engine.raft)
         if not parts:
-            self._say(machine, said)
+            self._say(machine, durable)
             return
         machine.saving = True
         life, commit = machine.life, engine.raft.commit
         delay = machine.disk.sync + max(machine.disk.stalled_until - self.now, 0)
-        self.at(delay, lambda: self._saved(machine, life, parts, commit, said))
+        self.at(delay, lambda: self._saved(machine, life, parts, commit, durable))
 
     def _saved(
-        self, machine: Machine, life: int, parts: list[object], commit: int, said: co.DurableOutput
+        self, machine: Machine, life: int, parts: list[object], commit: int, output: co.DurableOutput
     ) -> None:
         engine = machine.engine
         if machine.life != life or engine is None:
             return
         if machine.disk.full:
             engine.raft.promise_changed, engine.raft.unsaved = True, engine.raft.persistent.base
-            for answer in (*said.answers, *engine.discard_durable_output()):
-                self._answer(machine, _unknown(answer))
+            for outcome in (*output.outcomes, *engine.discard_durable_output()):
+                self._answer(machine, _unknown(outcome))
             self.at(200 * MS, lambda: self._free_to_save(machine, life))
             return
         machine.saving = False
         machine.disk.save(parts, commit)
-        self._say(machine, said)
+        self._say(machine, output)
         self._flush(machine)
 
     def _free_to_save(self, machine: Machine, life: int) -> None:
@@ -258,23 +259,23 @@
             machine.saving = False
             self._flush(machine)
 
-    def _say(self, machine: Machine, said: co.DurableOutput) -> None:
-        for address, body in said.out:
+    def _say(self, machine: Machine, output: co.DurableOutput) -> None:
+        for address, body in output.messages:
             self._send(machine.address, address, body)
-        for answer in said.answers:
-            self._answer(machine, answer)
-        if said.config.version < machine.published:
-            raise BrokenRuleError(f"{machine.address} went back to {said.config.version}")
-        machine.confirmed_at = said.confirmed_at
-        if said.config.version != machine.published:
-            machine.published = said.config.version
+        for outcome in output.outcomes:
+            self._answer(machine, outcome)
+        if output.config.version < machine.published:
+            raise BrokenRuleError(f"{machine.address} went back to {output.config.version}")
+        machine.confirmed_at = output.confirmed_at
+        if output.config.version != machine.published:
+            machine.published = output.config.version
             for hear in self.on_publish:
-                hear(machine, said.config)
+                hear(machine, output.config)
 
-    def _answer(self, machine: Machine, answer: co.Answer) -> None:
-        told = machine.waiting.pop(answer.number, None)
+    def _answer(self, machine: Machine, outcome: co.CallOutcome) -> None:
+        told = machine.waiting.pop(outcome.request_id, None)
         if told is not None:
-            told(answer)
+            told(outcome)
 
     def _send(self, sender: str, to: str, body: m.Body) -> None:
         self.messages += 1
@@ -302,27 +303,27 @@
     ) -> None:
         """An operator's change at this machine; `told` hears the outcome, None where it is not known."""
 
-        def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.PutOutcome)
-            told(answer.result)
+        def answered(outcome: co.CallOutcome) -> None:
+            assert isinstance(outcome, co.PutOutcome)
+            told(outcome.result)
 
-        self._ask(address, lambda engine: engine.put(base, version, body, self.now), answered, told)
+        self._ask(address, lambda engine: engine.put_config(base, version, body, self.now), answered, told)
 
     def read(self, address: str, told: Callable[[StoredConfig | None], None]) -> None:
         """A read at this machine."""
 
-        def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.ReadOutcome)
-            told(answer.config)
+        def answered(outcome: co.CallOutcome) -> None:
+            assert isinstance(outcome, co.ReadOutcome)
+            told(outcome.config)
 
-        self._ask(address, lambda engine: engine.read(self.now), answered, told)
+        self._ask(address, lambda engine: engine.read_config(self.now), answered, told)
 
     def worker(self, address: str, record: WorkerRecord, told: Callable[[bool], None]) -> None:
         """A worker's heartbeat at this machine; `told` hears whether it was acknowledged."""
 
-        def answered(answer: co.Answer) -> None:
-            assert isinstance(answer, co.AnnouncementOutcome)
-            told(answer.held)
+        def answered(outcome: co.CallOutcome) -> None:
+            assert isinstance(outcome, co.AnnouncementOutcome)
+            told(outcome.acknowledged)
 
         machine = self.machines[address]
         if machine.engine is None or self.now < machine.frozen_until:
@@ -339,7 +340,7 @@
         self,
         address: str,
         call: Callable[[ce.ControlEngine], int | None],
-        answered: Callable[[co.Answer], None],
+        answered: Callable[[co.CallOutcome], None],
         told: Callable[[None], None],
     ) -> None:
         machine = self.machines[address]
@@ -354,12 +355,12 @@
         self._flush(machine)
 
 
-def _unknown(answer: co.Answer) -> co.Answer:
-    if isinstance(answer, co.PutOutcome):
-        return co.PutOutcome(answer.number, None)
-    if isinstance(answer, co.ReadOutcome):
-        return co.ReadOutcome(answer.number, None)
-    return answer
+def _unknown(outcome: co.CallOutcome) -> co.CallOutcome:
+    if isinstance(outcome, co.PutOutcome):
+        return co.PutOutcome(outcome.request_id, None)
+    if isinstance(outcome, co.ReadOutcome):
+        return co.ReadOutcome(outcome.request_id, None)
+    return outcome
 
 
 def whole(fleet: Fleet, machines: int) -> bool:
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -318,7 +318,7 @@
 
 
 def _is_refused(outcome: ChangeResult | None) -> bool:
-    return outcome in (ChangeResult.CONFLICT, ChangeResult.NOT_ABOVE)
+    return outcome in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER)
 
 
 def _committed(record: RaftNode) -> tuple[Entry, ...]:
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -108,7 +108,7 @@
                 result = None
             if result is ChangeResult.ACCEPTED:
                 self._acknowledge(change)
-            elif result in (None, ChangeResult.FORGOTTEN) and tries > 1:
+            elif result in (None, ChangeResult.BASE_TOO_OLD) and tries > 1:
                 self.fleet.at(RESEND_PAUSE, lambda: self._send(change, self._next_machine(), tries - 1))
 
         self.fleet.put(address, change.base, change.version, change.body, told)
@@ -125,7 +125,7 @@
         if result is ChangeResult.ACCEPTED:
             if (change.version, change.body) in self.refused:
                 raise BrokenRuleError(f"version {change.version} was refused and then accepted")
-        elif result in (ChangeResult.CONFLICT, ChangeResult.NOT_ABOVE):
+        elif result in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER):
             self.resends += 1 if known == change else 0
             if known == change:
                 raise BrokenRuleError(f"version {change.version} was acknowledged and then refused")
--- a/hazelbend/control/announcements.py
+++ b/hazelbend/control/announcements.py
@@ -1,7 +1,7 @@
-"""What workers have announced, until enough control processes hold it. Pure; told the time.
+"""Announcements of workers that wait until enough control processes hold them. Sans-I/O; given the time.
 
-A number names an announcement within one life of this process, and the answer names that life too: an answer
-that was meant for an earlier one counts for nothing.
+A request id names an announcement within one incarnation of this process. The acknowledgement names that
+incarnation too, so one that was meant for an earlier incarnation counts for nothing.
 """
 
 from __future__ import annotations
@@ -11,69 +11,74 @@
 from hazelbend.control.messages import WorkerUpdate, WorkerUpdateAck
 from hazelbend.control.workers import WorkerRecord
 
-ANNOUNCEMENT_WAIT = 900_000  # microseconds that a worker's call waits until enough processes hold it
+ANNOUNCEMENT_TIMEOUT_US = 900_000  # how long a worker's call waits until enough processes hold it
 
 
 @dataclass(slots=True, frozen=True)
 class AnnouncementOutcome:
     """Whether enough control processes hold a worker's announcement."""
 
-    number: int
-    held: bool
+    request_id: int
+    acknowledged: bool
 
 
 @dataclass(slots=True)
-class _Announcement:
-    until: int
-    holders: dict[str, tuple[str, ...]] = field(default_factory=dict)  # identities, and the voters they know
+class _PendingAnnouncement:
+    expires_at: int
+    holders: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by identity: the voters it knows
 
-    def is_held(self, tolerance: int) -> bool:
-        """Whether a majority of the voters hold it, by every list of them that a holder who votes knows, and
-        more than may be lost."""
-        lists = {voters for identity, voters in self.holders.items() if identity in voters}
-        majorities = [2 * len(self.holders.keys() & set(voters)) > len(voters) for voters in lists]
-        return bool(lists) and all(majorities) and len(self.holders) > tolerance
+    def is_durable(self, tolerance: int) -> bool:
+        """Whether a majority of the voters holds it, and more processes than may be lost.
+
+        Holders may know different lists of voters while the list changes: the majority must hold by each
+        list that a holder knows which has a vote by that list.
+        """
+        voter_lists = {voters for identity, voters in self.holders.items() if identity in voters}
+        majorities = [2 * len(self.holders.keys() & set(voters)) > len(voters) for voters in voter_lists]
+        return bool(voter_lists) and all(majorities) and len(self.holders) > tolerance
 
 
 class Announcements:
-    """Those that are under way."""
+    """The announcements that are pending, and the outcomes that nobody has taken yet."""
 
-    def __init__(self, life: int, tolerance: int) -> None:
-        """`tolerance`: counted processes that may be lost at one time."""
-        self._life, self._tolerance = life, tolerance
-        self._pending: dict[int, _Announcement] = {}
-        self._done: list[AnnouncementOutcome] = []
+    def __init__(self, incarnation: int, tolerance: int) -> None:
+        """`tolerance`: processes that count for the quorum and may be lost at one time."""
+        self._incarnation = incarnation
+        self._tolerance = tolerance
+        self._pending: dict[int, _PendingAnnouncement] = {}
+        self._outcomes: list[AnnouncementOutcome] = []
 
     @property
-    def due(self) -> int | None:
-        """When the next one is over; None: there is none."""
-        return min((each.until for each in self._pending.values()), default=None)
-
-    def begin(self, number: int, record: WorkerRecord, now: int) -> WorkerUpdate:
-        """The message that asks others to hold it."""
-        self._pending[number] = _Announcement(now + ANNOUNCEMENT_WAIT)
-        return WorkerUpdate(number, (record,), life=self._life)
-
-    def taken(self, answer: WorkerUpdateAck) -> None:
-        """A counted process, maybe this one, holds an announcement."""
-        pending = self._pending.get(answer.number)
-        if answer.life != self._life or pending is None:
+    def next_expiry_at(self) -> int | None:
+        """When the next pending announcement times out; None: none is pending."""
+        return min((pending.expires_at for pending in self._pending.values()), default=None)
+
+    def begin(self, request_id: int, record: WorkerRecord, now: int) -> WorkerUpdate:
+        """Start an announcement; returns the message that asks peers to hold it."""
+        self._pending[request_id] = _PendingAnnouncement(now + ANNOUNCEMENT_TIMEOUT_US)
+        return WorkerUpdate(request_id, (record,), incarnation=self._incarnation)
+
+    def acknowledge(self, ack: WorkerUpdateAck) -> None:
+        """A process that counts for the quorum, maybe this one, holds an announcement."""
+        pending = self._pending.get(ack.request_id)
+        if ack.incarnation != self._incarnation or pending is None:
             return
-        pending.holders[answer.identity] = answer.voters
-        if pending.is_held(self._tolerance):
-            self._end(answer.number, held=True)
+        pending.holders[ack.identity] = ack.voters
+        if pending.is_durable(self._tolerance):
+            self._finish(ack.request_id, acknowledged=True)
 
     def expire(self, now: int) -> None:
-        """Give up those whose time is over."""
-        for number, pending in list(self._pending.items()):
-            if now >= pending.until:
-                self._end(number, held=False)
-
-    def take_done(self) -> list[AnnouncementOutcome]:
-        """Those that are decided since the last call."""
-        done, self._done = self._done, []
-        return done
-
-    def _end(self, number: int, held: bool) -> None:
-        del self._pending[number]
-        self._done.append(AnnouncementOutcome(number, held))
+        """Fail the announcements that have timed out."""
+        for request_id, pending in list(self._pending.items()):
+            if now >= pending.expires_at:
+                self._finish(request_id, acknowledged=False)
+
+    def take_outcomes(self) -> list[AnnouncementOutcome]:
+        """The outcomes since the last call."""
+        outcomes = self._outcomes
+        self._outcomes = []
+        return outcomes
+
+    def _finish(self, request_id: int, *, acknowledged: bool) -> None:
+        del self._pending[request_id]
+        self._outcomes.append(AnnouncementOutcome(request_id, acknowledged))
--- a/hazelbend/control/config_state_machine.py
+++ b/hazelbend/control/config_state_machine.py
@@ -1,4 +1,7 @@
-"""The replicated state machine of the configuration: a compare-and-set on its version."""
+"""The replicated state machine of the configuration: a compare-and-set on its version.
+
+The names on the wire and in stored snapshots are older than the names here; renamed classes pin their tags.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
 import msgspec
 
 DIGEST_BYTES = 16
-KEPT_DIGESTS = 4_096  # accepted changes that a resend is known by: 100 KB of a snapshot at most
-COMPRESSION = 1  # of zlib: configurations are text that repeats itself, and processor time is dear
+MAX_ACCEPTED_DIGESTS = 4_096  # accepted changes that a resend is recognized by: 100 KB of a snapshot at most
+ZLIB_LEVEL = 1  # the fastest: configurations are text that repeats itself, and processor time is scarce
 
 
 class ChangeResult(Enum):
-    """What became of a proposed change."""
+    """How a proposed change was decided."""
 
     ACCEPTED = "accepted"  # now, or when it was sent before
     CONFLICT = "conflict"  # another version is current
-    NOT_ABOVE = "not above"  # its version is not above the current one
-    FORGOTTEN = "forgotten"  # it builds on a version so old that nobody knows whether it was taken
+    VERSION_NOT_NEWER = "not above"  # its version is not above the current one
+    BASE_TOO_OLD = "forgotten"  # its base is so old that nobody knows whether it was accepted
 
 
 class ConfigChange(msgspec.Struct, frozen=True, tag=True):
@@ -32,7 +35,7 @@
 
 
 class ForceNewCluster(msgspec.Struct, frozen=True, tag="Refound"):
-    """The first entry of a record that an operator has founded anew: the state of the one who founds."""
+    """The first log entry of a cluster that an operator forced: the state of the process that formed it."""
 
     state: bytes
 
@@ -46,88 +49,90 @@
 
 class _Snapshot(msgspec.Struct, frozen=True):
     current: StoredConfig
-    accepted: list[bytes]  # digests
-    bases: list[int] = []  # that the accepted changes build on; earlier formats have none
+    accepted_digests: list[bytes] = msgspec.field(name="accepted")
+    bases: list[int] = []  # of the accepted changes, in the same order; earlier formats have none
     floor: int = 0
 
 
 _encoder = msgspec.msgpack.Encoder()
-_entries = msgspec.msgpack.Decoder(ConfigChange | ForceNewCluster)
-_snapshots = msgspec.msgpack.Decoder(_Snapshot)
+_entry_decoder = msgspec.msgpack.Decoder(ConfigChange | ForceNewCluster)
+_snapshot_decoder = msgspec.msgpack.Decoder(_Snapshot)
 
 
 def digest_of(base: int, body: bytes) -> bytes:
-    """Names one change: the same bytes on the same version."""
+    """Identifies one change: the same bytes on the same version."""
     return blake2b(b"%d\n" % base + body, digest_size=DIGEST_BYTES).digest()
 
 
 def encode_config_change(base: int, version: int, body: bytes) -> bytes:
     """The log entry that proposes this configuration."""
-    return _encoder.encode(
-        ConfigChange(base, version, digest_of(base, body), zlib.compress(body, COMPRESSION))
-    )
+    change = ConfigChange(base, version, digest_of(base, body), zlib.compress(body, ZLIB_LEVEL))
+    return _encoder.encode(change)
 
 
 def encode_force_new_cluster(state: bytes) -> bytes:
-    """The log entry that begins a new record with this state."""
+    """The log entry that starts a new cluster with this snapshot."""
     return _encoder.encode(ForceNewCluster(state))
 
 
 def decompress_body(config: StoredConfig) -> bytes:
-    """The configuration's text as it was sent."""
+    """The configuration's text as the operator sent it."""
     return zlib.decompress(config.body)
 
 
 class ConfigStateMachine:
     """Implements `consensus.replicated_log.StateMachine`.
 
-    Of the newest `KEPT_DIGESTS` accepted changes it knows the digest and the version that each builds on.
-    Each builds on the one before, so a change that builds on `floor` or a later version, and is not among
+    Of the newest `MAX_ACCEPTED_DIGESTS` accepted changes it keeps the digest and the version that each builds
+    on. Each builds on the one before, so a change that builds on `floor` or a later version, and is not among
     them, was surely never accepted; of an older one nobody can tell.
     """
 
     def __init__(self) -> None:
         self.current = StoredConfig()
         self.floor = 0
-        self.accepted: dict[bytes, int] = {}  # by digest: the base of each, in their order
+        self.accepted: dict[bytes, int] = {}  # base by digest, oldest first
 
     def begin(self, epoch: int) -> None:
-        """Start with nothing."""
-        self.current, self.accepted, self.floor = StoredConfig(), {}, 0
+        """Reset to the empty state."""
+        self.current = StoredConfig()
+        self.accepted = {}
+        self.floor = 0
 
     def apply(self, index: int, op: bytes) -> ChangeResult:
-        """Take one committed entry."""
-        change = _entries.decode(op)
-        if isinstance(change, ForceNewCluster):
-            self.restore(change.state)
+        """Apply one committed entry."""
+        entry = _entry_decoder.decode(op)
+        if isinstance(entry, ForceNewCluster):
+            self.restore(entry.state)
             return ChangeResult.ACCEPTED
-        if change.digest in self.accepted:
+        if entry.digest in self.accepted:
             return ChangeResult.ACCEPTED
-        if change.base < self.floor:
-            return ChangeResult.FORGOTTEN
-        if change.base != self.current.version:
+        if entry.base < self.floor:
+            return ChangeResult.BASE_TOO_OLD
+        if entry.base != self.current.version:
             return ChangeResult.CONFLICT
-        if change.version <= self.current.version:
-            return ChangeResult.NOT_ABOVE
-        self.current = StoredConfig(change.version, change.body)
-        self._remember(change)
+        if entry.version <= self.current.version:
+            return ChangeResult.VERSION_NOT_NEWER
+        self.current = StoredConfig(entry.version, entry.body)
+        self._remember(entry)
         return ChangeResult.ACCEPTED
 
-    def _remember(self, change: ConfigChange) -> None:
-        self.accepted[change.digest] = change.base
-        while len(self.accepted) > KEPT_DIGESTS:
-            del self.accepted[next(iter(self.accepted))]
-            self.floor = next(iter(self.accepted.values()))
-
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """The complete state, encoded."""
         bases = list(self.accepted.values())
         return _encoder.encode(_Snapshot(self.current, list(self.accepted), bases, self.floor))
 
     def restore(self, state: bytes) -> None:
         """Replace the state by a snapshot's."""
-        found = _snapshots.decode(state)
+        snapshot = _snapshot_decoder.decode(state)
         # Without bases each may build on any version up to the current one.
-        bases = found.bases or [found.current.version] * len(found.accepted)
-        self.current, self.floor = found.current, found.floor
-        self.accepted = dict(zip(found.accepted, bases, strict=True))
+        bases = snapshot.bases or [snapshot.current.version] * len(snapshot.accepted_digests)
+        self.current = snapshot.current
+        self.floor = snapshot.floor
+        self.accepted = dict(zip(snapshot.accepted_digests, bases, strict=True))
+
+    def _remember(self, change: ConfigChange) -> None:
+        self.accepted[change.digest] = change.base
+        while len(self.accepted) > MAX_ACCEPTED_DIGESTS:
+            del self.accepted[next(iter(self.accepted))]
+            self.floor = next(iter(self.accepted.values()))
--- a/hazelbend/control/configuration.py
+++ b/hazelbend/control/configuration.py
@@ -1,6 +1,6 @@
-"""The operators' configuration: its schema, by marshmallow, and the rules that a schema cannot say.
+"""Validation of the operators' configuration: a marshmallow schema, and rules that no schema can express.
 
-All findings are collected with their place and reported together. Unknown fields are ignored.
+All findings are collected with their paths and reported together. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 import orjson
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-KINDS = ("safe", "unsafe", "stream")
+ROUTE_KINDS = ("safe", "unsafe", "stream")
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One fault of a configuration, and where it stands (`routes[3].timeoutMs`)."""
+    """One error in a configuration, and the path of the field (`routes[3].timeoutMs`)."""
 
     path: str
     text: str
@@ -27,64 +27,64 @@
 
 
 class InvalidConfigurationError(ValueError):
-    """A configuration that may not be put in force, with all that was found."""
+    """A configuration that may not be put in force, with every finding."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = tuple(findings)
         super().__init__("; ".join(map(str, self.findings)))
 
 
-class _Table(Schema):
+class _BaseSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
 
-class _Share(_Table):
+class _SplitSchema(_BaseSchema):
     backend = fields.String(required=True)
     weight = fields.Float(required=True, validate=validate.Range(min=0))
 
 
-class _Route(_Table):
+class _RouteSchema(_BaseSchema):
     name = fields.String(required=True)
     host = fields.String(required=True, validate=validate.Length(min=1))
     prefix = fields.String(required=True, validate=validate.Regexp(r"^/(.*/)?$"))
-    kind = fields.String(required=True, validate=validate.OneOf(KINDS))
+    kind = fields.String(required=True, validate=validate.OneOf(ROUTE_KINDS))
     timeoutMs = fields.Integer(required=True, strict=True, validate=validate.Range(min=1))  # noqa: N815
     targetMs = fields.Integer(strict=True, validate=validate.Range(min=0))  # noqa: N815
     priority = fields.Integer(strict=True)
     backend = fields.String()
-    split = fields.List(fields.Nested(_Share), validate=validate.Length(min=1))
+    split = fields.List(fields.Nested(_SplitSchema), validate=validate.Length(min=1))
     retries = fields.Integer(strict=True, validate=validate.Range(min=0))
 
 
-class _Service(_Table):
+class _ServiceSchema(_BaseSchema):
     name = fields.String(required=True, validate=validate.Length(min=1))
     healthPath = fields.String()  # noqa: N815
     maxConns = fields.Integer(strict=True, validate=validate.Range(min=1))  # noqa: N815
 
 
-class _Limits(_Table):
+class _LimitsSchema(_BaseSchema):
     maxHeaderBytes = fields.Integer(strict=True, validate=validate.Range(min=1))  # noqa: N815
     maxBodyBytes = fields.Integer(strict=True, validate=validate.Range(min=1))  # noqa: N815
     headerTimeoutMs = fields.Integer(strict=True, validate=validate.Range(min=1))  # noqa: N815
     idleTimeoutMs = fields.Integer(strict=True, validate=validate.Range(min=1))  # noqa: N815
 
 
-class _Configuration(_Table):
+class _ConfigurationSchema(_BaseSchema):
     version = fields.Integer(required=True, strict=True, validate=validate.Range(min=1))
-    routes = fields.List(fields.Nested(_Route), required=True)
-    services = fields.List(fields.Nested(_Service), required=True)
-    limits = fields.Nested(_Limits)
+    routes = fields.List(fields.Nested(_RouteSchema), required=True)
+    services = fields.List(fields.Nested(_ServiceSchema), required=True)
+    limits = fields.Nested(_LimitsSchema)
 
 
-_SCHEMA = _Configuration()
+_SCHEMA = _ConfigurationSchema()
 
 
 def check_configuration(body: bytes) -> int:
-    """The version of a configuration that may be put in force.
+    """Validate a configuration; returns its version.
 
     Raises:
-        InvalidConfigurationError: with every finding and its place.
+        InvalidConfigurationError: it may not be put in force; holds every finding with its path.
     """
     try:
         document = orjson.loads(body)
@@ -93,51 +93,54 @@
     if not isinstance(document, dict):
         raise InvalidConfigurationError([Finding("body", "no JSON object")])
     try:
-        table = _SCHEMA.load(document)
+        configuration = _SCHEMA.load(document)
     except ValidationError as error:
         raise InvalidConfigurationError(schema_findings("", error.messages)) from None
-    if findings := list(_rule_findings(table)):
+    if findings := list(_rule_findings(configuration)):
         raise InvalidConfigurationError(findings)
-    return int(table["version"])
+    return int(configuration["version"])
 
 
-def schema_findings(place: str, messages: Any) -> Iterator[Finding]:
-    """The findings in what marshmallow says of a document, each with its place."""
+def schema_findings(path: str, messages: Any) -> Iterator[Finding]:
+    """The findings in marshmallow's messages on a document, each with its path."""
     if isinstance(messages, dict):
-        for key, inner in messages.items():
-            step = f"[{key}]" if isinstance(key, int) else f".{key}" if place else str(key)
-            yield from schema_findings(place + step, inner)
+        for key, nested in messages.items():
+            step = f"[{key}]" if isinstance(key, int) else f".{key}" if path else str(key)
+            yield from schema_findings(path + step, nested)
     else:
         for text in messages:
-            yield Finding(place, str(text))
+            yield Finding(path, str(text))
 
 
-def _rule_findings(table: dict[str, Any]) -> Iterator[Finding]:
+def _rule_findings(configuration: dict[str, Any]) -> Iterator[Finding]:
+    """Names are unique, backends exist, and no two routes match the same requests."""
     services: set[str] = set()
-    for index, service in enumerate(table["services"]):
+    for index, service in enumerate(configuration["services"]):
         if service["name"] in services:
             yield Finding(f"services[{index}].name", f"{service['name']!r} stands twice")
         services.add(service["name"])
-    places: dict[tuple[str, str], int] = {}
-    for index, route in enumerate(table["routes"]):
-        place = f"routes[{index}]"
-        yield from _split_findings(place, route, services)
-        key = (route["host"].lower(), route["prefix"])
-        if key in places:
-            yield Finding(f"{place}.prefix", f"the same host and prefix as routes[{places[key]}]")
-        places.setdefault(key, index)
-
-
-def _split_findings(place: str, route: dict[str, Any], services: set[str]) -> Iterator[Finding]:
+    index_by_match: dict[tuple[str, str], int] = {}
+    for index, route in enumerate(configuration["routes"]):
+        path = f"routes[{index}]"
+        yield from _backend_findings(path, route, services)
+        match_key = (route["host"].lower(), route["prefix"])
+        if match_key in index_by_match:
+            first = index_by_match[match_key]
+            yield Finding(f"{path}.prefix", f"the same host and prefix as routes[{first}]")
+        index_by_match.setdefault(match_key, index)
+
+
+def _backend_findings(path: str, route: dict[str, Any], services: set[str]) -> Iterator[Finding]:
+    """A route has either one backend or a split with a positive total weight, of known services."""
     if ("backend" in route) == ("split" in route):
-        yield Finding(place, "needs one of backend and split")
+        yield Finding(path, "needs one of backend and split")
         return
     if "backend" in route:
         if route["backend"] not in services:
-            yield Finding(f"{place}.backend", f"unknown service {route['backend']!r}")
+            yield Finding(f"{path}.backend", f"unknown service {route['backend']!r}")
         return
-    for number, share in enumerate(route["split"]):
-        if share["backend"] not in services:
-            yield Finding(f"{place}.split[{number}].backend", f"unknown service {share['backend']!r}")
-    if sum(share["weight"] for share in route["split"]) <= 0:
-        yield Finding(f"{place}.split", "the weights sum to 0")
+    for index, target in enumerate(route["split"]):
+        if target["backend"] not in services:
+            yield Finding(f"{path}.split[{index}].backend", f"unknown service {target['backend']!r}")
+    if sum(target["weight"] for target in route["split"]) <= 0:
+        yield Finding(f"{path}.split", "the weights sum to 0")
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -1,4 +1,8 @@
-"""What control processes say to each other and to routers: msgpack frames. Any message may be lost."""
+"""Messages between control processes, and between them and routers: msgpack frames. Any may be lost.
+
+The tags and field names on the wire are older than the names here, so each class that was renamed pins its
+tag, and each field that was renamed its name.
+"""
 
 from __future__ import annotations
 
@@ -11,19 +15,19 @@
 from hazelbend.control.load_table import CachedPrefix, LoadUpdate, RouterLoad
 from hazelbend.control.workers import WorkerRecord
 
-CACHE_COMPRESSION = 1  # of zlib: the fastest
+CACHE_ZLIB_LEVEL = 1  # the fastest
 
 
 class PeerHello(msgspec.Struct, frozen=True, tag="Hello"):
-    """A control process names itself to another, several times a second."""
+    """A control process introduces itself to another, several times a second: the heartbeat between peers."""
 
     identity: str
     counts_for_quorum: bool = msgspec.field(name="counted")  # whether it may vote
-    controls: tuple[str, ...]  # addresses of the control processes that it knows
+    control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of the processes that it knows
     leader: str = ""  # identity of the leader, as far as it knows: for those that have no vote
     leaving: bool = False  # it is about to end
-    stamp: Stamp | None = None  # its life and time, which the receiver gives back
-    answers: Stamp | None = None  # the last stamp that it had from the receiver
+    stamp: Stamp | None = None  # its incarnation and time, which the receiver echoes
+    echoed_stamp: Stamp | None = msgspec.field(default=None, name="answers")  # the receiver's last stamp
 
 
 class RaftMessages(msgspec.Struct, frozen=True, tag="Agreement"):
@@ -33,44 +37,46 @@
 
 
 class WorkerUpdate(msgspec.Struct, frozen=True, tag="WorkerNews"):
-    """Records that the sender has taken. `number` above 0: the sender waits for `WorkerUpdateAck`."""
+    """Records that the sender has taken. If `request_id` is above 0, it waits for a `WorkerUpdateAck`."""
 
-    number: int
+    request_id: int = msgspec.field(name="number")
     records: tuple[WorkerRecord, ...]
-    ages: dict[str, int] = {}  # microseconds since each was heard
-    life: int = 0  # the sender's: numbers hold within one
+    ages: dict[str, int] = {}  # microseconds since each worker was heard
+    incarnation: int = msgspec.field(default=0, name="life")  # the sender's: request ids hold within one
 
 
 class WorkerUpdateAck(msgspec.Struct, frozen=True, tag="WorkerNewsTaken"):
-    """A counted process holds the records of this number."""
+    """A process that counts for the quorum holds the records of this request."""
 
-    number: int
-    life: int  # of the process that asked
-    identity: str  # of the one that holds them
-    voters: tuple[str, ...]  # as it knows them
+    request_id: int = msgspec.field(name="number")
+    incarnation: int = msgspec.field(name="life")  # of the process that asked
+    identity: str  # of the process that holds them
+    voters: tuple[str, ...]  # as the holder knows them
 
 
 class WorkerAges(msgspec.Struct, frozen=True, tag="Ages"):
-    """Microseconds since workers were heard, of those that were heard since the sender's last word; and the
-    routers that watch the sender."""
+    """Microseconds since workers were heard, of those heard since the sender's last `WorkerAges`.
+
+    It also names the routers that watch the sender.
+    """
 
     ages: dict[str, int]
     routers: tuple[str, ...] = ()
-    switching: tuple[str, ...] = ()  # instances of which the sender has ordered another part
-    digest: int = 0  # of the workers that the sender knows
+    switching: tuple[str, ...] = ()  # instances that the sender has ordered to another phase
+    digest: int = 0  # over the workers that the sender knows
 
 
 class WorkerSyncRequest(msgspec.Struct, frozen=True, tag="WorkersWanted"):
-    """The sender knows other workers than the receiver: it asks for all that the receiver knows."""
+    """The sender knows other workers than the receiver: it requests all that the receiver knows."""
 
 
 class Watch(msgspec.Struct, frozen=True, tag=True):
-    """A router asks for all news from now on; `version`: the configuration that it has."""
+    """A router subscribes to all updates; `version`: of the configuration that it has."""
 
     router: str
     version: int
     loads: bool = True  # whether it wants the loads of others here: one of its watches is enough
-    caches: bool = True  # whether it wants to know what workers keep: a router that hears of changes knows it
+    caches: bool = True  # whether it wants the workers' cached prefixes: not if it has followed the changes
 
 
 class Ping(msgspec.Struct, frozen=True, tag=True):
@@ -80,12 +86,14 @@
 
 
 class Pong(msgspec.Struct, frozen=True, tag=True):
-    """The answer to a `Ping`: what this process has in force, and how long ago a majority has confirmed that
-    it is the newest. With the ping's time the router knows a time at which that was surely so."""
+    """The answer to a `Ping`: the version in force here, and when a majority confirmed that it is the newest.
+
+    With the time of its ping the router knows a time at which that was surely so.
+    """
 
     sent_at: int  # as in the ping
     version: int
-    confirmed_age: int | None  # microseconds; None: not in this life
+    confirmed_age: int | None  # microseconds; None: not in this incarnation
 
 
 class ConfigUpdate(msgspec.Struct, frozen=True, tag="ConfigNews"):
@@ -96,45 +104,46 @@
 
 
 class CacheUpdate(msgspec.Struct, frozen=True, tag="CacheNews"):
-    """To a router that knows nothing of them: the parts that workers keep; `body` is compressed. It is by far
-    the largest of all that a router is told, so it comes last."""
+    """To a router that knows none of them: the prefixes in workers' caches; `body` is compressed.
+
+    It is by far the largest message to a router, so it is sent last.
+    """
 
     body: bytes
 
     @classmethod
-    def of(cls, parts: dict[str, dict[str, int]]) -> CacheUpdate:
-        """`parts`: tokens by part by instance."""
-        return cls(zlib.compress(_encoder.encode(parts), CACHE_COMPRESSION))
+    def from_prefixes(cls, prefixes: dict[str, dict[str, int]]) -> CacheUpdate:
+        """Build the message. `prefixes`: tokens by prefix by instance."""
+        return cls(zlib.compress(_encoder.encode(prefixes), CACHE_ZLIB_LEVEL))
 
-    def cached(self) -> tuple[CachedPrefix, ...]:
-        """The parts, as other news tells them.
+    def cached_prefixes(self) -> tuple[CachedPrefix, ...]:
+        """The prefixes, as a `LoadUpdate` lists them.
 
         Raises:
-            msgspec.DecodeError: they can't be read.
+            msgspec.DecodeError: the body can't be decompressed or decoded.
         """
         try:
-            known = _caches.decode(zlib.decompress(self.body))
+            by_instance = _prefix_decoder.decode(zlib.decompress(self.body))
         except zlib.error as error:
             raise msgspec.DecodeError(str(error)) from None
         return tuple(
-            CachedPrefix(instance, part, tokens)
-            for instance, parts in known.items()
-            for part, tokens in parts.items()
+            CachedPrefix(instance, prefix_id, tokens)
+            for instance, prefixes in by_instance.items()
+            for prefix_id, tokens in prefixes.items()
         )
 
 
 class FleetStatus(msgspec.Struct, frozen=True, tag="FleetNews"):
-    """To routers, now and then: the control processes that are alive (addresses of `portRange`), how many
-    routers there are, and microseconds since each worker was heard that is silent."""
+    """To routers, periodically: control processes that are alive, the number of routers, silent workers."""
 
-    controls: tuple[str, ...]
+    control_addresses: tuple[str, ...] = msgspec.field(name="controls")
     routers: int
-    silent: dict[str, int]
-    switching: tuple[str, ...] = ()  # instances that are changing their part
+    silent_ages_us: dict[str, int] = msgspec.field(name="silent")  # by instance: since it was heard
+    switching: tuple[str, ...] = ()  # instances that are changing their phase
 
 
 class SoftState(msgspec.Struct, frozen=True):
-    """What a control process keeps for its next start, beside what must last."""
+    """What a control process caches on its disk for its next start; it may be lost without harm."""
 
     workers: tuple[WorkerRecord, ...]
     cached: tuple[CachedPrefix, ...]
@@ -160,33 +169,33 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Body)
-_caches = msgspec.msgpack.Decoder(dict[str, dict[str, int]])
-_soft_states = msgspec.msgpack.Decoder(SoftState)
+_prefix_decoder = msgspec.msgpack.Decoder(dict[str, dict[str, int]])
+_soft_state_decoder = msgspec.msgpack.Decoder(SoftState)
 
 
 def encode(body: Body) -> bytes:
-    """One frame's content."""
+    """The content of one frame."""
     return _encoder.encode(body)
 
 
-def encode_soft_state(state: SoftState) -> bytes:
-    """The content of its file."""
-    return _encoder.encode(state)
-
-
-def decode_soft_state(content: bytes) -> SoftState:
-    """The state in a file.
+def decode(content: bytes) -> Body:
+    """The message in a frame.
 
     Raises:
-        msgspec.DecodeError: it is none.
+        msgspec.DecodeError: it is no message.
     """
-    return _soft_states.decode(content)
+    return _decoder.decode(content)
 
 
-def decode(content: bytes) -> Body:
-    """The message of a frame.
+def encode_soft_state(state: SoftState) -> bytes:
+    """The content of the soft state's file."""
+    return _encoder.encode(state)
+
+
+def decode_soft_state(content: bytes) -> SoftState:
+    """The soft state in a file.
 
     Raises:
-        msgspec.DecodeError: it is none.
+        msgspec.DecodeError: the content is no soft state.
     """
-    return _decoder.decode(content)
+    return _soft_state_decoder.decode(content)
--- a/hazelbend/control/outputs.py
+++ b/hazelbend/control/outputs.py
@@ -1,7 +1,8 @@
-"""What a control engine is told at its start, and what it gives to its driver."""
+"""What a control engine gives to its driver, and the outbox that collects it."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from hazelbend.control import messages as m
@@ -10,52 +11,65 @@
 from hazelbend.control.workers import WorkerRecord
 
 
-@dataclass(slots=True, frozen=True)
-class ControlSettings:
-    """What the settings say of a control process. Addresses are those of control processes for each other."""
-
-    address: str
-    seeds: tuple[str, ...]
-    counts_for_quorum: bool
-    may_bootstrap: bool
-    tolerance: int  # counted machines that may be lost at one time
-    heartbeat_us: int  # between two heartbeats of a worker
-    lease_us: int = 0  # that must lie between orders of two leaders
-
-
 @dataclass(slots=True, frozen=True)
 class PutOutcome:
-    """A change was decided; None: nobody knows whether it was taken."""
+    """How a change was decided; `result` None: nobody knows whether it was accepted."""
 
-    number: int
+    request_id: int
     result: ChangeResult | None
 
 
 @dataclass(slots=True, frozen=True)
 class ReadOutcome:
-    """The newest committed configuration at some time after the call; None: not known here."""
+    """The newest committed configuration at some time after the call; `config` None: not known here."""
 
-    number: int
+    request_id: int
     config: StoredConfig | None
 
 
-Answer = PutOutcome | ReadOutcome | AnnouncementOutcome
+CallOutcome = PutOutcome | ReadOutcome | AnnouncementOutcome
 
 
 @dataclass(slots=True)
 class DurableOutput:
-    """What may be sent once all that it rests on is stored."""
+    """What may be sent only once the state that it rests on is stored."""
 
-    out: list[tuple[str, m.RaftMessages]] = field(default_factory=list)  # to the address of a control process
-    answers: list[Answer] = field(default_factory=list)
+    messages: list[tuple[str, m.RaftMessages]] = field(default_factory=list)  # with the peer's address
+    outcomes: list[CallOutcome] = field(default_factory=list)
     config: StoredConfig = StoredConfig()
-    confirmed_at: int | None = None  # when `config` was surely the newest, as a majority has confirmed since
+    confirmed_at: int | None = None  # when a majority last confirmed that `config` is the newest
 
 
 @dataclass(slots=True)
 class ImmediateOutput:
-    """What rests on nothing that is stored."""
+    """What rests on no stored state and may be sent at once."""
+
+    messages: list[tuple[str, m.Body]] = field(default_factory=list)  # with the peer's address
+    outcomes: list[AnnouncementOutcome] = field(default_factory=list)
+    changed_workers: list[WorkerRecord] = field(default_factory=list)  # for routers
+
+
+class Outbox:
+    """Collects the immediate output of the engine's parts, in order, until the driver takes it."""
+
+    def __init__(self) -> None:
+        self._output = ImmediateOutput()
+
+    def send(self, address: str, body: m.Body) -> None:
+        """Send a message to the control process at this address."""
+        self._output.messages.append((address, body))
+
+    def broadcast(self, addresses: Iterable[str], body: m.Body) -> None:
+        """Send a message to each of these control processes."""
+        self._output.messages += [(address, body) for address in addresses]
+
+    def report_workers(self, records: list[WorkerRecord]) -> None:
+        """Let routers know of these changed workers."""
+        self._output.changed_workers += records
 
-    out: list[tuple[str, m.Body]] = field(default_factory=list)  # to the address of a control process
-    answers: list[AnnouncementOutcome] = field(default_factory=list)
-    news: list[WorkerRecord] = field(default_factory=list)  # for routers
+    def take(self, outcomes: list[AnnouncementOutcome]) -> ImmediateOutput:
+        """The output since the last call, with these outcomes of calls."""
+        output = self._output
+        output.outcomes += outcomes
+        self._output = ImmediateOutput()
+        return output
--- a/hazelbend/control/phase_planner.py
+++ b/hazelbend/control/phase_planner.py
@@ -1,10 +1,10 @@
-"""Which model workers read prompts and which make tokens, as the mix of the traffic shifts.
+"""Plans which workers of a model prefill prompts and which decode, as the mix of the traffic shifts.
 
-One planner acts at a time: that of the leader, once it has led for longer than a lease, so that no order of
-an earlier leader can fall within a lease of its own. Its fencing token rises with its term. An order is
-priced and costs the worker a pause, so a change for the load's sake must be clearly worth it, and one is made
-at a time. A worker that has announced its end counts as gone for its part at once: another takes its place
-while it serves on.
+One planner acts at a time: the leader's, once it has led for longer than a lease, so that no order of an
+earlier leader can fall within a lease of its own. Its fencing token rises with its term. Each order costs the
+worker a pause, so the load must clearly call for it, and only one order for the load is under way at a time.
+A worker that drains counts as gone for its phase at once: another takes its place while it still serves.
+Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 import math
 from dataclasses import dataclass, field
 
-from hazelbend.control.load_table import Load
+from hazelbend.control.load_table import NO_LOAD, Load
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
-PREFILL, DECODE = "prefill", "decode"
-LEAST_RUNNERS = 2  # workers that make tokens, whatever the traffic
-LEAST_RUNNER_PART = 1 / 3  # of a service's workers
-CALM_USE, FULL_USE = 0.2, 0.75  # of the places of those that make tokens: one may be spared, one is missing
-WORTH_READING = 400.0  # unread tokens a reader, from which one more is worth a pause
-MEMORY = 3.0  # looks that a mean rests on
-LOOKS_FIRST = 3  # looks at a service before the first order
-ORDER_PAUSE = 1_000_000  # microseconds between two orders to workers of a service
-ORDER_PATIENCE = 8_000_000  # microseconds in which an order must show in the worker's heartbeats
+PREFILL = "prefill"
+DECODE = "decode"
+MIN_DECODE_WORKERS = 2  # whatever the traffic
+MIN_DECODE_FRACTION = 1 / 3  # of a service's workers
+LOW_DECODE_UTILIZATION = 0.2  # of the decode capacity: up to here a decode worker may be spared
+HIGH_DECODE_UTILIZATION = 0.75  # from here a decode worker is missing
+PREFILL_BACKLOG_TOKENS = 400.0  # per prefill worker, from which one more is worth the pause
+SMOOTHING_SAMPLES = 3.0  # samples that a mean rests on
+WARM_UP_SAMPLES = 3  # samples of a service before its first order
+ORDER_INTERVAL_US = 1_000_000  # between two orders to workers of a service
+ORDER_TIMEOUT_US = 8_000_000  # in which an order must show in the worker's heartbeats
 
 
 @dataclass(slots=True, frozen=True)
 class PhaseOrder:
-    """A worker is to play another part."""
+    """A worker is to switch to another phase."""
 
     instance: str
     address: str
@@ -36,136 +38,149 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Given:
+class _PendingOrder:
     order: PhaseOrder
-    at: int
+    ordered_at: int
 
 
 @dataclass(slots=True)
-class _Service:
-    looks: int = 0
-    unread: float = 0.0  # tokens a reader, smoothed
-    running: float = 0.0  # requests at all that make tokens, smoothed
-    most_readers: int = 0  # that there have been, those that were about to leave included
-    most_runners: int = 0
-    given: dict[str, _Given] = field(default_factory=dict)  # by instance: orders under way
-    last_at: int = 0  # of an order
+class _ServiceState:
+    samples: int = 0
+    backlog_tokens: float = 0.0  # per prefill worker, smoothed
+    decoding_requests: float = 0.0  # over all decode workers, smoothed
+    max_prefill_workers: int = 0  # that there have been, draining ones included
+    max_decode_workers: int = 0
+    pending: dict[str, _PendingOrder] = field(default_factory=dict)  # by instance
+    last_ordered_at: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class _Parts:
-    """The workers of a service that stay, by the part that they play or are about to."""
+class _PhaseGroups:
+    """The workers of a service that stay, by the phase that they have or are about to have."""
 
-    readers: list[WorkerRecord]
-    runners: list[WorkerRecord]
+    prefill_workers: list[WorkerRecord]
+    decode_workers: list[WorkerRecord]
 
     @property
-    def least_runners(self) -> int:
-        """So many are left to make tokens, whatever the traffic."""
-        count = len(self.readers) + len(self.runners)
-        return max(LEAST_RUNNERS, math.ceil(LEAST_RUNNER_PART * count))
+    def min_decode_workers(self) -> int:
+        """The number of workers that must keep decoding, whatever the traffic."""
+        count = len(self.prefill_workers) + len(self.decode_workers)
+        return max(MIN_DECODE_WORKERS, math.ceil(MIN_DECODE_FRACTION * count))
 
 
 class PhasePlanner:
-    """Of all services. Times in microseconds."""
+    """Plans the phases of all services."""
 
     def __init__(self) -> None:
-        self._services: dict[str, _Service] = {}
-
-    def forget(self) -> None:
-        """This process does not lead: what it has seen is old when it leads again."""
-        self._services.clear()
+        self._services: dict[str, _ServiceState] = {}
 
     @property
     def switching(self) -> tuple[str, ...]:
-        """Instances with an order under way: they take no requests."""
-        return tuple(instance for each in self._services.values() for instance in each.given)
+        """Instances with a pending order: they take no requests."""
+        return tuple(instance for service in self._services.values() for instance in service.pending)
 
-    def refused(self, order: PhaseOrder) -> None:
-        """The worker has not taken this order."""
-        for each in self._services.values():
-            each.given.pop(order.instance, None)
+    def reset(self) -> None:
+        """Drop all state: this process does not lead, and its samples will be old when it leads again."""
+        self._services.clear()
+
+    def order_rejected(self, order: PhaseOrder) -> None:
+        """The worker has not accepted this order, or it was never sent."""
+        for service in self._services.values():
+            service.pending.pop(order.instance, None)
 
     def plan(self, workers: list[WorkerRecord], loads: dict[str, Load], now: int) -> list[PhaseOrder]:
-        """The orders to give now. `workers`: those that are heard, and have not ended."""
+        """The orders to give now, at most one for each service. `workers`: those that are not silent."""
         by_service: dict[str, list[WorkerRecord]] = {}
         for record in workers:
             if record.phase and record.state is not WorkerState.GONE:
                 by_service.setdefault(record.service, []).append(record)
-        orders = [self._plan(name, found, loads, now) for name, found in by_service.items()]
+        orders = [
+            self._plan_service(name, service_workers, loads, now)
+            for name, service_workers in by_service.items()
+        ]
         return [order for order in orders if order is not None]
 
-    def _plan(
+    def _plan_service(
         self, name: str, workers: list[WorkerRecord], loads: dict[str, Load], now: int
     ) -> PhaseOrder | None:
-        service = self._services.setdefault(name, _Service())
-        service.most_readers = max(service.most_readers, _count(workers, PREFILL))
-        service.most_runners = max(service.most_runners, _count(workers, DECODE))
-        staying = [each for each in workers if each.state is WorkerState.READY]
-        self._drop_done(service, staying, now)
-        self._see(service, staying, loads)
-        if service.looks <= LOOKS_FIRST or now - service.last_at < ORDER_PAUSE:
+        service = self._services.setdefault(name, _ServiceState())
+        service.max_prefill_workers = max(service.max_prefill_workers, _count(workers, PREFILL))
+        service.max_decode_workers = max(service.max_decode_workers, _count(workers, DECODE))
+        staying = [worker for worker in workers if worker.state is WorkerState.READY]
+        _drop_finished_orders(service, staying, now)
+        _sample_load(service, staying, loads)
+        if service.samples <= WARM_UP_SAMPLES or now - service.last_ordered_at < ORDER_INTERVAL_US:
             return None
-        order = self._wanted(service, self._parts(service, staying), loads)
+        order = _choose_order(service, _group_by_phase(service, staying), loads)
         if order is not None:
-            service.given[order.instance] = _Given(order, now)
-            service.last_at = now
+            service.pending[order.instance] = _PendingOrder(order, now)
+            service.last_ordered_at = now
         return order
 
-    @staticmethod
-    def _drop_done(service: _Service, staying: list[WorkerRecord], now: int) -> None:
-        """Forget orders that show in the worker's heartbeats, have had their time, or whose worker leaves."""
-        phases = {each.instance: each.phase for each in staying}
-        service.given = {
-            instance: given
-            for instance, given in service.given.items()
-            if phases.get(instance, given.order.phase) != given.order.phase
-            and now - given.at < ORDER_PATIENCE
-        }
-
-    @staticmethod
-    def _see(service: _Service, staying: list[WorkerRecord], loads: dict[str, Load]) -> None:
-        nothing = Load()
-        readers = [each for each in staying if each.phase == PREFILL]
-        runners = [each for each in staying if each.phase == DECODE]
-        unread = sum(loads.get(each.instance, nothing).tokens for each in readers) / max(len(readers), 1)
-        running = sum(loads.get(each.instance, nothing).jobs for each in runners)
-        service.looks += 1
-        part = 1 / min(service.looks, MEMORY)
-        service.unread += (unread - service.unread) * part
-        service.running += (running - service.running) * part
-
-    @staticmethod
-    def _parts(service: _Service, staying: list[WorkerRecord]) -> _Parts:
-        phases = {instance: given.order.phase for instance, given in service.given.items()}
-        played = [(each, phases.get(each.instance, each.phase)) for each in staying]
-        return _Parts(
-            [each for each, phase in played if phase == PREFILL],
-            [each for each, phase in played if phase == DECODE],
-        )
-
-    def _wanted(self, service: _Service, parts: _Parts, loads: dict[str, Load]) -> PhaseOrder | None:
-        """A part that has lost its workers, or is about to, comes first; a shift of the load waits for the
-        order before it."""
-        movable = [each for each in parts.readers if each.instance not in service.given]
-        spare = [each for each in parts.runners if each.instance not in service.given]
-        needed = min(LEAST_RUNNERS, service.most_runners)
-        if movable and (not parts.runners or (len(parts.runners) < needed and len(parts.readers) > 1)):
-            return _order(min(movable, key=lambda each: _tokens(loads, each)), DECODE)
-        if not parts.readers and service.most_readers and len(parts.runners) > parts.least_runners and spare:
-            return _order(min(spare, key=lambda each: _jobs(loads, each)), PREFILL)
-        return None if service.given else _shift(service, parts, loads)
-
-
-def _shift(service: _Service, parts: _Parts, loads: dict[str, Load]) -> PhaseOrder | None:
-    """What the load asks for."""
-    places = sum(each.capacity for each in parts.runners)
-    if service.running > FULL_USE * places and len(parts.readers) > 1:
-        return _order(min(parts.readers, key=lambda each: _tokens(loads, each)), DECODE)
-    if len(parts.runners) <= parts.least_runners or service.unread < WORTH_READING:
+
+def _drop_finished_orders(service: _ServiceState, staying: list[WorkerRecord], now: int) -> None:
+    """Drop orders that show in the worker's heartbeats, have timed out, or whose worker does not stay."""
+    phases = {worker.instance: worker.phase for worker in staying}
+    service.pending = {
+        instance: pending
+        for instance, pending in service.pending.items()
+        if phases.get(instance, pending.order.phase) != pending.order.phase
+        and now - pending.ordered_at < ORDER_TIMEOUT_US
+    }
+
+
+def _sample_load(service: _ServiceState, staying: list[WorkerRecord], loads: dict[str, Load]) -> None:
+    """Update the smoothed loads by one sample; the first samples weigh as in a plain mean."""
+    prefill_workers = [worker for worker in staying if worker.phase == PREFILL]
+    decode_workers = [worker for worker in staying if worker.phase == DECODE]
+    backlog_tokens = sum(_tokens(loads, worker) for worker in prefill_workers) / max(len(prefill_workers), 1)
+    decoding_requests = sum(_jobs(loads, worker) for worker in decode_workers)
+    service.samples += 1
+    weight = 1 / min(service.samples, SMOOTHING_SAMPLES)
+    service.backlog_tokens += (backlog_tokens - service.backlog_tokens) * weight
+    service.decoding_requests += (decoding_requests - service.decoding_requests) * weight
+
+
+def _group_by_phase(service: _ServiceState, staying: list[WorkerRecord]) -> _PhaseGroups:
+    ordered_phases = {instance: pending.order.phase for instance, pending in service.pending.items()}
+    phases = [(worker, ordered_phases.get(worker.instance, worker.phase)) for worker in staying]
+    return _PhaseGroups(
+        [worker for worker, phase in phases if phase == PREFILL],
+        [worker for worker, phase in phases if phase == DECODE],
+    )
+
+
+def _choose_order(service: _ServiceState, groups: _PhaseGroups, loads: dict[str, Load]) -> PhaseOrder | None:
+    """A phase without workers comes first; a shift for the load waits until no order is pending."""
+    prefill_workers = groups.prefill_workers
+    decode_workers = groups.decode_workers
+    free_prefill_workers = [worker for worker in prefill_workers if worker.instance not in service.pending]
+    free_decode_workers = [worker for worker in decode_workers if worker.instance not in service.pending]
+    needed_decode_workers = min(MIN_DECODE_WORKERS, service.max_decode_workers)
+    lacks_decode = not decode_workers or (
+        len(decode_workers) < needed_decode_workers and len(prefill_workers) > 1
+    )
+    if free_prefill_workers and lacks_decode:
+        return _order(min(free_prefill_workers, key=lambda worker: _tokens(loads, worker)), DECODE)
+    lacks_prefill = not prefill_workers and service.max_prefill_workers > 0
+    if lacks_prefill and len(decode_workers) > groups.min_decode_workers and free_decode_workers:
+        return _order(min(free_decode_workers, key=lambda worker: _jobs(loads, worker)), PREFILL)
+    return None if service.pending else _choose_order_for_load(service, groups, loads)
+
+
+def _choose_order_for_load(
+    service: _ServiceState, groups: _PhaseGroups, loads: dict[str, Load]
+) -> PhaseOrder | None:
+    """The order that the load calls for, if any; no order is pending."""
+    prefill_workers = groups.prefill_workers
+    decode_workers = groups.decode_workers
+    decode_capacity = sum(worker.capacity for worker in decode_workers)
+    if service.decoding_requests > HIGH_DECODE_UTILIZATION * decode_capacity and len(prefill_workers) > 1:
+        return _order(min(prefill_workers, key=lambda worker: _tokens(loads, worker)), DECODE)
+    if len(decode_workers) <= groups.min_decode_workers or service.backlog_tokens < PREFILL_BACKLOG_TOKENS:
         return None
-    idlest = min(parts.runners, key=lambda each: _jobs(loads, each))
-    if service.running <= CALM_USE * (places - idlest.capacity):
+    idlest = min(decode_workers, key=lambda worker: _jobs(loads, worker))
+    if service.decoding_requests <= LOW_DECODE_UTILIZATION * (decode_capacity - idlest.capacity):
         return _order(idlest, PREFILL)
     return None
 
@@ -175,14 +190,12 @@
 
 
 def _count(workers: list[WorkerRecord], phase: str) -> int:
-    return sum(each.phase == phase for each in workers)
+    return sum(worker.phase == phase for worker in workers)
 
 
 def _jobs(loads: dict[str, Load], record: WorkerRecord) -> int:
-    load = loads.get(record.instance)
-    return load.jobs if load is not None else 0
+    return loads.get(record.instance, NO_LOAD).jobs
 
 
 def _tokens(loads: dict[str, Load], record: WorkerRecord) -> int:
-    load = loads.get(record.instance)
-    return load.tokens if load is not None else 0
+    return loads.get(record.instance, NO_LOAD).tokens
--- /dev/null
+++ b/hazelbend/control/worker_sync.py
@@ -0,0 +1,145 @@
+"""Keeps the worker registries of all control processes in sync.
+
+Changed records are sent to all peers at once. Peers exchange digests of what they know with the ages of
+workers; a peer whose digest differs for long requests all records (anti-entropy).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hazelbend.consensus.raft import RaftNode
+from hazelbend.control import messages as m
+from hazelbend.control.announcements import AnnouncementOutcome, Announcements
+from hazelbend.control.outputs import Outbox
+from hazelbend.control.peers import PeerTable
+from hazelbend.control.settings import ControlSettings
+from hazelbend.control.workers import (
+    RESTORED_HEARTBEATS,
+    SILENT_HEARTBEATS,
+    WorkerRecord,
+    WorkerRegistry,
+    WorkerState,
+)
+
+MAX_DIGEST_MISMATCHES = 2  # messages in a row with another digest, until all records are requested
+
+
+class WorkerSync:
+    """Takes workers' calls and peers' updates into the registry, and forwards what has changed."""
+
+    def __init__(
+        self,
+        raft: RaftNode,
+        settings: ControlSettings,
+        peers: PeerTable,
+        outbox: Outbox,
+        next_request_id: Callable[[], int],
+    ) -> None:
+        self.registry = WorkerRegistry(settings.heartbeat_us)
+        self._raft = raft
+        self._settings = settings
+        self._peers = peers
+        self._outbox = outbox
+        self._next_request_id = next_request_id
+        self._announcements = Announcements(raft.life, settings.tolerance)
+
+    @property
+    def next_expiry_at(self) -> int | None:
+        """When the next pending call times out; None: none is pending."""
+        return self._announcements.next_expiry_at
+
+    # --- calls of workers ---
+
+    def handle_heartbeat(self, record: WorkerRecord, now: int) -> int | None:
+        """See `ControlEngine.handle_heartbeat`."""
+        known = self.registry.tracked.get(record.instance)
+        self._forward(self.registry.merge(record, now))
+        if record.state is WorkerState.READY:
+            return None
+        if known is not None and known.record.state is WorkerState.GONE:
+            record = known.record
+        request_id = self._next_request_id()
+        update = self._announcements.begin(request_id, record, now)
+        self._outbox.broadcast(self._peers.addresses, update)
+        if self._settings.counts_for_quorum:
+            self._announcements.acknowledge(self._ack(update))
+        return request_id
+
+    def handle_deregistration(self, instance: str, now: int) -> int | None:
+        """See `ControlEngine.handle_deregistration`."""
+        tombstone = self.registry.tombstone(instance)
+        if tombstone is None:
+            tombstone = WorkerRecord(instance, "", "", "", WorkerState.GONE, 0)
+        return self.handle_heartbeat(tombstone, now)
+
+    def expire_calls(self, now: int) -> None:
+        """Fail the calls that have timed out."""
+        self._announcements.expire(now)
+
+    def take_outcomes(self) -> list[AnnouncementOutcome]:
+        """The outcomes of workers' calls since the last call."""
+        return self._announcements.take_outcomes()
+
+    # --- exchange with peers ---
+
+    def restore(self, records: tuple[WorkerRecord, ...], now: int) -> None:
+        """Track workers known before a restart.
+
+        They were not heard because nobody listened: they have a little more than a heartbeat to be heard
+        before they count as silent.
+        """
+        heard_at = now - round((SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us)
+        for record in records:
+            if record.state is not WorkerState.GONE:
+                self._forward(self.registry.merge(record, heard_at))
+
+    def send_snapshot(self, address: str, now: int) -> None:
+        """Send all workers to a peer that may have lost what was sent to it before."""
+        update = m.WorkerUpdate(0, self.registry.unexpired_records(now), self.registry.ages(now))
+        self._outbox.send(address, update)
+
+    def send_ages(self, routers: tuple[str, ...], switching: tuple[str, ...], now: int) -> None:
+        """Send peers the ages of the workers heard since the last time, and this registry's digest."""
+        self.registry.expire(now)
+        heard_ages = self.registry.take_heard_ages(now)
+        ages = m.WorkerAges(heard_ages, routers, switching, self.registry.digest)
+        self._outbox.broadcast(self._peers.alive_quorum_peers(now), ages)
+
+    def handle_update(self, sender: str, update: m.WorkerUpdate, now: int) -> None:
+        """Merge a peer's records; acknowledge them if it waits for that."""
+        for record in update.records:
+            heard_at = now - update.ages.get(record.instance, 0)
+            self._forward(self.registry.merge(record, heard_at))
+        if update.request_id and self._settings.counts_for_quorum:
+            self._outbox.send(sender, self._ack(update))
+
+    def handle_ack(self, ack: m.WorkerUpdateAck) -> None:
+        """A peer holds the records of a call."""
+        self._announcements.acknowledge(ack)
+
+    def handle_ages(self, sender: str, ages: m.WorkerAges, now: int) -> None:
+        """Note when workers were heard elsewhere, and compare digests."""
+        peer = self._peers.get(sender)
+        if peer is not None:
+            peer.routers = ages.routers
+            peer.switching = ages.switching
+            # Processes that do not count for the quorum get no ages, so they drop workers earlier.
+            is_comparable = peer.counts_for_quorum and self._settings.counts_for_quorum
+            is_equal = not is_comparable or ages.digest == self.registry.digest
+            peer.digest_mismatches = 0 if is_equal else peer.digest_mismatches + 1
+            if peer.digest_mismatches >= MAX_DIGEST_MISMATCHES:  # more than updates in flight: some were lost
+                peer.digest_mismatches = 0
+                self._outbox.send(sender, m.WorkerSyncRequest())
+        for instance, age in ages.ages.items():
+            self.registry.mark_heard(instance, now - age)
+
+    def _ack(self, update: m.WorkerUpdate) -> m.WorkerUpdateAck:
+        return m.WorkerUpdateAck(update.request_id, update.incarnation, self._raft.me, self._raft.voters)
+
+    def _forward(self, records: list[WorkerRecord]) -> None:
+        """Send changed records to routers and to all peers: what is new here is new to others as well."""
+        if not records:
+            return
+        self._outbox.report_workers(records)
+        self._outbox.broadcast(self._peers.addresses, m.WorkerUpdate(0, tuple(records)))
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -1,7 +1,8 @@
-"""What is known of workers: records that merge the same way in any order, and the registry that holds them.
+"""Worker records, which merge the same way in any order, and the registry that tracks them.
 
 A record is ordered by (ended, `seq`) within its instance, so a late heartbeat changes nothing and `GONE` is
-final. Times are microseconds of this process's monotonic clock.
+final: the registry is a state-based CRDT, a last-writer-wins map. Times are microseconds of this process's
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,17 +13,15 @@
 
 import msgspec
 
-SILENT_HEARTBEATS = 2.2  # heartbeats that may be missing before a worker is marked as silent
-RESTORED_HEARTBEATS = 1.5  # heartbeats that a recalled worker has to be heard, before it is marked as silent
-EXPIRY_HEARTBEATS = 10.0  # after which routers forget it
-LISTED_HEARTBEATS = (
-    12.0  # after which control processes do: later, so that each router is told of its age by then
-)
-TOMBSTONE = 60_000_000  # how long the end of an instance is remembered
+SILENT_HEARTBEATS = 2.2  # heartbeats that may be missing before a worker counts as silent
+RESTORED_HEARTBEATS = 1.5  # heartbeats that a restored worker has to be heard, before it counts as silent
+EXPIRY_HEARTBEATS = 10.0  # missing heartbeats after which routers drop a worker
+# Control processes drop it later than routers do, so that each router has learned of its age by then.
+CONTROL_EXPIRY_HEARTBEATS = 12.0
+TOMBSTONE_US = 60_000_000  # how long the end of an instance is remembered
 
-
-MARK_BYTES = 6  # of a record's part in the digest
-_UNSEEN = {"seq": 0, "cold_left_ms": 0}  # fields of which no router has to know each change
+RECORD_DIGEST_BYTES = 6
+_VOLATILE_FIELDS = {"seq": 0, "warm_up_left_ms": 0}  # routers need not learn of each change of these
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -35,7 +34,7 @@
 
 
 class WorkerRecord(msgspec.Struct, frozen=True):
-    """The last word of, or about, one instance of a worker."""
+    """The newest state of one instance of a worker."""
 
     instance: str
     service: str
@@ -46,17 +45,17 @@
     capacity: int = 1
     phase: str = ""  # "prefill" or "decode"; empty for workers without phases
     models: tuple[str, ...] = ()
-    cold_left_ms: int = 0
+    warm_up_left_ms: int = msgspec.field(default=0, name="cold_left_ms")
 
     @property
     def rank(self) -> tuple[bool, int]:
-        """Of two records of an instance, the one with the greater rank holds."""
+        """Of two records of an instance, the one with the greater rank wins."""
         return self.state is WorkerState.GONE, self.seq
 
 
 @dataclass(slots=True)
 class TrackedWorker:
-    """A record and when the worker was last heard, by whichever control process."""
+    """A record, and when the worker was last heard by any control process."""
 
     record: WorkerRecord
     heard_at: int
@@ -65,125 +64,133 @@
 class WorkerRegistry:
     """The workers of all services, by instance."""
 
-    def __init__(self, heartbeat: int) -> None:
-        """`heartbeat`: microseconds between two heartbeats of a worker."""
-        self.heartbeat = heartbeat
+    def __init__(self, heartbeat_us: int) -> None:
+        """`heartbeat_us`: the period of a worker's heartbeats."""
+        self._heartbeat_us = heartbeat_us
         self.tracked: dict[str, TrackedWorker] = {}
-        self.digest = 0  # of all records that have not ended: equal where the same is known
-        self._by_address: dict[str, str] = {}
-        self._fresh: set[str] = set()  # heard since `take_fresh_ages`
+        self.digest = 0  # over all records that have not ended: equal where the same workers are known
+        self._instance_by_address: dict[str, str] = {}
+        self._heard_instances: set[str] = set()  # since the last `take_heard_ages`
 
     def merge(self, record: WorkerRecord, heard_at: int) -> list[WorkerRecord]:
-        """Take a record; the records that changed by it, which are to be told to others."""
+        """Merge a record; returns the records that changed by it, which peers and routers must learn of."""
         known = self.tracked.get(record.instance)
         if known is not None and record.rank <= known.record.rank:
-            self.hear(record.instance, heard_at)
+            self.mark_heard(record.instance, heard_at)
             return []
         changed = []
         if record.state is not WorkerState.GONE:
-            changed = self._end_others_at(record, heard_at)
+            changed = self._end_previous_instance(record, heard_at)
         differs = known is None or _differs(known.record, record)
         if differs:
             changed.append(record)
-        before = known.heard_at if known is not None else heard_at - 1
-        self._list(TrackedWorker(record, before), differs)
-        self.hear(record.instance, heard_at)
+        previous_heard_at = known.heard_at if known is not None else heard_at - 1
+        self._track(TrackedWorker(record, previous_heard_at), differs=differs)
+        self.mark_heard(record.instance, heard_at)
         return changed
 
-    def _end_others_at(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
-        other = self._by_address.get(record.address)
-        self._by_address[record.address] = record.instance
-        if other is None or other == record.instance or other not in self.tracked:
-            return []
-        before = self.tracked[other].record
-        if before.state is WorkerState.GONE:
-            return []
-        ended = msgspec.structs.replace(before, state=WorkerState.GONE)
-        self._list(TrackedWorker(ended, now), differs=True)
-        return [ended]
-
-    def _list(self, listed: TrackedWorker, differs: bool) -> None:
-        """The only place where a record comes in or is replaced."""
-        known = self.tracked.get(listed.record.instance)
-        if differs:
-            self.digest ^= _mark(listed.record) ^ (_mark(known.record) if known is not None else 0)
-        self.tracked[listed.record.instance] = listed
-
-    def _drop(self, instance: str) -> None:
-        record = self.tracked.pop(instance).record
-        self.digest ^= _mark(record)
-        if self._by_address.get(record.address) == instance:
-            del self._by_address[record.address]
-
-    def ended(self, instance: str) -> WorkerRecord | None:
-        """The record that says that this instance has left; None where it is not known."""
+    def tombstone(self, instance: str) -> WorkerRecord | None:
+        """The record that ends this instance; None if the instance is not known."""
         known = self.tracked.get(instance)
         return None if known is None else msgspec.structs.replace(known.record, state=WorkerState.GONE)
 
-    def hear(self, instance: str, heard_at: int) -> None:
-        """Another process has heard of it."""
+    def mark_heard(self, instance: str, heard_at: int) -> None:
+        """Note that some control process has heard this instance."""
         known = self.tracked.get(instance)
         if known is not None and heard_at > known.heard_at:
             known.heard_at = heard_at
-            self._fresh.add(instance)
+            self._heard_instances.add(instance)
 
     def expire(self, now: int) -> None:
-        """Drop what has been silent for too long."""
-        for instance, each in list(self.tracked.items()):
-            gone = each.record.state is WorkerState.GONE
-            if now - each.heard_at > (TOMBSTONE if gone else LISTED_HEARTBEATS * self.heartbeat):
+        """Drop workers that have been silent for too long, and tombstones that are old enough."""
+        worker_expiry_us = CONTROL_EXPIRY_HEARTBEATS * self._heartbeat_us
+        for instance, worker in list(self.tracked.items()):
+            has_ended = worker.record.state is WorkerState.GONE
+            if now - worker.heard_at > (TOMBSTONE_US if has_ended else worker_expiry_us):
                 self._drop(instance)
 
-    def is_silent(self, listed: TrackedWorker, now: int) -> bool:
+    def is_silent(self, worker: TrackedWorker, now: int) -> bool:
         """Whether its heartbeats have been missing for longer than chance explains."""
-        return now - listed.heard_at > SILENT_HEARTBEATS * self.heartbeat
+        return now - worker.heard_at > SILENT_HEARTBEATS * self._heartbeat_us
 
     def records(self) -> tuple[WorkerRecord, ...]:
-        """All that is known, ends included."""
-        return tuple(each.record for each in self.tracked.values())
+        """All records, tombstones included."""
+        return tuple(worker.record for worker in self.tracked.values())
 
-    def lasting(self, now: int) -> tuple[WorkerRecord, ...]:
-        """All that is known but for those that are about to be forgotten: what another one may lack."""
-        last = EXPIRY_HEARTBEATS * self.heartbeat
+    def unexpired_records(self, now: int) -> tuple[WorkerRecord, ...]:
+        """All records but those that are about to expire: what a peer may lack."""
+        expiry_us = EXPIRY_HEARTBEATS * self._heartbeat_us
         return tuple(
-            each.record
-            for each in self.tracked.values()
-            if each.record.state is WorkerState.GONE or now - each.heard_at < last
+            worker.record
+            for worker in self.tracked.values()
+            if worker.record.state is WorkerState.GONE or now - worker.heard_at < expiry_us
         )
 
     def ages(self, now: int) -> dict[str, int]:
         """Microseconds since each worker that has not ended was heard."""
         return {
-            instance: max(now - each.heard_at, 0)
-            for instance, each in self.tracked.items()
-            if each.record.state is not WorkerState.GONE
+            instance: max(now - worker.heard_at, 0)
+            for instance, worker in self.tracked.items()
+            if worker.record.state is not WorkerState.GONE
         }
 
     def silent_ages(self, now: int) -> dict[str, int]:
-        """The same of those alone that are silent."""
+        """The `ages` of silent workers alone."""
         return {
             instance: age
             for instance, age in self.ages(now).items()
-            if age > SILENT_HEARTBEATS * self.heartbeat
+            if age > SILENT_HEARTBEATS * self._heartbeat_us
         }
 
-    def take_fresh_ages(self, now: int) -> dict[str, int]:
-        """The same of those alone that were heard, here or elsewhere, since the last call."""
-        fresh, self._fresh = self._fresh, set()
+    def take_heard_ages(self, now: int) -> dict[str, int]:
+        """Microseconds since each worker was heard, of those heard anywhere since the last call."""
+        heard = self._heard_instances
+        self._heard_instances = set()
         return {
-            instance: max(now - self.tracked[instance].heard_at, 0) for instance in fresh & set(self.tracked)
+            instance: max(now - self.tracked[instance].heard_at, 0) for instance in heard & set(self.tracked)
         }
 
+    def _end_previous_instance(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
+        """End the instance that had the address of this record before: its process was replaced."""
+        previous = self._instance_by_address.get(record.address)
+        self._instance_by_address[record.address] = record.instance
+        if previous is None or previous == record.instance or previous not in self.tracked:
+            return []
+        previous_record = self.tracked[previous].record
+        if previous_record.state is WorkerState.GONE:
+            return []
+        ended = msgspec.structs.replace(previous_record, state=WorkerState.GONE)
+        self._track(TrackedWorker(ended, now), differs=True)
+        return [ended]
+
+    def _track(self, worker: TrackedWorker, *, differs: bool) -> None:
+        """Add or replace a record; the only place that does, so that `digest` stays right."""
+        known = self.tracked.get(worker.record.instance)
+        if differs:
+            previous_digest = _record_digest(known.record) if known is not None else 0
+            self.digest ^= _record_digest(worker.record) ^ previous_digest
+        self.tracked[worker.record.instance] = worker
+
+    def _drop(self, instance: str) -> None:
+        record = self.tracked.pop(instance).record
+        self.digest ^= _record_digest(record)
+        if self._instance_by_address.get(record.address) == instance:
+            del self._instance_by_address[record.address]
+
+
+def _record_digest(record: WorkerRecord) -> int:
+    """A digest of what routers have to know of a record.
 
-def _mark(record: WorkerRecord) -> int:
-    """Names what routers have to know of a record; 0 once it has ended, as ends are forgotten at different
-    times by different processes."""
+    It is 0 once the record has ended: processes drop tombstones at different times.
+    """
     if record.state is WorkerState.GONE:
         return 0
-    content = _encoder.encode(msgspec.structs.replace(record, **_UNSEEN))
-    return int.from_bytes(blake2b(content, digest_size=MARK_BYTES).digest())
+    content = _encoder.encode(msgspec.structs.replace(record, **_VOLATILE_FIELDS))
+    return int.from_bytes(blake2b(content, digest_size=RECORD_DIGEST_BYTES).digest())
 
 
 def _differs(before: WorkerRecord, after: WorkerRecord) -> bool:
-    """Whether a router has to know of it: not of each `seq`, nor of each millisecond of warming up."""
-    return msgspec.structs.replace(before, **_UNSEEN) != msgspec.structs.replace(after, **_UNSEEN)
+    """Whether routers have to learn of the change: not of each `seq`, nor of each millisecond of warm-up."""
+    return msgspec.structs.replace(before, **_VOLATILE_FIELDS) != msgspec.structs.replace(
+        after, **_VOLATILE_FIELDS
+    )
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -141,7 +141,7 @@
         for entry in cached:
             known = self.workers.get(entry.instance)
             if known is not None:
-                segment = PrefixSegment(entry.part, entry.tokens)
+                segment = PrefixSegment(entry.prefix_id, entry.tokens)
                 known.prefix_cache.add([segment], self._fleet.prefix_cache_capacity(known))
 
     # --- exchange with peer routers ---
--- a/hazelbend/protocol/control_calls.py
+++ b/hazelbend/protocol/control_calls.py
@@ -1,4 +1,4 @@
-"""The bodies of calls to the system's own interfaces: heartbeats of workers, as JSON."""
+"""The JSON bodies of workers' heartbeats to a control process."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
     seq: int
     state: str = "ready"
     capacity: int = 1
-    cold_left_ms: float = msgspec.field(default=0, name="coldLeftMs")
+    warm_up_left_ms: float = msgspec.field(default=0, name="coldLeftMs")
     phase: str = ""
     models: tuple[_Model, ...] = ()
 
 
-_heartbeats = msgspec.json.Decoder(_Heartbeat)
+_heartbeat_decoder = msgspec.json.Decoder(_Heartbeat)
 _STATES = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
 
 
-def read_heartbeat(instance: str, body: bytes) -> WorkerRecord:
-    """The record that a worker's heartbeat tells.
+def parse_heartbeat(instance: str, body: bytes) -> WorkerRecord:
+    """Parse the body of a worker's heartbeat into its record.
 
     Raises:
-        ValueError: it can't be read; the text says why.
+        ValueError: the body is no heartbeat; the text names the fault.
     """
     try:
-        beat = _heartbeats.decode(body)
+        heartbeat = _heartbeat_decoder.decode(body)
     except msgspec.DecodeError as error:
         raise ValueError(str(error)) from None
-    if beat.state not in _STATES:
-        raise ValueError(f"state: unknown {beat.state!r}")
+    if heartbeat.state not in _STATES:
+        raise ValueError(f"state: unknown {heartbeat.state!r}")
     return WorkerRecord(
         instance=instance,
-        service=beat.backend,
-        address=beat.addr,
-        zone=beat.zone,
-        state=_STATES[beat.state],
-        seq=beat.seq,
-        capacity=max(beat.capacity, 1),
-        phase=beat.phase,
-        models=tuple(model.name for model in beat.models),
-        cold_left_ms=round(beat.cold_left_ms),
+        service=heartbeat.backend,
+        address=heartbeat.addr,
+        zone=heartbeat.zone,
+        state=_STATES[heartbeat.state],
+        seq=heartbeat.seq,
+        capacity=max(heartbeat.capacity, 1),
+        phase=heartbeat.phase,
+        models=tuple(model.name for model in heartbeat.models),
+        warm_up_left_ms=round(heartbeat.warm_up_left_ms),
     )
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -13,8 +13,8 @@
 from hazelbend.control.announcements import AnnouncementOutcome
 from hazelbend.control.config_state_machine import ChangeResult, decompress_body
 from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
-from hazelbend.control.outputs import Answer, PutOutcome, ReadOutcome
-from hazelbend.protocol.control_calls import read_heartbeat
+from hazelbend.control.outputs import CallOutcome, PutOutcome, ReadOutcome
+from hazelbend.protocol.control_calls import parse_heartbeat
 from hazelbend.system.clock import clock
 from hazelbend.system.control_node import ControlNode
 from hazelbend.system.settings import split_address
@@ -87,7 +87,7 @@
 
     async def _heartbeat(self, instance: str, body: bytes) -> HttpResponse:
         try:
-            record = read_heartbeat(instance, body)
+            record = parse_heartbeat(instance, body)
         except ValueError as error:
             raise CallRejectedError(HttpResponse(400, f"{error}\n".encode())) from None
         now = clock()
@@ -106,7 +106,7 @@
             self._node.advance()
             return HttpResponse(200, b"{}", JSON)
         answer = await self._node.wait_for_answer(number)
-        if not isinstance(answer, AnnouncementOutcome) or not answer.held:
+        if not isinstance(answer, AnnouncementOutcome) or not answer.acknowledged:
             return HttpResponse(503, b"too few control processes hold it\n")
         return HttpResponse(200, b"{}", JSON)
 
@@ -115,14 +115,14 @@
     async def _put_config(self, request: HttpRequest) -> HttpResponse:
         change = _read_config_change(request)
         await self._require_leadership(request.path)
-        number = self._node.engine.put(change.base_version, change.version, change.body, clock())
+        number = self._node.engine.put_config(change.base_version, change.version, change.body, clock())
         if number is None:
             return HttpResponse(503, b"no majority that is large enough\n")
         return _put_response(await self._node.wait_for_answer(number), change.version)
 
     async def _get_config(self, request: HttpRequest) -> HttpResponse:
         await self._require_leadership(request.path)
-        number = self._node.engine.read(clock())
+        number = self._node.engine.read_config(clock())
         answer = await self._node.wait_for_answer(number) if number is not None else None
         if not isinstance(answer, ReadOutcome) or answer.config is None:
             return HttpResponse(503, b"no majority answers\n")
@@ -179,14 +179,14 @@
     return _ConfigChange(int(base_version), version, request.body)
 
 
-def _put_response(answer: Answer | None, version: int) -> HttpResponse:
+def _put_response(answer: CallOutcome | None, version: int) -> HttpResponse:
     match answer.result if isinstance(answer, PutOutcome) else None:
         case ChangeResult.ACCEPTED:
             return HttpResponse(200, b'{"version":%d}' % version, JSON)
         case ChangeResult.CONFLICT:
             return CONFIG_CONFLICT
-        case ChangeResult.NOT_ABOVE:
+        case ChangeResult.VERSION_NOT_NEWER:
             return CONFIG_NOT_ABOVE
-        case ChangeResult.FORGOTTEN:
+        case ChangeResult.BASE_TOO_OLD:
             return CONFIG_FORGOTTEN
     return CONFIG_UNKNOWN
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -9,7 +9,7 @@
 from hazelbend.control import messages as m
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.load_table import CacheTable, RouterLoad
-from hazelbend.control.outputs import ControlSettings
+from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.system.clock import clock
 from hazelbend.system.control_api import ControlApi
@@ -46,7 +46,7 @@
         self._soft_state = SoftStateSaver(self._node, caches, soft_state_path)
         self._publisher = UpdatePublisher(self._node, caches)
         self._phase_orders = PhaseOrderSender(
-            self._node, self._publisher.loads.totals, announce=self._publisher.publish_fleet_status
+            self._node, self._publisher.loads.total_loads, announce=self._publisher.publish_fleet_status
         )
         api = ControlApi(self._node, settings.control_address)
         self._api_server = AsgiServer(api.answer, MAX_CALL_BODY_BYTES)
--- a/hazelbend/system/control_node.py
+++ b/hazelbend/system/control_node.py
@@ -12,7 +12,8 @@
 from hazelbend.control import messages as m
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
-from hazelbend.control.outputs import Answer, ControlSettings, DurableOutput, ImmediateOutput
+from hazelbend.control.outputs import CallOutcome, DurableOutput, ImmediateOutput
+from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 from hazelbend.system.clock import clock
 from hazelbend.system.control_event_log import ControlEventLog
@@ -58,7 +59,7 @@
         self._on_config = on_config
         self._on_workers = on_workers
         self._links: dict[str, FrameLink] = {}  # by address of the control process
-        self._pending_answers: dict[int, asyncio.Future[Answer]] = {}  # by number
+        self._pending_answers: dict[int, asyncio.Future[CallOutcome]] = {}  # by number
         self._save_task: asyncio.Task[None] | None = None
         self._tick_timer: asyncio.TimerHandle | None = None
         self._event_log = ControlEventLog()
@@ -76,7 +77,7 @@
         if restored is not None:
             commit_index = restored[1]
             self.engine.raft.restore_commit(commit_index, clock())
-            self.config = self.engine.machine.current
+            self.config = self.engine.config_state.current
         log.info("control: started as %s, %s", self.engine.identity, "restored" if state else "new")
 
     async def hand_over_leadership(self) -> None:
@@ -131,10 +132,10 @@
         delay_s = max((self.engine.next_tick_at - clock()) / SECOND_US, MIN_TICK_INTERVAL_S)
         self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self.advance)
 
-    async def wait_for_answer(self, number: int) -> Answer | None:
+    async def wait_for_answer(self, number: int) -> CallOutcome | None:
         """Wait for the engine's answer of this number; None where it does not come in time."""
         self.advance()
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._pending_answers[number] = future
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -170,18 +171,18 @@
             self._save_task = None
 
     def _send_immediate(self, output: ImmediateOutput) -> None:
-        for address, body in output.out:
+        for address, body in output.messages:
             self.send(address, m.encode(body))
-        for answer in output.answers:
+        for answer in output.outcomes:
             # Later, since its caller comes to wait for it only after this call.
             asyncio.get_running_loop().call_soon(self._resolve, answer)
-        if output.news:
-            self._on_workers(output.news)
+        if output.changed_workers:
+            self._on_workers(output.changed_workers)
 
     def _send_durable(self, output: DurableOutput) -> None:
-        for address, messages in output.out:
+        for address, messages in output.messages:
             self.send(address, m.encode(messages))
-        for answer in output.answers:
+        for answer in output.outcomes:
             self._resolve(answer)
         self.confirmed_at = output.confirmed_at
         if output.config.version > self.config.version:
@@ -189,8 +190,8 @@
             log.info("control: configuration %d is in force", output.config.version)
             self._on_config(output.config)
 
-    def _resolve(self, answer: Answer) -> None:
-        future = self._pending_answers.get(answer.number)
+    def _resolve(self, answer: CallOutcome) -> None:
+        future = self._pending_answers.get(answer.request_id)
         if future is not None and not future.done():
             future.set_result(answer)
 
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -135,7 +135,7 @@
 
     def _caches_received(self, update: m.CacheUpdate) -> None:
         try:
-            cached = update.cached()
+            cached = update.cached_prefixes()
         except msgspec.DecodeError as error:
             log.warning("subscription: %s: undecodable cache contents: %s", self.address, error)
             return
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -70,19 +70,19 @@
 
     async def _send(self, order: PhaseOrder) -> None:
         # Imported here: slow to import, and most processes never send an order.
-        from hazelbend.transport.http.worker_orders import Order, OrderResult, send_order
+        from hazelbend.transport.http.worker_orders import OrderResult, WorkerOrder, send_order
 
         engine = self._node.engine
         token = await self._confirmed_token()
         if token is None:
             log.warning("control: %s not ordered to %s: no quorum", order.instance, order.phase)
-            engine.planner.refused(order)
+            engine.planner.order_rejected(order)
             return
-        body = Order(ORDER_OPERATION, order.phase, engine.identity, token)
+        body = WorkerOrder(ORDER_OPERATION, order.phase, engine.identity, token)
         result = await send_order(order.address, order.instance, body)
         log.info("control: %s ordered to %s: %s", order.instance, order.phase, result.value)
-        if result is OrderResult.REFUSED:
-            engine.planner.refused(order)
+        if result is OrderResult.REJECTED:
+            engine.planner.order_rejected(order)
 
     async def _confirmed_token(self) -> int | None:
         """The fencing token of an order, once a majority has confirmed that this process leads.
@@ -93,7 +93,7 @@
         engine = self._node.engine
         token = engine.order_token(clock())
         self._announce()
-        number = engine.read(clock())
+        number = engine.read_config(clock())
         answer = await self._node.wait_for_answer(number) if number is not None else None
         confirmed = isinstance(answer, ReadOutcome) and answer.config is not None
         if not confirmed or engine.order_token(clock()) != token:
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -121,7 +121,7 @@
         self._listener.request_timeout_s = limits.header_timeout_ms / MILLISECONDS
 
     def _fleet_status_received(self, status: m.FleetStatus) -> None:
-        self._subscriptions.set_alive(status.controls)
+        self._subscriptions.set_alive(status.control_addresses)
         self._load_reporter.schedule_report()  # reports may be lost, so the load is repeated regularly
 
 
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -102,14 +102,14 @@
         """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
         engine = self._node.engine
         config = self._node.config
-        loads = self.loads.all_others(request.router) if request.loads else {}
+        loads = self.loads.all_other_loads(request.router) if request.loads else {}
         bodies: list[m.Body] = [m.WorkerUpdate(0, engine.registry.records())]
         if config.version > request.version:
             bodies.append(m.ConfigUpdate(config.version, config.body))
         bodies.append(engine.fleet_status(clock()))
         bodies.append(LoadUpdate(loads, complete=request.loads))
         if request.caches:
-            bodies.append(m.CacheUpdate.of(self._caches.by_instance))
+            bodies.append(m.CacheUpdate.from_prefixes(self._caches.by_instance))
         return bodies
 
     # --- to routers ---
@@ -174,7 +174,7 @@
         for connection, subscriber in list(self._subscribers.items()):
             if not subscriber.wants_loads:
                 continue
-            loads = self.loads.others(subscriber.router, changed)
+            loads = self.loads.other_loads(subscriber.router, changed)
             others = tuple(outcome for router, outcome in outcomes if router != subscriber.router)
             _send_or_disconnect(connection, m.encode(LoadUpdate(loads, cached, outcomes=others)))
 
--- a/hazelbend/transport/http/worker_orders.py
+++ b/hazelbend/transport/http/worker_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers over HTTP, by httpcore: each is sent once."""
+"""Orders to workers over HTTP, by httpcore. Each is sent once: an order is not retried."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 import httpcore
 import msgspec
 
-ORDER_WAIT = 1.0  # seconds
+ORDER_TIMEOUT_S = 1.0
+_ACCEPTED_STATUSES = (200, 202)
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """How a worker answered an order."""
 
-    TAKEN = "taken"
-    REFUSED = "refused"
-    UNKNOWN = "unknown"  # no answer: it may have been taken
+    ACCEPTED = "taken"
+    REJECTED = "refused"
+    UNKNOWN = "unknown"  # no answer: it may have been accepted
 
 
-class Order(msgspec.Struct, frozen=True, rename="camel"):
+class WorkerOrder(msgspec.Struct, frozen=True, rename="camel"):
     """The body of `POST /order`."""
 
     op: str
@@ -28,19 +29,23 @@
     fence_token: int
 
 
-async def send_order(address: str, instance: str, order: Order) -> OrderResult:
-    """Give a worker an order, if it is still this instance that has the address."""
+async def send_order(address: str, instance: str, order: WorkerOrder) -> OrderResult:
+    """Send an order to a worker; the worker rejects it if another instance has the address by now."""
     async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
         try:
-            async with asyncio.timeout(ORDER_WAIT):
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
                 response = await pool.request(
                     "POST",
                     f"http://{address}/order",
                     headers={"Content-Type": "application/json", "Expect-Instance": instance},
                     content=msgspec.json.encode(order),
                 )
-        except (TimeoutError, OSError, httpcore.ConnectError):
+        except (
+            TimeoutError,
+            OSError,
+            httpcore.NetworkError,
+            httpcore.ProtocolError,
+            httpcore.TimeoutException,
+        ):
             return OrderResult.UNKNOWN
-        except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
-            return OrderResult.UNKNOWN
-    return OrderResult.TAKEN if response.status in (200, 202) else OrderResult.REFUSED
+    return OrderResult.ACCEPTED if response.status in _ACCEPTED_STATUSES else OrderResult.REJECTED
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -130,9 +130,9 @@
     "handover_news": json_form(handover.decode_update, handover.encode_update),
     "endpoint_list": json_form(LISTS.decode, lambda found: msgspec.json.encode(LISTS.to_object(found))),
     "heartbeat": json_form(
-        lambda body: control_calls.read_heartbeat("w-1", body), lambda record: msgspec.json.encode(record)
+        lambda body: control_calls.parse_heartbeat("w-1", body), lambda record: msgspec.json.encode(record)
     ),
-    "worker_order": json_form(msgspec.json.Decoder(worker_orders.Order).decode),
+    "worker_order": json_form(msgspec.json.Decoder(worker_orders.WorkerOrder).decode),
     "prefill_result": json_form(msgspec.json.Decoder(prefill.PrefillResult).decode),
     "fleet_snapshot": json_form(msgspec.json.Decoder(fleet_snapshot.Snapshot).decode),
     "routes": json_form(msgspec.json.Decoder(routes.Configuration).decode),
@@ -735,7 +735,7 @@
             "worker_digest": registry.digest,
             "change_digest": config_state_machine.digest_of(6, b'{"version": 7}').hex(),
             "change_entry": as_text(entry),
-            "cache_head": messages.CacheUpdate.of({}).body[:2].hex(),
+            "cache_head": messages.CacheUpdate.from_prefixes({}).body[:2].hex(),
             "epochs": epoch_numbers(),
         },
     )
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -467,7 +467,7 @@
             if chance.random() < 0.8:
                 phases[order.instance] = order.phase
             else:
-                planner.refused(order)
+                planner.order_rejected(order)
     return trace
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -95,7 +95,7 @@
     first, second, rival = b'{"v":4}', b'{"v":7}', b'{"v":8}'
     assert machine.apply(1, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED
     assert machine.apply(2, encode_config_change(0, 5, rival)) is ChangeResult.CONFLICT
-    assert machine.apply(3, encode_config_change(4, 4, rival)) is ChangeResult.NOT_ABOVE
+    assert machine.apply(3, encode_config_change(4, 4, rival)) is ChangeResult.VERSION_NOT_NEWER
     assert machine.apply(4, encode_config_change(4, 7, second)) is ChangeResult.ACCEPTED
     assert machine.apply(5, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, (
         "sent again, versions later"
@@ -159,7 +159,7 @@
     assert not registry.is_silent(listed, 2 * S) and registry.is_silent(listed, 3 * S)
     registry.expire(9 * S)
     assert "i-1" in registry.tracked
-    registry.hear("i-1", 8 * S)
+    registry.mark_heard("i-1", 8 * S)
     registry.expire(11 * S)
     assert "i-1" in registry.tracked, "another process has heard it"
     registry.expire(30 * S)
@@ -170,11 +170,11 @@
     registry = WorkerRegistry(S)
     registry.merge(record("i-1", address="10.0.0.1:1"), 0)
     registry.merge(record("i-2", address="10.0.0.2:1"), 0)
-    registry.take_fresh_ages(0)
-    registry.hear("i-1", 2 * S)
-    registry.hear("i-2", 0)
-    assert registry.take_fresh_ages(3 * S) == {"i-1": S}, "what is known already is not told again"
-    assert registry.take_fresh_ages(3 * S) == {}
+    registry.take_heard_ages(0)
+    registry.mark_heard("i-1", 2 * S)
+    registry.mark_heard("i-2", 0)
+    assert registry.take_heard_ages(3 * S) == {"i-1": S}, "what is known already is not told again"
+    assert registry.take_heard_ages(3 * S) == {}
     assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers are told of silence alone"
 
 
@@ -196,13 +196,13 @@
     table = LoadTable()
     table.merge(RouterLoad("a", 1, {"i": Load(2, 300), "j": Load(1, 0)}), 0)
     table.merge(RouterLoad("b", 1, {"i": Load(1, 50)}), 0)
-    assert table.totals() == {"i": Load(3, 350), "j": Load(1, 0)}
-    assert table.all_others("a") == {"i": Load(1, 50)}
-    assert table.all_others("new") == table.totals()
+    assert table.total_loads() == {"i": Load(3, 350), "j": Load(1, 0)}
+    assert table.all_other_loads("a") == {"i": Load(1, 50)}
+    assert table.all_other_loads("new") == table.total_loads()
     assert not table.merge(RouterLoad("a", 1, {}), 1), "an old word"
     assert table.merge(RouterLoad("a", 2, {}), 1)
     table.expire(10 * S)
-    assert table.totals() == {}
+    assert table.total_loads() == {}
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -222,11 +222,11 @@
         if rng.random() < 0.5:
             changed = table.take_changed()
             for name, view in told.items():
-                view.apply(LoadUpdate(table.others(name, changed)))
-                assert view.loads == table.all_others(name)
+                view.apply(LoadUpdate(table.other_loads(name, changed)))
+                assert view.loads == table.all_other_loads(name)
         if rng.random() < 0.05:
             told["a"] = LoadView()
-            told["a"].apply(LoadUpdate(table.all_others("a"), complete=True))
+            told["a"].apply(LoadUpdate(table.all_other_loads("a"), complete=True))
 
 
 def test_the_sums_are_those_of_the_last_words():
@@ -234,7 +234,7 @@
     for seq in range(5):
         table.merge(RouterLoad("a", seq, {"i": Load(seq, 10 * seq)}), 0)
         table.merge(RouterLoad("b", seq, {"i": Load(1, 0), "j": Load(seq, 0)}), 0)
-    assert table.totals() == {"i": Load(5, 40), "j": Load(4, 0)}
+    assert table.total_loads() == {"i": Load(5, 40), "j": Load(4, 0)}
     assert table.take_changed() == {"i", "j"}
     assert table.take_changed() == set()
 
@@ -268,11 +268,11 @@
         for _ in range(100)
     ]
     table.add(parts)
-    news = m.decode(m.encode(m.CacheUpdate.of(table.by_instance)))
-    assert set(news.cached()) == set(parts)
+    news = m.decode(m.encode(m.CacheUpdate.from_prefixes(table.by_instance)))
+    assert set(news.cached_prefixes()) == set(parts)
     assert len(news.body) < 12 * len(parts)
     with pytest.raises(msgspec.DecodeError):
-        m.CacheUpdate(b"nonsense").cached()
+        m.CacheUpdate(b"nonsense").cached_prefixes()
 
 
 # --- agreement: stories ---
@@ -365,7 +365,7 @@
     for other in fleet.addresses:
         fleet.cut(follower.address, other)
     fleet.start(follower.address)
-    assert follower.engine.machine.current.version >= 2
+    assert follower.engine.config_state.current.version >= 2
 
 
 def test_an_operator_founds_anew_with_a_survivor_after_a_majority_was_lost(fleet):
@@ -382,7 +382,7 @@
     assert fleet.leader is None
     survivor.engine.force_new_cluster(fleet.now)
     assert fleet.until(lambda: whole(fleet, 3), 5 * S)
-    assert {decompress_body(each.engine.machine.current) for each in fleet.alive} == {b'{"a":1}'}
+    assert {decompress_body(each.engine.config_state.current) for each in fleet.alive} == {b'{"a":1}'}
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED], "still known"
     assert results_of(fleet, base=2, version=3, body=b"{}") == [ChangeResult.ACCEPTED]
 
@@ -407,7 +407,7 @@
     assert old.engine is not None, "its process goes on"
     old.disk.full = False
     fleet.run(3 * S)
-    assert old.engine.machine.current.version == 2
+    assert old.engine.config_state.current.version == 2
 
 
 def test_a_drain_is_acknowledged_once_another_machine_holds_it(fleet):
@@ -432,7 +432,7 @@
     assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.identity for each in core)
     for address in (core[0], first, second):
         news = fleet.machines[address].engine.fleet_status(fleet.now)
-        assert sorted(news.controls) == sorted(core)
+        assert sorted(news.control_addresses) == sorted(core)
 
 
 def test_an_observer_that_is_cut_off_says_that_heartbeats_go_no_further():
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -19,10 +19,12 @@
     StoredConfig,
     encode_config_change,
 )
-from hazelbend.control.engine import TERM_BITS, ControlEngine
-from hazelbend.control.outputs import ControlSettings, ReadOutcome
+from hazelbend.control.engine import ControlEngine
+from hazelbend.control.fencing import TERM_BITS
+from hazelbend.control.outputs import ReadOutcome
 from hazelbend.control.peers import PeerTable
 from hazelbend.control.phase_planner import PhaseOrder
+from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry, WorkerState
 from hazelbend.system import phase_orders
 from hazelbend.system.phase_orders import PhaseOrderSender
@@ -82,7 +84,7 @@
 def test_an_age_is_told_with_the_configuration_that_it_speaks_of():
     fleet = started(3)
     output = fleet.leader.engine.take_durable_output()
-    assert output.config == fleet.leader.engine.machine.current
+    assert output.config == fleet.leader.engine.config_state.current
     assert fleet.now - output.confirmed_at < 500 * MS
 
 
@@ -94,15 +96,19 @@
     first, second = fleet.alive[0], fleet.alive[1]
     number = first.engine.handle_heartbeat(DRAINING, fleet.now)
     asked = [
-        body for _, body in first.engine.take_immediate_output().out if getattr(body, "number", 0) == number
+        body
+        for _, body in first.engine.take_immediate_output().messages
+        if getattr(body, "request_id", 0) == number
     ]
-    answer = m.WorkerUpdateAck(number, asked[0].life, second.engine.identity, second.engine.raft.voters)
-    earlier = msgspec.structs.replace(answer, life=answer.life + 1)
+    answer = m.WorkerUpdateAck(
+        number, asked[0].incarnation, second.engine.identity, second.engine.raft.voters
+    )
+    earlier = msgspec.structs.replace(answer, incarnation=answer.incarnation + 1)
     first.engine.receive(second.address, earlier, fleet.now)
-    assert first.engine.take_immediate_output().answers == []
+    assert first.engine.take_immediate_output().outcomes == []
     first.engine.receive(second.address, answer, fleet.now)
-    [done] = first.engine.take_immediate_output().answers
-    assert (done.number, done.held) == (number, True)
+    [done] = first.engine.take_immediate_output().outcomes
+    assert (done.request_id, done.acknowledged) == (number, True)
 
 
 def test_each_life_has_a_name_of_its_own():
@@ -154,14 +160,14 @@
 
 
 def test_a_resend_is_known_as_long_as_its_digest_is_kept_and_an_older_one_is_never_refused(monkeypatch):
-    monkeypatch.setattr(config_state_machine, "KEPT_DIGESTS", 10)
+    monkeypatch.setattr(config_state_machine, "MAX_ACCEPTED_DIGESTS", 10)
     machine = ConfigStateMachine()
     for version in range(1, 31):
         assert machine.apply(version, encode_config_change(version - 1, version, body_of(version))) is (
             ChangeResult.ACCEPTED
         )
     again = [machine.apply(0, encode_config_change(each - 1, each, body_of(each))) for each in range(1, 31)]
-    assert again == [ChangeResult.FORGOTTEN] * 20 + [ChangeResult.ACCEPTED] * 10
+    assert again == [ChangeResult.BASE_TOO_OLD] * 20 + [ChangeResult.ACCEPTED] * 10
     lost = encode_config_change(25, 26, b"another")
     assert machine.apply(0, lost) is ChangeResult.CONFLICT
     copy = ConfigStateMachine()
@@ -265,7 +271,7 @@
 
     async def send_order(address, instance, call):
         sent.append(call.fence_token)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     monkeypatch.setattr(worker_orders, "send_order", send_order)
     monkeypatch.setattr(phase_orders, "clock", lambda: fleet.now)
@@ -274,7 +280,7 @@
     orders = PhaseOrderSender(Confirming(), dict, lambda: None)
     steps_down = 0
     asyncio.run(orders._send(order))
-    steps_down = leader._number + 1
+    steps_down = leader._last_request_id + 1
     asyncio.run(orders._send(order))
     assert sent == [token]
 
@@ -345,40 +351,40 @@
 
 
 def test_a_voter_counts_as_erased_only_once_another_identity_has_answered_after_it_was_known():
-    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), life=9, now=0)
+    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     there = "10.0.2.1:7"
-    table.greeted(there, hello("x@10.0.2.1:7"), 1 * S)
-    table.note_voters(("x@10.0.2.1:7",), 1 * S)
+    table.handle_hello(there, hello("x@10.0.2.1:7"), 1 * S)
+    table.track_voters(("x@10.0.2.1:7",), 1 * S)
     for answers in (None, Stamp(8, 5 * S), Stamp(9, 900 * MS)):  # none, another life's, one from before
-        table.greeted(there, hello("old@10.0.2.1:7", answers=answers), 2 * S)
+        table.handle_hello(there, hello("old@10.0.2.1:7", answers=answers), 2 * S)
         assert not table.has_lost_state("x@10.0.2.1:7")
-    table.greeted(there, hello("y@10.0.2.1:7", answers=Stamp(9, 1_500 * MS)), 2 * S)
+    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Stamp(9, 1_500 * MS)), 2 * S)
     assert table.has_lost_state("x@10.0.2.1:7")
 
 
 def test_a_late_greeting_of_an_earlier_identity_does_not_undo_a_proof():
-    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), life=9, now=0)
+    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     there = "10.0.2.1:7"
-    table.note_voters(("y@10.0.2.1:7",), 0)
-    table.greeted(there, hello("y@10.0.2.1:7", answers=Stamp(9, 3 * S)), 3 * S)
-    table.greeted(there, hello("x@10.0.2.1:7", answers=Stamp(9, 2 * S)), 4 * S)
+    table.track_voters(("y@10.0.2.1:7",), 0)
+    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Stamp(9, 3 * S)), 3 * S)
+    table.handle_hello(there, hello("x@10.0.2.1:7", answers=Stamp(9, 2 * S)), 4 * S)
     assert not table.has_lost_state("y@10.0.2.1:7")
 
 
 def test_a_voter_that_had_the_address_of_its_leader_is_erased():
     """The leader is the one that came back at that address, with nothing."""
-    table = PeerTable("new@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), life=9, now=0)
-    table.note_voters(("old@10.0.1.1:7", "new@10.0.1.1:7"), 0)
+    table = PeerTable("new@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
+    table.track_voters(("old@10.0.1.1:7", "new@10.0.1.1:7"), 0)
     assert table.has_lost_state("old@10.0.1.1:7") and table.is_replaceable("old@10.0.1.1:7", 0)
     assert not table.has_lost_state("new@10.0.1.1:7") and not table.is_replaceable("new@10.0.1.1:7", 0)
 
 
 def test_two_identities_of_one_machine_are_never_listed_together():
-    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), life=9, now=0)
-    table.greeted("10.0.2.1:7", hello("y@10.0.2.1:7"), 1 * S)
+    table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
+    table.handle_hello("10.0.2.1:7", hello("y@10.0.2.1:7"), 1 * S)
     voters = ("a@10.0.1.1:7", "x@10.0.2.1:7")
-    assert table.candidates(voters, set(), 1 * S) == []
-    assert table.candidates(voters, {"x@10.0.2.1:7"}, 1 * S) == ["y@10.0.2.1:7"]
+    assert table.voter_candidates(voters, set(), 1 * S) == []
+    assert table.voter_candidates(voters, {"x@10.0.2.1:7"}, 1 * S) == ["y@10.0.2.1:7"]
 
 
 # --- what is known of workers comes together ---
@@ -407,7 +413,7 @@
     for record in records:
         one.merge(record, 0)
     for record in reversed(records):
-        other.merge(msgspec.structs.replace(record, seq=9, cold_left_ms=5), 0)
+        other.merge(msgspec.structs.replace(record, seq=9, warm_up_left_ms=5), 0)
     assert one.digest == other.digest != 0
     other.merge(msgspec.structs.replace(records[0], state=WorkerState.GONE, seq=10), 0)
     assert one.digest != other.digest
@@ -435,5 +441,5 @@
     fleet._send = send
     for _ in range(25):
         fleet.run(1 * S)
-        fleet.alive[0].engine.registry.hear("i-1", fleet.now)
+        fleet.alive[0].engine.registry.mark_heard("i-1", fleet.now)
     assert asked == []
--- a/tests/test_control_subscriptions.py
+++ b/tests/test_control_subscriptions.py
@@ -158,7 +158,7 @@
             connection.close(),
         )
     subscriptions, updates = await subscribed(controls, count=2)
-    updates.apply_fleet_status = lambda status: subscriptions.set_alive(status.controls)
+    updates.apply_fleet_status = lambda status: subscriptions.set_alive(status.control_addresses)
     await eventually(lambda: bool(controls[2].subscribers) and updates.version == 4)
     await subscriptions.close()
 
@@ -181,7 +181,7 @@
     await eventually(lambda: updates.version == 3 and len(with_subscribers(controls)) == 1)
     controls[0].broadcast(m.FleetStatus(tuple(control.address for control in controls), 5, {}))
     await eventually(lambda: any(isinstance(update, m.FleetStatus) for update in updates.received))
-    subscriptions.set_alive(updates.received[-1].controls)
+    subscriptions.set_alive(updates.received[-1].control_addresses)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     [other] = [control for control in controls[1:] if control.subscribers]
     assert next(request.version for request in other.subscribers.values()) >= 3
@@ -207,7 +207,7 @@
     [sender] = [
         control for control in controls if any(request.caches for request in control.subscribers.values())
     ]
-    sender.broadcast(m.CacheUpdate.of({"i-1": {"p": 10}}))
+    sender.broadcast(m.CacheUpdate.from_prefixes({"i-1": {"p": 10}}))
     await eventually(lambda: LoadUpdate({}, (CachedPrefix("i-1", "p", 10),)) in updates.received)
     await eventually(lambda: subscriptions._caches_known_at is not None)
     await sender.server.close()
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -254,11 +254,11 @@
 
 def test_cached_parts_are_compressed_as_before() -> None:
     parts = {"w-1": {"p1": 512, "p2": 64}, "w-2": {"p2": 64}}
-    news = messages.CacheUpdate.of(parts)
+    news = messages.CacheUpdate.from_prefixes(parts)
     assert msgspec.msgpack.decode(zlib.decompress(news.body)) == parts
     assert news.body == zlib.compress(msgspec.msgpack.encode(parts), 1)
     assert news.body[:2].hex() == kit.load_json("numbers")["cache_head"]
-    assert [msgspec.to_builtins(part) for part in news.cached()] == [
+    assert [msgspec.to_builtins(part) for part in news.cached_prefixes()] == [
         ["w-1", "p1", 512],
         ["w-1", "p2", 64],
         ["w-2", "p2", 64],
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -18,7 +18,7 @@
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.engine import ControlEngine
 from hazelbend.control.load_table import CacheTable
-from hazelbend.control.outputs import ControlSettings
+from hazelbend.control.settings import ControlSettings
 from hazelbend.forwarding.errors import OutcomeUnknownError, SendWithdrawnError, WorkerUnreachableError
 from hazelbend.forwarding.ports import ClientRequest, ClientResponse, WorkerCall
 from hazelbend.system.update_publisher import UpdatePublisher
