--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -25,7 +25,7 @@
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
-from hazelbend.transport.http.admin_listener import OpsDoor
+from hazelbend.transport.http.admin_listener import AdminListener
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 from hazelbend.transport.http.client_listener import ClientListener
 from hazelbend.transport.http.discovery_watch import DiscoveryWatch
@@ -69,7 +69,7 @@
         self.module = Dispatcher(conf.settings, conf.seed)
         self.router = Router(self.module, Clock(), table)
         self.watch = DiscoveryWatch(
-            conf.discovery, conf.reader, conf.settings.fleet_size, conf.settings.list_is_pushed
+            conf.discovery, conf.reader, conf.settings.fleet_size, is_pushed=conf.settings.list_is_pushed
         )
         self.router.discovery = self
         self._closing: set[asyncio.Task[None]] = set()
@@ -95,7 +95,7 @@
                 self.parts[name] = joining.join(name, self)
         self._drain = Drain(self)
         self._ends: dict[str, int] = {}  # by when what comes must be over, and why
-        self.door: OpsDoor | None = None
+        self.door: AdminListener | None = None
         self._door_at: tuple[str, int] | None = None
         self._moving: asyncio.Task[None] | None = None
         self._moves = asyncio.Lock()
@@ -109,7 +109,7 @@
     # --- what operators see and do ---
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         return self.client_listener.accepts_clients
 
     def figures(self) -> Figures:
@@ -209,7 +209,7 @@
         known = state.endpoints if state is not None and state.endpoints.entries else self.conf.known
         if known.whole and known.entries and self.conf.passed_socket is None and self.conf.srv is None:
             # An upgrade waits for the whole list, and where lists are merged it is what one of them says.
-            self.watch.held = known.seq
+            self.watch.known_version = known.seq
         for name, part in self.parts.items():
             known = part.begin(known, state.component_states.get(name, {}) if state is not None else {})
         self.router.begin(known)
@@ -293,7 +293,7 @@
             if address == self._door_at:
                 return
             if address is not None:
-                door = OpsDoor(self)
+                door = AdminListener(self)
                 await door.listen(*address)
                 log.info("operators' door: listening on %s:%d", address[0], door.port)
             before, self.door, self._door_at = self.door, door, address
@@ -336,9 +336,12 @@
         if conf.settings != old.settings:
             self.router.change_settings(conf.settings)
             self._tell_understanding()
-            self.watch.fleet, self.watch.pushed = conf.settings.fleet_size, conf.settings.list_is_pushed
+            self.watch.fleet_size, self.watch.is_pushed = (
+                conf.settings.fleet_size,
+                conf.settings.list_is_pushed,
+            )
         if (conf.discovery, conf.reader) != (old.discovery, old.reader):
-            self.watch.move(conf.discovery, conf.reader)
+            self.watch.change_address(conf.discovery, conf.reader)
         for name in joining.KINDS if conf != old else ():
             self._rejoin(name)
         if conf.ops != self._door_at:
--- a/hazelbend/transport/http/admin_listener.py
+++ b/hazelbend/transport/http/admin_listener.py
@@ -1,7 +1,7 @@
-"""The operators' door: an address of its own, HTTP/1.1, one call a connection. It says what the program says.
+"""The operators' address: HTTP/1.1, one call a connection. It makes no decisions.
 
-Its connections come out of the reserved descriptors, so that clients cannot take them, and are few: callers
-that say nothing make room for those that do.
+Its few connections are from the reserved descriptors, so that clients cannot take them. Callers that send
+nothing are evicted for those that do.
 """
 
 from __future__ import annotations
@@ -15,27 +15,32 @@
 from hazelbend.transport.http.client_connection import ClientConnection
 from hazelbend.transport.http.http_listener import HttpListener
 
-CONNECTIONS = 16
+CONNECTION_LIMIT = 16
+MAX_CONNECTIONS = 2 * CONNECTION_LIMIT  # beyond it the oldest is closed, however young it is
 
 
 class Operations(Protocol):
-    """What the program lets operators see and do."""
+    """What operators may see and do."""
 
     @property
-    def takes_clients(self) -> bool: ...
+    def accepts_clients(self) -> bool:
+        """Whether clients should connect."""
 
-    def figures(self) -> Figures: ...
+    def figures(self) -> Figures:
+        """Return the counters and gauges."""
 
     def drain(self) -> None:
-        """Empty the dispatcher; a drain that runs goes on."""
+        """Start a drain of clients; one that is in progress goes on."""
 
     def undrain(self) -> bool:
-        """Take clients again; False if the program is leaving and cannot."""
+        """End the drain; False if the program is ending and cannot accept clients again."""
 
 
-class OpsDoor(HttpListener):
+class AdminListener(HttpListener):
+    """Serves the `/ops` calls."""
+
     def __init__(self, operations: Operations) -> None:
-        super().__init__(CONNECTIONS)
+        super().__init__(CONNECTION_LIMIT)
         self._operations = operations
         self._calls: dict[str, tuple[str, Callable[[], web.Response]]] = {
             "/ops/readiness": ("GET", self._readiness),
@@ -45,10 +50,12 @@
         }
 
     def _evict_connection(self) -> None:
-        """Each is served as soon as its call is whole, so all that are open are silent or slow: in a rush of
-        those the oldest goes, however young it is."""
+        """Also close the oldest connection in a rush of new ones.
+
+        A call is answered as soon as it is complete, so all open connections are silent or slow.
+        """
         super()._evict_connection()
-        if self.connections > 2 * CONNECTIONS:
+        if self.connections > MAX_CONNECTIONS:
             next(iter(self._open)).force_close()
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -57,9 +64,9 @@
         connection.request_received()
         method, call = self._calls.get(request.path, ("", None))
         if call is None:
-            response = _no(404, "no such call")
+            response = _text_response(404, "no such call")
         elif request.method != method:
-            response = _no(405, f"this is called by {method}")
+            response = _text_response(405, f"this is called by {method}")
             response.headers["Allow"] = method
         else:
             response = call()
@@ -68,7 +75,9 @@
         return response
 
     def _readiness(self) -> web.Response:
-        return _yes("ready") if self._operations.takes_clients else _no(503, "no clients are taken")
+        if self._operations.accepts_clients:
+            return _text_response(200, "ready")
+        return _text_response(503, "no clients are taken")
 
     def _stats(self) -> web.Response:
         figures = self._operations.figures().named()
@@ -76,17 +85,13 @@
 
     def _start_drain(self) -> web.Response:
         self._operations.drain()
-        return _yes("draining")
+        return _text_response(200, "draining")
 
     def _stop_drain(self) -> web.Response:
         if self._operations.undrain():
-            return _yes("taking clients")
-        return _no(409, "the program is leaving")
-
-
-def _yes(text: str) -> web.Response:
-    return web.Response(text=f"{text}\n")
+            return _text_response(200, "taking clients")
+        return _text_response(409, "the program is leaving")
 
 
-def _no(status: int, text: str) -> web.Response:
+def _text_response(status: int, text: str) -> web.Response:
     return web.Response(status=status, text=f"{text}\n")
--- a/hazelbend/transport/http/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -1,8 +1,8 @@
-"""The watch on discovery: what has changed since the list that is held, until a call fails.
+"""The watch on discovery: a long poll for changes since the known version of the list, until a call fails.
 
-Discovery works through the calls of a whole fleet one after another, and each line that it sends takes of its
-time. So the whole list is asked for only where none is held: a start goes on from the version that the
-configuration gave, and a watch that failed from the last that was told.
+Discovery serves the calls of a whole fleet one after another, and each line that it sends takes time. So the
+complete list is requested only where no version is known: a start goes on from the version in the
+configuration, and a new watch from the last one that the watch before has received.
 """
 
 from __future__ import annotations
@@ -21,61 +21,74 @@
 
 log = logging.getLogger("hazelbend.discovery")
 
-CALL_LIMIT = discovery_retry.CALL_LIMIT / 1e6  # seconds that a call which does not wait may take
-HOLD_GRACE = 1.0  # seconds that one which waits may take beyond its wait: 2 s after it all counts as told
-LIST_LIMIT = 4 * 1024 * 1024
+CALL_TIMEOUT_S = discovery_retry.CALL_LIMIT / 1e6  # of a call that is not held
+HOLD_GRACE_S = 1.0  # beyond the hold of a call; 2 s after it a change counts as announced
+MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
 class DiscoveryWatch:
-    """Where discovery is may change: the list stays in force until the new address has answered."""
+    """Implements `routing.ports.Discovery`. The list stays in force until a new address has answered."""
 
     def __init__(
-        self, address: str | None, reader: EndpointListCodec, fleet: int = 1, pushed: bool = False
+        self,
+        address: str | None,
+        codec: EndpointListCodec,
+        fleet_size: int = 1,
+        *,
+        is_pushed: bool = False,
     ) -> None:
-        self.address, self._reader, self.fleet, self.pushed = address, reader, fleet, pushed
-        # The version of the list that is held; None: none is, or one of another service.
-        self.held: int | None = None
+        """`is_pushed`: the service is an agent of our own, which no other dispatcher calls."""
+        self.address = address
+        self._codec = codec
+        self.fleet_size = fleet_size
+        self.is_pushed = is_pushed
+        self.known_version: int | None = None  # None: no list, or one of another service
         self._hold = discovery_retry.WatchHold()
-        self._tell: Callable[[EndpointList], None] | None = None
+        self._on_list: Callable[[EndpointList], None] | None = None
         self._task: asyncio.Task[None] | None = None
 
     def subscribe(self, tell: Callable[[EndpointList], None]) -> None:
-        """Tell a list, and its changes until a call fails. A watch that runs already goes on, and tells
-        here: it may have been opened at a new address since the failure that this subscription answers."""
-        self._tell = tell
+        """See the Protocol.
+
+        A watch in progress goes on, for the new subscriber: it may have been opened at a new address since
+        the failure that this subscription follows.
+        """
+        self._on_list = tell
         if self._task is None or self._task.done():
             self._open()
 
-    def move(self, address: str | None, reader: EndpointListCodec) -> None:
-        """Watch there from now on. It may be another service, so its whole list is asked for."""
-        self.address, self._reader, self.held = address, reader, None
-        if self._tell is not None:
+    def change_address(self, address: str | None, codec: EndpointListCodec) -> None:
+        """Watch there from now on. It may be another service, so its complete list is requested."""
+        self.address = address
+        self._codec = codec
+        self.known_version = None
+        if self._on_list is not None:
             self._open()
 
     async def close(self) -> None:
-        """End the watch; nothing more is told."""
+        """End the watch; the subscriber gets nothing more."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     @property
     def _callers(self) -> int:
-        """How many share the service: an agent that pushes is one's own."""
-        return 1 if self.pushed else self.fleet
+        """How many dispatchers call the service."""
+        return 1 if self.is_pushed else self.fleet_size
 
     def _open(self) -> None:
-        """A new watch takes the place of one that may run yet: nothing more is heard of that."""
+        """Start a watch instead of the one in progress."""
         if self._task is not None:
             self._task.cancel()
         self._task = asyncio.create_task(self._watch())
 
-    def _hear(self, news: EndpointList) -> None:
-        assert self._tell is not None
-        self._tell(news)
+    def _publish(self, endpoints: EndpointList) -> None:
+        assert self._on_list is not None
+        self._on_list(endpoints)
 
     async def _watch(self) -> None:
         if self.address is None:
-            self._hear(EndpointList())  # a site without discovery stays with the list it has
+            self._publish(EndpointList())  # without discovery the known list stays in force
             return
         hold = self._hold.first_hold(self._callers)
         # Each watch has a connection of its own: one that is dead without a sign ends with its watch.
@@ -83,48 +96,56 @@
         async with open_session(connector, aiohttp.ClientTimeout(total=None)) as session:
             while True:
                 try:
-                    news = await self._call(session, hold)
+                    endpoints = await self._call(session, hold)
                 except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
                     log.warning("discovery: call failed: %s", str(error) or type(error).__name__)
                     break
-                self._hear(news)
+                self._publish(endpoints)
                 # The next call must come within 200 ms, or what changes in between is lost to this watch.
                 hold = self._hold.next_hold(self._callers)
-        self._task = None  # who hears of the failure may subscribe at once
-        self._hear(EndpointList(failed=True))
+        self._task = None  # the subscriber may subscribe again at once, as it gets the failure
+        self._publish(EndpointList(failed=True))
 
     async def _call(self, session: aiohttp.ClientSession, hold: int) -> EndpointList:
-        """The whole list, or what is newer than the list that is held, waited for so many microseconds."""
-        url, limit, held = f"http://{self.address}/v1/servers", CALL_LIMIT, self.held
-        if held is not None:
-            url, limit = f"{url}?from={held}&hold_ms={hold // 1_000}", hold / 1e6 + HOLD_GRACE
+        """Return the complete list, or the changes since the known version.
+
+        Discovery holds the call for changes for `hold` microseconds.
+        """
+        known_version = self.known_version
+        url = f"http://{self.address}/v1/servers"
+        timeout_s = CALL_TIMEOUT_S
+        if known_version is not None:
+            url = f"{url}?from={known_version}&hold_ms={hold // 1_000}"
+            timeout_s = hold / 1e6 + HOLD_GRACE_S
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_s):
                 status, text = await self._fetch(session, url)
         except TimeoutError:
             self._hold.given_up(self._callers)
             raise
-        if held is not None:
-            self._hold.answered(round((loop.time() - began) * 1e6) - hold, self._callers)
+        if known_version is not None:
+            elapsed = round((loop.time() - started_at) * 1e6)
+            self._hold.answered(elapsed - hold, self._callers)
         if 400 <= status < 500:
-            self.held = None  # it knows nothing of that version
+            self.known_version = None  # discovery does not know that version
         if status != 200:
             raise ValueError(f"status {status}")
-        news = self._reader.decode(text)
-        if held is not None and news.seq < held and not news.whole:
-            self.held = None  # it has started anew: what changed since cannot be told
-            raise ValueError(f"changes up to {news.seq}, older than the {held} held")
-        self.held = news.seq
-        return news
-
-    async def _fetch(self, session: aiohttp.ClientSession, url: str) -> tuple[int, bytes]:
-        """Status and body of one call."""
-        text = bytearray()
+        endpoints = self._codec.decode(text)
+        if known_version is not None and endpoints.seq < known_version and not endpoints.whole:
+            self.known_version = None  # discovery has restarted: the changes in between are unknown
+            raise ValueError(f"changes up to {endpoints.seq}, older than the {known_version} held")
+        self.known_version = endpoints.seq
+        return endpoints
+
+    @staticmethod
+    async def _fetch(session: aiohttp.ClientSession, url: str) -> tuple[int, bytes]:
+        """Return status and body of one call."""
+        body = bytearray()
         async with session.get(URL(url, encoded=True), allow_redirects=False) as response:
-            async for part in response.content.iter_any():
-                text += part
-                if len(text) > LIST_LIMIT:
+            async for chunk in response.content.iter_any():
+                body += chunk
+                if len(body) > MAX_LIST_BYTES:
                     raise ValueError("a list over the limit")
-            return response.status, bytes(text)
+            return response.status, bytes(body)
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -151,7 +151,7 @@
 
 def ops_stats() -> str:
     async def ask() -> list[Any]:
-        door = admin_listener.OpsDoor(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
+        door = admin_listener.AdminListener(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
         calls = {path: method for path, (method, _) in door._calls.items()}
         return [calls, door._calls["/ops/stats"][1]().text]
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -48,7 +48,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         each = discovery_watch.DiscoveryWatch(address, EndpointListCodec(("ankara-1",), ("big-box",)), fleet)
-        each.held = held
+        each.known_version = held
         for _ in range(subscriptions):
             each.subscribe(told.append)
         await until(lambda: len(asked) > len(answers) or (told and told[-1].failed))
@@ -82,7 +82,7 @@
     0.57 s after`."""
     _, asked, _ = watch(answer(41, True, "a"), fleet=fleet)
     assert asked[1].endswith("hold_ms=3000")
-    found_out = discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE
+    found_out = discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE_S
     assert found_out + discovery_retry.SOON / 1e6 + discovery_retry.ANSWER_TIME / 1e6 < 6.0
 
 
@@ -168,17 +168,17 @@
 
 
 def test_a_call_that_hangs_is_bounded(monkeypatch):
-    monkeypatch.setattr(discovery_watch, "CALL_LIMIT", 0.05)
+    monkeypatch.setattr(discovery_watch, "CALL_TIMEOUT_S", 0.05)
     told, _, _ = watch(None)
     assert [news.failed for news in told] == [True]
 
 
 def test_a_watch_that_falls_silent_is_found_out_soon(monkeypatch):
     """Guards against an old list in force for 12 s: servers added meanwhile got nothing."""
-    assert discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE < 6.0
+    assert discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE_S < 6.0
     monkeypatch.setattr(discovery_retry, "HOLD", 10_000)
     monkeypatch.setattr(discovery_retry, "HOLD_EACH", 0)
-    monkeypatch.setattr(discovery_watch, "HOLD_GRACE", 0.05)
+    monkeypatch.setattr(discovery_watch, "HOLD_GRACE_S", 0.05)
     told, asked, _ = watch(answer(41, True, "a"), None)
     assert [news.failed for news in told] == [False, True] and "hold_ms=10" in asked[1]
 
@@ -204,7 +204,7 @@
         await each.close()
         server.close()
 
-    monkeypatch.setattr(discovery_watch, "CALL_LIMIT", 0.05)
+    monkeypatch.setattr(discovery_watch, "CALL_TIMEOUT_S", 0.05)
     asyncio.run(run())
 
 
@@ -236,7 +236,7 @@
         each.subscribe(told.append)
         await until(lambda: told)
         assert told[0].failed
-        each.move(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", reader)
+        each.change_address(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", reader)
         await until(lambda: asked)
         each.subscribe(told.append)  # the retry that the failure led to
         go.set()
@@ -265,7 +265,7 @@
         each.subscribe(told.append)
         await until(lambda: asked)
         body.set_result((200, answer(7, True, "old").partition(b"\r\n\r\n")[2]))
-        each.move(None, EndpointListCodec((), ()))
+        each.change_address(None, EndpointListCodec((), ()))
         await until(lambda: told)
         await turns()
         assert [news.seq for news in told] == [0], "what a site without discovery is told"
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -113,7 +113,7 @@
                 assert app.undrain() and app.undrain()
             app.drain()
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.door.port}", name="n9"))
-            assert not app.takes_clients, "a reload ends no drain"
+            assert not app.accepts_clients, "a reload ends no drain"
             app.undrain()
             reader, writer = await open_kept(app.client_listener.port)
             await asyncio.sleep(drain.OVER)
@@ -121,7 +121,7 @@
             async with asyncio.timeout(30):  # a refusal would not hold these words
                 answer = await reader.readuntil(b"did on")
             assert b" 200 " in answer, "nothing of the drains is left"
-            assert app._ends == {} and app.takes_clients
+            assert app._ends == {} and app.accepts_clients
             writer.close()
 
     asyncio.run(run())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from hazelbend.decisions.worker import Worker
 from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
 from hazelbend.transport.http import discovery_watch
-from hazelbend.transport.http.discovery_watch import HOLD_GRACE
+from hazelbend.transport.http.discovery_watch import HOLD_GRACE_S
 import itertools
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
@@ -257,7 +257,7 @@
     From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
     besides."""
     settings = dy.Settings(fleet_size=fleet, list_must_be_asked=True, ask_within=ask_within)
-    limit = max(discovery_watch.CALL_LIMIT, discovery_retry.FIRST_HOLD / 1e6 + HOLD_GRACE) * 1e6
+    limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
         delays = [retry.retry_delay(settings, chance) for _ in range(40)]
@@ -284,7 +284,7 @@
     settings, asked = dy.Settings(fleet_size=fleet, list_must_be_asked=True), []
     for seed in range(fleet):
         chance, retry = random.Random(seed), DiscoveryRetry()
-        found_out = HOLD_GRACE * 1_000_000
+        found_out = HOLD_GRACE_S * 1_000_000
         asked.append(
             found_out + retry.retry_delay(settings, chance) + LOST + retry.retry_delay(settings, chance)
         )
--- a/tests/test_ops_door.py
+++ b/tests/test_ops_door.py
@@ -43,7 +43,7 @@
                 assert b" 400 " in await talk(app.door.port, wrong)
             body = call("/ops/drain/stop", "POST", more="Content-Length: 2\r\n") + b"ab"
             assert b" 200 " in await talk(app.door.port, body)
-            assert app.takes_clients and not app.router.tally.taken
+            assert app.accepts_clients and not app.router.tally.taken
 
     asyncio.run(run())
 
@@ -71,12 +71,12 @@
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
             writers = []
-            for number in range(4 * admin_listener.CONNECTIONS):
+            for number in range(4 * admin_listener.CONNECTION_LIMIT):
                 _, writer = await asyncio.open_connection("127.0.0.1", app.door.port)
                 if number % 2:
                     writer.write(call("/ops/readiness")[:-7])
                 writers.append(writer)
-                assert app.door.connections <= 2 * admin_listener.CONNECTIONS + 1
+                assert app.door.connections <= 2 * admin_listener.CONNECTION_LIMIT + 1
             assert (await asked(app, "/ops/readiness"))[0] == 200
             for writer in writers:
                 writer.close()
@@ -110,7 +110,7 @@
                 assert b" 200 " in await talk(app.door.port, *cut)
                 answer = await talk(app.door.port, garbage(good, seed), end=True)
                 assert not answer or answer.startswith(b"HTTP/1.")
-            assert app.takes_clients
+            assert app.accepts_clients
 
     asyncio.run(run())
 
