--- a/benchmarks/counts_per_job.py
+++ b/benchmarks/counts_per_job.py
@@ -122,9 +122,10 @@
             probe.request("GET", "/healthz")
             probe.getresponse().read()
             probe.close()
-            return
         except OSError:
             time.sleep(0.05)
+        else:
+            return
     raise RuntimeError(f"nothing answers on port {port}")
 
 
--- a/hazelbend/fakes/nameserver.py
+++ b/hazelbend/fakes/nameserver.py
@@ -29,8 +29,8 @@
 
 MAX_PORT_ATTEMPTS = 20  # for a port that is free over both UDP and TCP
 BACKLOG = 512  # connections
-TCP_ROOM_BYTES = 65_535
-UDP_ROOM_BYTES = 512  # without EDNS (RFC 1035, section 2.3.4)
+TCP_MAX_BYTES = 65_535
+UDP_MAX_BYTES = 512  # without EDNS (RFC 1035, section 2.3.4)
 COUNT_PERIOD_S = 1.0
 _TCP_FAULTS = (FaultKind.HALF_TCP, FaultKind.CLOSE_TCP)
 _UDP_TRUNCATES = (FaultKind.TRUNCATED, *_TCP_FAULTS)
@@ -160,9 +160,9 @@
         """The response in wire format, truncated where it has to be or a fault says so."""
         if kind == FaultKind.TRUNCATED_ALWAYS or (kind in _UDP_TRUNCATES and not tcp):
             return _truncated(query)
-        room = TCP_ROOM_BYTES if tcp else (query.payload or UDP_ROOM_BYTES)
+        max_bytes = TCP_MAX_BYTES if tcp else (query.payload or UDP_MAX_BYTES)
         try:
-            return self.zones.response(query, kind).to_wire(max_size=room)
+            return self.zones.response(query, kind).to_wire(max_size=max_bytes)
         except dns.exception.TooBig:
             return _truncated(query)
 
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -81,10 +81,11 @@
             held.ending = asyncio.get_running_loop().create_future()
             ending = await held.ending
             held.over = ending.outcome
-            return ending
         except asyncio.CancelledError:
             held.over = held.over or Outcome.CANCELLED
             raise
+        else:
+            return ending
         finally:
             self.machine.running -= 1
 
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -8,6 +8,7 @@
 import sqlite3
 import struct
 from collections.abc import Awaitable, Callable
+from typing import ClassVar
 
 import pytest
 
@@ -391,8 +392,8 @@
     """A worker that says what a test scripts, and keeps what it hears."""
 
     class Worker:
-        says: list[bytes] = []
-        heard: list[bytes] = []
+        says: ClassVar[list[bytes]] = []
+        heard: ClassVar[list[bytes]] = []
         connections = 0
 
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("text", ["five", "-1", "1", "5.0", "99999999"])
 def test_a_descriptor_that_is_none_is_named(text):
-    with pytest.raises(config.ConfigError, match="RELAY_PASSED_SOCKET: .* is no descriptor"):
+    with pytest.raises(config.ConfigError, match=r"RELAY_PASSED_SOCKET: .* is no descriptor"):
         config._passed_socket(text)
 
 
--- a/tests/test_worker_calls.py
+++ b/tests/test_worker_calls.py
@@ -178,7 +178,7 @@
     async def send(request, connection):
         if ends:
             ends.pop()()
-            time.sleep(0.02)  # the kernel has it; the loop does not run
+            time.sleep(0.02)  # noqa: ASYNC251 - the kernel has it; the loop is not to run
         return await usual(request, connection)
 
     async def script(connection: Connection, number: int) -> None:
