--- /dev/null
+++ b/hazelbend/program/srv_snapshots.py
@@ -0,0 +1,79 @@
+"""When the snapshot of SRV names is read and written."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from hazelbend.dns_discovery import snapshot
+from hazelbend.dns_discovery.settings import SnapshotFile
+from hazelbend.dns_discovery.snapshot import Snapshot, SnapshotError
+
+log = logging.getLogger("hazelbend.names")
+
+
+class SnapshotSaver:
+    """Reads the snapshot at the start, and writes it some time after a change.
+
+    `capture` makes a snapshot of the present state.
+    """
+
+    def __init__(self, settings: SnapshotFile | None, capture: Callable[[], Snapshot]) -> None:
+        self.settings = settings  # None: no file is configured
+        self.error = ""  # of the last read or write
+        self._capture = capture
+        self._timer: asyncio.TimerHandle | None = None
+        self._write_task: asyncio.Task[None] | None = None
+
+    def load(self, handed_over: dict[str, Any]) -> Snapshot | None:
+        """The state that the process before handed over, else the file's; None if neither can be used."""
+        try:
+            if handed_over:
+                return snapshot.from_object(handed_over)
+            if self.settings is not None:
+                return snapshot.read_file(Path(self.settings.path))
+        except SnapshotError as error:
+            self.error = str(error)
+            log.warning("snapshot: %s; it is not used", error)
+        return None
+
+    def save_later(self) -> None:
+        """Write the file once the interval is over."""
+        if self.settings is not None and self._timer is None:
+            self._timer = asyncio.get_running_loop().call_later(self.settings.interval_s, self._save)
+
+    def cancel_timer(self) -> None:
+        """Begin no further write."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    async def save_last(self) -> None:
+        """Wait for a write that is under way, then write the state at the end."""
+        if self._write_task is not None:
+            await asyncio.gather(self._write_task, return_exceptions=True)
+        if self.settings is not None:
+            self._write(Path(self.settings.path), snapshot.encode(self._capture()))
+
+    def _save(self) -> None:
+        self._timer = None
+        if self.settings is None:
+            return
+        if self._write_task is not None and not self._write_task.done():
+            self.save_later()
+            return
+        path = Path(self.settings.path)
+        data = snapshot.encode(self._capture())
+        self._write_task = asyncio.create_task(asyncio.to_thread(self._write, path, data))
+
+    def _write(self, path: Path, data: bytes) -> None:
+        try:
+            snapshot.write_file(path, data)
+        except OSError as error:
+            if self.error != str(error):
+                log.warning("snapshot: cannot be written: %s", error)
+            self.error = str(error)
+        else:
+            self.error = ""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -127,6 +127,7 @@
         "hazelbend.waiting",
         "hazelbend.program.waiting",
         "hazelbend.program.sources",
+        "hazelbend.program.srv_",
         "hazelbend.program.fleet",
     )
     assert not [each for each in loaded if each.startswith(off)]
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -167,7 +167,7 @@
                     before = time.monotonic()
                     await until(lambda: app.parts["srv"].resolver.names.roots[NAME].failing_since)
                     await until(lambda before=before: time.monotonic() > before + 1.3)
-                    assert app.parts["srv"].rows()[0].state == "stale"
+                    assert app.parts["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
@@ -330,7 +330,7 @@
         async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
             await until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
-            await until(lambda: app.parts["srv"]._source.queries_in_flight)
+            await until(lambda: app.parts["srv"].queries_in_flight)
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with load(app) as statuses:
@@ -355,7 +355,7 @@
                 app.drain()
                 assert app.undrain()
                 server.faults = [Fault("silent")]
-                await until(lambda: app.parts["srv"]._source.queries_in_flight)
+                await until(lambda: app.parts["srv"].queries_in_flight)
             assert set(statuses) == {200}
             with pytest.raises(Exception, match=r"srv.toml: name\[0\].zone: 'izmir'"):
                 (tmp_path / "srv.toml").write_text(toml.replace("konya-1", "izmir"))
