--- a/benchmarks/fleet_gaps.py
+++ b/benchmarks/fleet_gaps.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import argparse
+import itertools
 import json
 import shutil
 import signal
@@ -21,7 +22,6 @@
 from pathlib import Path
 
 from benchmarks.fleet_rig import ACT, Machine, Site, acts, wait_for
-import itertools
 
 KINDS = ("kill-task", "term-task", "kill-leader", "stop-leader", "cut-leader", "term-leader")
 
--- a/hazelbend/quotas/allocation.py
+++ b/hazelbend/quotas/allocation.py
@@ -186,7 +186,7 @@
         return self.arrivals * math.exp(age / ARRIVAL_WINDOW_US)
 
     def _wanted_units(self, now: int) -> int:
-        """Units for the jobs that arrive, and a reserve against chance.
+        """Units for the jobs that arrive, and a margin against chance.
 
         As many jobs are in service as arrive in one's service time (Little's law), and seldom more than its
         square root beyond that (square-root staffing).
@@ -198,7 +198,7 @@
     def _returnable_units(self, now: int) -> int:
         """Units to return now."""
         if self.wanted_back and now > self.last_rejection_at + KEEP_AFTER_REJECTION_US:
-            reserve = int(math.sqrt(self.used) / 2)
-            return max(min(self.wanted_back, self.units - self.used - reserve), 0)
+            margin = int(math.sqrt(self.used) / 2)
+            return max(min(self.wanted_back, self.units - self.used - margin), 0)
         idle = self.units - self._wanted_units(now)
         return idle if idle > max(1, self.units // IDLE_SHARE) else 0
--- a/tests/deployment_kit.py
+++ b/tests/deployment_kit.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import random
 from collections import Counter, defaultdict
 from collections.abc import AsyncIterator
@@ -23,7 +24,6 @@
 
 from hazelbend.program import config
 from hazelbend.program.app import App
-import itertools
 
 JOBS = 24
 SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import heapq
+import itertools
 import random
 
 import pytest
@@ -12,13 +13,12 @@
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.brain import MEMORY, MOST_PROBES, Dispatcher
 from hazelbend.decisions.discovery_retry import FIRST_EACH, DiscoveryRetry
+from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
 from hazelbend.decisions.report_age import ReportPeriod
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import Worker
-from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
 from hazelbend.transport.http import discovery_watch
 from hazelbend.transport.http.discovery_watch import HOLD_GRACE_S
-import itertools
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
