--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes, tasks under leases on each machine, and faults between them, from a seed.
+"""A fleet of real processes with tasks under leases on each machine, and faults from a seed.
 
     python -m benchmarks.fleet_faults --suite leases --seed 1 --processes 3 --seconds 20 [--defect NAME]
 
@@ -27,20 +27,20 @@
 import threading
 import time
 from collections import Counter
+from dataclasses import dataclass, field
 from http.server import BaseHTTPRequestHandler
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from benchmarks.fleet_launcher import DEFECTS
 from benchmarks.fleet_rig import Machine, Site
 
 LEASES = ("one", "two")
-TTL = 3.0
-EVERY = 0.9  # seconds between faults, on average
+TTL_S = 3.0
+MEAN_FAULT_INTERVAL_S = 0.9
 
-# The task: acts until its time is over; stamps are by CLOCK_MONOTONIC, which the launcher changes for nobody
-# else.
-ACTOR = """
+# The task: acts until its time is over. Its stamps are of CLOCK_MONOTONIC, which the launcher leaves alone.
+ACTOR_SCRIPT = """
 import http.client, os, sys, time
 lease, token = os.environ["HAZELBEND_LEASE"], os.environ["HAZELBEND_TOKEN"]
 path, store, end = sys.argv[1], int(sys.argv[2]), time.monotonic() + float(sys.argv[3])
@@ -54,20 +54,20 @@
     connection.close()
     time.sleep(0.03)
 """
-# How `lease run` may end: served, refused by the store, no answer, not held, lost, or killed by the rig.
-ENDS = {0, 3, 9, 75, 76, -signal.SIGKILL}
+# How `lease run` may end: done, rejected by the store, no answer, not held, lost, or killed by the rig.
+EXPECTED_STATUSES = {0, 3, 9, 75, 76, -signal.SIGKILL}
 
 
-class Store(socketserver.ThreadingMixIn, socketserver.TCPServer):
-    """Keeps what is PUT under a name, and refuses a token lower than the highest that it has seen for it."""
+class FakeStore(socketserver.ThreadingMixIn, socketserver.TCPServer):
+    """Takes PUT requests, and rejects a token lower than the highest that it has seen for the path."""
 
     daemon_threads = True
     allow_reuse_address = True
 
     def __init__(self, checks: bool = True) -> None:
-        super().__init__(("127.0.0.1", 0), StoreCall)
+        super().__init__(("127.0.0.1", 0), FakeStoreHandler)
         self.checks, self.highest = checks, dict[str, int]()
-        self.refused = self.took_lower = 0
+        self.rejected = self.took_lower = 0
         self.lock = threading.Lock()
         self.thread = threading.Thread(target=self.serve_forever, daemon=True)
         self.thread.start()
@@ -76,15 +76,15 @@
         with self.lock:
             lower = token < self.highest.get(name, 0)
             if lower and self.checks:
-                self.refused += 1
+                self.rejected += 1
                 return False
             self.took_lower += lower
             self.highest[name] = max(token, self.highest.get(name, 0))
             return True
 
 
-class StoreCall(BaseHTTPRequestHandler):
-    server: Store
+class FakeStoreHandler(BaseHTTPRequestHandler):
+    server: FakeStore
 
     def do_PUT(self) -> None:
         self.rfile.read(int(self.headers["Content-Length"]))
@@ -97,48 +97,66 @@
         pass
 
 
-class Play:
+class Act(NamedTuple):
+    """One act of a task, by the process id of its `lease run`."""
+
+    at_ns: int
+    lease: str
+    token: int
+    by: int
+
+
+@dataclass
+class CheckedActs:
+    broken: list[str] = field(default_factory=list)  # overlaps
+    late_by_stopped: int = 0
+    longest_gap_ms: float = 0.0
+
+
+class FaultRun:
     def __init__(self, seed: int, processes: int, seconds: float, defect: str, folder: Path) -> None:
         self.seed, self.seconds, self.defect = seed, seconds, defect
-        self.lengths = random.Random(seed + 1)  # of tasks: their number goes by the clock, and moves no fault
+        # Of tasks: their number depends on the clock, and must not change the faults.
+        self.lengths = random.Random(seed + 1)
         self.stopped: set[int] = set()  # `lease run`s that were stopped; their commands go on
         draw = random.Random(seed)
         rates = tuple(draw.uniform(0.95, 1.05) for _ in range(processes))
-        self.site = Site(folder, processes, longest=TTL, rates=rates)
+        self.site = Site(folder, processes, longest=TTL_S, rates=rates)
         for machine in self.site.machines:
             machine.defect = defect if defect in DEFECTS else ""
         self.path, self.folder = folder / "acts", folder
-        self.store = Store(checks=defect != "no token check")
+        self.store = FakeStore(checks=defect != "no token check")
         self.tasks: dict[tuple[int, str], subprocess.Popen[str]] = {}
         self.faults: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
-        self.due: list[tuple[float, Any]] = []  # when, and what undoes a fault
+        self.pending_undos: list[tuple[float, Any]] = []  # when, and the call that undoes a fault
         self.schedule: list[str] = []
-        self.headless = self.over = False
+        self.leaderless = False
+        self.stopping = False
 
     def run(self) -> None:
         with self.site:
-            self.site.found(min(3, len(self.site.machines)))
+            self.site.bootstrap(min(3, len(self.site.machines)))
             self.began = time.monotonic()
             end, fault, number = self.began + self.seconds, self.began + 1.0, 0
-            operator = threading.Thread(target=self._operate, daemon=True)
+            operator = threading.Thread(target=self._run_operator, daemon=True)
             operator.start()
             while time.monotonic() < end:
-                self._see_to_tasks()
+                self._restart_tasks()
                 now = time.monotonic()
-                for at, undo in [each for each in self.due if each[0] <= now]:
-                    self.due.remove((at, undo))
+                for at, undo in [each for each in self.pending_undos if each[0] <= now]:
+                    self.pending_undos.remove((at, undo))
                     undo()
-                if self.headless:
-                    fault = max(fault, now)  # an operator looks first whether it is only cut off, or stopped
+                if self.leaderless:
+                    fault = max(fault, now)  # an operator first checks that no fault is the cause
                 elif now >= fault:
-                    # One generator for each, so that what one finds changes nothing of the next.
+                    # A generator for each fault, so that the state that one meets does not change the next.
                     number += 1
                     draw = random.Random(self.seed * 10_007 + number)
-                    fault += draw.expovariate(1 / EVERY)
+                    fault += draw.expovariate(1 / MEAN_FAULT_INTERVAL_S)
                     self._fault(now, draw)
                 time.sleep(0.02)
-            self.over = True
+            self.stopping = True
             operator.join(60)
             for task in self.tasks.values():
                 task.send_signal(signal.SIGCONT)
@@ -152,21 +170,27 @@
         self.store.shutdown()
         self.store.server_close()
 
-    def _operate(self) -> None:
-        """Start a new epoch where most voters are lost for good: nobody leads, and no fault explains it."""
+    def _run_operator(self) -> None:
+        """Start a new epoch if most voters are lost for good: nobody leads, and no fault is the cause."""
         since = None
-        while not self.over:
+        while not self.stopping:
             time.sleep(0.5)
             running = [each for each in self.site.machines if each.process is not None]
             led = any(view.get("leader") for each in running if (view := each.view(timeout=3.0)))
             now = time.monotonic()
             since = None if led else since or now
-            self.headless = since is not None and now > since + 2.0
-            if since is not None and now > since + 8.0 and running and not self.due and not self.site.cuts:
-                self.faults["new epoch"] += running[0].run("fleet", "start")[0] == 0
+            self.leaderless = since is not None and now > since + 2.0
+            if (
+                since is not None
+                and now > since + 8.0
+                and running
+                and not self.pending_undos
+                and not self.site.partitions
+            ):
+                self.faults["new epoch"] += running[0].run_command("fleet", "start")[0] == 0
                 since = now
 
-    def _see_to_tasks(self) -> None:
+    def _restart_tasks(self) -> None:
         for machine in self.site.machines:
             for lease in LEASES:
                 task = self.tasks.get((machine.number, lease))
@@ -176,16 +200,16 @@
                     self.statuses[task.returncode] += 1
                     task.communicate()
                 length = f"{self.lengths.uniform(0.3, 4.0):.2f}"
-                words = ("lease", "run", lease, "--ttl", f"{TTL}s", "--wait", "20s", "--")
+                words = ("lease", "run", lease, "--ttl", f"{TTL_S}s", "--wait", "20s", "--")
                 actor = (
                     sys.executable,
                     "-c",
-                    ACTOR,
+                    ACTOR_SCRIPT,
                     str(self.path),
                     str(self.store.server_address[1]),
                     length,
                 )
-                self.tasks[machine.number, lease] = machine.begin(*words, *actor)
+                self.tasks[machine.number, lease] = machine.start_command(*words, *actor)
 
     def _fault(self, now: float, draw: random.Random) -> None:
         kind = draw.choice(("kill", "term", "stop", "stop task", "kill task", "cut", "one way", "delay"))
@@ -196,11 +220,13 @@
         if kind in ("kill", "term"):
             if len([each for each in self.site.machines if each.process]) <= len(self.site.machines) // 2 + 1:
                 return
-            self._end(machine, signal.SIGKILL if kind == "kill" else signal.SIGTERM, draw.uniform(0.2, 2.0))
+            self._stop_machine(
+                machine, signal.SIGKILL if kind == "kill" else signal.SIGTERM, draw.uniform(0.2, 2.0)
+            )
         elif kind == "stop" and machine.process is not None:
             process = machine.process
             process.send_signal(signal.SIGSTOP)
-            self._later(draw.uniform(0.5, 2 * TTL), lambda: process.send_signal(signal.SIGCONT))
+            self._undo_later(draw.uniform(0.5, 2 * TTL_S), lambda: process.send_signal(signal.SIGCONT))
         elif kind in ("stop task", "kill task"):
             task = self.tasks.get((machine.number, draw.choice(LEASES)))
             if task is None or task.poll() is not None:
@@ -210,65 +236,76 @@
             else:
                 self.stopped.add(task.pid)
                 task.send_signal(signal.SIGSTOP)
-                self._later(draw.uniform(0.5, 2 * TTL), lambda: task.send_signal(signal.SIGCONT))
+                self._undo_later(draw.uniform(0.5, 2 * TTL_S), lambda: task.send_signal(signal.SIGCONT))
         elif kind in ("cut", "one way"):
             cut = {(machine.number, other.number) for other in others}
             cut |= {(b, a) for a, b in cut} if kind == "cut" else set()
-            self.site.cuts |= cut
-            self._later(draw.uniform(0.5, 2 * TTL), lambda: self.site.cuts.difference_update(cut))
+            self.site.partitions |= cut
+            self._undo_later(
+                draw.uniform(0.5, 2 * TTL_S), lambda: self.site.partitions.difference_update(cut)
+            )
         elif kind == "delay":
             self.site.delay = draw.uniform(0.02, 0.4)
-            self._later(draw.uniform(0.5, 2.0), lambda: setattr(self.site, "delay", 0.0))
+            self._undo_later(draw.uniform(0.5, 2.0), lambda: setattr(self.site, "delay", 0.0))
 
-    def _end(self, machine: Machine, number: int, pause: float) -> None:
+    def _stop_machine(self, machine: Machine, number: int, pause: float) -> None:
         process = machine.process
         assert process is not None
         process.send_signal(signal.SIGCONT)
         process.send_signal(number)
         machine.process = None
 
-        def again() -> None:
+        def restart() -> None:
             process.wait()
             machine.start()
 
-        self._later(pause + (4.5 if number == signal.SIGTERM else 0.0), again)
+        self._undo_later(pause + (4.5 if number == signal.SIGTERM else 0.0), restart)
 
-    def _later(self, delay: float, undo: Any) -> None:
-        self.due.append((time.monotonic() + delay, undo))
+    def _undo_later(self, delay: float, undo: Any) -> None:
+        self.pending_undos.append((time.monotonic() + delay, undo))
 
     def result(self) -> dict[str, Any]:
-        lines = self.path.read_text().splitlines() if self.path.exists() else []
-        acts = sorted((int(at), name, int(token), int(by)) for at, name, token, by in map(str.split, lines))
-        broken, overlaps, late, gap, grants = [], 0, 0, 0.0, set()
-        for lease in LEASES:
-            highest, last = 0, None
-            for at, name, token, by in acts:
-                if name != lease:
-                    continue
-                grants.add((lease, token))
-                if token < highest and by in self.stopped:
-                    late += 1
-                elif token < highest and last is not None:
-                    overlaps += 1
-                    broken.append(f"{lease}: {token} acts {(at - last) / 1e9:.3f} s after {highest}")
-                if token > highest and last is not None:
-                    gap = max(gap, (at - last) / 1e6)
-                highest, last = max(highest, token), at
-        broken += [f"a task ended with {status}" for status in self.statuses if status not in ENDS]
+        acts = self._read_acts()
+        by_lease = [self._check_acts([act for act in acts if act.lease == lease]) for lease in LEASES]
+        broken = [text for checked in by_lease for text in checked.broken]
+        unexpected = [status for status in self.statuses if status not in EXPECTED_STATUSES]
+        broken += [f"a task ended with {status}" for status in unexpected]
         if self.store.took_lower:
             broken.append(f"the store took {self.store.took_lower} writes by lower tokens")
         return {
             "faults": dict(self.faults),
             "acts": len(acts),
-            "overlaps": overlaps,
-            "late_by_stopped": late,
-            "refused_by_token": self.store.refused,
-            "grants": len(grants),
-            "longest_without_holder_ms": round(gap),
+            "overlaps": sum(len(checked.broken) for checked in by_lease),
+            "late_by_stopped": sum(checked.late_by_stopped for checked in by_lease),
+            "refused_by_token": self.store.rejected,
+            "grants": len({(act.lease, act.token) for act in acts}),
+            "longest_without_holder_ms": round(max(checked.longest_gap_ms for checked in by_lease)),
             "statuses": {str(status): count for status, count in self.statuses.items()},
             "broken": broken[:5],
         }
 
+    def _read_acts(self) -> list[Act]:
+        lines = self.path.read_text().splitlines() if self.path.exists() else []
+        fields = [line.split() for line in lines]
+        return sorted(Act(int(at_ns), lease, int(token), int(by)) for at_ns, lease, token, by in fields)
+
+    def _check_acts(self, acts: list[Act]) -> CheckedActs:
+        """Of one lease, by time: an act by a lower token after one by a higher token is an overlap."""
+        checked = CheckedActs()
+        highest = 0
+        last: Act | None = None
+        for act in acts:
+            if act.token < highest and act.by in self.stopped:
+                checked.late_by_stopped += 1
+            elif act.token < highest and last is not None:
+                late_s = (act.at_ns - last.at_ns) / 1e9
+                checked.broken.append(f"{act.lease}: {act.token} acts {late_s:.3f} s after {highest}")
+            if act.token > highest and last is not None:
+                checked.longest_gap_ms = max(checked.longest_gap_ms, (act.at_ns - last.at_ns) / 1e6)
+            highest = max(highest, act.token)
+            last = act
+        return checked
+
 
 def main() -> int:
     raw = argparse.RawDescriptionHelpFormatter
@@ -280,11 +317,11 @@
     parser.add_argument("--defect", choices=("", "no token check", *DEFECTS), default="")
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="fleet-faults-"))
-    play = Play(args.seed, args.processes, args.seconds, args.defect, folder)
-    play.run()
-    found = play.result()
+    fault_run = FaultRun(args.seed, args.processes, args.seconds, args.defect, folder)
+    fault_run.run()
+    found = fault_run.result()
     if found["broken"]:
-        print("\n".join(play.schedule))
+        print("\n".join(fault_run.schedule))
         print(f"logs: {folder}")
     else:
         shutil.rmtree(folder)
--- a/benchmarks/fleet_gaps.py
+++ b/benchmarks/fleet_gaps.py
@@ -21,14 +21,26 @@
 import time
 from pathlib import Path
 
-from benchmarks.fleet_rig import ACT, Machine, Site, acts, wait_for
+from benchmarks.fleet_rig import ACT_SCRIPT, Machine, Site, read_acts, wait_for
 
 KINDS = ("kill-task", "term-task", "kill-leader", "stop-leader", "cut-leader", "term-leader")
 
 
 def begin(machine: Machine, path: Path, ttl: float) -> subprocess.Popen[str]:
-    words = ("lease", "run", "gap", "--ttl", f"{ttl}s", "--wait", "10m", "--", sys.executable, "-c", ACT)
-    return machine.begin(*words, str(path), "/none")
+    words = (
+        "lease",
+        "run",
+        "gap",
+        "--ttl",
+        f"{ttl}s",
+        "--wait",
+        "10m",
+        "--",
+        sys.executable,
+        "-c",
+        ACT_SCRIPT,
+    )
+    return machine.start_command(*words, str(path), "/none")
 
 
 def one(site: Site, folder: Path, kind: str, ttl: float, number: int) -> float:
@@ -37,51 +49,51 @@
     leader = site.leader()
     others = [each for each in site.machines if each is not leader]
     holder = begin(others[0], path, ttl)
-    wait_for(lambda: len(acts(path)) > 5)
+    wait_for(lambda: len(read_acts(path)) > 5)
     waiter = begin(others[1], path, ttl)
     wait_for(lambda: waits(leader))
-    token, after = acts(path)[-1][1], time.monotonic_ns()
+    token, after = read_acts(path)[-1][1], time.monotonic_ns()
     try:
         if kind.endswith("task"):
             holder.send_signal(signal.SIGKILL if kind == "kill-task" else signal.SIGTERM)
-            wait_for(lambda: acts(path)[-1][1] > token)
+            wait_for(lambda: read_acts(path)[-1][1] > token)
         else:
             fail(site, leader, others, kind)
             time.sleep(2 * ttl)  # a lease that outlives it goes on; one that is lost has passed on by then
-            wait_for(lambda: acts(path)[-1][0] > after + 2e9 * ttl)
+            wait_for(lambda: read_acts(path)[-1][0] > after + 2e9 * ttl)
     finally:
         for task in (holder, waiter):
             task.send_signal(signal.SIGTERM)
         for task in (holder, waiter):
             task.communicate(timeout=60)
         mend(site, leader, kind)
-    times = [at for at, _ in acts(path) if at > after - 5e8]
+    times = [at for at, _ in read_acts(path) if at > after - 5e8]
     return max(b - a for a, b in itertools.pairwise(times)) / 1e6
 
 
 def waits(machine: Machine) -> bool:
-    _, said, _ = machine.run("lease", "list", "--json")
+    _, said, _ = machine.run_command("lease", "list", "--json")
     return bool(said) and any(each["waiters"] for each in json.loads(said)["leases"])
 
 
 def fail(site: Site, leader: Machine, others: list[Machine], kind: str) -> None:
     if kind == "kill-leader":
-        leader.end(signal.SIGKILL)
+        leader.stop(signal.SIGKILL)
     elif kind == "term-leader":
         leader.send(signal.SIGTERM)
     elif kind == "stop-leader":
         leader.send(signal.SIGSTOP)
     else:
         pairs = {(leader.number, each.number) for each in others}
-        site.cuts |= pairs | {(b, a) for a, b in pairs}
+        site.partitions |= pairs | {(b, a) for a, b in pairs}
 
 
 def mend(site: Site, leader: Machine, kind: str) -> None:
-    site.cuts.clear()
+    site.partitions.clear()
     if kind == "stop-leader":
         leader.send(signal.SIGCONT)
     elif kind in ("kill-leader", "term-leader"):
-        leader.end(signal.SIGKILL)
+        leader.stop(signal.SIGKILL)
         leader.start()
     seen = site.machines[leader.number - 1]
     wait_for(lambda: len(seen.view().get("voters", ())) == 3 and seen.view()["leader"])
@@ -96,7 +108,7 @@
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="fleet-gaps-"))
     with Site(folder, 3, longest=args.ttl) as site:
-        site.found()
+        site.bootstrap()
         gaps = [one(site, folder, args.kind, args.ttl, number) for number in range(args.times)]
     shutil.rmtree(folder)
     found = {"median_ms": round(statistics.median(gaps)), "worst_ms": round(max(gaps))}
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -1,7 +1,6 @@
 """A fleet of real processes of the program on loopback, each with its own settings, for tests and long runs.
 
-Every process is ended by its own id. Times are the machine's one monotonic clock, which all its processes
-share.
+Every process is stopped by its own id. Times are of the machine's monotonic clock, which all processes share.
 """
 
 from __future__ import annotations
@@ -38,8 +37,8 @@
 }
 
 
-# A task: a line for each act, when by the machine's one clock and by which token, until a file is there.
-ACT = """
+# A task: writes a line for each act, with the time and the fencing token, until a file exists.
+ACT_SCRIPT = """
 import os, sys, time
 while True:
     with open(sys.argv[1], "a") as file:
@@ -50,8 +49,8 @@
 """
 
 
-def acts(path: Path) -> list[tuple[int, int]]:
-    """What such tasks wrote: nanoseconds, and tokens. A line that is being written is not there yet."""
+def read_acts(path: Path) -> list[tuple[int, int]]:
+    """Nanoseconds and tokens that such tasks wrote, without a line that is incomplete."""
     lines = path.read_text().splitlines() if path.exists() else []
     return [(int(at), int(token)) for at, token in (line.split() for line in lines if line.count(" ") == 1)]
 
@@ -61,12 +60,12 @@
         return int(server.getsockname()[1])
 
 
-def wait_for(truth: Callable[[], Any], seconds: float = 60.0) -> Any:
-    """Poll until it is true, and give it; the limit only ends what has failed."""
+def wait_for(condition: Callable[[], Any], seconds: float = 60.0) -> Any:
+    """Poll until the condition is true; its value. The time-out only ends what has failed."""
     end = time.monotonic() + seconds
-    while not (found := truth()):
+    while not (found := condition()):
         if time.monotonic() > end:
-            raise AssertionError("it did not happen")
+            raise AssertionError("the condition did not become true")
         time.sleep(0.02)
     return found
 
@@ -128,7 +127,7 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    def end(self, number: int = signal.SIGKILL) -> None:
+    def stop(self, number: int = signal.SIGKILL) -> None:
         if self.process is not None:
             if self.process.poll() is None:
                 self.process.send_signal(signal.SIGCONT)
@@ -136,8 +135,8 @@
             self.process.wait()
             self.process = None
 
-    def begin(self, *words: str, **more: Any) -> subprocess.Popen[str]:
-        """A command on this machine, under way."""
+    def start_command(self, *words: str, **more: Any) -> subprocess.Popen[str]:
+        """A command on this machine, as a running process."""
         return subprocess.Popen(
             [*self.command, *words],
             env=self.environment,
@@ -148,27 +147,27 @@
             **more,
         )
 
-    def run(self, *words: str, timeout: float = 60.0) -> tuple[int, str, str]:
-        """A command to its end: status, what it says, and what it complains of."""
-        with self.begin(*words) as process:
+    def run_command(self, *words: str, timeout: float = 60.0) -> tuple[int, str, str]:
+        """Run a command to its end: exit status, standard output and standard error."""
+        with self.start_command(*words) as process:
             try:
-                said, complained = process.communicate(timeout=timeout)
+                output, errors = process.communicate(timeout=timeout)
             except subprocess.TimeoutExpired:
                 process.kill()
                 raise
-        return process.returncode, said, complained
+        return process.returncode, output, errors
 
     def view(self, timeout: float = 60.0) -> dict[str, Any]:
         """As this dispatcher sees the fleet; empty if it does not answer."""
         try:
-            _, said, _ = self.run("fleet", "status", "--json", timeout=timeout)
+            _, output, _ = self.run_command("fleet", "status", "--json", timeout=timeout)
         except subprocess.TimeoutExpired:
             return {}
-        return json.loads(said) if said else {}
+        return json.loads(output) if output else {}
 
 
 class Relay:
-    """Stands at a machine's advertised address and passes on what comes, as the site's faults let it."""
+    """Listens at a machine's advertised address and forwards bytes, as far as the site's faults allow."""
 
     def __init__(self, site: Site, to: int, handle: socket.socket) -> None:
         self.site, self.to, self.handle = site, to, handle
@@ -185,11 +184,11 @@
         except OSError:
             writer.close()
             return
-        ways = (
-            self._pass(source, self.to, reader, far_writer),
-            self._pass(self.to, source, far_reader, writer),
+        directions = (
+            self._forward(source, self.to, reader, far_writer),
+            self._forward(self.to, source, far_reader, writer),
         )
-        tasks = [asyncio.create_task(each) for each in ways]
+        tasks = [asyncio.create_task(each) for each in directions]
         with contextlib.suppress(asyncio.CancelledError):  # the site is over
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for each in tasks:
@@ -198,15 +197,15 @@
         for end in (writer, far_writer):
             end.close()
 
-    async def _pass(
+    async def _forward(
         self, source: int, to: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Bytes that meet a cut wait until it is over, as TCP sends them again and again."""
+        """Bytes wait while the direction is partitioned, as TCP retransmits them."""
         with contextlib.suppress(OSError):
             while data := await reader.read(65_536):
                 if delay := self.site.delay:
                     await asyncio.sleep(delay)
-                while (source, to) in self.site.cuts:
+                while (source, to) in self.site.partitions:
                     await asyncio.sleep(0.01)
                 writer.write(data)
                 await writer.drain()
@@ -229,7 +228,7 @@
             Machine(folder, number, advertised, longest, rates[number] if rates else 1.0, store)
             for number in range(size)
         ]
-        self.cuts: set[tuple[int, int]] = set()  # one way
+        self.partitions: set[tuple[int, int]] = set()  # one way
         self.delay = 0.0
         self._relays = [Relay(self, number, handle) for number, handle in enumerate(handles)]
         self._loop = asyncio.new_event_loop()
@@ -245,24 +244,23 @@
 
     def __exit__(self, *_: object) -> None:
         for each in self.machines:
-            each.end()
-        asyncio.run_coroutine_threadsafe(self._quiet(), self._loop).result(10)
+            each.stop()
+        asyncio.run_coroutine_threadsafe(self._cancel_all(), self._loop).result(10)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10)
 
-    async def _quiet(self) -> None:
+    async def _cancel_all(self) -> None:
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for each in tasks:
             each.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def found(self, voters: int = 3, opens: bool = True) -> None:
-        """Start the fleet at its first machine, and wait until so many vote and, if `opens`, leases are
-        granted."""
+    def bootstrap(self, voters: int = 3, opens: bool = True) -> None:
+        """Start the fleet at its first machine. Wait for so many voters and, if `opens`, for open leases."""
         first = self.machines[0]
         wait_for(lambda: len(first.view().get("members", ())) == len(self.machines))
-        status, _, complained = first.run("fleet", "start")
-        assert status == 0, complained
+        status, _, errors = first.run_command("fleet", "start")
+        assert status == 0, errors
         wait_for(lambda: len((view := first.view()).get("voters", ())) == voters and view["open"] >= opens)
 
     def leader(self) -> Machine:
@@ -271,8 +269,8 @@
         def known() -> Machine | None:
             views = [view for each in self.machines if each.process and (view := each.view())]
             for each in self.machines:
-                told = [view for view in views if view["leader"].endswith("@" + each.address)]
-                if each.process and 2 * len(told) > len(views) and any(view["fresh"] for view in told):
+                claims = [view for view in views if view["leader"].endswith("@" + each.address)]
+                if each.process and 2 * len(claims) > len(views) and any(view["fresh"] for view in claims):
                     return each
             return None
 
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -13,8 +13,8 @@
 import pytest
 from site_kit import site
 
-from benchmarks.fleet_faults import LEASES, Play, Store
-from benchmarks.fleet_rig import ACT, Site, acts, free_port, wait_for
+from benchmarks.fleet_faults import LEASES, FakeStore, FaultRun
+from benchmarks.fleet_rig import ACT_SCRIPT, Site, free_port, read_acts, wait_for
 from hazelbend.cli.main import Duration
 from hazelbend.gossip.messages import FullState, Packet
 from hazelbend.leases.fencing import TOKEN_BITS
@@ -26,7 +26,7 @@
 @pytest.fixture
 def three(tmp_path):
     with Site(tmp_path, 3, longest=6.0) as made:
-        made.found()
+        made.bootstrap()
         yield made
 
 
@@ -37,54 +37,54 @@
     leader = three.leader()
     others = [each for each in three.machines if each is not leader]
     for machine in (others[0], others[1], others[0]):
-        command = ("--", sys.executable, "-c", ACT, str(path), str(stop))
-        tasks.append(machine.begin("lease", "run", "job", "--ttl", "6s", "--wait", "90s", *command))
-        wait_for(lambda: len(acts(path)) > 0)
+        command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), str(stop))
+        tasks.append(machine.start_command("lease", "run", "job", "--ttl", "6s", "--wait", "90s", *command))
+        wait_for(lambda: len(read_acts(path)) > 0)
 
     def waiting() -> bool:
-        status, said, _ = others[0].run("lease", "list", "--json")
+        status, said, _ = others[0].run_command("lease", "list", "--json")
         [lease] = json.loads(said)["leases"]
         assert status == 0 and lease["name"] == "job"
         return len(lease["waiters"]) == 2
 
     wait_for(waiting)
-    leader.end(signal.SIGKILL)
+    leader.stop(signal.SIGKILL)
     leader.start()
     stop.touch()
     for each in tasks:
         _said, complained = each.communicate(timeout=90)
         assert each.returncode == 7, complained
-    done = acts(path)
+    done = read_acts(path)
     tokens = [token for _, token in done]
     assert tokens == sorted(tokens) and len(set(tokens)) == 3, "one after another, by rising tokens"
     wait_for(lambda: len(three.machines[0].view()["voters"]) == 3)
-    assert three.machines[0].run("lease", "show", "job")[0] == 1, "free"
+    assert three.machines[0].run_command("lease", "show", "job")[0] == 1, "free"
 
 
 def test_a_holder_that_is_partitioned_or_loses_its_lease_stops_its_command_in_time(three, tmp_path):
     """Its own dispatchers are all stopped: nobody renews, and the command is gone before the lease is
     over."""
     path, machine = tmp_path / "acts", three.leader()
-    command = ("--", sys.executable, "-c", ACT, str(path), "/none")
-    task = machine.begin("lease", "run", "job", "--ttl", "2s", *command)
-    wait_for(lambda: len(acts(path)) > 5)
+    command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), "/none")
+    task = machine.start_command("lease", "run", "job", "--ttl", "2s", *command)
+    wait_for(lambda: len(read_acts(path)) > 5)
     for each in three.machines:
         each.send(signal.SIGSTOP)
     stopped = time.monotonic_ns()
     _, complained = task.communicate(timeout=60)
     assert task.returncode == 76 and "lost" in complained
-    assert acts(path)[-1][0] < stopped + 2e9, "a lease's time after the last renewal at the latest"
+    assert read_acts(path)[-1][0] < stopped + 2e9, "a lease's time after the last renewal at the latest"
     for each in three.machines:
         each.send(signal.SIGCONT)
     three.leader()
-    task = machine.begin("lease", "run", "job", "--ttl", "2s", "--wait", "30s", *command)
-    before = len(acts(path))
-    wait_for(lambda: len(acts(path)) > before)
-    status, _said, complained = machine.run("lease", "release", "job", "--force")
+    task = machine.start_command("lease", "run", "job", "--ttl", "2s", "--wait", "30s", *command)
+    before = len(read_acts(path))
+    wait_for(lambda: len(read_acts(path)) > before)
+    status, _said, complained = machine.run_command("lease", "release", "job", "--force")
     assert status == 0 and "token" in complained
     task.communicate(timeout=60)
     assert task.returncode == 76
-    task = machine.begin(
+    task = machine.start_command(
         "lease", "run", "job", "--ttl", "2s", "--wait", "30s", "--", sys.executable, "-c", "pass"
     )
     task.communicate(timeout=60)
@@ -116,38 +116,38 @@
 
 def test_without_a_quorum_nothing_is_granted_until_an_operator_starts_an_epoch(three, tmp_path):
     machine, path = three.machines[2], tmp_path / "acts"
-    command = ("--", sys.executable, "-c", ACT, str(path), "/")
-    assert machine.run("lease", "run", "job", "--ttl", "1s", *command)[0] == 7
-    assert machine.run("fleet", "start")[0] == 1, "somebody leads"
+    command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), "/")
+    assert machine.run_command("lease", "run", "job", "--ttl", "1s", *command)[0] == 7
+    assert machine.run_command("fleet", "start")[0] == 1, "somebody leads"
     for each in three.machines[:2]:
-        each.end(signal.SIGKILL)
+        each.stop(signal.SIGKILL)
         each.start()
     wait_for(lambda: machine.view()["leader"] == "")
-    assert machine.run("lease", "run", "job", "--ttl", "1s", *command)[0] == 75
-    assert machine.run("fleet", "status")[0] == 1
-    assert machine.run("fleet", "start")[0] == 0
+    assert machine.run_command("lease", "run", "job", "--ttl", "1s", *command)[0] == 75
+    assert machine.run_command("fleet", "status")[0] == 1
+    assert machine.run_command("fleet", "start")[0] == 0
     wait_for(lambda: len((view := machine.view())["voters"]) == 3 and view["open"])
-    assert machine.run("lease", "run", "job", "--ttl", "1s", *command)[0] == 7
-    tokens = [token for _, token in acts(path)]
+    assert machine.run_command("lease", "run", "job", "--ttl", "1s", *command)[0] == 7
+    tokens = [token for _, token in read_acts(path)]
     assert tokens == sorted(tokens) and tokens[0] >> TOKEN_BITS < tokens[-1] >> TOKEN_BITS
 
 
 def test_with_a_store_all_may_crash_at_once_and_recover_their_state(tmp_path):
     """No operator has to start an epoch."""
     with Site(tmp_path, 3, longest=30.0, store=True) as made:
-        made.found(opens=False)
+        made.bootstrap(opens=False)
         before = made.machines[0].view()
         for each in made.machines:
-            each.end(signal.SIGKILL)
+            each.stop(signal.SIGKILL)
         for each in made.machines:
             each.start()
         leader = made.leader()
         after = leader.view()
         assert after["epoch"] == before["epoch"] and set(after["voters"]) == set(before["voters"])
-        assert leader.run("fleet", "status")[0] == 0
+        assert leader.run_command("fleet", "status")[0] == 0
         # One whose file is damaged is somebody new, and is taken in as that.
         victim = next(each for each in made.machines if each is not leader)
-        victim.end(signal.SIGKILL)
+        victim.stop(signal.SIGKILL)
         file = victim.folder / "store" / "memory"
         content = bytearray(file.read_bytes())
         content[len(content) // 2] ^= 1
@@ -159,13 +159,13 @@
 
 
 def test_no_two_processes_act_at_once_under_faults(tmp_path):
-    """Ten seconds of one seed of benchmarks/fleet_faults.py, which plays more."""
-    play = Play(12, 3, 10.0, "", tmp_path)
-    play.run()
-    found = play.result()
+    """Ten seconds of one seed of benchmarks/fleet_faults.py, which runs more."""
+    fault_run = FaultRun(12, 3, 10.0, "", tmp_path)
+    fault_run.run()
+    found = fault_run.result()
     assert found["broken"] == [] and found["overlaps"] == 0
-    assert sum(found["faults"].values()) > 3, play.schedule
-    assert not [each for each in play.tasks.values() if each.poll() is None], "nothing is left running"
+    assert sum(found["faults"].values()) > 3, fault_run.schedule
+    assert not [each for each in fault_run.tasks.values() if each.poll() is None], "nothing is left running"
 
 
 def test_a_dispatcher_shows_its_fleet_and_counts_it(tmp_path):
@@ -237,7 +237,7 @@
 
 def test_the_snapshot_is_written_with_its_token_and_released_when_the_store_has_a_higher_one(tmp_path):
     async def run():
-        store, port = Store(), free_port()
+        store, port = FakeStore(), free_port()
         (tmp_path / "fleet.toml").write_text(
             f'enabled = true\nid = "f"\nlisten = "127.0.0.1:{port}"\n[leases]\nlongest_s = 2.0\n[snapshot]\n'
             f'url = "http://127.0.0.1:{store.server_address[1]}/f"\n'
@@ -269,17 +269,17 @@
 
 
 def test_the_fake_store_and_the_check_of_acts_find_what_they_should(tmp_path):
-    store = Store()
+    store = FakeStore()
     assert [store.put("a", token) for token in (2, 3, 2, 3)] == [True, True, False, True]
-    assert (store.refused, store.took_lower) == (1, 0)
-    careless = Store(checks=False)
-    assert careless.put("a", 3) and careless.put("a", 2) and careless.took_lower == 1
-    for each in (store, careless):
+    assert (store.rejected, store.took_lower) == (1, 0)
+    unchecked = FakeStore(checks=False)
+    assert unchecked.put("a", 3) and unchecked.put("a", 2) and unchecked.took_lower == 1
+    for each in (store, unchecked):
         each.shutdown()
         each.server_close()
-    play = Play(1, 3, 1.0, "", tmp_path)
+    fault_run = FaultRun(1, 3, 1.0, "", tmp_path)
     name = LEASES[0]
-    play.path.write_text(f"1000 {name} 5 71\n2000 {name} 6 72\n3000 {name} 5 71\n4000 {name} 5 73\n")
-    play.stopped = {73}
-    found = play.result()
+    fault_run.path.write_text(f"1000 {name} 5 71\n2000 {name} 6 72\n3000 {name} 5 71\n4000 {name} 5 73\n")
+    fault_run.stopped = {73}
+    found = fault_run.result()
     assert (found["overlaps"], found["late_by_stopped"], found["grants"]) == (1, 1, 2) and found["broken"]
