--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -1,4 +1,4 @@
-"""What following SRV names costs: three measurements, each against stand-ins on loopback.
+"""Costs of tracking SRV names: three measurements, each against stand-ins on loopback.
 
 python -m benchmarks.srv_names refresh --names 100 1000 10000 --seconds 90
 python -m benchmarks.srv_names merge --servers 100 1000 10000
@@ -30,7 +30,7 @@
 from hazelbend.routing.ports import Endpoint, EndpointList
 from hazelbend.transport.dns.resolver_driver import ResolverDriver
 
-LIFETIME = 30
+TTL_S = 30
 SOA = "@ 5 IN SOA ns host 1 3600 600 86400 5\n@ 300 IN NS ns\nns 300 IN A 127.0.0.1\n"
 
 
@@ -47,11 +47,11 @@
     return read_settings(table, ("z",), ("k",))
 
 
-def outside(folder: Path, count: int) -> tuple[subprocess.Popen[str], str]:
-    """The stand-in nameserver in a process of its own, with so many names of one box each."""
+def start_nameserver(folder: Path, count: int) -> tuple[subprocess.Popen[str], str]:
+    """The stand-in nameserver in a process of its own, with this many names of one endpoint each."""
     path = folder / "zone"
     rows = [
-        f"_arama._tcp.n{n} {LIFETIME} IN SRV 0 1 7101 box.n{n}\nbox.n{n} {LIFETIME} IN A 127.0.0.1"
+        f"_arama._tcp.n{n} {TTL_S} IN SRV 0 1 7101 box.n{n}\nbox.n{n} {TTL_S} IN A 127.0.0.1"
         for n in range(count)
     ]
     path.write_text(SOA + "\n".join(rows) + "\n")
@@ -74,9 +74,9 @@
     return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-async def follow(address: str, names: list[str], seconds: float) -> dict[str, float]:
-    """After the first round, so many seconds of refreshes."""
-    spread = LIFETIME * 0.9
+async def measure_refreshes(address: str, names: list[str], seconds: float) -> dict[str, float]:
+    """Refreshes for some seconds after the first round of queries."""
+    spread = TTL_S * 0.9
     settings = settings_of(address, names, per_s=2_000, at_once=256, start_spread_s=spread)
     before, changed = resident_mb(), set[str]()
     resolver, clock = Resolver(settings, "bench"), Clock()
@@ -95,7 +95,7 @@
     return {
         "names": len(names),
         "queries_per_s": round(queries / took, 1),
-        "lifetimes_ask_for_per_s": round(len(names) / LIFETIME, 1),
+        "lifetimes_ask_for_per_s": round(len(names) / TTL_S, 1),
         "cpu_percent": round(100 * used / took, 1),
         "cpu_us_per_query": round(1e6 * used / max(queries, 1)),
         "memory_kb_per_name": round(1024 * (resident_mb() - before) / len(names), 1),
@@ -111,10 +111,11 @@
         pid = os.fork()  # each size begins with memory of its own
         if pid == 0:
             with tempfile.TemporaryDirectory() as folder:
-                process, address = outside(Path(folder), count)
+                process, address = start_nameserver(Path(folder), count)
                 try:
                     print(
-                        json.dumps(asyncio.run(follow(address, names_of(count), options.seconds))), flush=True
+                        json.dumps(asyncio.run(measure_refreshes(address, names_of(count), options.seconds))),
+                        flush=True,
                     )
                 finally:
                     process.kill()
@@ -123,7 +124,7 @@
 
 
 def merge(options: argparse.Namespace) -> None:
-    """Half of the servers by the box list, half by a thousandth as many SRV names."""
+    """Half of the endpoints by the endpoint list, half by SRV names of ten endpoints each."""
     for count in options.servers:
         merger = EndpointMerger(3_600_000_000)
         half = count // 2
@@ -162,10 +163,12 @@
 
 
 def start_together(count: int, jitter: bool, together: float, seconds: float) -> dict[str, float]:
-    """Dispatchers that follow ten names each and start within `together` seconds, on a clock of their own: a
-    process has not the CPU to send for a hundred. An answer takes 1 ms."""
+    """Dispatchers that track ten names each and start within `together` seconds. An answer takes 1 ms.
+
+    Time is virtual, as one process has not the CPU time to send for a hundred dispatchers.
+    """
     names = names_of(10)
-    settings = settings_of("127.0.0.1:53", names, start_spread_s=LIFETIME / 2 if jitter else 0.0)
+    settings = settings_of("127.0.0.1:53", names, start_spread_s=TTL_S / 2 if jitter else 0.0)
     events: list[tuple[int, int, Resolver, int]] = []
     turns, asked, began = itertools.count(), [], 10**15
 
@@ -186,9 +189,9 @@
         queries = []
         if number:
             key = EndpointKey("box.example.org", 7101)
-            beside = {Question(key.target, RecordType.A): PositiveAnswer({"127.0.0.1": None}, LIFETIME)}
+            beside = {Question(key.target, RecordType.A): PositiveAnswer({"127.0.0.1": None}, TTL_S)}
             queries = resolver.query_done(
-                number, PositiveAnswer({key: SrvPreference(0, 1)}, LIFETIME, beside), now
+                number, PositiveAnswer({key: SrvPreference(0, 1)}, TTL_S, beside), now
             )
         run(resolver, now, queries)
     slots = [0] * (round(seconds * 10) + 1)
@@ -200,14 +203,14 @@
         "jitter": jitter,
         "queries": len(asked),
         "peak_in_100_ms": max(slots),
-        "peak_after_the_first_lifetime": max(slots[LIFETIME * 8 :]),
+        "peak_after_the_first_lifetime": max(slots[TTL_S * 8 :]),
     }
 
 
 def herd(options: argparse.Namespace) -> None:
     for together in (0.0, 1.0):
         for jitter in (False, True):
-            print(json.dumps(start_together(options.dispatchers, jitter, together, 8 * LIFETIME)), flush=True)
+            print(json.dumps(start_together(options.dispatchers, jitter, together, 8 * TTL_S)), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/srv_kit.py
+++ b/tests/srv_kit.py
@@ -1,4 +1,4 @@
-"""Zones, settings and whole sites with SRV names, on loopback, for tests."""
+"""Zones, settings and complete sites with SRV names, on loopback, for tests."""
 
 from __future__ import annotations
 
--- a/tests/test_dns_client.py
+++ b/tests/test_dns_client.py
@@ -1,4 +1,4 @@
-"""The resolver's sockets against a nameserver that goes wrong in every way that it knows."""
+"""The DNS client against a nameserver with each fault that the stand-in knows."""
 
 import asyncio
 
@@ -20,12 +20,12 @@
 from hazelbend.fakes.dns_faults import Fault, FaultKind
 from hazelbend.transport.dns.dns_client import DnsClient
 
-BOXES = {
+ENDPOINTS = {
     EndpointKey("b1.konya-1.example.org", 7101): SrvPreference(0, 1),
     EndpointKey("b2.konya-1.example.org", 7102): SrvPreference(1, 5),
 }
 ZONE = zone(("b1", 7101), ("b2", 7102, 1, 5))
-MEANT = {
+EXPECTED = {
     "truncated": TruncatedAnswer,
     "truncated-always": TruncatedAnswer,
     "servfail": "SERVFAIL",
@@ -50,7 +50,7 @@
     "close-tcp": TruncatedAnswer,
     "oversized": TruncatedAnswer,
 }
-OVER_TCP = {
+EXPECTED_OVER_TCP = {
     "truncated": PositiveAnswer,
     "truncated-always": "truncated over TCP",
     "half-tcp": "closed",
@@ -66,61 +66,63 @@
     return Query(query_id, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=over_tcp, edns=True)
 
 
-def ask(what, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
+def query_once(what, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
     async def run():
         async with nameservers(1, ZONE) as [server]:
             if what:
                 server.faults = [Fault(what, delay_s=60.0)]
             host, _, port = server.address.rpartition(":")
             client = DnsClient(((host, int(port)),), timeout)
-            meaning = await client.query(Query(1, 0, Question(name, kind), name, over_tcp=tcp, edns=True))
+            result = await client.query(Query(1, 0, Question(name, kind), name, over_tcp=tcp, edns=True))
             client.close()
-            return meaning, server.queries
+            return result, server.queries
 
     return asyncio.run(run())
 
 
-def patience(wanted):
+def timeout_for(wanted):
     """Short only where no answer is to come: a busy machine may be slow with the others."""
     return 0.3 if wanted in ("no answer in time", "") else 20.0
 
 
-def check(meaning, wanted):
+def check(result, wanted):
     if isinstance(wanted, str):
-        assert isinstance(meaning, QueryFailure) and wanted in meaning.reason, meaning
+        assert isinstance(result, QueryFailure) and wanted in result.reason, result
     else:
-        assert isinstance(meaning, wanted), meaning
+        assert isinstance(result, wanted), result
 
 
-def test_every_fault_has_its_meaning():
-    assert set(MEANT) == set(FaultKind)
+def test_each_fault_of_the_stand_in_has_an_expected_result():
+    assert set(EXPECTED) == set(FaultKind)
 
 
 @pytest.mark.parametrize("what", [kind.value for kind in FaultKind])
-def test_what_goes_wrong_over_udp(what):
-    check(ask(what, timeout=patience(MEANT[what]))[0], MEANT[what])
+def test_faults_over_udp(what):
+    check(query_once(what, timeout=timeout_for(EXPECTED[what]))[0], EXPECTED[what])
 
 
-@pytest.mark.parametrize("what", OVER_TCP)
-def test_what_goes_wrong_over_tcp(what):
-    check(ask(what, tcp=True, timeout=patience(OVER_TCP[what]))[0], OVER_TCP[what])
+@pytest.mark.parametrize("what", EXPECTED_OVER_TCP)
+def test_faults_over_tcp(what):
+    check(
+        query_once(what, tcp=True, timeout=timeout_for(EXPECTED_OVER_TCP[what]))[0], EXPECTED_OVER_TCP[what]
+    )
 
 
 @pytest.mark.parametrize("tcp", [False, True])
-def test_a_good_answer_with_addresses_beside_it(tcp):
-    meaning, [query] = ask("", tcp)
-    assert meaning.records == BOXES and meaning.ttl_s == 5 and query.tcp is tcp
-    addresses = {question.name: good.records for question, good in meaning.additional.items()}
-    assert addresses == {key.target: {"127.0.0.1": None} for key in BOXES}
+def test_a_positive_answer_with_additional_addresses(tcp):
+    result, [query] = query_once("", tcp)
+    assert result.records == ENDPOINTS and result.ttl_s == 5 and query.tcp is tcp
+    addresses = {question.name: good.records for question, good in result.additional.items()}
+    assert addresses == {key.target: {"127.0.0.1": None} for key in ENDPOINTS}
 
 
-def test_what_is_not_there():
+def test_negative_answers():
     for name, kind, why in (("_arama._tcp.adana-1.example.org", RecordType.SRV, "NXDOMAIN"),
                             ("b1.konya-1.example.org", RecordType.AAAA, "NODATA")):  # fmt: skip
-        assert ask("", name=name, kind=kind)[0] == NegativeAnswer(why, 5)
+        assert query_once("", name=name, kind=kind)[0] == NegativeAnswer(why, 5)
 
 
-def test_an_answer_that_is_none_does_not_end_the_query():
+def test_a_mismatched_datagram_does_not_end_the_query():
     """Guards against forged answers (RFC 5452): the true one is waited for, and counts."""
 
     async def run():
@@ -137,10 +139,10 @@
             server._udp.sendto(forged, ("127.0.0.1", query.port))
             return await asking
 
-    assert asyncio.run(run()).records == BOXES
+    assert asyncio.run(run()).records == ENDPOINTS
 
 
-def test_ids_ports_and_case_are_drawn_anew():
+def test_ids_ports_and_case_are_random_for_each_query():
     async def run():
         async with nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
@@ -154,7 +156,7 @@
     assert len({each.id for each in queries}) > 15 and len({each.port for each in queries}) > 15
 
 
-def test_a_tcp_connection_is_kept_and_carries_several():
+def test_a_tcp_connection_is_kept_and_carries_several_queries():
     async def run():
         async with nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
@@ -162,17 +164,17 @@
                 Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=True, edns=True)
                 for number in range(50)
             ]
-            meanings = await asyncio.gather(*map(client.query, asks))
-            meanings.append(await client.query(asks[0]))
+            results = await asyncio.gather(*map(client.query, asks))
+            results.append(await client.query(asks[0]))
             client.close()
-            return meanings, server.queries
+            return results, server.queries
 
-    meanings, queries = asyncio.run(run())
-    assert all(isinstance(each, PositiveAnswer) for each in meanings) and len(queries) == 51
+    results, queries = asyncio.run(run())
+    assert all(isinstance(each, PositiveAnswer) for each in results) and len(queries) == 51
     assert len({each.port for each in queries}) == 1
 
 
-def test_nobody_there_is_known_at_once():
+def test_a_refused_connection_fails_at_once():
     async def run():
         async with nameservers(1, ZONE) as [server]:
             port = int(server.address.rpartition(":")[2])
@@ -182,5 +184,5 @@
             await client.query(Query(1, 0, question, NAME, over_tcp=tcp, edns=True)) for tcp in (False, True)
         ]
 
-    for meaning in asyncio.run(run()):
-        assert isinstance(meaning, QueryFailure) and meaning.server_unreachable, meaning
+    for result in asyncio.run(run()):
+        assert isinstance(result, QueryFailure) and result.server_unreachable, result
--- a/tests/test_dns_wire.py
+++ b/tests/test_dns_wire.py
@@ -1,4 +1,4 @@
-"""The codec: whatever bytes come, they are an answer, a mismatch, or unknown; nothing else."""
+"""The codec: any bytes are an answer, a mismatch or a failure; nothing else."""
 
 import contextlib
 
@@ -43,20 +43,20 @@
 SRV = (f"{NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
 
 
-def test_addresses_beside_are_believed_in_bailiwick_alone():
+def test_additional_addresses_are_accepted_only_in_bailiwick():
     extra = [("a.konya-1.example.org.", 60, "A", "127.0.0.1"), ("b.else.example.", 60, "A", "127.0.0.9"),
              ("c.konya-1.example.org.", 60, "A", "127.0.0.8")]  # fmt: skip
-    meaning = read(*answer(SRV, extra=extra))
-    assert meaning.ttl_s == 30 and len(meaning.records) == 2
-    assert set(meaning.additional) == {Question("a.konya-1.example.org", RecordType.A)}
+    result = read(*answer(SRV, extra=extra))
+    assert result.ttl_s == 30 and len(result.records) == 2
+    assert set(result.additional) == {Question("a.konya-1.example.org", RecordType.A)}
 
 
-def test_the_lifetime_is_the_least_along_a_chain():
+def test_the_ttl_is_the_least_along_a_cname_chain():
     rows = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
     assert read(*answer(*rows)).ttl_s == 10
 
 
-def test_chains_without_end_are_told():
+def test_cname_chains_without_end_are_failures():
     loop = [("x.example.", 30, "CNAME", f"{NAME}."), (f"{NAME}.", 30, "CNAME", "x.example.")]
     assert "loop" in read(*answer(*loop)).reason
     chain = [(f"n{number}.", 30, "CNAME", f"n{number + 1}.") for number in range(20)]
@@ -78,7 +78,7 @@
         raise AssertionError
 
 
-def test_a_question_is_no_answer():
+def test_a_query_is_not_an_answer():
     data, asked = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
     try:
         read(data, asked)
@@ -87,24 +87,24 @@
     raise AssertionError
 
 
-MEANINGS = (PositiveAnswer, NegativeAnswer, QueryFailure, TruncatedAnswer)
+RESULT_TYPES = (PositiveAnswer, NegativeAnswer, QueryFailure, TruncatedAnswer)
 
 
-def any_meaning(data, asked, tcp):
+def check_any_result(data, asked, tcp):
     with contextlib.suppress(MismatchError):
-        assert isinstance(read(data, asked, tcp=tcp), MEANINGS)
+        assert isinstance(read(data, asked, tcp=tcp), RESULT_TYPES)
 
 
 @given(SEEDS, st.booleans())
-def test_garbage_has_no_sense_and_does_no_harm(seed, tcp):
+def test_garbage_is_a_failure_or_a_mismatch(seed, tcp):
     data, asked = answer(SRV, extra=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    any_meaning(garbage(data, seed), asked, tcp)
-    any_meaning(data[:4] + garbage(data[4:], seed), asked, tcp)
+    check_any_result(garbage(data, seed), asked, tcp)
+    check_any_result(data[:4] + garbage(data[4:], seed), asked, tcp)
 
 
 @given(st.integers(0, 400), st.integers(0, 400), st.integers(0, 255))
-def test_cuts_and_flipped_bytes(cut, place, byte):
+def test_truncated_and_corrupted_messages(cut, place, byte):
     data, asked = answer(SRV, extra=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    any_meaning(data[: cut % len(data)], asked, False)
+    check_any_result(data[: cut % len(data)], asked, False)
     place %= len(data)
-    any_meaning(data[:place] + bytes([byte]) + data[place + 1 :], asked, False)
+    check_any_result(data[:place] + bytes([byte]) + data[place + 1 :], asked, False)
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The view of all boxes: the rule cell by cell, its invariants in any order of events, and the pools."""
+"""The merged view of endpoints: precedence in each case, invariants in any order of events, and the pools."""
 
 import itertools
 
@@ -36,8 +36,8 @@
 @pytest.mark.parametrize("by_srv", SrvReport)
 @pytest.mark.parametrize("failed", [False, True])
 @pytest.mark.parametrize("by_list", ListReport)
-def test_the_rule_cell_by_cell(by_list, failed, by_srv):
-    """Through the merge, not only the table: what the box gets in each cell, the list failed or not."""
+def test_precedence_in_each_case(by_list, failed, by_srv):
+    """Through the merger, not only the rule: what becomes of the endpoint, the list failing or not."""
     merger = EndpointMerger(HOUR)
     if by_list is not ListReport.NEVER_LISTED:
         merger.apply_list(listing(entry()), 1)
@@ -47,7 +47,7 @@
         merger.apply_list(listing(entry(state=GONE), whole=False), 2)
     if failed:
         merger.apply_list(EndpointList(failed=True), 3)
-    # Unknown and stale leave the last good answer standing: it is what the resolver goes on telling.
+    # Unknown and stale leave the last good answer standing: it is what the resolver goes on reporting.
     boxes = {} if by_srv is SrvReport.NOT_LISTED else {KEY: claim()}
     merger.apply_srv(NAME, boxes, 10)
     found = {each.entry.host: each.entry for each in merger.view.members.values()}
@@ -64,7 +64,7 @@
     assert found == wanted and merger.list_report(KEY) is by_list
 
 
-def test_how_a_name_stands():
+def test_srv_report_of_a_name():
     assert srv_report(listed=True, failing=False, ttl_over=False) is SrvReport.LISTED
     assert srv_report(listed=True, failing=True, ttl_over=False) is SrvReport.UNKNOWN
     assert srv_report(listed=True, failing=True, ttl_over=True) is SrvReport.STALE
@@ -72,25 +72,25 @@
 
 
 @pytest.mark.parametrize("dial, host", [(DIAL, "s-17"), ("127.0.0.9:7101", "A.Konya-1.Example.ORG.")])
-def test_one_box_by_its_name_or_by_its_address(dial, host):
+def test_one_endpoint_by_its_host_or_by_its_address(dial, host):
     merger = EndpointMerger(HOUR)
     merger.apply_srv(NAME, {KEY: claim()}, 1)
     told = merger.apply_list(listing(entry(host, dial)), 2)
-    assert [each.host for each in told.entries] == [host], "it has the list's name, and is there once"
+    assert [each.host for each in told.entries] == [host], "it has the host of the list, and is there once"
     assert merger.renamed == [(str(KEY), host)]
     assert merger.view.members[host].sources == (LIST_SOURCE, NAME)
     gone = merger.apply_list(listing(entry(host, dial, GONE), whole=False), 3)
     assert [(each.host, each.state) for each in gone.entries] == [(host, GONE)]
 
 
-def test_the_same_host_with_another_port_is_another_box():
+def test_the_same_host_with_another_port_is_another_endpoint():
     merger = EndpointMerger(HOUR)
     merger.apply_list(listing(entry()), 1)
     told = merger.apply_srv(NAME, {EndpointKey(HOST, 7102): claim()}, 2)
     assert [each.host for each in told.entries] == [f"{HOST}:7102"]
 
 
-def test_what_the_list_took_off_stays_off_for_its_time_and_while_the_list_cannot_be_heard():
+def test_a_tombstone_lasts_for_its_time_and_while_the_list_fails():
     merger = EndpointMerger(100)
     merger.apply_list(listing(entry()), 1)
     merger.apply_list(listing(), 10)
@@ -101,10 +101,10 @@
     merger.apply_list(listing(), 201)
     [back] = merger.expire_tombstones(202).entries
     assert (back.host, back.started_at) == (str(KEY), 202), "as just started"
-    assert merger.renamed == [(HOST, str(KEY))], "a drain by hand goes along"
+    assert merger.renamed == [(HOST, str(KEY))], "a drain by hand is carried over"
 
 
-def test_a_box_that_the_list_has_again_serves_at_once():
+def test_an_endpoint_that_the_list_has_again_serves_at_once():
     merger = EndpointMerger(HOUR)
     merger.apply_list(listing(entry()), 1)
     merger.apply_srv(NAME, {KEY: claim()}, 2)
@@ -113,7 +113,7 @@
     assert (again.state, again.started_at) == (READY, 9) and not merger.tombstones
 
 
-def test_a_box_is_as_just_started_when_it_comes_back_or_moves():
+def test_an_endpoint_counts_as_just_started_when_it_returns_or_moves():
     merger = EndpointMerger(HOUR)
     two = claim(addresses=("127.0.0.1", "127.0.0.2"))
     assert [each.started_at for each in merger.apply_srv(NAME, {KEY: two}, 1).entries] == [1]
@@ -127,7 +127,7 @@
     assert (back.dial, back.started_at) == ("[::1]:7101", 5)
 
 
-def test_a_reader_never_sees_half_of_a_version():
+def test_a_reader_never_sees_a_partial_version():
     merger = EndpointMerger(HOUR)
     keys = [EndpointKey(f"b{number}.example.org", 1) for number in range(50)]
     merger.apply_srv(NAME, {key: claim(addresses=(f"127.0.1.{n}",)) for n, key in enumerate(keys)}, 1)
@@ -241,7 +241,7 @@
     }  # fmt: skip
 
 
-def test_spare_boxes_get_nothing_until_their_priority_opens():
+def test_spare_endpoints_get_no_jobs_until_their_priority_opens():
     merger = EndpointMerger(HOUR)
     merger.open_priorities(NAME, 0, 0)
     first, spare = EndpointKey("a.example.org", 1), EndpointKey("b.example.org", 1)
@@ -253,7 +253,7 @@
     assert (shut.host, shut.state) == (str(spare), DRAINING)
 
 
-def test_a_pool_goes_down_at_once_and_up_late():
+def test_failover_is_immediate_and_failback_is_delayed():
     pool = PriorityPool()
     assert pool.update({0: True, 10: True, 20: True}, 0, 50) == 0
     assert pool.update({0: False, 10: True, 20: True}, 1, 50) == 10
@@ -267,7 +267,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.booleans(), st.booleans(), st.booleans())))
-def test_a_pool_always_has_an_able_box_open_if_there_is_one(steps):
+def test_a_pool_always_has_an_available_endpoint_open_if_there_is_one(steps):
     pool, now = PriorityPool(), 0
     for wait, *able in steps:
         now += wait
