--- /dev/null
+++ b/tests/test_frame_link.py
@@ -0,0 +1,71 @@
+"""Frames between the processes of the fleet, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from socket_kit import HOST, eventually
+
+from hazelbend.transport.peer.frame_link import FrameConnection, FrameLink, FrameServer
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.fixture
+def anyio_backend() -> str:
+    """The event loop that these tests run on."""
+    return "asyncio"
+
+
+async def test_frames_arrive_complete_and_in_order_also_those_sent_while_connecting():
+    received: list[bytes] = []
+    server = FrameServer(lambda connection, frame: received.append(frame), lambda connection: None)
+    await server.listen(HOST, 0)
+    port = server._server.sockets[0].getsockname()[1]
+    link = FrameLink(f"{HOST}:{port}", lambda frame: None)
+    assert link.send(b"early")
+    await eventually(lambda: link.is_open)
+    for size in (0, 1, 70_000, 3):
+        link.send(bytes(size))
+    await eventually(lambda: len(received) == 5)
+    assert received[0] == b"early" and [len(content) for content in received[1:]] == [0, 1, 70_000, 3]
+    await link.close()
+    await server.close()
+
+
+async def test_a_link_reconnects_after_its_connection_ends_and_replies_use_the_same_connection():
+    connections: list[FrameConnection] = []
+    replies: list[bytes] = []
+
+    def echo(connection: FrameConnection, frame: bytes) -> None:
+        connections.append(connection)
+        connection.send(frame)
+
+    server = FrameServer(echo, lambda connection: None)
+    await server.listen(HOST, 0)
+    port = server._server.sockets[0].getsockname()[1]
+    opened: list[int] = []
+    link = FrameLink(f"{HOST}:{port}", replies.append, lambda: opened.append(1))
+    await eventually(lambda: link.is_open)
+    link.send(b"one")
+    await eventually(lambda: replies == [b"one"])
+    connections[0].close()
+    await eventually(lambda: len(opened) == 2 and link.is_open)
+    link.send(b"two")
+    await eventually(lambda: replies == [b"one", b"two"])
+    await link.close()
+    await server.close()
+
+
+async def test_a_frame_that_is_too_large_ends_the_connection():
+    server = FrameServer(lambda connection, frame: None, lambda connection: None)
+    await server.listen(HOST, 0)
+    port = server._server.sockets[0].getsockname()[1]
+    reader, writer = await asyncio.open_connection(HOST, port)
+    writer.write(b"\xff\xff\xff\xff")
+    with pytest.raises(ConnectionError):
+        if await reader.read() == b"":
+            raise ConnectionResetError
+    writer.close()
+    await server.close()
--- /dev/null
+++ b/tests/test_request_listener.py
@@ -0,0 +1,124 @@
+"""The listener of a router for clients, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import pytest
+from socket_kit import HOST, TIMEOUT_S, eventually, exchange
+
+from hazelbend.forwarding.ports import ClientRequest, ClientResponse
+from hazelbend.transport.http.request_listener import RequestListener
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.fixture
+def anyio_backend() -> str:
+    """The event loop that these tests run on."""
+    return "asyncio"
+
+
+HEAD = b"POST /x/1?q=%20a HTTP/1.1\r\nHost: a.example\r\nRequest-Id: q1\r\nDeadline-Ms: 900\r\n"
+
+
+@pytest.fixture
+async def listener():
+    """A listener; a test sets its `serve`."""
+
+    class ScriptedListener(RequestListener):
+        serve: Callable[[ClientRequest, ClientResponse], Awaitable[None]]
+
+        async def forward(self, request: ClientRequest, response: ClientResponse) -> None:
+            self.received.append(request)
+            await self.serve(request, response)
+
+    created = ScriptedListener.__new__(ScriptedListener)
+    created.received = []
+    RequestListener.__init__(created, created.forward, lambda: 0, 100)
+    await created.listen(HOST, 0)
+    yield created
+    await created.close()
+
+
+async def test_a_request_arrives_complete_without_its_hop_by_hop_fields(listener):
+    async def serve(request: ClientRequest, response: ClientResponse) -> None:
+        await response.answer(201, (("Server-Signature", "s"),), b"done")
+
+    listener.serve = serve
+    fields = b"X-Drop: 1\r\nConnection: keep-alive, x-drop\r\nModel: m\r\nTransfer-Encoding: chunked\r\n\r\n"
+    raw_response = await exchange(listener.port, HEAD + fields + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+    [request] = listener.received
+    assert (request.target, request.body, request.timeout_us) == ("/x/1?q=%20a", b"abc", 900_000)
+    assert dict(request.headers) == {"Model": "m"}
+    assert (
+        raw_response.startswith(b"HTTP/1.1 201")
+        and b"Server-Signature: s" in raw_response
+        and raw_response.endswith(b"done")
+    )
+
+
+async def test_events_are_forwarded_as_they_arrive(listener):
+    gate = asyncio.Event()
+
+    async def serve(request: ClientRequest, response: ClientResponse) -> None:
+        await response.begin(200, (("Content-Type", "text/event-stream"),))
+        await response.write(b"id: 1\n\n")
+        await gate.wait()
+        await response.write(b"id: 2\n\n")
+        await response.finish()
+
+    listener.serve = serve
+    reader, writer = await asyncio.open_connection(HOST, listener.port)
+    writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
+    async with asyncio.timeout(TIMEOUT_S):
+        first = await reader.readuntil(b"id: 1\n\n")
+        gate.set()
+        rest = await reader.readuntil(b"0\r\n\r\n")
+    assert b"200" in first and b"id: 2" in rest
+    writer.close()
+
+
+async def test_an_aborted_stream_does_not_look_complete(listener):
+    async def serve(request: ClientRequest, response: ClientResponse) -> None:
+        await response.begin(200, ())
+        await response.write(b"id: 1\n\n")
+        response.abort()
+
+    listener.serve = serve
+    raw_response = await exchange(listener.port, HEAD + b"Content-Length: 0\r\n\r\n")
+    assert b"0\r\n\r\n" not in raw_response
+
+
+@pytest.mark.parametrize(
+    ("request_bytes", "status"),
+    [
+        (HEAD + b"Content-Length: 50\r\n\r\n", b"413"),
+        (HEAD + b"X-Long: " + b"a" * 3_000 + b"\r\nContent-Length: 0\r\n\r\n", b"431"),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", b"400"),
+        (HEAD.replace(b"900", b"9x") + b"Content-Length: 0\r\n\r\n", b"400"),
+    ],
+)
+async def test_requests_beyond_the_limits_or_malformed_are_rejected(listener, request_bytes, status):
+    listener.max_body_bytes, listener.max_header_bytes = 40, 2_000
+    raw_response = await exchange(listener.port, request_bytes)
+    assert raw_response.split(b" ")[1] == status and listener.received == []
+
+
+async def test_a_client_that_disconnects_cancels_its_request(listener):
+    ended = asyncio.Event()
+
+    async def serve(request: ClientRequest, response: ClientResponse) -> None:
+        try:
+            await asyncio.sleep(60)
+        finally:
+            ended.set()
+
+    listener.serve = serve
+    _, writer = await asyncio.open_connection(HOST, listener.port)
+    writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
+    await eventually(lambda: bool(listener.received))
+    writer.close()
+    async with asyncio.timeout(TIMEOUT_S):
+        await ended.wait()
