--- a/benchmarks/cpu_per_job.py
+++ b/benchmarks/cpu_per_job.py
@@ -24,6 +24,8 @@
 
 import aiohttp
 
+from benchmarks.fleet_rig import free_port
+
 ROOT = Path(__file__).parent.parent
 SETTINGS = {
     "azs": ["here"],
@@ -38,11 +40,6 @@
 }
 
 
-def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        return int(listener.getsockname()[1])
-
-
 def configuration(port: int, dials: list[str]) -> dict[str, object]:
     """The program on PORT before toy servers at DIALS, all in one place and kind."""
     place = {"site": "here", "class": "box", "block": 0, "health": "SERVING"}
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -9,6 +9,7 @@
 import contextlib
 import json
 import os
+import random
 import signal
 import socket
 import subprocess
@@ -36,6 +37,9 @@
     "tick_us": 4_000,
 }
 
+FIRST_FREE_PORT = 20_000
+LAST_FREE_PORT = 32_767
+_SYSTEM_RANDOM = random.SystemRandom()  # seeded runs elsewhere draw the same numbers with or without it
 
 # A task: writes a line for each act, with the time and the fencing token, until a file exists.
 ACT_SCRIPT = """
@@ -56,8 +60,15 @@
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    with socket.create_server((host, 0)) as server:
-        return int(server.getsockname()[1])
+    """A TCP port that nothing listens on, for a process that is started later.
+
+    It is outside the kernel's ephemeral range (on Linux 32768 to 60999): a port from that range could go to
+    any outgoing connection before the process has bound it.
+    """
+    while True:
+        port = _SYSTEM_RANDOM.randrange(FIRST_FREE_PORT, LAST_FREE_PORT + 1)
+        with contextlib.suppress(OSError), socket.create_server((host, port)):
+            return port
 
 
 def wait_for(condition: Callable[[], Any], seconds: float = 60.0) -> Any:
