--- a/hazelbend/decisions/brain.py
+++ b/hazelbend/decisions/brain.py
@@ -50,7 +50,8 @@
 
 def expected_jobs(worker: Worker, now: int, rate: float) -> float:
     """E[N] in mean jobs. Own unfinished jobs are known not to have left, so they are a floor; departures fall
-    on all jobs alike, and free slots let none go. What peers have sent since nears the usual level."""
+    on all jobs alike, and free slots let none go. What peers have sent since nears the usual level.
+    """
     age, level = max(now - worker.peer_jobs_at, 0), worker.background_load * rate
     came = level * (1 - exp(-age * rate / max(worker.concurrency, level + 1)))
     leaving = rate * age * worker.peer_jobs / max(worker.peer_jobs + worker.own_load, worker.concurrency)
@@ -302,7 +303,7 @@
         return bool(asked)
 
     def _pick(self, request: Request, now: int) -> Row | None:
-        """argmin (E[N] + 1) / mu over the ready workers that can run the job: all, or those it has drawn."""
+        """Argmin (E[N] + 1) / mu over the ready workers that can run the job: all, or those it has drawn."""
         able, request.candidates = self._able(request, request.candidates or self.ready, now), []
         if self.plans and able:
             if self.random.random() < self.fleet.unassigned:
@@ -327,7 +328,8 @@
 
     def _room(self, request: Request, choice: Row, left: float) -> float:
         """The longest wait there that lets it be in time; the less it is worth for its work beside a dearer
-        class, the nearer to what lets such a job after it be in time: in overload it takes its place."""
+        class, the nearer to what lets such a job after it be in time: in overload it takes its place.
+        """
         _, _, run, worker = choice
         pace, adds = run / self.work.value, request.cost * run / worker.concurrency
         own, worth = (left - pace * request.work) / LATE_MARGIN, self._worth(request.job, request.class_index)
--- a/hazelbend/decisions/discovery_retry.py
+++ b/hazelbend/decisions/discovery_retry.py
@@ -93,7 +93,8 @@
     @staticmethod
     def first_hold(fleet_size: int) -> int:
         """Of a new watch. A call that is given up goes to the end of the queue, so one that is given up
-        before its turn has come is never answered at all."""
+        before its turn has come is never answered at all.
+        """
         return min(max(FIRST_HOLD, FIRST_HOLD_EACH * fleet_size), LONGEST_FIRST_HOLD)
 
     def next_hold(self, fleet_size: int) -> int:
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -325,7 +325,8 @@
 
     def _piggybacked_updates(self, to: str) -> tuple[MembershipUpdate, ...]:
         """Queued updates. A receiver that is suspected or dead hears of that first, so that it can refute
-        (Lifeguard's buddy system)."""
+        (Lifeguard's buddy system).
+        """
         updates: list[MembershipUpdate] = []
         member = self.table.members.get(to)
         if member is not None and member.status is not MemberStatus.ALIVE:
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -210,7 +210,8 @@
 
     def transfer_leadership(self, now: int) -> bool:
         """Let another active voter lead. Call it until it returns False: then this process does not lead, or
-        nobody else can."""
+        nobody else can.
+        """
         active = self.members.table.active()
         others = [voter for voter in self.raft.voters if voter in active and voter != self.me]
         if not self.raft.leads or not others:
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -127,7 +127,8 @@
 
     def reply(self) -> asyncio.Future[Answer]:
         """The final answer in a future of the caller's own, set in the turn in which it is given (callbacks
-        of `answered` come a turn later): the caller may cancel it as its client leaves, `answered` stays."""
+        of `answered` come a turn later): the caller may cancel it as its client leaves, `answered` stays.
+        """
         reply = asyncio.get_running_loop().create_future()
         if self.answered.done():
             reply.set_result(self.answered.result())
@@ -370,7 +371,8 @@
 
     async def _run(self, flow: Flow, number: int, client: BackendClient) -> AttemptResult:
         """The attempt tells its own end: by the task's done callback the flow would hear of it a turn of the
-        loop later, and the client would wait as long for its answer."""
+        loop later, and the client would wait as long for its answer.
+        """
         ending = await self._attempt(flow, number, client)
         flow.attempts[number].told = True
         flow.inbox.put_nowait(Ended(number, ending))
@@ -402,7 +404,8 @@
 
     def _before_first_byte(self, flow: Flow, number: int) -> int | None:
         """The microseconds that are left for this attempt, now that its connection is there; None where what
-        allowed it has changed while it came up."""
+        allowed it has changed while it came up.
+        """
         attempt, now = flow.attempts[number], self.clock.now()
         left, server = attempt.ends_at - now, attempt.server
         if flow.is_closed or left <= 0 or server is None:
--- a/hazelbend/transport/peer/fleet_listener.py
+++ b/hazelbend/transport/peer/fleet_listener.py
@@ -39,7 +39,8 @@
         view: Callable[[], FleetView],
     ) -> None:
         """`found_epoch` takes whether to found it although somebody leads. It returns the new epoch, or
-        raises ValueError with the reason against it."""
+        raises ValueError with the reason against it.
+        """
         super().__init__(MAX_CONNECTIONS)
         self._receive = receive
         self._submit = submit
--- a/hazelbend/transport/peer/frame_link.py
+++ b/hazelbend/transport/peer/frame_link.py
@@ -55,7 +55,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass on each frame that is complete; called by asyncio. A frame that is too large ends the
-        connection."""
+        connection.
+        """
         self._buffer += data
         while len(self._buffer) >= LENGTH_PREFIX_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
@@ -102,7 +103,8 @@
 
 def _set_socket_options(sock: socket.socket) -> None:
     """Send without delay, and detect a dead peer within some seconds. Options that the platform lacks are
-    left out."""
+    left out.
+    """
     for level, option, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
--- a/hazelbend/transport/peer/peer_links.py
+++ b/hazelbend/transport/peer/peer_links.py
@@ -87,7 +87,8 @@
 
     async def found_epoch(self, address: str, *, force: bool, timeout_s: float) -> str:
         """Start a new epoch at this dispatcher; its number. `force`: even if somebody leads. Raises one of
-        CALL_ERRORS."""
+        CALL_ERRORS.
+        """
         body = fleet_codec.FORCE_NEW_EPOCH if force else b""
         return (await self._post(address, "found", body, timeout_s)).decode()
 
