--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted on purpose, to see that the checks of histories find each.
+"""Mutations of the code under test, to see that the checks of histories find each.
 
 A defect replaces one function of the code under test, or of the simulated driver, for as long as `planted`
 holds. `POINTS` says which of the five points of docs/design/0007 it belongs to.
@@ -34,7 +34,7 @@
 
 
 def _unconfirmed_counts() -> list[Patch]:
-    """What a process has counts as confirmed though no majority was asked."""
+    """The configuration of a process counts as confirmed though no majority was asked."""
     original = ControlEngine.take_durable_output
 
     def take_durable_output(self: ControlEngine) -> outputs.DurableOutput:
@@ -79,7 +79,7 @@
 
 
 def _old_resend_refused() -> list[Patch]:
-    """Digests are dropped, and what is dropped counts as refused."""
+    """Digests are dropped, and a resend of a dropped one counts as rejected."""
     original = ConfigStateMachine._remember
 
     def remember(self: ConfigStateMachine, change: config_state_machine.ConfigChange) -> None:
@@ -93,10 +93,10 @@
     original = Fleet.wipe
 
     def wipe(self: Fleet, address: str) -> None:
-        memory = self.machines[address].disk.memory
+        persistent = self.machines[address].disk.persistent
         original(self, address)
-        if memory is not None:
-            self.machines[address].disk.memory = PersistentState(memory.identity, memory.epoch)
+        if persistent is not None:
+            self.machines[address].disk.persistent = PersistentState(persistent.identity, persistent.epoch)
 
     return [(Fleet, "wipe", wipe)]
 
@@ -119,7 +119,7 @@
 
 
 def _list_shrinks() -> list[Patch]:
-    """Voters that are unheard are removed, however few are left, and without a majority's word."""
+    """Voters that are unheard are removed, however few are left, without a majority's confirmation."""
 
     def next_voters(voters: Any, me: str, members: Any, *rest: Any) -> tuple[str, ...] | None:
         gone = [each for each in voters if each not in members and each != me]
@@ -141,7 +141,7 @@
     def flush(self: Fleet, machine: Machine) -> None:
         process = machine.engine
         if process is not None and not machine.saving and process.has_durable_output:
-            self._say(machine, process.take_durable_output())
+            self._send_durable(machine, process.take_durable_output())
         original(self, machine)
 
     return [(Fleet, "_flush", flush)]
@@ -159,7 +159,7 @@
 
 
 def _number_alone() -> list[Patch]:
-    """An answer counts whatever life it is for."""
+    """An acknowledgement counts whatever incarnation it is for."""
     original = Announcements.acknowledge
 
     def acknowledge(self: Announcements, ack: WorkerUpdateAck) -> None:
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -1,8 +1,8 @@
-"""Faults of control machines, their links, disks and clocks, alone, at once and beyond the tolerance.
+"""Injects faults of control machines, their links, disks and clocks: alone, at once and beyond the tolerance.
 
-Of machines that may not be counted on, at most `tolerance` at a time, except by the kinds in `BEYOND`: those
-may make all rest for a while, and nothing acknowledged may be lost or shown in an older state by them. Disks
-are never lost at more machines than the tolerance says: not before those that lost one have caught up.
+At most `tolerance` machines are faulty at a time, except by the kinds in `BEYOND`: those may stop the whole
+cluster for a while, but nothing acknowledged may be lost by them or shown in an older state. Disks are never
+lost at more machines than the tolerance: not before those that lost one have caught up.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from benchmarks.control.fleet import Fleet, Machine
 from benchmarks.control.network import MS, S
-from benchmarks.control.observers import Workers
+from benchmarks.control.observers import DrainingWorkers
 from benchmarks.control.operators import Operators
 
-SYNC = 4 * S  # from the return of a machine until it may be counted on
-CHANCE = 0x2000000
-SLOW_LINK = 625_000  # bytes a second
-SLOW_DISK = 30  # times as long
-STORM = 150  # changes
-STORM_GAP = 40 * MS
-LARGE_BODY = 20_000  # bytes of chance, in hex: they do not compress to less
-HUGE_BODY = 1_400_000  # 2.8 MB in hex, 1.4 MB compressed
+RESYNC_US = 4 * S  # from the return of a machine until it counts as available
+RNG_SALT = 0x2000000  # of a random stream of its own
+SLOW_LINK_BYTES_PER_S = 625_000
+SLOW_DISK_FACTOR = 30  # a sync takes so many times as long
+STORM_CHANGES = 150  # changes
+STORM_GAP_US = 40 * MS  # between two changes
+LARGE_BODY_BYTES = 20_000  # random, in hex: they do not compress to less
+HUGE_BODY_BYTES = 1_400_000  # random, 2.8 MB in hex, 1.4 MB compressed
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault that struck. Times in microseconds."""
+    """One injected fault. Times in microseconds."""
 
     number: int
     kind: str
@@ -42,8 +42,8 @@
         )
 
 
-class Trouble:
-    """Draws faults, and remembers which struck."""
+class FaultInjector:
+    """Draws faults and injects them."""
 
     ONE = ("kill", "power", "wipe", "freeze", "cut", "one_way", "stall", "full", "replace", "long_cut",
            "slow_link", "slow_disk", "stale_answers")  # fmt: skip
@@ -53,43 +53,50 @@
     KINDS = ONE + ALL + BEYOND
 
     def __init__(
-        self, fleet: Fleet, operators: Operators, workers: Workers, left_out: frozenset[int]
+        self, fleet: Fleet, operators: Operators, workers: DrainingWorkers, skipped: frozenset[int]
     ) -> None:
-        """`left_out`: numbers of faults, in their order, that do not strike."""
-        self.fleet, self.operators, self.workers = fleet, operators, workers
-        self._left_out = left_out
-        self._random = random.Random(fleet.seed ^ CHANCE)
-        self._drawn = 0
-        self.struck: list[Fault] = []
+        """`skipped`: numbers of faults, in their order, that are drawn but not injected."""
+        self.fleet = fleet
+        self.operators = operators
+        self.workers = workers
+        self._skipped = skipped
+        self._random = random.Random(fleet.seed ^ RNG_SALT)
+        self._next_number = 0
+        self.injected: list[Fault] = []
         self._lost_until: dict[str, int] = {}
         self._wiped: set[str] = set()  # and not caught up since
-        self.calm_from = 0  # from when on everything is well, as far as faults have struck
-
-    def strike(self) -> None:
-        """One fault, if it may strike now."""
-        fleet, number = self.fleet, self._drawn
-        self._drawn += 1
-        kind, aims, pick = self._random.choice(self.KINDS), self._random.random() < 0.5, self._random.random()
+        self.quiet_from = 0  # when the effects of all injected faults are over
+
+    def inject(self) -> None:
+        """Inject one fault, if it may strike now."""
+        fleet = self.fleet
+        number = self._next_number
+        self._next_number += 1
+        kind = self._random.choice(self.KINDS)
+        aims = self._random.random() < 0.5
+        pick = self._random.random()
         duration = self._random.randint(200 * MS, 3 * S)
         if kind in ("long_cut", "halves"):
             duration = self._random.randint(3 * S, 20 * S)
-        if number in self._left_out:
+        if number in self._skipped:
             return
-        free = [each for each in self._counted() if each.engine is not None and not self._is_lost(each)]
-        lost = [each for each in self._counted() if self._is_lost(each)]
+        free = [
+            each for each in self._quorum_machines() if each.engine is not None and not self._is_lost(each)
+        ]
+        lost = [each for each in self._quorum_machines() if self._is_lost(each)]
         if not free or (kind not in self.BEYOND and len(lost) >= fleet.tolerance):
             return
         leader = fleet.leader
         victim = leader if leader is not None and aims and leader in free else free[int(pick * len(free))]
         if kind in ("wipe", "wipe_after_ack", "replace", "behind") and not self._may_lose_disk():
             return
-        self.struck.append(Fault(number, kind, victim.address, fleet.now, duration))
+        self.injected.append(Fault(number, kind, victim.address, fleet.now, duration))
         if kind in self.ONE:
-            self._lost_until[victim.address] = fleet.now + duration + SYNC + 1 * S
-        self.calm_from = max(self.calm_from, fleet.now + duration + 2 * S)
+            self._lost_until[victim.address] = fleet.now + duration + RESYNC_US + 1 * S
+        self.quiet_from = max(self.quiet_from, fleet.now + duration + 2 * S)
         getattr(self, f"_{kind}")(victim, duration)
 
-    def _counted(self) -> list[Machine]:
+    def _quorum_machines(self) -> list[Machine]:
         machines = self.fleet.machines.values()
         return [each for each in machines if not each.removed and each.address not in self.fleet.observers]
 
@@ -97,7 +104,7 @@
         return self._lost_until.get(machine.address, 0) > self.fleet.now
 
     def _may_lose_disk(self) -> bool:
-        """Whether those that lost one before hold again all that is committed, as voters."""
+        """Whether machines that lost a disk before are voters again that hold all that is committed."""
         leader = self.fleet.leader
         if leader is None:
             return False
@@ -117,14 +124,14 @@
 
     def _kill(self, victim: Machine, duration: int) -> None:
         self.fleet.kill(victim.address)
-        self.fleet.at(duration, lambda: self.fleet.start(victim.address))
+        self.fleet.call_later(duration, lambda: self.fleet.start(victim.address))
 
     _power = _kill  # a save that has not ended is lost whole in both: sqlite's commits are atomic
 
     def _wipe(self, victim: Machine, duration: int) -> None:
         self._wiped.add(victim.address)
         self.fleet.wipe(victim.address)
-        self.fleet.at(duration, lambda: self.fleet.start(victim.address))
+        self.fleet.call_later(duration, lambda: self.fleet.start(victim.address))
 
     def _replace(self, victim: Machine, duration: int) -> None:
         self._wiped.add(self.fleet.replace(victim.address))
@@ -133,16 +140,16 @@
         self.fleet.freeze(victim.address, duration)
 
     def _cut(self, victim: Machine, duration: int) -> None:
-        self.fleet.network.separate([victim.address], self.fleet.machines)
-        self.fleet.at(duration, self.fleet.heal)
+        self.fleet.network.isolate([victim.address], self.fleet.machines)
+        self.fleet.call_later(duration, self.fleet.heal)
 
     _long_cut = _cut  # changes go on at both sides
 
     def _one_way(self, victim: Machine, duration: int) -> None:
         for other in self.fleet.machines:
             if other != victim.address:
-                self.fleet.cut(victim.address, other, both=False)
-        self.fleet.at(duration, self.fleet.heal)
+                self.fleet.partition(victim.address, other, both_ways=False)
+        self.fleet.call_later(duration, self.fleet.heal)
 
     def _stall(self, victim: Machine, duration: int) -> None:
         victim.disk.stalled_until = self.fleet.now + duration
@@ -154,42 +161,43 @@
         def freed() -> None:
             disk.full = False
 
-        self.fleet.at(duration, freed)
+        self.fleet.call_later(duration, freed)
 
     def _slow_link(self, victim: Machine, duration: int) -> None:
-        self.fleet.network.slow(victim.address, SLOW_LINK)
-        self.fleet.at(duration, self.fleet.heal)
+        self.fleet.network.slow(victim.address, SLOW_LINK_BYTES_PER_S)
+        self.fleet.call_later(duration, self.fleet.heal)
 
     def _slow_disk(self, victim: Machine, duration: int) -> None:
         disk, usual = victim.disk, victim.disk.sync
-        disk.sync = usual * SLOW_DISK
+        disk.sync = usual * SLOW_DISK_FACTOR
 
         def restore() -> None:
             disk.sync = usual
 
-        self.fleet.at(duration, restore)
+        self.fleet.call_later(duration, restore)
 
     def _stale_answers(self, victim: Machine, duration: int) -> None:
         """A process starts, asks the others to hold a drain, and starts again before the answers come; they
-        come in its next life, which has asked about another drain just as it is cut off."""
-        fleet, address = self.fleet, victim.address
+        come in its next incarnation, which has just asked about another drain and is partitioned."""
+        fleet = self.fleet
+        address = victim.address
 
         def restart() -> None:
             fleet.kill(address)
             fleet.start(address)
 
         def cut_off() -> None:
-            fleet.network.separate([address], fleet.machines)
+            fleet.network.isolate([address], fleet.machines)
             self.workers.drain(self._random, address)
 
         restart()
-        fleet.at(700 * MS, lambda: self.workers.drain(self._random, address))
+        fleet.call_later(700 * MS, lambda: self.workers.drain(self._random, address))
         fleet.network.hold(address, fleet.now + 720 * MS, fleet.now + 1_800 * MS)
-        fleet.at(730 * MS, restart)
-        fleet.at(1_795 * MS, cut_off)
-        fleet.at(2 * S + duration, fleet.heal)
-        self._lost_until[address] = fleet.now + 2 * S + duration + SYNC + 1 * S
-        self.calm_from = max(self.calm_from, fleet.now + duration + 4 * S)
+        fleet.call_later(730 * MS, restart)
+        fleet.call_later(1_795 * MS, cut_off)
+        fleet.call_later(2 * S + duration, fleet.heal)
+        self._lost_until[address] = fleet.now + 2 * S + duration + RESYNC_US + 1 * S
+        self.quiet_from = max(self.quiet_from, fleet.now + duration + 4 * S)
 
     # --- all, within the tolerance ---
 
@@ -197,7 +205,7 @@
         """Also those that do not count."""
         for machine in self.fleet.alive:
             self.fleet.kill(machine.address)
-            self.fleet.at(duration, lambda address=machine.address: self.fleet.start(address))
+            self.fleet.call_later(duration, lambda address=machine.address: self.fleet.start(address))
 
     def _power_after_ack(self, victim: Machine, duration: int) -> None:
         """All lose power within 3 ms of an acknowledgement."""
@@ -210,16 +218,16 @@
             leader = self.fleet.leader or victim
             if not self._may_lose_disk():
                 return
-            self._lost_until[leader.address] = self.fleet.now + duration + SYNC + 1 * S
+            self._lost_until[leader.address] = self.fleet.now + duration + RESYNC_US + 1 * S
             self._wipe(leader, duration)
             self._kill_all(leader, duration)
-            self.calm_from = max(self.calm_from, self.fleet.now + duration + 2 * S)
+            self.quiet_from = max(self.quiet_from, self.fleet.now + duration + 2 * S)
 
         self._after_ack(strike)
 
     def _after_ack(self, strike: Callable[[], None]) -> None:
         delay = self._random.randint(0, 3 * MS)
-        self.operators.on_ack = lambda: self.fleet.at(delay, strike)
+        self.operators.on_ack = lambda: self.fleet.call_later(delay, strike)
         self.operators.change()
 
     def _clocks(self, victim: Machine, duration: int) -> None:
@@ -231,7 +239,7 @@
         """Settings name other seeds from now on; one machine starts again with them."""
         standing = [each.address for each in self.fleet.machines.values() if not each.removed]
         self.fleet.exchanged_seeds = tuple(self._random.sample(standing, min(3, len(standing))))
-        self._lost_until[victim.address] = self.fleet.now + duration + SYNC + 1 * S
+        self._lost_until[victim.address] = self.fleet.now + duration + RESYNC_US + 1 * S
         self._kill(victim, duration)
 
     def _late_frames(self, victim: Machine, duration: int) -> None:
@@ -241,72 +249,74 @@
         def end() -> None:
             self.fleet.network.late = 0.0
 
-        self.fleet.at(duration, end)
+        self.fleet.call_later(duration, end)
 
     def _lost_answers(self, victim: Machine, duration: int) -> None:
-        self.operators.lost_answers = 0.7
+        self.operators.lost_answer_share = 0.7
 
         def end() -> None:
-            self.operators.lost_answers = 0.0
+            self.operators.lost_answer_share = 0.0
 
-        self.fleet.at(duration, end)
+        self.fleet.call_later(duration, end)
 
     def _storm(self, victim: Machine, duration: int) -> None:
-        self._storm_of(STORM, LARGE_BODY, STORM_GAP)
+        self._storm_of(STORM_CHANGES, LARGE_BODY_BYTES, STORM_GAP_US)
 
     def _huge_bodies(self, victim: Machine, duration: int) -> None:
-        self._storm_of(4, HUGE_BODY, 600 * MS)
+        self._storm_of(4, HUGE_BODY_BYTES, 600 * MS)
 
     def _storm_of(self, changes: int, size: int, gap: int) -> None:
-        """Many changes, while whatever else goes on."""
+        """Send many changes, while everything else goes on."""
 
         def one(left: int) -> None:
             self.operators.body_bytes = size if left % 3 == 0 else 0
             self.operators.change()
             self.operators.body_bytes = 0
             if left > 1:
-                self.fleet.at(gap, lambda: one(left - 1))
+                self.fleet.call_later(gap, lambda: one(left - 1))
 
-        self.calm_from = max(self.calm_from, self.fleet.now + changes * gap + 2 * S)
+        self.quiet_from = max(self.quiet_from, self.fleet.now + changes * gap + 2 * S)
         one(changes)
 
     # --- beyond the tolerance ---
 
     def _halves(self, victim: Machine, duration: int) -> None:
-        """Half of the machines that count are cut from the others."""
-        counted = [each.address for each in self._counted()]
-        self._random.shuffle(counted)
-        half = counted[: len(counted) // 2]
-        self.fleet.network.separate(half, [each for each in counted if each not in half])
-        self.fleet.at(duration, self.fleet.heal)
+        """Half of the machines that count for the quorum are partitioned from the others."""
+        quorum_machines = [each.address for each in self._quorum_machines()]
+        self._random.shuffle(quorum_machines)
+        half = quorum_machines[: len(quorum_machines) // 2]
+        self.fleet.network.isolate(half, [each for each in quorum_machines if each not in half])
+        self.fleet.call_later(duration, self.fleet.heal)
 
     def _overlap(self, victim: Machine, duration: int) -> None:
-        """Several at once are killed, frozen or cut off, with their disks."""
-        counted = self._counted()
-        self._random.shuffle(counted)
-        for machine in counted[: self._random.randint(2, max(len(counted) - 1, 2))]:
+        """Several at once are killed, frozen or partitioned; they keep their disks."""
+        quorum_machines = self._quorum_machines()
+        self._random.shuffle(quorum_machines)
+        for machine in quorum_machines[: self._random.randint(2, max(len(quorum_machines) - 1, 2))]:
             harm = self._random.choice((self._kill, self._freeze, self._cut))
             if machine.engine is not None:
                 harm(machine, self._random.randint(200 * MS, duration))
 
     def _behind(self, victim: Machine, duration: int) -> None:
         """One misses changes; then another loses its disk and the rest are dark, and the cut heals."""
-        counted = [each for each in self._counted() if each is not victim and each.engine is not None]
-        if len(counted) < 2:
+        quorum_machines = [
+            each for each in self._quorum_machines() if each is not victim and each.engine is not None
+        ]
+        if len(quorum_machines) < 2:
             return
-        self.fleet.network.separate([victim.address], self.fleet.machines)
+        self.fleet.network.isolate([victim.address], self.fleet.machines)
         for number in range(4):
-            self.fleet.at(number * 300 * MS, self.operators.change)
+            self.fleet.call_later(number * 300 * MS, self.operators.change)
 
         def strike() -> None:
             if not self._may_lose_disk():
                 self.fleet.heal()
                 return
-            self._wipe(counted[0], 200 * MS)
-            for machine in counted[1:]:
+            self._wipe(quorum_machines[0], 200 * MS)
+            for machine in quorum_machines[1:]:
                 if machine.engine is not None:
                     self._kill(machine, duration)
             self.fleet.heal()
 
-        self.calm_from = max(self.calm_from, self.fleet.now + duration + 4 * S)
-        self.fleet.at(1_500 * MS, strike)
+        self.quiet_from = max(self.quiet_from, self.fleet.now + duration + 4 * S)
+        self.fleet.call_later(1_500 * MS, strike)
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -1,4 +1,7 @@
-"""A fleet of control processes on a simulated clock, network and disk: real engines; a seed, a history."""
+"""A fleet of control processes on a simulated clock, network and disk.
+
+The engines are real. The same seed gives the same history. Times are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -18,35 +21,36 @@
 from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 
-HEARTBEAT = 1_200 * MS
+HEARTBEAT_US = 1_200 * MS
 
 
 class BrokenRuleError(AssertionError):
-    """What must hold did not. `faults`: those that had struck."""
+    """A rule of the system was broken. `faults`: those that were injected before."""
 
     faults: tuple[Any, ...] = ()
 
 
 @dataclass(slots=True)
 class Disk:
-    """What a machine has on its disk: whole saves, in their order."""
+    """The disk of a machine: saves are atomic and in order."""
 
-    memory: PersistentState | None = None
+    persistent: PersistentState | None = None
     commit: int = 0
     stalled_until: int = 0
     full: bool = False
     sync: int = 1 * MS
 
     def save(self, parts: list[object], commit: int) -> None:
-        """All of it lasts from now on."""
-        old = self.memory
-        memory = PersistentState("")
+        """Store the changed parts and the commit index."""
+        old = self.persistent
+        persistent = PersistentState("")
         if old is not None:
             for part in state_codec.whole_parts(old):
-                state_codec.take(memory, part)
+                state_codec.take(persistent, part)
         for part in parts:
-            state_codec.take(memory, part)
-        self.memory, self.commit = memory, max(commit, self.commit)
+            state_codec.take(persistent, part)
+        self.persistent = persistent
+        self.commit = max(commit, self.commit)
 
 
 @dataclass(slots=True, eq=False)
@@ -56,25 +60,26 @@
     address: str
     disk: Disk
     engine: ce.ControlEngine | None = None
-    life: int = 0
+    incarnation: int = 0
     frozen_until: int = 0
     saving: bool = False
-    waiting: dict[int, Callable[[co.CallOutcome], None]] = field(default_factory=dict)
-    published: int = 0  # the version that routers were told
+    pending_calls: dict[int, Callable[[co.CallOutcome], None]] = field(default_factory=dict)
+    published_version: int = 0  # that routers have got
     confirmed_at: int | None = None  # when that version was surely the newest
-    back_at: int = 0
+    started_at: int = 0
     removed: bool = False
     clock_offset: float = 0.0  # seconds, of its time of day
 
 
 class Fleet:
-    """Machines, and what lies between them."""
+    """The machines, their links and the event loop."""
 
     def __init__(
         self, seed: int, machines: int = 3, tolerance: int = 1, loss: float = 0.01, observers: int = 0
     ) -> None:
         """`observers`: so many of the machines, the last ones, have no vote."""
-        self.seed, self.random = seed, random.Random(seed)
+        self.seed = seed
+        self.random = random.Random(seed)
         self.now = 0
         self.tolerance = tolerance
         self.network = Network(self.random, loss)
@@ -83,70 +88,75 @@
         self.observers = set(self.addresses[machines - observers :])
         self.exchanged_seeds: tuple[str, ...] = ()  # what settings files that are written now name
         self.on_publish: list[Callable[[Machine, StoredConfig], None]] = []
-        self.on_worker_news: list[Callable[[Machine, list[WorkerRecord]], None]] = []
+        self.on_workers_changed: list[Callable[[Machine, list[WorkerRecord]], None]] = []
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._count = 0
+        self._last_event_number = 0
         self.messages = 0
         for address in self.addresses:
-            self.at(self.random.randrange(300 * MS), lambda address=address: self.start(address, True))
+            self.call_later(
+                self.random.randrange(300 * MS), lambda address=address: self.start(address, bootstrap=True)
+            )
 
     # --- time ---
 
-    def at(self, delay: int, action: Callable[[], None]) -> None:
-        """Do this so many microseconds from now."""
-        self._count += 1
-        heapq.heappush(self._events, (self.now + delay, self._count, action))
+    def call_later(self, delay: int, action: Callable[[], None]) -> None:
+        """Schedule an action, so many microseconds from now."""
+        self._last_event_number += 1
+        heapq.heappush(self._events, (self.now + delay, self._last_event_number, action))
 
     def run(self, duration: int) -> None:
-        """Let so much time pass."""
+        """Run the events of so many microseconds."""
         end = self.now + duration
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = end
 
-    def until(self, holds: Callable[[], bool], most: int) -> bool:
-        """Let time pass until this holds, at most so long."""
-        end = self.now + most
+    def run_until(self, condition: Callable[[], bool], timeout: int) -> bool:
+        """Run until the condition holds; False if it does not within the timeout."""
+        end = self.now + timeout
         while self.now < end:
-            if holds():
+            if condition():
                 return True
             self.run(10 * MS)
-        return holds()
+        return condition()
 
     # --- processes ---
 
-    def start(self, address: str, bootstrap: bool = False) -> None:
+    def start(self, address: str, *, bootstrap: bool = False) -> None:
         """A process starts with what is on the disk."""
         machine = self.machines[address]
         if machine.engine is not None or machine.removed:
             return
-        machine.life += 1
+        machine.incarnation += 1
         settings = ControlSettings(
             address=address,
             seeds=self.seeds,
             counts_for_quorum=address not in self.observers,
             may_bootstrap=bootstrap,
             tolerance=self.tolerance,
-            heartbeat_us=HEARTBEAT,
+            heartbeat_us=HEARTBEAT_US,
             lease_us=3 * S,
         )
-        stored = machine.disk.memory
-        memory = None
+        stored = machine.disk.persistent
+        persistent = None
         if stored is not None:
-            memory = PersistentState("")
+            persistent = PersistentState("")
             for part in state_codec.whole_parts(stored):
-                state_codec.take(memory, part)
+                state_codec.take(persistent, part)
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
         machine.engine = ce.ControlEngine(
-            identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, memory
+            identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, persistent
         )
-        if memory is not None:
+        if persistent is not None:
             machine.engine.raft.restore_commit(machine.disk.commit, self.now)
-        machine.saving, machine.waiting = False, {}
-        machine.published, machine.back_at, machine.confirmed_at = 0, self.now, None
-        self._pump(machine, machine.life)
+        machine.saving = False
+        machine.pending_calls = {}
+        machine.published_version = 0
+        machine.started_at = self.now
+        machine.confirmed_at = None
+        self._pump(machine, machine.incarnation)
 
     @property
     def seeds(self) -> tuple[str, ...]:
@@ -160,7 +170,7 @@
         """SIGKILL: the disk keeps all that was saved."""
         machine = self.machines[address]
         machine.engine = None
-        machine.life += 1
+        machine.incarnation += 1
 
     def wipe(self, address: str) -> None:
         """Killed, and its disk is lost; its delays stay those of the machine."""
@@ -171,9 +181,9 @@
         """The process stands still; what comes meanwhile is read when it wakes."""
         self.machines[address].frozen_until = self.now + duration
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
+    def partition(self, one: str, other: str, *, both_ways: bool = True) -> None:
         """Messages between these two are lost."""
-        self.network.cut(one, other, both)
+        self.network.partition(one, other, both_ways=both_ways)
 
     def heal(self) -> None:
         """All links carry again."""
@@ -185,7 +195,7 @@
         self.machines[address].removed = True
         new = f"10.1.{len(self.machines) + 1}.1:7000"
         self.machines[new] = Machine(new, Disk())
-        self.at(1 * S, lambda: self.start(new))
+        self.call_later(1 * S, lambda: self.start(new))
         return new
 
     @property
@@ -201,17 +211,17 @@
 
     # --- the driver, as in system/control_daemon.py ---
 
-    def _pump(self, machine: Machine, life: int) -> None:
-        if machine.life != life or machine.engine is None:
+    def _pump(self, machine: Machine, incarnation: int) -> None:
+        if machine.incarnation != incarnation or machine.engine is None:
             return
         if self.now < machine.frozen_until:
-            self.at(machine.frozen_until - self.now, lambda: self._pump(machine, life))
+            self.call_later(machine.frozen_until - self.now, lambda: self._pump(machine, incarnation))
             return
         engine = machine.engine
         if self.now >= engine.next_tick_at:
             engine.tick(self.now)
         self._flush(machine)
-        self.at(max(engine.next_tick_at - self.now, 1 * MS), lambda: self._pump(machine, life))
+        self.call_later(max(engine.next_tick_at - self.now, 1 * MS), lambda: self._pump(machine, incarnation))
 
     def _flush(self, machine: Machine) -> None:
         engine = machine.engine
@@ -219,63 +229,65 @@
             return
         output = engine.take_immediate_output()
         if output.changed_workers:
-            for hear in self.on_worker_news:
-                hear(machine, output.changed_workers)
+            for listener in self.on_workers_changed:
+                listener(machine, output.changed_workers)
         for address, body in output.messages:
             self._send(machine.address, address, body)
         for outcome in output.outcomes:
-            self._answer(machine, outcome)
+            self._resolve(machine, outcome)
         if machine.saving or not engine.has_durable_output:
             return
         durable = engine.take_durable_output()
         parts = state_codec.changed_parts(engine.raft)
         if not parts:
-            self._say(machine, durable)
+            self._send_durable(machine, durable)
             return
         machine.saving = True
-        life, commit = machine.life, engine.raft.commit
+        incarnation = machine.incarnation
+        commit = engine.raft.commit
         delay = machine.disk.sync + max(machine.disk.stalled_until - self.now, 0)
-        self.at(delay, lambda: self._saved(machine, life, parts, commit, durable))
+        self.call_later(delay, lambda: self._saved(machine, incarnation, parts, commit, durable))
 
     def _saved(
-        self, machine: Machine, life: int, parts: list[object], commit: int, output: co.DurableOutput
+        self, machine: Machine, incarnation: int, parts: list[object], commit: int, output: co.DurableOutput
     ) -> None:
         engine = machine.engine
-        if machine.life != life or engine is None:
+        if machine.incarnation != incarnation or engine is None:
             return
         if machine.disk.full:
-            engine.raft.promise_changed, engine.raft.unsaved = True, engine.raft.persistent.base
+            engine.raft.promise_changed = True
+            engine.raft.unsaved = engine.raft.persistent.base
             for outcome in (*output.outcomes, *engine.discard_durable_output()):
-                self._answer(machine, _unknown(outcome))
-            self.at(200 * MS, lambda: self._free_to_save(machine, life))
+                self._resolve(machine, _unknown(outcome))
+            self.call_later(200 * MS, lambda: self._free_to_save(machine, incarnation))
             return
         machine.saving = False
         machine.disk.save(parts, commit)
-        self._say(machine, output)
+        self._send_durable(machine, output)
         self._flush(machine)
 
-    def _free_to_save(self, machine: Machine, life: int) -> None:
-        if machine.life == life:
+    def _free_to_save(self, machine: Machine, incarnation: int) -> None:
+        if machine.incarnation == incarnation:
             machine.saving = False
             self._flush(machine)
 
-    def _say(self, machine: Machine, output: co.DurableOutput) -> None:
+    def _send_durable(self, machine: Machine, output: co.DurableOutput) -> None:
         for address, body in output.messages:
             self._send(machine.address, address, body)
         for outcome in output.outcomes:
-            self._answer(machine, outcome)
-        if output.config.version < machine.published:
+            self._resolve(machine, outcome)
+        if output.config.version < machine.published_version:
             raise BrokenRuleError(f"{machine.address} went back to {output.config.version}")
         machine.confirmed_at = output.confirmed_at
-        if output.config.version != machine.published:
-            machine.published = output.config.version
-            for hear in self.on_publish:
-                hear(machine, output.config)
+        if output.config.version != machine.published_version:
+            machine.published_version = output.config.version
+            for listener in self.on_publish:
+                listener(machine, output.config)
 
-    def _answer(self, machine: Machine, outcome: co.CallOutcome) -> None:
-        told = machine.waiting.pop(outcome.request_id, None)
-        if told is not None:
-            told(outcome)
+    def _resolve(self, machine: Machine, outcome: co.CallOutcome) -> None:
+        on_result = machine.pending_calls.pop(outcome.request_id, None)
+        if on_result is not None:
+            on_result(outcome)
 
     def _send(self, sender: str, to: str, body: m.Body) -> None:
         self.messages += 1
@@ -283,15 +295,23 @@
             return
         frame = m.encode(body)
         self.network.send(
-            sender, to, frame, self.now, self.at, lambda held: self._deliver(sender, to, frame, held)
+            sender,
+            to,
+            frame,
+            self.now,
+            self.call_later,
+            lambda bypasses: self._deliver(sender, to, frame, bypasses_partitions=bypasses),
         )
 
-    def _deliver(self, sender: str, to: str, frame: bytes, held: bool = False) -> None:
+    def _deliver(self, sender: str, to: str, frame: bytes, *, bypasses_partitions: bool) -> None:
         machine = self.machines[to]
-        if machine.engine is None or ((sender, to) in self.network.cuts and not held):
+        if machine.engine is None or ((sender, to) in self.network.partitions and not bypasses_partitions):
             return
         if self.now < machine.frozen_until:
-            self.at(machine.frozen_until - self.now, lambda: self._deliver(sender, to, frame, held))
+            self.call_later(
+                machine.frozen_until - self.now,
+                lambda: self._deliver(sender, to, frame, bypasses_partitions=bypasses_partitions),
+            )
             return
         machine.engine.receive(sender, m.decode(frame), self.now)
         self._flush(machine)
@@ -299,59 +319,69 @@
     # --- calls ---
 
     def put(
-        self, address: str, base: int, version: int, body: bytes, told: Callable[[ChangeResult | None], None]
+        self,
+        address: str,
+        base: int,
+        version: int,
+        body: bytes,
+        on_result: Callable[[ChangeResult | None], None],
     ) -> None:
-        """An operator's change at this machine; `told` hears the outcome, None where it is not known."""
+        """Put an operator's change at this machine; the result is None where it is not known."""
 
-        def answered(outcome: co.CallOutcome) -> None:
+        def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.PutOutcome)
-            told(outcome.result)
+            on_result(outcome.result)
 
-        self._ask(address, lambda engine: engine.put_config(base, version, body, self.now), answered, told)
+        self._call(
+            address,
+            lambda engine: engine.put_config(base, version, body, self.now),
+            on_outcome,
+            on_result,
+        )
 
-    def read(self, address: str, told: Callable[[StoredConfig | None], None]) -> None:
-        """A read at this machine."""
+    def read(self, address: str, on_result: Callable[[StoredConfig | None], None]) -> None:
+        """Read the configuration at this machine; the result is None where it is not known."""
 
-        def answered(outcome: co.CallOutcome) -> None:
+        def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.ReadOutcome)
-            told(outcome.config)
+            on_result(outcome.config)
 
-        self._ask(address, lambda engine: engine.read_config(self.now), answered, told)
+        self._call(address, lambda engine: engine.read_config(self.now), on_outcome, on_result)
 
-    def worker(self, address: str, record: WorkerRecord, told: Callable[[bool], None]) -> None:
-        """A worker's heartbeat at this machine; `told` hears whether it was acknowledged."""
+    def worker(self, address: str, record: WorkerRecord, on_result: Callable[[bool], None]) -> None:
+        """Send a worker's heartbeat to this machine; the result is whether it was acknowledged."""
 
-        def answered(outcome: co.CallOutcome) -> None:
+        def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.AnnouncementOutcome)
-            told(outcome.acknowledged)
+            on_result(outcome.acknowledged)
 
         machine = self.machines[address]
         if machine.engine is None or self.now < machine.frozen_until:
-            told(False)
+            on_result(False)
             return
         number = machine.engine.handle_heartbeat(record, self.now)
         if number is None:
-            told(True)
+            on_result(True)
         else:
-            machine.waiting[number] = answered
+            machine.pending_calls[number] = on_outcome
         self._flush(machine)
 
-    def _ask(
+    def _call(
         self,
         address: str,
         call: Callable[[ce.ControlEngine], int | None],
-        answered: Callable[[co.CallOutcome], None],
-        told: Callable[[None], None],
+        on_outcome: Callable[[co.CallOutcome], None],
+        on_result: Callable[[None], None],
     ) -> None:
         machine = self.machines[address]
         if machine.engine is None or self.now < machine.frozen_until:
-            told(None)
+            on_result(None)
             return
         number = call(machine.engine)
         if number is None:
-            told(None)
+            on_result(None)
             return
-        machine.waiting[number] = answered
+        machine.pending_calls[number] = on_outcome
         self._flush(machine)
 
 
@@ -363,8 +393,8 @@
     return outcome
 
 
-def whole(fleet: Fleet, machines: int) -> bool:
-    """Whether so many vote, and all of them know."""
+def has_formed(fleet: Fleet, machines: int) -> bool:
+    """Whether the cluster has a leader and this many voters, and all voters know it."""
     records = [each.engine.raft for each in fleet.alive if each.address not in fleet.observers]
     known = [len(each.persistent.voters_at(each.commit)) for each in records]
     return fleet.leader is not None and known == [machines] * machines
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -1,26 +1,26 @@
-"""Histories: a seed, a fleet, its operators, routers and workers under faults; and their shrinking."""
+"""Runs a simulated fleet with operators, routers and workers under faults, and shrinks failing histories."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-from benchmarks.control.faults import SYNC, Fault, Trouble
-from benchmarks.control.fleet import BrokenRuleError, Fleet, whole
+from benchmarks.control.faults import Fault, FaultInjector
+from benchmarks.control.fleet import BrokenRuleError, Fleet, has_formed
 from benchmarks.control.network import MS, S
-from benchmarks.control.observers import Orders, Router, Workers
+from benchmarks.control.observers import DrainingWorkers, OrderMonitor, RouterMonitor
 from benchmarks.control.operators import Operators
 
-CHANCE = 0x3000000
-FIRST_START = 10 * S  # in which all machines must have come together
-LAST_FAULTS = 22 * S  # after the last fault was drawn, until all of them are over
-RECOVERY = 12 * S  # from when all are back until all is well
+RNG_SALT = 0x3000000
+START_TIMEOUT_US = 10 * S  # in which all machines must have come together
+LAST_FAULTS_US = 22 * S  # after the last fault was drawn, until all of them are over
+RECOVERY_US = 12 * S  # from when all are back until all is well
 ROUTERS = 2
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
-    """What a history came to."""
+class HistoryResult:
+    """Totals of a history."""
 
     changes: int
     reads: int
@@ -32,34 +32,39 @@
 
 
 class History:
-    """One seed's."""
+    """The history of one seed."""
 
-    def __init__(self, seed: int, machines: int, tolerance: int, left_out: frozenset[int]) -> None:
-        self._chance = random.Random(seed ^ CHANCE)
-        observers = self._chance.choice((0, 0, 1))
-        self._counted = machines
+    def __init__(self, seed: int, machines: int, tolerance: int, skipped: frozenset[int]) -> None:
+        self._rng = random.Random(seed ^ RNG_SALT)
+        observers = self._rng.choice((0, 0, 1))
+        self._voter_count = machines
         self.fleet = Fleet(seed, machines + observers, tolerance, observers=observers)
         self.operators = Operators(self.fleet)
-        self.workers, self.orders = Workers(self.fleet), Orders(self.fleet)
-        self.trouble = Trouble(self.fleet, self.operators, self.workers, left_out)
-        self.routers = [Router(self.fleet, number) for number in range(ROUTERS)]
+        self.workers = DrainingWorkers(self.fleet)
+        self.orders = OrderMonitor(self.fleet)
+        self.fault_injector = FaultInjector(self.fleet, self.operators, self.workers, skipped)
+        self.routers = [RouterMonitor(self.fleet, number) for number in range(ROUTERS)]
         self.orders.begin()
 
     def play(self, length: int) -> None:
-        """BrokenRuleError: what must hold did not."""
+        """Run the history.
+
+        Raises:
+            BrokenRuleError: a rule of the system was broken.
+        """
         fleet = self.fleet
-        fleet.until(lambda: self._together(), FIRST_START)
-        if not self._together():
+        fleet.run_until(lambda: self._has_formed(), START_TIMEOUT_US)
+        if not self._has_formed():
             raise BrokenRuleError("the first start has not brought all machines together")
         end = fleet.now + length
         while fleet.now < end:
-            self._pass(self._chance.randint(20 * MS, 600 * MS))
-            self._act(self._chance.random())
-        last = fleet.now + LAST_FAULTS
-        while fleet.now < min(max(self.trouble.calm_from, fleet.now + 1 * S), last):
-            self._pass(200 * MS)
+            self._run_and_check(self._rng.randint(20 * MS, 600 * MS))
+            self._act(self._rng.random())
+        last = fleet.now + LAST_FAULTS_US
+        while fleet.now < min(max(self.fault_injector.quiet_from, fleet.now + 1 * S), last):
+            self._run_and_check(200 * MS)
         fleet.heal()
-        self._pass(RECOVERY)
+        self._run_and_check(RECOVERY_US)
         self._check_caught_up()
         self.operators.check_end()
 
@@ -73,11 +78,11 @@
         elif drawn < 0.78:
             self.operators.read()
         elif drawn < 0.85:
-            self.workers.drain(self._chance)
+            self.workers.drain(self._rng)
         else:
-            self.trouble.strike()
+            self.fault_injector.inject()
 
-    def _pass(self, duration: int) -> None:
+    def _run_and_check(self, duration: int) -> None:
         """Let time pass, and look at the routers all the while."""
         end = self.fleet.now + duration
         while self.fleet.now < end:
@@ -85,8 +90,8 @@
             for router in self.routers:
                 router.check(self.operators, self.workers)
 
-    def _together(self) -> bool:
-        return whole(self.fleet, self._counted)
+    def _has_formed(self) -> bool:
+        return has_formed(self.fleet, self._voter_count)
 
     def _check_caught_up(self) -> None:
         """All that stand, also those that came back or are new, hold what the leader holds."""
@@ -96,7 +101,7 @@
         standing = {machine.engine.identity for machine in self.fleet.alive}
         gone = set(leader.engine.raft.voters) - standing
         if gone:
-            raise BrokenRuleError(f"{min(gone)} is still listed {RECOVERY / S:.0f} s after all")
+            raise BrokenRuleError(f"{min(gone)} is still listed {RECOVERY_US / S:.0f} s after all")
         digests = {
             machine.engine.registry.digest
             for machine in self.fleet.alive
@@ -109,18 +114,20 @@
                 continue
             record = machine.engine.raft
             if record.commit < leader.engine.raft.commit or not record.is_voter:
-                raise BrokenRuleError(f"{machine.address} has not caught up {RECOVERY / S:.0f} s after all")
+                raise BrokenRuleError(
+                    f"{machine.address} has not caught up {RECOVERY_US / S:.0f} s after all"
+                )
 
-    def result(self) -> Played:
-        """What it came to."""
-        return Played(
+    def result(self) -> HistoryResult:
+        """Totals so far."""
+        return HistoryResult(
             changes=self.operators.changes,
             reads=self.operators.reads,
             drains=len(self.workers.acknowledged),
             orders=len(self.orders.given),
             messages=self.fleet.messages,
             bytes=self.fleet.network.bytes,
-            faults=tuple(self.trouble.struck),
+            faults=tuple(self.fault_injector.injected),
         )
 
 
@@ -129,41 +136,49 @@
     machines: int = 3,
     tolerance: int = 1,
     length: int = 40 * S,
-    left_out: frozenset[int] = frozenset(),
-) -> Played:
-    """One history. BrokenRuleError: what must hold did not; `faults` of it are those that struck."""
-    history = History(seed, machines, tolerance, left_out)
+    skipped: frozenset[int] = frozenset(),
+) -> HistoryResult:
+    """Run one history.
+
+    Raises:
+        BrokenRuleError: a rule was broken; `faults` lists those that were injected.
+    """
+    history = History(seed, machines, tolerance, skipped)
     try:
         history.play(length)
     except BrokenRuleError as error:
-        error.faults = tuple(history.trouble.struck)
+        error.faults = tuple(history.fault_injector.injected)
         raise
     return history.result()
 
 
 def shrink(seed: int, machines: int = 3, tolerance: int = 1) -> tuple[str, tuple[Fault, ...]]:
-    """The rule that a seed breaks, and the fewest faults found that still break one, leaving out one after
-    the other as long as one is left out. ValueError: the seed breaks none."""
+    """The rule that a seed breaks, and the fewest faults found that still break one.
+
+    Skips one fault after the other, as long as a rule is still broken without it.
+
+    Raises:
+        ValueError: the seed breaks no rule.
+    """
     broken = _broken(seed, machines, tolerance, frozenset())
     if broken is None:
         raise ValueError(f"seed {seed} breaks no rule")
-    left_out: frozenset[int] = frozenset()
+    skipped: frozenset[int] = frozenset()
     smaller = True
     while smaller:
         smaller = False
         for fault in reversed(broken.faults):
-            fewer = _broken(seed, machines, tolerance, left_out | {fault.number})
+            fewer = _broken(seed, machines, tolerance, skipped | {fault.number})
             if fewer is not None:
-                broken, left_out, smaller = fewer, left_out | {fault.number}, True
+                broken = fewer
+                skipped = skipped | {fault.number}
+                smaller = True
     return str(broken), broken.faults
 
 
-def _broken(seed: int, machines: int, tolerance: int, left_out: frozenset[int]) -> BrokenRuleError | None:
+def _broken(seed: int, machines: int, tolerance: int, skipped: frozenset[int]) -> BrokenRuleError | None:
     try:
-        play(seed, machines, tolerance, left_out=left_out)
+        play(seed, machines, tolerance, skipped=skipped)
     except BrokenRuleError as error:
         return error
     return None
-
-
-__all__ = ["SYNC", "Played", "play", "shrink"]
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -1,10 +1,10 @@
-"""What confirmation and recovery cost, on simulated time: links of 0.2 to 3 ms, a disk of 1 ms a sync.
+"""Measures confirmation and recovery in simulated time: links of 0.2 to 3 ms, a disk of 1 ms per sync.
 
     python -m benchmarks.control.measure [--seeds 20] [--machines 3]
 
-Prints one JSON object: milliseconds from a cut to the leader's step down and to a new one, from the heal
-until what was cut off has caught up, of puts and reads at p50 and p99; bytes a second that each process sends
-at rest; the bytes of the store on a real disk after 10,000 changes.
+Prints one JSON object: milliseconds from a partition to the leader's step-down and to a new leader, from the
+heal until the old leader has caught up, of puts and reads at p50 and p99; bytes per second that each process
+sends at rest; the bytes of the store on a real disk after 10,000 changes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import tempfile
 from pathlib import Path
 
-from benchmarks.control.fleet import Fleet, whole
+from benchmarks.control.fleet import Fleet, has_formed
 from benchmarks.control.network import MS, S
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
@@ -27,32 +27,33 @@
 from hazelbend.transport.storage.control_store import ControlStore
 
 CHANGES = 10_000
-BODY = 2_000  # bytes of a change, a third of them chance
-CALLS = 200  # of each kind and seed
-STEP = 5 * MS
+BODY_BYTES = 2_000  # of a change, a third of them random
+CALLS = 200  # puts and reads of each seed
+STEP_US = 5 * MS
 
 
 def _started(seed: int, machines: int) -> Fleet:
     fleet = Fleet(seed, machines, (machines - 1) // 2)
-    assert fleet.until(lambda: whole(fleet, machines), 10 * S)
+    assert fleet.run_until(lambda: has_formed(fleet, machines), 10 * S)
     return fleet
 
 
-def _cut_leader(seed: int, machines: int) -> dict[str, int]:
-    """A cut of 20 s, with changes at the other side."""
+def _partition_leader(seed: int, machines: int) -> dict[str, int]:
+    """Partition the leader for 20 s, with changes on the other side; the times in microseconds."""
     fleet = _started(seed, machines)
-    old, began = fleet.leader, fleet.now
-    fleet.network.separate([old.address], fleet.machines)
+    old = fleet.leader
+    began = fleet.now
+    fleet.network.isolate([old.address], fleet.machines)
     times: dict[str, int] = {}
 
-    def look() -> bool:
+    def both_seen() -> bool:
         if not old.engine.raft.leads:
             times.setdefault("step_down", fleet.now - began)
         if fleet.leader is not None and fleet.leader is not old:
             times.setdefault("new_leader", fleet.now - began)
         return len(times) == 2
 
-    fleet.until(look, 5 * S)
+    fleet.run_until(both_seen, 5 * S)
     version = 0
     while fleet.now < began + 20 * S:
         version += 1
@@ -60,14 +61,14 @@
         fleet.run(200 * MS)
     healed = fleet.now
     fleet.heal()
-    caught_up = fleet.until(lambda: old.engine.raft.commit == fleet.leader.engine.raft.commit, 10 * S)
+    caught_up = fleet.run_until(lambda: old.engine.raft.commit == fleet.leader.engine.raft.commit, 10 * S)
     assert caught_up
     times["caught_up"] = fleet.now - healed
     return times
 
 
 def _calls(seed: int, machines: int) -> tuple[list[int], list[int]]:
-    """Times of puts and of reads at the leader."""
+    """Microseconds of puts and of reads at the leader."""
     fleet = _started(seed, machines)
     puts: list[int] = []
     reads: list[int] = []
@@ -91,19 +92,22 @@
     return (fleet.network.bytes - before) / 20 / machines
 
 
-async def _disk_after_changes(folder: Path) -> int:
-    """A single voter's store, saved after each change as the agreement does."""
-    record = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigStateMachine(), TIMING, 1, 0)
-    record.found(256, 0)
+async def _store_changes(folder: Path) -> None:
+    """Write a single voter's store, saved after each change as `system.control_node` does."""
+    raft = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigStateMachine(), TIMING, 1, 0)
+    raft.found(256, 0)
     store = ControlStore(folder)
     await store.open("10.0.0.1:7")
-    chance = random.Random(1)
+    rng = random.Random(1)
     for version in range(1, CHANGES + 1):
-        body = b'{"version":%d,"x":"%s"}' % (version, chance.randbytes(BODY // 3).hex().encode())
-        record.propose(encode_config_change(version - 1, version, body), 0)
-        await store.save(state_codec.changed_parts(record), record.commit)
+        body = b'{"version":%d,"x":"%s"}' % (version, rng.randbytes(BODY_BYTES // 3).hex().encode())
+        raft.propose(encode_config_change(version - 1, version, body), 0)
+        await store.save(state_codec.changed_parts(raft), raft.commit)
     await store.close()
-    return sum(each.stat().st_size for each in folder.iterdir())
+
+
+def _folder_bytes(folder: Path) -> int:
+    return sum(path.stat().st_size for path in folder.iterdir())
 
 
 def _quantiles(times: list[int]) -> dict[str, float]:
@@ -117,20 +121,21 @@
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--machines", type=int, default=3)
     options = parser.parse_args()
-    cuts = [_cut_leader(seed, options.machines) for seed in range(1, options.seeds + 1)]
+    partitions = [_partition_leader(seed, options.machines) for seed in range(1, options.seeds + 1)]
     calls = [_calls(seed, options.machines) for seed in range(1, 4)]
     with tempfile.TemporaryDirectory() as folder:
-        disk = asyncio.run(_disk_after_changes(Path(folder)))
+        asyncio.run(_store_changes(Path(folder)))
+        store_bytes = _folder_bytes(Path(folder))
     found = {
-        name: {"middle": sorted(each[name] for each in cuts)[len(cuts) // 2] / MS,
-               "longest": max(each[name] for each in cuts) / MS}
+        name: {"middle": sorted(each[name] for each in partitions)[len(partitions) // 2] / MS,
+               "longest": max(each[name] for each in partitions) / MS}
         for name in ("step_down", "new_leader", "caught_up")
     }  # fmt: skip
     found |= {
         "put": _quantiles([each for puts, _ in calls for each in puts]),
         "read": _quantiles([each for _, reads in calls for each in reads]),
         "bytes_a_second_at_rest": round(_bytes_at_rest(1, options.machines)),
-        "disk_after_10000_changes": disk,
+        "disk_after_10000_changes": store_bytes,
     }
     print(json.dumps(vars(options) | found))
     return 0
--- a/benchmarks/control/network.py
+++ b/benchmarks/control/network.py
@@ -1,50 +1,51 @@
-"""Links between simulated machines: delay, loss, cuts, speed, and frames that arrive very late."""
+"""Simulated links between machines: delay, loss, partitions, speed, and frames that arrive very late."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterable
 
-MS, S = 1_000, 1_000_000
-DELAY = (200, 3_000)  # microseconds
-LATE = (500 * MS, 6 * S)  # of frames that an earlier connection holds up
-FRAME_OVERHEAD = 80  # bytes
+MS = 1_000  # microseconds
+S = 1_000_000  # microseconds
+DELAY_RANGE_US = (200, 3_000)
+LATE_DELAY_RANGE_US = (500 * MS, 6 * S)  # of frames that an earlier connection held up
+FRAME_OVERHEAD_BYTES = 80
 
 
 class Network:
     """Carries frames between addresses. Times in microseconds."""
 
-    def __init__(self, chance: random.Random, loss: float) -> None:
+    def __init__(self, rng: random.Random, loss: float) -> None:
         self.loss = loss
-        self.late = 0.0  # share of frames that come much later, perhaps in another life of the receiver
-        self.cuts: set[tuple[str, str]] = set()
+        self.late = 0.0  # share of frames that come much later, perhaps to another incarnation
+        self.partitions: set[tuple[str, str]] = set()
         self.bytes = 0
-        self._chance = chance
+        self._rng = rng
         self._speeds: dict[str, float] = {}  # bytes a second, of machines whose links are slow
         self._free_at: dict[str, int] = {}
         self._held: dict[str, tuple[int, int]] = {}  # by receiver: what is sent until then comes at that time
 
     def hold(self, to: str, until: int, arrival: int) -> None:
         """What is sent to this address until then arrives together at that time, as from a connection that is
-        being made, or from buffers that were not read: no cut stops it any more."""
+        being made, or from buffers that were not read: no partition stops it any more."""
         self._held[to] = (until, arrival)
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
+    def partition(self, one: str, other: str, *, both_ways: bool = True) -> None:
         """Frames between these two are lost."""
-        self.cuts.add((one, other))
-        if both:
-            self.cuts.add((other, one))
+        self.partitions.add((one, other))
+        if both_ways:
+            self.partitions.add((other, one))
 
-    def separate(self, side: Iterable[str], others: Iterable[str]) -> None:
-        """Cut each of these from each of the others."""
+    def isolate(self, side: Iterable[str], others: Iterable[str]) -> None:
+        """Partition each of these from each of the others."""
         for one in side:
             for other in others:
                 if one != other:
-                    self.cut(one, other)
+                    self.partition(one, other)
 
     def heal(self) -> None:
         """All links carry again, at their full speed."""
-        self.cuts.clear()
+        self.partitions.clear()
         self._speeds.clear()
 
     def slow(self, address: str, bytes_per_s: float) -> None:
@@ -52,21 +53,22 @@
         self._speeds[address] = bytes_per_s
 
     def send(
-        self, sender: str, to: str, frame: bytes, now: int, at: Callable[[int, Callable[[], None]], None],
+        self, sender: str, to: str, frame: bytes, now: int,
+        call_later: Callable[[int, Callable[[], None]], None],
         deliver: Callable[[bool], None],
     ) -> None:  # fmt: skip
-        """Have `deliver` called after the delay, unless the frame is lost; with True: no cut stops it."""
+        """Call `deliver` after the delay, unless the frame is lost; with True: no partition stops it."""
         self.bytes += len(frame)
-        if (sender, to) in self.cuts or self._chance.random() < self.loss:
+        if (sender, to) in self.partitions or self._rng.random() < self.loss:
             return
         until, arrival = self._held.get(to, (0, 0))
         if now < until:
-            at(arrival - now, lambda: deliver(True))
+            call_later(arrival - now, lambda: deliver(True))
             return
-        delay = self._chance.randint(*DELAY)
-        if self.late and self._chance.random() < self.late:
-            delay += self._chance.randint(*LATE)
-        at(delay + self._queue(sender, to, len(frame), now), lambda: deliver(False))
+        delay = self._rng.randint(*DELAY_RANGE_US)
+        if self.late and self._rng.random() < self.late:
+            delay += self._rng.randint(*LATE_DELAY_RANGE_US)
+        call_later(delay + self._queue(sender, to, len(frame), now), lambda: deliver(False))
 
     def _queue(self, sender: str, to: str, size: int, now: int) -> int:
         """How long the frame waits on links that are slow."""
@@ -75,6 +77,6 @@
             speed = self._speeds.get(address)
             if speed is not None:
                 begins = max(self._free_at.get(address, 0), now)
-                self._free_at[address] = begins + round((size + FRAME_OVERHEAD) / speed * S)
+                self._free_at[address] = begins + round((size + FRAME_OVERHEAD_BYTES) / speed * S)
                 wait = max(wait, self._free_at[address] - now)
         return wait
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -1,4 +1,4 @@
-"""Those who look at control processes from outside: routers, workers that drain, and orders to workers.
+"""Observers of control processes: routers, workers that drain, and a monitor of orders to workers.
 
 Each checks what it is told: a router that counts as current has no old configuration and knows every drain
 that was acknowledged; orders of two leaders lie a lease apart and their fencing tokens rise.
@@ -10,64 +10,72 @@
 from dataclasses import dataclass, field
 
 from benchmarks.control.fleet import BrokenRuleError, Fleet, Machine
-from benchmarks.control.network import DELAY, MS, S
+from benchmarks.control.network import DELAY_RANGE_US, MS, S
 from benchmarks.control.operators import Operators
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
-CHANCE = 0x4000000
-CONFIG_APPLY = 2 * S  # after which an acknowledged configuration holds everywhere
-DRAIN = 2 * S  # after which no router sends to a worker whose drain was acknowledged
-LEASE = 3 * S
-THAW = 300 * MS  # after its sender was thawed, or a link healed, an order does not count
-LOOK, PING, ORDER_LOOK = 200 * MS, 400 * MS, 500 * MS
-UNCONFIRMED, SILENT = 1_500 * MS, 1_300 * MS
-WORKER_HEARTBEAT = 1_200 * MS
+RNG_SALT = 0x4000000
+CONFIG_APPLY_US = 2 * S  # after which an acknowledged configuration holds everywhere
+DRAIN_US = 2 * S  # after which no router sends to a worker whose drain was acknowledged
+LEASE_US = 3 * S
+THAW_US = 300 * MS  # after its sender was thawed, or a link healed, an order does not count
+CHECK_PERIOD_US = 200 * MS
+PING_PERIOD_US = 400 * MS
+ORDER_CHECK_PERIOD_US = 500 * MS
+CONFIRMATION_TIMEOUT_US = 1_500 * MS
+SILENCE_TIMEOUT_US = 1_300 * MS
+WORKER_HEARTBEAT_US = 1_200 * MS
 
 
 @dataclass(slots=True)
 class Watch:
     """A router's watch on one control process."""
 
-    life: int  # of the machine's process
+    incarnation: int  # of the machine's process
     begun_at: int
     heard_at: int
     confirmed_at: int
     pinged_at: int = 0
 
 
-class Router:
+class RouterMonitor:
     """Two watches, as `system.watch` keeps them."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
-        self.fleet, self.number = fleet, number
+        self.fleet = fleet
+        self.number = number
         self.version = self.confirmed_at = 0
         self.drained: set[str] = set()
-        self._random = random.Random(fleet.seed ^ CHANCE ^ number)
+        self._random = random.Random(fleet.seed ^ RNG_SALT ^ number)
         self._watches: dict[str, Watch] = {}
         fleet.on_publish.append(self._published)
-        fleet.on_worker_news.append(self._worker_news)
-        fleet.at(self._random.randrange(LOOK), self._look)
+        fleet.on_workers_changed.append(self._workers_changed)
+        fleet.call_later(self._random.randrange(CHECK_PERIOD_US), self._check_watches)
 
     def is_current(self) -> bool:
         """Whether a majority has confirmed its configuration of late."""
-        return bool(self.confirmed_at) and self.fleet.now - self.confirmed_at < CONFIG_APPLY
+        return bool(self.confirmed_at) and self.fleet.now - self.confirmed_at < CONFIG_APPLY_US
 
     def _delay(self) -> int:
-        return self._random.randint(*DELAY)
+        return self._random.randint(*DELAY_RANGE_US)
 
-    def _look(self) -> None:
+    def _check_watches(self) -> None:
         now = self.fleet.now
-        self.fleet.at(LOOK, self._look)
-        stale = [each for each, watch in self._watches.items() if now - watch.confirmed_at > UNCONFIRMED]
+        self.fleet.call_later(CHECK_PERIOD_US, self._check_watches)
+        stale = [
+            each
+            for each, watch in self._watches.items()
+            if now - watch.confirmed_at > CONFIRMATION_TIMEOUT_US
+        ]
         if len(stale) == len(self._watches):
             stale = stale[1:]  # what one hears is better than nothing
         for address, watch in list(self._watches.items()):
             machine = self.fleet.machines[address]
-            ended = machine.engine is None or machine.life != watch.life
-            if ended or now - watch.heard_at > SILENT or address in stale[:1]:
+            ended = machine.engine is None or machine.incarnation != watch.incarnation
+            if ended or now - watch.heard_at > SILENCE_TIMEOUT_US or address in stale[:1]:
                 del self._watches[address]
-            elif now - watch.pinged_at > PING:
+            elif now - watch.pinged_at > PING_PERIOD_US:
                 self._ping(address, watch)
         free = [each.address for each in self.fleet.alive if each.address not in self._watches]
         self._random.shuffle(free)
@@ -78,21 +86,21 @@
         now = self.fleet.now
         if machine.address in self.fleet.observers:
             return
-        watch = self._watches[machine.address] = Watch(machine.life, now, now, now)
-        self.fleet.at(self._delay(), lambda: self._begin(machine, watch))
+        watch = self._watches[machine.address] = Watch(machine.incarnation, now, now, now)
+        self.fleet.call_later(self._delay(), lambda: self._begin(machine, watch))
 
     def _begin(self, machine: Machine, watch: Watch) -> None:
         """The control process tells all there is."""
         engine = machine.engine
-        if engine is None or machine.life != watch.life:
+        if engine is None or machine.incarnation != watch.incarnation:
             return
         if self.fleet.now < machine.frozen_until:
             wait = machine.frozen_until - self.fleet.now
-            self.fleet.at(wait, lambda: self._begin(machine, watch))
+            self.fleet.call_later(wait, lambda: self._begin(machine, watch))
             return
         records = list(engine.registry.records())
-        self.fleet.at(self._delay(), lambda: self._take_workers(records))
-        self._tell_version(machine, machine.published)
+        self.fleet.call_later(self._delay(), lambda: self._take_workers(records))
+        self._tell_version(machine, machine.published_version)
         self._ping(machine.address, watch)
 
     def _published(self, machine: Machine, config: StoredConfig) -> None:
@@ -101,14 +109,14 @@
 
     def _tell_version(self, machine: Machine, version: int) -> None:
         # In order with answers to pings: both take the longest delay.
-        self.fleet.at(DELAY[1], lambda: self._take_version(version))
+        self.fleet.call_later(DELAY_RANGE_US[1], lambda: self._take_version(version))
 
     def _take_version(self, version: int) -> None:
         self.version = max(self.version, version)
 
-    def _worker_news(self, machine: Machine, records: list[WorkerRecord]) -> None:
+    def _workers_changed(self, machine: Machine, records: list[WorkerRecord]) -> None:
         if machine.address in self._watches:
-            self.fleet.at(self._delay(), lambda: self._take_workers(records))
+            self.fleet.call_later(self._delay(), lambda: self._take_workers(records))
 
     def _take_workers(self, records: list[WorkerRecord]) -> None:
         self.drained |= {each.instance for each in records if each.state is not WorkerState.READY}
@@ -118,14 +126,15 @@
         machine = self.fleet.machines[address]
 
         def arrive() -> None:
-            if machine.engine is None or machine.life != watch.life:
+            if machine.engine is None or machine.incarnation != watch.incarnation:
                 return
             if self.fleet.now < machine.frozen_until:
-                self.fleet.at(machine.frozen_until - self.fleet.now, arrive)
+                self.fleet.call_later(machine.frozen_until - self.fleet.now, arrive)
                 return
-            version, confirmed_at = machine.published, machine.confirmed_at
+            version = machine.published_version
+            confirmed_at = machine.confirmed_at
             age = None if confirmed_at is None else self.fleet.now - confirmed_at
-            self.fleet.at(DELAY[1], lambda: answer(version, age))
+            self.fleet.call_later(DELAY_RANGE_US[1], lambda: answer(version, age))
 
         def answer(version: int, age: int | None) -> None:
             watch.heard_at = self.fleet.now
@@ -135,52 +144,52 @@
             if self.version >= version:
                 self.confirmed_at = max(self.confirmed_at, sent_at - age)
 
-        self.fleet.at(self._delay(), arrive)
+        self.fleet.call_later(self._delay(), arrive)
 
-    def check(self, operators: Operators, workers: Workers) -> None:
+    def check(self, operators: Operators, workers: DrainingWorkers) -> None:
         """What a router that counts as current must know."""
         if not self.is_current():
             return
-        needed = operators.newest_before(self.fleet.now - CONFIG_APPLY)
+        needed = operators.newest_before(self.fleet.now - CONFIG_APPLY_US)
         if self.version < needed:
             raise BrokenRuleError(
                 f"router {self.number} counts {self.version} as current, {needed} was acknowledged"
             )
-        unknown = workers.acknowledged_before(self.fleet.now - DRAIN) - self.drained
+        unknown = workers.acknowledged_before(self.fleet.now - DRAIN_US) - self.drained
         if unknown:
             raise BrokenRuleError(f"router {self.number} does not know of the drain of {min(unknown)}")
 
 
 @dataclass(slots=True)
-class Workers:
+class DrainingWorkers:
     """Workers that announce their end, at any machine, until they are gone."""
 
     fleet: Fleet
     acknowledged: dict[str, int] = field(default_factory=dict)  # by instance: when
     _count: int = 0
 
-    def drain(self, chance: random.Random, first: str | None = None) -> None:
+    def drain(self, rng: random.Random, first: str | None = None) -> None:
         """One more worker announces its end, at this machine first, or at any."""
         self._count += 1
         record = WorkerRecord(
             f"i-{self._count}", "s", f"10.9.0.{self._count}:80", "z", WorkerState.DRAINING, 2
         )
-        self._announce(record, chance, 5, first)
+        self._announce(record, rng, 5, first)
 
     def _announce(
-        self, record: WorkerRecord, chance: random.Random, left: int, first: str | None = None
+        self, record: WorkerRecord, rng: random.Random, left: int, first: str | None = None
     ) -> None:
-        address = first or chance.choice(sorted(self.fleet.machines))
+        address = first or rng.choice(sorted(self.fleet.machines))
 
-        def told(held: bool) -> None:
+        def on_result(held: bool) -> None:
             if held:
                 self.acknowledged.setdefault(record.instance, self.fleet.now)
 
-        self.fleet.worker(address, record, told)
+        self.fleet.worker(address, record, on_result)
         if left > 1:
             later = WorkerRecord(**{name: getattr(record, name) for name in record.__struct_fields__})
-            pause = WORKER_HEARTBEAT if record.instance in self.acknowledged else 300 * MS
-            self.fleet.at(pause, lambda: self._announce(later, chance, left - 1))
+            pause = WORKER_HEARTBEAT_US if record.instance in self.acknowledged else 300 * MS
+            self.fleet.call_later(pause, lambda: self._announce(later, rng, left - 1))
 
     def acknowledged_before(self, at: int) -> set[str]:
         """Instances whose drain was acknowledged by then, and not so long ago that they are forgotten."""
@@ -188,7 +197,7 @@
 
 
 @dataclass(slots=True)
-class Orders:
+class OrderMonitor:
     """Orders to one worker, by whichever process thinks that it may: at most one sender at a time."""
 
     fleet: Fleet
@@ -196,10 +205,10 @@
 
     def begin(self) -> None:
         """Look regularly."""
-        self.fleet.at(ORDER_LOOK, self._look)
+        self.fleet.call_later(ORDER_CHECK_PERIOD_US, self._check_orders)
 
-    def _look(self) -> None:
-        self.fleet.at(ORDER_LOOK, self._look)
+    def _check_orders(self) -> None:
+        self.fleet.call_later(ORDER_CHECK_PERIOD_US, self._check_orders)
         for machine in self.fleet.alive:
             engine = machine.engine
             if engine is None or self.fleet.now < machine.frozen_until:
@@ -210,15 +219,16 @@
 
     def _confirm(self, machine: Machine, token: int) -> None:
         """As `system.phase_orders` does: a majority confirms, and it leads in the same term then."""
-        engine, life = machine.engine, machine.life
+        engine = machine.engine
+        incarnation = machine.incarnation
 
-        def told(config: StoredConfig | None) -> None:
-            if config is None or engine is None or machine.life != life:
+        def on_result(config: StoredConfig | None) -> None:
+            if config is None or engine is None or machine.incarnation != incarnation:
                 return
             if engine.order_token(self.fleet.now) == token:
                 self._give(engine.identity, token)
 
-        self.fleet.read(machine.address, told)
+        self.fleet.read(machine.address, on_result)
 
     def _give(self, holder: str, token: int) -> None:
         now = self.fleet.now
@@ -228,6 +238,6 @@
                 raise BrokenRuleError(f"{holder} and {other} share the fencing token {token}")
             if token < highest:
                 raise BrokenRuleError(f"{holder} orders with {token} after {highest}")
-            if holder != other and now - before < LEASE - THAW:
+            if holder != other and now - before < LEASE_US - THAW_US:
                 raise BrokenRuleError(f"{holder} orders {(now - before) / S:.2f} s after {other}")
         self.given.append((now, holder, token))
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -1,10 +1,10 @@
-"""Operators: changes, resends, races and reads at any machine, and the checks of what they are told.
+"""Operators: changes, resends, races and reads at any machine, and the checks of their results.
 
-Calls have unknown outcomes: an answer may be lost, a machine may die, and the same change is sent again, to
-any machine. What is checked makes the calls linearizable:
+Calls have unknown outcomes: an answer may be lost, a machine may die, and the same change is resent, to any
+machine. The checks are those of linearizability:
 
 - of the changes on one version at most one is accepted, and each version names one change;
-- a change that was refused is never in force, and one that was accepted is never refused;
+- a change that was rejected is never in force, and one that was accepted is never rejected;
 - a read is as new as all that was acknowledged, and all that was read, before it began.
 """
 
@@ -18,10 +18,11 @@
 from benchmarks.control.network import MS
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
-CHANCE = 0x1000000  # of a stream of its own, so that a fault that is left out leaves the others as they were
-ANSWER_WAIT = 900 * MS  # after which an operator takes a call for unanswered
-RESEND_PAUSE = 300 * MS
-MOST_TRIES = 6
+# Each part draws from a random stream of its own: a fault that is skipped leaves the others as they were.
+RNG_SALT = 0x1000000
+ANSWER_TIMEOUT_US = 900 * MS  # after which an operator resends
+RESEND_DELAY_US = 300 * MS
+MAX_ATTEMPTS = 6
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,19 +35,19 @@
 
 
 class Operators:
-    """All of them."""
+    """All operators of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.acknowledged: dict[int, Change] = {}  # by version
         self.acknowledged_at: list[tuple[int, int]] = []  # when a newest version was, in order
-        self.refused: dict[tuple[int, bytes], Change] = {}
+        self.rejected: dict[tuple[int, bytes], Change] = {}
         self.sent: dict[int, set[bytes]] = {}
         self.reads = self.changes = self.resends = 0
-        self.lost_answers = 0.0  # share of answers that operators never get
+        self.lost_answer_share = 0.0  # share of answers that operators never get
         self.body_bytes = 0  # so much is added to each body
         self.on_ack: Callable[[], None] | None = None  # called once, at the next acknowledgement
-        self._random = random.Random(fleet.seed ^ CHANCE)
+        self._random = random.Random(fleet.seed ^ RNG_SALT)
         self._version = 0
         self._newest_read = 0
         fleet.on_publish.append(self._published)
@@ -63,18 +64,18 @@
     # --- changes ---
 
     def change(self) -> None:
-        """One more change, at any machine, on the newest version that is known to be taken."""
+        """Send one more change to any machine, on the newest version that is known to be accepted."""
         self._version += self._random.randint(1, 3)
-        self._send(self._new_change(), self._any_machine(), MOST_TRIES)
+        self._send(self._new_change(), self._any_machine(), MAX_ATTEMPTS)
 
     def race(self) -> None:
-        """Two changes on one version and with one number, at two machines."""
+        """Send two changes with one base and one version to two machines."""
         self._version += 1
         for _ in range(2):
-            self._send(self._new_change(), self._any_machine(), MOST_TRIES)
+            self._send(self._new_change(), self._any_machine(), MAX_ATTEMPTS)
 
     def resend_old(self) -> None:
-        """A change that was acknowledged, once more."""
+        """Resend a change that was acknowledged."""
         if self.acknowledged:
             version = self._random.choice(sorted(self.acknowledged))
             self.resends += 1
@@ -92,30 +93,32 @@
     def _any_machine(self) -> str:
         return self._random.choice(sorted(self.fleet.machines))
 
-    def _send(self, change: Change, address: str, tries: int) -> None:
-        """Send it until it has a clear answer, to any machine, as the operator does."""
+    def _send(self, change: Change, address: str, attempts: int) -> None:
+        """Send it until it has a definite answer, to any machine, as an operator does."""
         self.sent.setdefault(change.version, set()).add(change.body)
         answered = False
 
-        def told(result: ChangeResult | None) -> None:
+        def on_result(result: ChangeResult | None) -> None:
             nonlocal answered
             if result is not None:
-                self._decided(change, result)  # whether or not the operator hears of it
+                self._decided(change, result)  # whether or not the operator gets the answer
             if answered:
                 return
             answered = True
-            if result is not None and self._random.random() < self.lost_answers:
+            if result is not None and self._random.random() < self.lost_answer_share:
                 result = None
             if result is ChangeResult.ACCEPTED:
                 self._acknowledge(change)
-            elif result in (None, ChangeResult.BASE_TOO_OLD) and tries > 1:
-                self.fleet.at(RESEND_PAUSE, lambda: self._send(change, self._next_machine(), tries - 1))
+            elif result in (None, ChangeResult.BASE_TOO_OLD) and attempts > 1:
+                self.fleet.call_later(
+                    RESEND_DELAY_US, lambda: self._send(change, self._next_machine(), attempts - 1)
+                )
 
-        self.fleet.put(address, change.base, change.version, change.body, told)
-        self.fleet.at(ANSWER_WAIT, lambda: told(None))
+        self.fleet.put(address, change.base, change.version, change.body, on_result)
+        self.fleet.call_later(ANSWER_TIMEOUT_US, lambda: on_result(None))
 
     def _next_machine(self) -> str:
-        """The one that leads, to which others redirect, or another one."""
+        """The leader, to which others redirect, or any machine."""
         leader = self.fleet.leader
         follows = leader is not None and self._random.random() < 0.8
         return leader.address if leader is not None and follows else self._any_machine()
@@ -123,13 +126,13 @@
     def _decided(self, change: Change, result: ChangeResult) -> None:
         known = self.acknowledged.get(change.version)
         if result is ChangeResult.ACCEPTED:
-            if (change.version, change.body) in self.refused:
+            if (change.version, change.body) in self.rejected:
                 raise BrokenRuleError(f"version {change.version} was refused and then accepted")
         elif result in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER):
             self.resends += 1 if known == change else 0
             if known == change:
                 raise BrokenRuleError(f"version {change.version} was acknowledged and then refused")
-            self.refused[change.version, change.body] = change
+            self.rejected[change.version, change.body] = change
 
     def _acknowledge(self, change: Change) -> None:
         known = self.acknowledged.get(change.version)
@@ -146,15 +149,16 @@
         if change.version > self.newest:
             self.acknowledged_at.append((self.fleet.now, change.version))
         if self.on_ack is not None:
-            strike, self.on_ack = self.on_ack, None
-            strike()
+            on_ack = self.on_ack
+            self.on_ack = None
+            on_ack()
 
     def _published(self, machine: Machine, config: StoredConfig) -> None:
-        """A control process tells routers this configuration."""
+        """A control process publishes this configuration to routers."""
         if not config.version:
             return
         body = decompress_body(config)
-        if (config.version, body) in self.refused:
+        if (config.version, body) in self.rejected:
             raise BrokenRuleError(f"{machine.address} has {config.version} in force, which was refused")
         if body not in self.sent.get(config.version, set()):
             raise BrokenRuleError(f"version {config.version} differs from what was sent under its number")
@@ -162,10 +166,10 @@
     # --- reads ---
 
     def read(self, address: str | None = None) -> None:
-        """A read at any machine, in touch or not."""
+        """Read at any machine, partitioned or not."""
         began_with = max(self.newest, self._newest_read)
 
-        def told(config: StoredConfig | None) -> None:
+        def on_result(config: StoredConfig | None) -> None:
             if config is None:
                 return
             self.reads += 1
@@ -173,7 +177,7 @@
                 raise BrokenRuleError(f"read {config.version} after {began_with} was acknowledged or read")
             self._newest_read = max(self._newest_read, config.version)
 
-        self.fleet.read(address or self._next_machine(), told)
+        self.fleet.read(address or self._next_machine(), on_result)
 
     def check_end(self) -> None:
         """With all at rest: the newest acknowledged version, or a later one that was sent, is read."""
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,28 +1,28 @@
-"""Steps of the stories: real engines over a simulated clock, network and disk."""
+"""Steps of the features: real engines over a simulated clock, network and disk."""
 
 from behave import given, then, when
 
-from benchmarks.control.fleet import MS, Fleet, S, whole
+from benchmarks.control.fleet import MS, Fleet, S, has_formed
 from hazelbend.control.config_state_machine import ChangeResult
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
 
-def settle(context, holds, seconds):
-    assert context.fleet.until(holds, int(seconds) * S), "did not come true in time"
+def wait_until(context, condition, seconds):
+    assert context.fleet.run_until(condition, int(seconds) * S), "the condition did not hold in time"
 
 
-def put(context, version, base, address=None, mark=b""):
+def put_config(context, version, base, address=None, author=b""):
     fleet = context.fleet
-    body = b'{"version":%d%s}' % (version, mark)
+    body = b'{"version":%d%s}' % (version, author)
     to = address or fleet.leader.address
     fleet.put(to, base, version, body, context.results.append)
 
 
-@given("a fleet of {machines:d} control machines that bears the loss of {tolerance:d}")
+@given("a fleet of {machines:d} control machines that tolerates the loss of {tolerance:d}")
 def given_fleet(context, machines, tolerance):
     context.fleet = Fleet(11, machines, tolerance, loss=0.0)
     context.results, context.acknowledged = [], []
-    settle(context, lambda: whole(context.fleet, machines), 5)
+    wait_until(context, lambda: has_formed(context.fleet, machines), 5)
 
 
 # --- configurations ---
@@ -30,10 +30,10 @@
 
 @when("an operator puts version {version:d} on version {base:d}")
 def when_put(context, version, base):
-    settle(context, lambda: context.fleet.leader is not None, 5)
-    put(context, version, base)
+    wait_until(context, lambda: context.fleet.leader is not None, 5)
+    put_config(context, version, base)
     count = len(context.results)
-    settle(context, lambda: len(context.results) > count or context.results, 3)
+    wait_until(context, lambda: len(context.results) > count or context.results, 3)
 
 
 @when("the operator sends version {version:d} on version {base:d} again")
@@ -43,15 +43,15 @@
 
 @when("two operators put version {version:d} on version {base:d} at the same time")
 def when_race(context, version, base):
-    for mark in (b',"by":1', b',"by":2'):
-        put(context, version, base, mark=mark)
-    settle(context, lambda: len(context.results) == 2, 3)
+    for author in (b',"by":1', b',"by":2'):
+        put_config(context, version, base, author=author)
+    wait_until(context, lambda: len(context.results) == 2, 3)
 
 
-@when("an operator puts version {version:d} on version {base:d} at the machine that is cut off")
-def when_put_cut_off(context, version, base):
-    put(context, version, base, context.cut_off)
-    settle(context, lambda: bool(context.results), 6)
+@when("an operator puts version {version:d} on version {base:d} at the machine that is partitioned")
+def when_put_partitioned(context, version, base):
+    put_config(context, version, base, context.partitioned)
+    wait_until(context, lambda: bool(context.results), 6)
 
 
 @when("the leader loses its disk and the others lose power")
@@ -76,16 +76,16 @@
     when_back(context, seconds)
 
 
-@when("the leader is cut off")
-def when_cut_off(context):
-    context.cut_off = context.fleet.leader.address
-    context.old = context.cut_off
+@when("the leader is partitioned")
+def when_partitioned(context):
+    context.partitioned = context.fleet.leader.address
+    context.old = context.partitioned
     for other in context.fleet.addresses:
-        if other != context.cut_off:
-            context.fleet.cut(context.cut_off, other)
+        if other != context.partitioned:
+            context.fleet.partition(context.partitioned, other)
 
 
-@when("the leader stands still for {seconds:d} seconds")
+@when("the leader freezes for {seconds:d} seconds")
 def when_frozen(context, seconds):
     context.old = context.fleet.leader.address
     context.fleet.freeze(context.old, seconds * S)
@@ -121,7 +121,9 @@
 
 @then("version {version:d} is in force on all machines within {seconds:d} second")
 def then_in_force(context, version, seconds):
-    settle(context, lambda: all(each.published == version for each in context.fleet.alive), seconds)
+    wait_until(
+        context, lambda: all(machine.published_version == version for machine in context.fleet.alive), seconds
+    )
 
 
 @then("version {version:d} is read within {seconds:d} second")
@@ -135,12 +137,12 @@
             context.fleet.read(leader.address, found.append)
         return any(config is not None and config.version == version for config in found)
 
-    settle(context, asked, seconds)
+    wait_until(context, asked, seconds)
 
 
 @then("another machine leads within {seconds:d} seconds")
 def then_another(context, seconds):
-    settle(
+    wait_until(
         context,
         lambda: context.fleet.leader is not None and context.fleet.leader.address != context.old,
         seconds,
@@ -149,7 +151,7 @@
 
 @then("there is one leader")
 def then_one_leader(context):
-    assert sum(each.engine.raft.leads for each in context.fleet.alive) == 1
+    assert sum(machine.engine.raft.leads for machine in context.fleet.alive) == 1
 
 
 # --- workers ---
@@ -160,12 +162,12 @@
     context.fleet.worker(context.fleet.addresses[machine - 1], record, context.acknowledged.append)
 
 
-@when("worker {instance} says at machine {machine:d} that it drains")
+@when("worker {instance} reports at machine {machine:d} that it drains")
 def when_drains(context, instance, machine):
     heartbeat(context, instance, machine, WorkerState.DRAINING, 7)
 
 
-@when("worker {instance} says at machine {machine:d} that it is ready")
+@when("worker {instance} reports at machine {machine:d} that it is ready")
 def when_ready(context, instance, machine):
     context.seq = getattr(context, "seq", 0) + 1
     heartbeat(context, instance, machine, WorkerState.READY, context.seq)
@@ -183,13 +185,13 @@
     context.fleet.kill(context.fleet.addresses[machine - 1])
 
 
-@then("its word is acknowledged within {seconds:d} second")
+@then("the announcement is acknowledged within {seconds:d} second")
 def then_acknowledged(context, seconds):
-    settle(context, lambda: context.acknowledged == [True], seconds)
+    wait_until(context, lambda: context.acknowledged == [True], seconds)
 
 
 def state_everywhere(context, instance):
-    registries = [each.engine.registry.tracked for each in context.fleet.alive]
+    registries = [machine.engine.registry.tracked for machine in context.fleet.alive]
     return {listed[instance].record.state if instance in listed else None for listed in registries}
 
 
--- a/hazelbend/control/configuration.py
+++ b/hazelbend/control/configuration.py
@@ -5,13 +5,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeAlias
 
 import orjson
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
+# What marshmallow reports of a document: texts, nested by field name or list index.
+SchemaMessages: TypeAlias = "Mapping[str | int, SchemaMessages] | Sequence[str]"
+
 ROUTE_KINDS = ("safe", "unsafe", "stream")
 
 
@@ -101,9 +104,9 @@
     return int(configuration["version"])
 
 
-def schema_findings(path: str, messages: Any) -> Iterator[Finding]:
+def schema_findings(path: str, messages: SchemaMessages) -> Iterator[Finding]:
     """The findings in marshmallow's messages on a document, each with its path."""
-    if isinstance(messages, dict):
+    if isinstance(messages, Mapping):
         for key, nested in messages.items():
             step = f"[{key}]" if isinstance(key, int) else f".{key}" if path else str(key)
             yield from schema_findings(path + step, nested)
--- a/hazelbend/control/outputs.py
+++ b/hazelbend/control/outputs.py
@@ -36,7 +36,7 @@
 
     messages: list[tuple[str, m.RaftMessages]] = field(default_factory=list)  # with the peer's address
     outcomes: list[CallOutcome] = field(default_factory=list)
-    config: StoredConfig = StoredConfig()
+    config: StoredConfig = field(default_factory=StoredConfig)
     confirmed_at: int | None = None  # when a majority last confirmed that `config` is the newest
 
 
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -136,10 +136,10 @@
     away = next(each for each in fleet.addresses if each != leader.address)
     for other in fleet.addresses:
         if other != away:
-            fleet.cut(away, other)
+            fleet.partition(away, other)
     fleet.run(3 * S)
     return [
-        json.loads(msgspec.json.encode(control_status(each.engine, each.published, fleet.now)))
+        json.loads(msgspec.json.encode(control_status(each.engine, each.published_version, fleet.now)))
         for each in fleet.alive
     ]
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.control.defects import DEFECTS, POINTS, planted
-from benchmarks.control.fleet import MS, BrokenRuleError, Fleet, S, whole
+from benchmarks.control.fleet import MS, BrokenRuleError, Fleet, S, has_formed
 from benchmarks.control.history import play, shrink
 from benchmarks.control.model import Left, search
 from benchmarks.control.operators import Change, Operators
@@ -52,14 +52,14 @@
 # --- configurations ---
 
 
-def test_a_configuration_that_is_right_tells_its_version_and_unknown_fields_are_ignored():
+def test_a_valid_configuration_gives_its_version_and_unknown_fields_are_ignored():
     document = configuration(colour="red")
     document["routes"][0]["shape"] = "round"
     assert check_configuration(json.dumps(document).encode()) == 3
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "path"),
     [
         ({"version": 0}, "version"),
         ({"version": "3"}, "version"),
@@ -74,23 +74,23 @@
         ({"limits": {"maxBodyBytes": 0}}, "limits.maxBodyBytes"),
     ],
 )  # fmt: skip
-def test_each_fault_is_found_at_its_place(changes, place):
-    assert findings(configuration(**changes)) == [place]
+def test_each_error_is_found_with_its_path(changes, path):
+    assert findings(configuration(**changes)) == [path]
 
 
-def test_all_faults_are_reported_together():
+def test_all_errors_are_reported_together():
     routes = [ROUTE | {"timeoutMs": 0}, ROUTE | {"kind": "odd"}]
     assert findings(configuration(version=-1, routes=routes)) == [
         "version", "routes[0].timeoutMs", "routes[1].kind"]  # fmt: skip
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"version":3'])
-def test_what_is_no_whole_document_is_refused(body):
+def test_an_incomplete_document_is_rejected(body):
     with pytest.raises(InvalidConfigurationError):
         check_configuration(body)
 
 
-def test_a_change_is_taken_on_the_version_that_it_builds_on_and_again_for_ever():
+def test_a_change_is_accepted_on_its_base_version_and_when_resent():
     machine = ConfigStateMachine()
     first, second, rival = b'{"v":4}', b'{"v":7}', b'{"v":8}'
     assert machine.apply(1, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED
@@ -117,7 +117,7 @@
     return WorkerRecord(instance=instance, seq=seq, **values)
 
 
-def test_records_merge_alike_in_any_order_and_the_end_is_final():
+def test_records_merge_alike_in_any_order_and_gone_is_final():
     history = [
         record(seq=1),
         record(seq=5, state=WorkerState.DRAINING),
@@ -132,7 +132,7 @@
         assert registry.tracked["i-1"].record.state is WorkerState.GONE
 
 
-def test_a_late_heartbeat_changes_nothing_and_tells_nobody():
+def test_a_late_heartbeat_changes_nothing_and_is_not_forwarded():
     registry = WorkerRegistry(S)
     assert registry.merge(record(seq=4, state=WorkerState.DRAINING), 10) == [
         record(seq=4, state=WorkerState.DRAINING)
@@ -152,7 +152,7 @@
         ("i-1", WorkerState.GONE), ("i-2", WorkerState.READY)]  # fmt: skip
 
 
-def test_silence_is_a_mark_first_and_an_end_much_later():
+def test_a_silent_worker_is_marked_first_and_expires_much_later():
     registry = WorkerRegistry(S)
     registry.merge(record(), 0)
     listed = registry.tracked["i-1"]
@@ -166,19 +166,19 @@
     assert "i-1" not in registry.tracked
 
 
-def test_control_processes_tell_each_other_of_workers_that_were_heard_since():
+def test_ages_are_sent_of_workers_heard_since_the_last_message():
     registry = WorkerRegistry(S)
     registry.merge(record("i-1", address="10.0.0.1:1"), 0)
     registry.merge(record("i-2", address="10.0.0.2:1"), 0)
     registry.take_heard_ages(0)
     registry.mark_heard("i-1", 2 * S)
     registry.mark_heard("i-2", 0)
-    assert registry.take_heard_ages(3 * S) == {"i-1": S}, "what is known already is not told again"
+    assert registry.take_heard_ages(3 * S) == {"i-1": S}, "what is known already is not sent again"
     assert registry.take_heard_ages(3 * S) == {}
-    assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers are told of silence alone"
+    assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers learn of silent workers alone"
 
 
-def test_a_recalled_worker_has_a_heartbeat_to_be_heard_before_it_counts_as_silent():
+def test_a_restored_worker_has_a_heartbeat_to_be_heard_before_it_counts_as_silent():
     """Guards the first second after a start: nobody was listening, so silence says nothing yet."""
     fleet = Fleet(seed=1)
     fleet.run(10 * S)
@@ -192,44 +192,44 @@
 # --- loads and caches ---
 
 
-def test_a_router_is_told_what_all_others_have_under_way():
+def test_a_router_gets_the_unfinished_work_of_all_others():
     table = LoadTable()
     table.merge(RouterLoad("a", 1, {"i": Load(2, 300), "j": Load(1, 0)}), 0)
     table.merge(RouterLoad("b", 1, {"i": Load(1, 50)}), 0)
     assert table.total_loads() == {"i": Load(3, 350), "j": Load(1, 0)}
     assert table.all_other_loads("a") == {"i": Load(1, 50)}
     assert table.all_other_loads("new") == table.total_loads()
-    assert not table.merge(RouterLoad("a", 1, {}), 1), "an old word"
+    assert not table.merge(RouterLoad("a", 1, {}), 1), "an old report"
     assert table.merge(RouterLoad("a", 2, {}), 1)
     table.expire(10 * S)
     assert table.total_loads() == {}
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_changes_alone_keep_a_routers_copy_of_the_loads_true(seed):
-    """Given routers whose work changes, when each is told only what has changed for it, then its copy is what
-    it would be told whole."""
+def test_changes_alone_keep_a_routers_copy_of_the_loads_correct(seed):
+    """A router that gets only what has changed for it has the same copy as one that gets complete updates."""
     rng = random.Random(seed)
-    table, told = LoadTable(), {router: LoadView() for router in "abc"}
-    words: dict[str, dict[str, Load]] = {}
+    table = LoadTable()
+    views = {router: LoadView() for router in "abc"}
+    reports: dict[str, dict[str, Load]] = {}
     for step in range(200):
         router = rng.choice("abcd")
         workers = rng.sample("ijklmn", rng.randrange(6))
-        words[router] = {worker: Load(rng.randrange(3), 500 * rng.randrange(3)) for worker in workers}
-        table.merge(RouterLoad(router, step, words[router]), step * S)
+        reports[router] = {worker: Load(rng.randrange(3), 500 * rng.randrange(3)) for worker in workers}
+        table.merge(RouterLoad(router, step, reports[router]), step * S)
         if rng.random() < 0.2:
             table.expire(step * S + 2 * S)
         if rng.random() < 0.5:
             changed = table.take_changed()
-            for name, view in told.items():
+            for name, view in views.items():
                 view.apply(LoadUpdate(table.other_loads(name, changed)))
                 assert view.loads == table.all_other_loads(name)
         if rng.random() < 0.05:
-            told["a"] = LoadView()
-            told["a"].apply(LoadUpdate(table.all_other_loads("a"), complete=True))
+            views["a"] = LoadView()
+            views["a"].apply(LoadUpdate(table.all_other_loads("a"), complete=True))
 
 
-def test_the_sums_are_those_of_the_last_words():
+def test_the_sums_are_those_of_the_last_reports():
     table = LoadTable()
     for seq in range(5):
         table.merge(RouterLoad("a", seq, {"i": Load(seq, 10 * seq)}), 0)
@@ -239,7 +239,7 @@
     assert table.take_changed() == set()
 
 
-def test_caches_are_known_by_worker_until_it_ends():
+def test_cached_prefixes_are_known_by_worker_until_it_ends():
     table = CacheTable()
     table.add([CachedPrefix("i", "p", 10), CachedPrefix("j", "q", 20)])
     table.forget("i")
@@ -258,8 +258,8 @@
         assert m.decode(m.encode(body)) == body
 
 
-def test_what_workers_keep_is_told_in_a_few_bytes_a_part():
-    """Guards links of 5 Mbit/s: told one by one, the parts of 70 workers took 0.6 s of a router's link."""
+def test_cached_prefixes_take_a_few_bytes_each():
+    """Guards links of 5 Mbit/s: sent one by one, the prefixes of 70 workers took 0.6 s of a router's link."""
     rng = random.Random(1)
     table = CacheTable()
     parts = [
@@ -268,36 +268,36 @@
         for _ in range(100)
     ]
     table.add(parts)
-    news = m.decode(m.encode(m.CacheUpdate.from_prefixes(table.by_instance)))
-    assert set(news.cached_prefixes()) == set(parts)
-    assert len(news.body) < 12 * len(parts)
+    update = m.decode(m.encode(m.CacheUpdate.from_prefixes(table.by_instance)))
+    assert set(update.cached_prefixes()) == set(parts)
+    assert len(update.body) < 12 * len(parts)
     with pytest.raises(msgspec.DecodeError):
         m.CacheUpdate(b"nonsense").cached_prefixes()
 
 
-# --- agreement: stories ---
+# --- consensus: scenarios ---
 
 
 @pytest.fixture
 def fleet() -> Fleet:
     """Three machines that have come together."""
     made = Fleet(7, loss=0.0)
-    assert made.until(lambda: whole(made, 3), 5 * S)
+    assert made.run_until(lambda: has_formed(made, 3), 5 * S)
     return made
 
 
 def results_of(fleet: Fleet, *, base: int, version: int, body: bytes, at: str | None = None) -> list[object]:
-    """Given a fleet, when a change is sent to a machine (the leader), then: what it is told."""
-    told: list[object] = []
-    fleet.put(at or fleet.leader.address, base, version, body, told.append)
-    fleet.until(lambda: bool(told), 2 * S)
-    return told
+    """The results of a change that is sent to a machine, by default the leader."""
+    results: list[object] = []
+    fleet.put(at or fleet.leader.address, base, version, body, results.append)
+    fleet.run_until(lambda: bool(results), 2 * S)
+    return results
 
 
 @pytest.mark.parametrize("machines", [1, 2, 3, 4, 5, 6, 7])
-def test_a_first_start_brings_all_together_under_one_leader(machines):
+def test_a_first_start_forms_one_cluster_with_one_leader(machines):
     fleet = Fleet(3, machines, tolerance=(machines - 1) // 2)
-    assert fleet.until(
+    assert fleet.run_until(
         lambda: fleet.leader is not None and len(fleet.leader.engine.raft.voters) == machines, 4 * S
     )
     assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
@@ -305,7 +305,7 @@
     assert sum(each.engine.raft.leads for each in fleet.alive) == 1
 
 
-def test_nothing_is_acknowledged_by_too_few_copies():
+def test_nothing_is_acknowledged_by_too_few_replicas():
     fleet = Fleet(5)
     fleet.run(1)
     for address in fleet.addresses[1:]:
@@ -316,21 +316,21 @@
     assert results_of(fleet, base=0, version=1, body=b"{}") == [None]
 
 
-def test_a_wiped_machine_never_founds_and_comes_back_as_somebody_new(fleet):
+def test_a_wiped_machine_never_bootstraps_and_returns_with_a_new_identity(fleet):
     victim = next(each for each in fleet.alive if each is not fleet.leader)
     before = victim.engine.identity
     fleet.wipe(victim.address)
     fleet.run(200 * MS)
     fleet.start(victim.address)
-    assert fleet.until(lambda: victim.engine.identity in fleet.leader.engine.raft.voters, 4 * S)
-    assert fleet.until(lambda: before not in fleet.leader.engine.raft.voters, 4 * S)
+    assert fleet.run_until(lambda: victim.engine.identity in fleet.leader.engine.raft.voters, 4 * S)
+    assert fleet.run_until(lambda: before not in fleet.leader.engine.raft.voters, 4 * S)
 
 
-def test_a_machine_at_a_new_address_takes_the_place_of_one_that_is_gone(fleet):
+def test_a_machine_at_a_new_address_replaces_one_that_is_gone(fleet):
     gone = fleet.leader.address
     new = fleet.replace(gone)
-    assert fleet.until(lambda: fleet.machines[new].engine is not None, 2 * S)
-    assert fleet.until(
+    assert fleet.run_until(lambda: fleet.machines[new].engine is not None, 2 * S)
+    assert fleet.run_until(
         lambda: (
             fleet.leader is not None
             and {each.rpartition("@")[2] for each in fleet.leader.engine.raft.voters}
@@ -340,7 +340,7 @@
     )
 
 
-def test_what_was_acknowledged_outlives_power_and_a_disk(fleet):
+def test_an_acknowledged_change_survives_a_power_failure_and_a_lost_disk(fleet):
     operators = Operators(fleet)
     operators.sent[2] = {b'{"a":1}'}
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
@@ -351,24 +351,24 @@
         fleet.kill(machine.address)
     fleet.wipe(leader)
     for address in fleet.addresses:
-        fleet.at(500 * MS, lambda address=address: fleet.start(address))
+        fleet.call_later(500 * MS, lambda address=address: fleet.start(address))
     fleet.run(4 * S)
     operators.check_end()
 
 
-def test_what_was_in_force_is_again_before_anybody_leads(fleet):
+def test_the_configuration_in_force_is_restored_before_anybody_leads(fleet):
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
     assert results_of(fleet, base=2, version=3, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
     follower = next(each for each in fleet.alive if each is not fleet.leader)
     fleet.run(1 * S)
     fleet.kill(follower.address)
     for other in fleet.addresses:
-        fleet.cut(follower.address, other)
+        fleet.partition(follower.address, other)
     fleet.start(follower.address)
     assert follower.engine.config_state.current.version >= 2
 
 
-def test_an_operator_founds_anew_with_a_survivor_after_a_majority_was_lost(fleet):
+def test_an_operator_forces_a_new_cluster_with_a_survivor_after_a_majority_was_lost(fleet):
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
     fleet.run(1 * S)
     survivor = next(each for each in fleet.alive if each is not fleet.leader)
@@ -377,23 +377,23 @@
     for machine in list(fleet.alive):
         if machine is not survivor:
             fleet.wipe(machine.address)
-            fleet.at(500 * MS, lambda address=machine.address: fleet.start(address))
+            fleet.call_later(500 * MS, lambda address=machine.address: fleet.start(address))
     fleet.run(3 * S)
     assert fleet.leader is None
     survivor.engine.force_new_cluster(fleet.now)
-    assert fleet.until(lambda: whole(fleet, 3), 5 * S)
+    assert fleet.run_until(lambda: has_formed(fleet, 3), 5 * S)
     assert {decompress_body(each.engine.config_state.current) for each in fleet.alive} == {b'{"a":1}'}
     assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED], "still known"
     assert results_of(fleet, base=2, version=3, body=b"{}") == [ChangeResult.ACCEPTED]
 
 
-def test_a_change_that_is_sent_again_to_another_leader_is_still_taken(fleet):
+def test_a_change_that_is_resent_to_another_leader_is_still_accepted(fleet):
     body = b'{"a":1}'
     assert results_of(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
     assert results_of(fleet, base=2, version=5, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
     old = fleet.leader.address
     fleet.kill(old)
-    assert fleet.until(lambda: fleet.leader is not None and fleet.leader.address != old, 4 * S)
+    assert fleet.run_until(lambda: fleet.leader is not None and fleet.leader.address != old, 4 * S)
     assert results_of(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
     assert results_of(fleet, base=0, version=2, body=b'{"a":9}') == [ChangeResult.CONFLICT]
 
@@ -402,7 +402,7 @@
     old = fleet.leader
     old.disk.full = True
     results_of(fleet, base=0, version=2, body=b"{}")
-    assert fleet.until(lambda: fleet.leader is not None and fleet.leader is not old, 4 * S)
+    assert fleet.run_until(lambda: fleet.leader is not None and fleet.leader is not old, 4 * S)
     assert results_of(fleet, base=0, version=2, body=b"{}") == [ChangeResult.ACCEPTED]
     assert old.engine is not None, "its process goes on"
     old.disk.full = False
@@ -411,18 +411,18 @@
 
 
 def test_a_drain_is_acknowledged_once_another_machine_holds_it(fleet):
-    told: list[bool] = []
-    drains = record(seq=4, state=WorkerState.DRAINING)
-    fleet.worker(fleet.addresses[1], drains, told.append)
-    assert told == []
+    results: list[bool] = []
+    draining = record(seq=4, state=WorkerState.DRAINING)
+    fleet.worker(fleet.addresses[1], draining, results.append)
+    assert results == []
     fleet.run(100 * MS)
-    assert told == [True]
+    assert results == [True]
     assert all(
         each.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING for each in fleet.alive
     )
 
 
-def test_a_process_without_a_vote_knows_the_leader_and_stands_in_no_list_for_routers():
+def test_an_observer_knows_the_leader_and_is_not_listed_to_routers():
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, (first, second) = fleet.addresses[:3], fleet.addresses[3:]
@@ -431,56 +431,56 @@
     assert observer.leader == leader.identity
     assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.identity for each in core)
     for address in (core[0], first, second):
-        news = fleet.machines[address].engine.fleet_status(fleet.now)
-        assert sorted(news.control_addresses) == sorted(core)
+        update = fleet.machines[address].engine.fleet_status(fleet.now)
+        assert sorted(update.control_addresses) == sorted(core)
 
 
-def test_an_observer_that_is_cut_off_says_that_heartbeats_go_no_further():
+def test_a_partitioned_observer_reports_that_heartbeats_go_no_further():
     """Guards a worker that is heard by an observer alone, while routers take it for silent."""
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, observers = fleet.addresses[:3], fleet.addresses[3:]
     for other in core:
-        fleet.cut(observers[0], other)
+        fleet.partition(observers[0], other)
     fleet.run(3 * S)
     spreads = {each.address: each.engine.reaches_quorum_peers(fleet.now) for each in fleet.alive}
     assert spreads == {address: address != observers[0] for address in fleet.addresses}
 
 
-def test_a_drain_rests_on_copies_of_those_that_count():
+def test_a_drain_rests_on_replicas_that_count_for_the_quorum():
     """Guards a drain against the loss of one machine that counts: copies of those that do not are none."""
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, observers = fleet.addresses[:3], fleet.addresses[3:]
     for other in core[1:]:
-        fleet.cut(core[0], other)
-        fleet.cut(observers[0], other)
-    told: list[bool] = []
-    drains = {"seq": 4, "state": WorkerState.DRAINING}
-    fleet.worker(core[0], record("i-1", address="10.8.0.1:1", **drains), told.append)
-    fleet.worker(observers[0], record("i-2", address="10.8.0.2:1", **drains), told.append)
+        fleet.partition(core[0], other)
+        fleet.partition(observers[0], other)
+    results: list[bool] = []
+    draining = {"seq": 4, "state": WorkerState.DRAINING}
+    fleet.worker(core[0], record("i-1", address="10.8.0.1:1", **draining), results.append)
+    fleet.worker(observers[0], record("i-2", address="10.8.0.2:1", **draining), results.append)
     fleet.run(2 * S)
-    assert told == [False, False]
-    fleet.worker(observers[1], record("i-3", address="10.8.0.3:1", **drains), told.append)
+    assert results == [False, False]
+    fleet.worker(observers[1], record("i-3", address="10.8.0.3:1", **draining), results.append)
     fleet.run(100 * MS)
-    assert told == [False, False, True], "it holds the word of two that count"
+    assert results == [False, False, True], "two that count for the quorum hold it"
 
 
 def test_a_drain_that_nobody_else_can_hold_is_not_acknowledged(fleet):
     lonely = fleet.addresses[1]
     for other in fleet.addresses:
-        fleet.cut(lonely, other)
-    told: list[bool] = []
-    fleet.worker(lonely, record(seq=4, state=WorkerState.DRAINING), told.append)
+        fleet.partition(lonely, other)
+    results: list[bool] = []
+    fleet.worker(lonely, record(seq=4, state=WorkerState.DRAINING), results.append)
     fleet.run(2 * S)
-    assert told == [False]
-    fleet.worker(lonely, record(seq=5), told.append)
-    assert told == [False, True], "that a worker is ready needs nobody else"
+    assert results == [False]
+    fleet.worker(lonely, record(seq=5), results.append)
+    assert results == [False, True], "that a worker is ready needs nobody else"
 
 
 @pytest.mark.parametrize(("machines", "tolerance"), [(3, 1), (4, 1), (5, 2), (6, 2)])
 @pytest.mark.parametrize("first", [1, 21, 41])
-def test_histories_with_faults_keep_the_rules(first, machines, tolerance):
+def test_histories_with_faults_keep_the_invariants(first, machines, tolerance):
     for seed in range(first, first + 20):
         play(seed, machines, tolerance, length=25 * S)
 
@@ -550,7 +550,7 @@
     assert set(POINTS) == {1, 2, 3, 4, 5}
 
 
-def test_a_history_that_breaks_a_rule_shrinks_to_few_faults_and_is_played_again_alike():
+def test_a_failing_history_shrinks_to_few_faults_and_replays_alike():
     with planted("wiped_voter_votes"):
         seed, whole_history = first_broken(range(60))
         rule, fewest = shrink(seed)
@@ -580,7 +580,7 @@
     return [order for look in range(looks) for order in planner.plan(workers, loads, look * S // 2)]
 
 
-def test_an_idle_maker_of_tokens_reads_where_prompts_wait():
+def test_an_idle_decode_worker_prefills_where_prompts_wait():
     workers = [model_worker(n, "prefill") for n in range(4)] + [
         model_worker(n, "decode") for n in range(4, 9)
     ]
@@ -588,7 +588,7 @@
     assert plans(workers, loads)[0] == PhaseOrder("i-4", "10.9.0.4:80", "prefill")
 
 
-def test_nothing_is_ordered_without_need_or_below_what_a_stage_needs():
+def test_nothing_is_ordered_without_need_or_below_the_minimum_of_a_phase():
     few = [model_worker(n, "prefill") for n in range(3)] + [model_worker(n, "decode") for n in range(3, 5)]
     waiting = {f"i-{n}": Load(2, 9_000) for n in range(3)}
     assert plans(few, waiting) == []
@@ -596,7 +596,7 @@
     assert plans(many, {}) == []
 
 
-def test_a_reader_makes_tokens_where_nobody_does_or_the_places_of_those_that_do_are_taken():
+def test_a_prefill_worker_decodes_where_none_does_or_the_decode_capacity_is_used():
     workers = [model_worker(n, "prefill") for n in range(3)]
     assert plans(workers, {"i-0": Load(1, 500)})[0].phase == "decode"
     workers.append(model_worker(3, "decode"))
@@ -605,7 +605,7 @@
     assert plans([workers[0], workers[3]], {"i-3": Load(60, 0)}) == [], "the last one that reads"
 
 
-def test_one_order_is_under_way_at_a_time():
+def test_one_order_is_pending_at_a_time():
     workers = [model_worker(n, "prefill") for n in range(3)] + [model_worker(3, "decode")]
     assert len(plans(workers, {"i-3": Load(60, 0)}, looks=10)) == 1
 
@@ -614,7 +614,7 @@
     return msgspec.structs.replace(worker, state=WorkerState.DRAINING, seq=worker.seq + 1)
 
 
-def test_another_makes_tokens_as_soon_as_one_of_two_that_do_announces_its_end():
+def test_another_worker_decodes_as_soon_as_one_of_two_decode_workers_drains():
     """Given two that make tokens and three that read, when one of the two announces its end, then a reader is
     ordered at the next look, while the other still serves; and one more when that one leaves as well."""
     planner = PhasePlanner()
@@ -634,7 +634,7 @@
     assert set(planner.switching) == {first.instance, second.instance}
 
 
-def test_a_fleet_that_is_left_with_one_that_makes_tokens_gets_a_second_one():
+def test_a_fleet_with_one_decode_worker_left_gets_a_second_one():
     planner = PhasePlanner()
     workers = [model_worker(n, "prefill") for n in range(3)] + [
         model_worker(n, "decode") for n in range(3, 5)
@@ -646,7 +646,7 @@
     assert order.phase == "decode"
 
 
-def test_one_reads_where_all_that_did_are_about_to_leave():
+def test_a_worker_prefills_where_all_prefill_workers_drain():
     planner = PhasePlanner()
     workers = [model_worker(0, "prefill")] + [model_worker(n, "decode") for n in range(1, 6)]
     for look in range(6):
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -1,4 +1,4 @@
-"""Control processes on the worst days: cuts, earlier lives, wiped disks, first starts apart."""
+"""Control processes under faults: partitions, earlier incarnations, wiped disks, divided first starts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from benchmarks.control.fleet import MS, Fleet, S, whole
+from benchmarks.control.fleet import MS, Fleet, S, has_formed
 from hazelbend.consensus.messages import AppendEntries, Message, Stamp
 from hazelbend.consensus.persistent_state import PersistentState, founded_by_operator
 from hazelbend.consensus.voters import next_voters
@@ -37,25 +37,25 @@
 def started(machines: int, tolerance: int = 1, seed: int = 3) -> Fleet:
     """A fleet whose machines have all come together."""
     fleet = Fleet(seed, machines, tolerance, loss=0.0)
-    assert fleet.until(lambda: whole(fleet, machines), 8 * S)
+    assert fleet.run_until(lambda: has_formed(fleet, machines), 8 * S)
     return fleet
 
 
-def apart(fleet: Fleet, side: list[str]) -> None:
-    """Cut these from all others."""
+def partition_off(fleet: Fleet, side: list[str]) -> None:
+    """Partition these from all others."""
     for one in side:
         for other in fleet.machines:
             if other not in side:
-                fleet.cut(one, other)
+                fleet.partition(one, other)
 
 
-# --- row 1: what is told rests on a majority's word ---
+# --- row 1: what is published rests on a majority's confirmation ---
 
 
-def test_a_process_that_is_cut_off_knows_that_nobody_confirms_it_and_the_others_are_confirmed():
+def test_a_partitioned_process_knows_that_nobody_confirms_it_and_the_others_are_confirmed():
     fleet = started(3)
     lost = next(each.address for each in fleet.alive if each is not fleet.leader)
-    apart(fleet, [lost])
+    partition_off(fleet, [lost])
     fleet.run(20 * S)
     for machine in fleet.alive:
         age = machine.engine.raft.confirmed_age(fleet.now)
@@ -65,33 +65,33 @@
     assert fleet.machines[lost].engine.raft.confirmed_age(fleet.now) < 500 * MS
 
 
-def test_nobody_is_confirmed_while_the_counted_machines_are_in_two_halves_and_no_list_is_changed():
+def test_nobody_is_confirmed_while_the_quorum_machines_are_in_two_halves_and_no_voters_change():
     """Four counted machines, two and two: neither half has a majority, so both rest, whatever the clocks."""
     for seed in range(1, 9):
         fleet = started(4, seed=seed)
         leader = fleet.leader
         voters = leader.engine.raft.voters
         other = next(each for each in fleet.alive if each is not leader)
-        apart(fleet, [leader.address, other.address])
+        partition_off(fleet, [leader.address, other.address])
         fleet.run(10 * S)
         assert [each.engine.raft.leads for each in fleet.alive] == [False] * 4
         assert all(each.engine.raft.voters == voters for each in fleet.alive)
         assert min(each.engine.raft.confirmed_age(fleet.now) for each in fleet.alive) > 8 * S
         fleet.heal()
-        assert fleet.until(lambda fleet=fleet: whole(fleet, 4), 4 * S)
+        assert fleet.run_until(lambda fleet=fleet: has_formed(fleet, 4), 4 * S)
 
 
-def test_an_age_is_told_with_the_configuration_that_it_speaks_of():
+def test_a_confirmation_age_comes_with_its_configuration():
     fleet = started(3)
     output = fleet.leader.engine.take_durable_output()
     assert output.config == fleet.leader.engine.config_state.current
     assert fleet.now - output.confirmed_at < 500 * MS
 
 
-# --- row 2: answers name the life that they are for ---
+# --- row 2: acknowledgements name the incarnation that they are for ---
 
 
-def test_an_answer_that_was_meant_for_an_earlier_life_counts_for_nothing():
+def test_an_ack_for_an_earlier_incarnation_counts_for_nothing():
     fleet = started(3)
     first, second = fleet.alive[0], fleet.alive[1]
     number = first.engine.handle_heartbeat(DRAINING, fleet.now)
@@ -111,7 +111,7 @@
     assert (done.request_id, done.acknowledged) == (number, True)
 
 
-def test_each_life_has_a_name_of_its_own():
+def test_each_incarnation_has_a_number_of_its_own():
     fleet = started(3)
     victim = fleet.alive[0]
     before = victim.engine.raft.life
@@ -124,32 +124,32 @@
     """Of five, two lost to be borne: three must hold it; on the smaller side of a cut it is refused."""
     fleet = started(5, 2)
     minority = [each.address for each in fleet.alive if each is not fleet.leader][:2]
-    apart(fleet, minority)
-    told: list[bool] = []
-    fleet.worker(minority[0], DRAINING, told.append)
+    partition_off(fleet, minority)
+    results: list[bool] = []
+    fleet.worker(minority[0], DRAINING, results.append)
     fleet.run(2 * S)
-    assert told == [False]
-    fleet.worker(fleet.leader.address, DRAINING, told.append)
+    assert results == [False]
+    fleet.worker(fleet.leader.address, DRAINING, results.append)
     fleet.run(2 * S)
-    assert told == [False, True]
+    assert results == [False, True]
 
 
-def test_a_drain_is_held_by_a_majority_of_the_voters_not_by_any_who_count():
+def test_a_drain_is_held_by_a_majority_of_the_voters_not_of_other_quorum_machines():
     """Of four one is killed and leaves the list; it is back on the smaller side of a cut: two of four hold
     the drain there, but one of three voters."""
     fleet = started(4)
     back = next(each for each in fleet.alive if each is not fleet.leader)
     fleet.kill(back.address)
-    assert fleet.until(lambda: len(fleet.leader.engine.raft.voters) == 3, 4 * S)
+    assert fleet.run_until(lambda: len(fleet.leader.engine.raft.voters) == 3, 4 * S)
     beside = next(each for each in fleet.alive if each is not fleet.leader)
-    apart(fleet, [back.address, beside.address])
+    partition_off(fleet, [back.address, beside.address])
     fleet.start(back.address)
     fleet.run(1 * S)
-    told: list[bool] = []
+    results: list[bool] = []
     for address in (back.address, beside.address):
-        fleet.worker(address, DRAINING, told.append)
+        fleet.worker(address, DRAINING, results.append)
         fleet.run(1 * S)
-    assert told == [False, False]
+    assert results == [False, False]
 
 
 # --- row 4: what is accepted is known by a bounded number of digests ---
@@ -159,7 +159,7 @@
     return b'{"version":%d}' % version
 
 
-def test_a_resend_is_known_as_long_as_its_digest_is_kept_and_an_older_one_is_never_refused(monkeypatch):
+def test_a_resend_is_known_as_long_as_its_digest_is_kept_and_an_older_one_is_never_rejected(monkeypatch):
     monkeypatch.setattr(config_state_machine, "MAX_ACCEPTED_DIGESTS", 10)
     machine = ConfigStateMachine()
     for version in range(1, 31):
@@ -197,29 +197,29 @@
     assert copy.apply(4, encode_config_change(2, 3, body_of(3))) is ChangeResult.ACCEPTED
 
 
-# --- row 5: one founder ---
+# --- row 5: one process bootstraps ---
 
 
 @pytest.mark.parametrize("side", [["10.0.1.1:7000"], ["10.0.1.1:7000", "10.0.4.1:7000"]])
-def test_machines_that_are_cut_apart_at_the_first_start_do_not_both_found(side):
+def test_machines_that_are_partitioned_at_the_first_start_do_not_both_bootstrap(side):
     """The first seed is cut off from the other two: it waits, and founds once it hears a majority of them."""
     fleet = Fleet(5, 5, 1, loss=0.0)
-    apart(fleet, side)
+    partition_off(fleet, side)
     fleet.run(8 * S)
     assert {each.engine.raft.persistent.epoch for each in fleet.alive if each.address in side} == {0}
     fleet.heal()
-    assert fleet.until(lambda: whole(fleet, 5), 8 * S)
+    assert fleet.run_until(lambda: has_formed(fleet, 5), 8 * S)
     assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
 
 
-def test_where_no_seed_counts_two_that_hear_different_seeds_do_not_both_found():
+def test_where_no_seed_counts_two_that_hear_different_seeds_do_not_both_bootstrap():
     """Seeds one, two, three are observers; four and five count, and cannot hear each other."""
     founded = []
     for cuts in ([], [("10.0.4.1:7000", "10.0.5.1:7000")]):
         fleet = Fleet(5, 5, 0, loss=0.0)
         fleet.observers = {f"10.0.{number}.1:7000" for number in (1, 2, 3)}
         for one, other in cuts:
-            fleet.cut(one, other)
+            fleet.partition(one, other)
         fleet.run(6 * S)
         epochs = {
             each.engine.raft.persistent.epoch
@@ -230,7 +230,7 @@
     assert founded == [1, 1]
 
 
-def test_a_fleet_is_founded_once_without_a_seed_and_that_epoch_is_no_operators_word():
+def test_a_fleet_bootstraps_once_without_a_seed_and_its_epoch_is_not_an_operators():
     fleet = started(3)
     assert not founded_by_operator(fleet.leader.engine.raft.persistent.epoch)
 
@@ -238,7 +238,7 @@
 # --- row 6: fencing tokens rise ---
 
 
-def test_fencing_tokens_rise_beyond_65535_terms_and_over_a_refounding():
+def test_fencing_tokens_rise_beyond_65535_terms_and_over_a_forced_new_cluster():
     tokens = []
     plan = ControlSettings("10.0.1.1:7000", ("10.0.1.1:7000",), True, False, 0, 1_200 * MS)
     for term in (65_534, 65_535, 65_536, 200_000):
@@ -275,7 +275,7 @@
 
     monkeypatch.setattr(worker_orders, "send_order", send_order)
     monkeypatch.setattr(phase_orders, "clock", lambda: fleet.now)
-    assert fleet.until(lambda: leader.order_token(fleet.now) is not None, 6 * S)
+    assert fleet.run_until(lambda: leader.order_token(fleet.now) is not None, 6 * S)
     token = leader.order_token(fleet.now)
     orders = PhaseOrderSender(Confirming(), dict, lambda: None)
     steps_down = 0
@@ -285,7 +285,7 @@
     assert sent == [token]
 
 
-# --- row 7: members are replaced by agreement ---
+# --- row 7: voters are replaced by consensus ---
 
 
 def survives(voters: tuple[str, ...], well: set[str]) -> int:
@@ -294,14 +294,14 @@
 
 
 @pytest.mark.parametrize("count", [3, 4, 5, 6, 7])
-def test_no_step_of_a_change_of_the_list_lowers_the_number_of_losses_that_are_survived(count):
+def test_no_step_of_a_voter_change_lowers_the_number_of_losses_that_are_survived(count):
     """Every state of a list with some voters gone or erased and some that may join, until nothing changes."""
     names = [f"{n}@10.0.{n}.1:7" for n in range(count)]
     for gone in range(count):
-        for erased in range(gone + 1):
+        for without_state in range(gone + 1):
             for fresh in range(3):
                 lost = set(names[count - gone :])
-                wiped = frozenset(names[count - gone : count - gone + erased])
+                wiped = frozenset(names[count - gone : count - gone + without_state])
                 joining = [f"new{n}@10.1.{n}.1:7" for n in range(fresh)]
                 members = [each for each in names if each not in lost] + joining
                 voters, steps = tuple(names), 0
@@ -322,7 +322,7 @@
     fleet = started(3)
     victim = next(each for each in fleet.alive if each is not fleet.leader)
     fleet.wipe(victim.address)
-    fleet.at(1 * S, lambda: fleet.start(victim.address))
+    fleet.call_later(1 * S, lambda: fleet.start(victim.address))
     lengths: set[int] = set()
 
     def replaced() -> bool:
@@ -331,38 +331,42 @@
             lengths.add(len(leader.engine.raft.voters))
         return victim.engine is not None and leader is not None and victim.engine.raft.is_voter
 
-    assert fleet.until(replaced, 5 * S) and lengths == {3}
+    assert fleet.run_until(replaced, 5 * S) and lengths == {3}
     fleet.run(500 * MS)
     second = next(each for each in fleet.alive if each is not victim)
     fleet.wipe(second.address)
-    assert fleet.until(lambda: fleet.leader is not None and fleet.leader is not second, 4 * S)
+    assert fleet.run_until(lambda: fleet.leader is not None and fleet.leader is not second, 4 * S)
 
 
-def test_a_member_that_leaves_is_out_of_the_list_before_it_ends_where_enough_are_left():
+def test_a_voter_that_leaves_is_removed_before_it_ends_where_enough_are_left():
     fleet = started(4)
     leaving = next(each for each in fleet.alive if each is not fleet.leader)
     leaving.engine.leave(fleet.now)
     fleet._flush(leaving)
-    assert fleet.until(lambda: leaving.engine.identity not in fleet.leader.engine.raft.voters, 600 * MS)
+    assert fleet.run_until(lambda: leaving.engine.identity not in fleet.leader.engine.raft.voters, 600 * MS)
 
 
 def hello(identity: str, stamp: Stamp | None = None, answers: Stamp | None = None) -> m.PeerHello:
     return m.PeerHello(identity, True, (), "", False, stamp, answers)
 
 
-def test_a_voter_counts_as_erased_only_once_another_identity_has_answered_after_it_was_known():
+def test_a_voter_has_lost_its_state_only_once_another_identity_has_answered_after_it_was_known():
     table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     there = "10.0.2.1:7"
     table.handle_hello(there, hello("x@10.0.2.1:7"), 1 * S)
     table.track_voters(("x@10.0.2.1:7",), 1 * S)
-    for answers in (None, Stamp(8, 5 * S), Stamp(9, 900 * MS)):  # none, another life's, one from before
+    for answers in (
+        None,
+        Stamp(8, 5 * S),
+        Stamp(9, 900 * MS),
+    ):  # none, another incarnation's, one from before
         table.handle_hello(there, hello("old@10.0.2.1:7", answers=answers), 2 * S)
         assert not table.has_lost_state("x@10.0.2.1:7")
     table.handle_hello(there, hello("y@10.0.2.1:7", answers=Stamp(9, 1_500 * MS)), 2 * S)
     assert table.has_lost_state("x@10.0.2.1:7")
 
 
-def test_a_late_greeting_of_an_earlier_identity_does_not_undo_a_proof():
+def test_a_late_hello_of_an_earlier_identity_does_not_undo_a_proof():
     table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     there = "10.0.2.1:7"
     table.track_voters(("y@10.0.2.1:7",), 0)
@@ -371,7 +375,7 @@
     assert not table.has_lost_state("y@10.0.2.1:7")
 
 
-def test_a_voter_that_had_the_address_of_its_leader_is_erased():
+def test_a_voter_that_had_the_address_of_its_leader_has_lost_its_state():
     """The leader is the one that came back at that address, with nothing."""
     table = PeerTable("new@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     table.track_voters(("old@10.0.1.1:7", "new@10.0.1.1:7"), 0)
@@ -379,7 +383,7 @@
     assert not table.has_lost_state("new@10.0.1.1:7") and not table.is_replaceable("new@10.0.1.1:7", 0)
 
 
-def test_two_identities_of_one_machine_are_never_listed_together():
+def test_two_identities_of_one_machine_are_never_voters_together():
     table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     table.handle_hello("10.0.2.1:7", hello("y@10.0.2.1:7"), 1 * S)
     voters = ("a@10.0.1.1:7", "x@10.0.2.1:7")
@@ -390,11 +394,11 @@
 # --- what is known of workers comes together ---
 
 
-def test_workers_that_one_control_process_has_missed_are_known_to_it_within_two_seconds():
-    """The news is lost on its way, and the worker's later heartbeats say nothing new."""
+def test_workers_that_one_control_process_has_missed_are_synced_within_two_seconds():
+    """The update is lost, and the worker's later heartbeats change nothing."""
     fleet = started(3)
     taker, misses = fleet.alive[0], fleet.alive[1]
-    apart(fleet, [misses.address])
+    partition_off(fleet, [misses.address])
     ready = msgspec.structs.replace(DRAINING, state=WorkerState.READY)
     taker.engine.handle_heartbeat(ready, fleet.now)
     taker.engine.handle_heartbeat(msgspec.structs.replace(DRAINING, seq=3), fleet.now)
@@ -402,12 +406,12 @@
     fleet.run(300 * MS)
     fleet.heal()
     assert "i-1" not in misses.engine.registry.tracked
-    assert fleet.until(lambda: "i-1" in misses.engine.registry.tracked, 2 * S)
+    assert fleet.run_until(lambda: "i-1" in misses.engine.registry.tracked, 2 * S)
     assert misses.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING
     assert len({each.engine.registry.digest for each in fleet.alive}) == 1
 
 
-def test_the_digest_of_workers_is_that_of_what_routers_must_know():
+def test_the_digest_of_workers_covers_what_routers_must_know():
     one, other = WorkerRegistry(S), WorkerRegistry(S)
     records = [msgspec.structs.replace(DRAINING, instance=f"i-{n}", address=f"h:{n}") for n in range(4)]
     for record in records:
@@ -424,9 +428,9 @@
     assert (one.digest, other.digest) == (0, 0)
 
 
-def test_one_that_does_not_count_is_not_asked_for_the_workers_that_it_has_forgotten():
+def test_an_observer_is_not_asked_for_the_workers_that_it_has_dropped():
     fleet = Fleet(3, 4, 1, loss=0.0, observers=1)
-    assert fleet.until(lambda: whole(fleet, 3), 8 * S)
+    assert fleet.run_until(lambda: has_formed(fleet, 3), 8 * S)
     fleet.alive[0].engine.handle_heartbeat(
         msgspec.structs.replace(DRAINING, state=WorkerState.READY), fleet.now
     )
