--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -103,7 +103,7 @@
         self.handover: Handover | None = None
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
-            self.router.held_elsewhere, self.router.id_watcher = self.handover.holds, self.handover.tell
+            self.router.is_open_elsewhere, self.router.on_id_changed = self.handover.holds, self.handover.tell
         self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
 
     # --- what operators see and do ---
@@ -136,7 +136,7 @@
             self._ends.pop(why, None)
         else:
             self._ends[why] = end
-        self.router.end_by(min(self._ends.values(), default=None))
+        self.router.set_final_deadline(min(self._ends.values(), default=None))
 
     def overview(self) -> Overview:
         fronts = {
@@ -190,7 +190,7 @@
             # upgrade; all that the agent has, where lists are pushed.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_LIST):
-                    await self.router.listed.wait()
+                    await self.router.list_received.wait()
         await self.client_listener.listen(*self.conf.listen, listener)
         if self.handover is not None:
             await self.handover.listen()
@@ -212,11 +212,11 @@
             self.watch.known_version = known.seq
         for name, part in self.parts.items():
             known = part.begin(known, state.component_states.get(name, {}) if state is not None else {})
-        self.router.begin(known)
+        self.router.start(known)
         if state is None:
             return
         for host in state.drained_hosts:
-            self.router.hold_back(host, True)
+            self.router.set_manual_drain(host, True)
         if list(state.class_names) != self._class_names:
             return
         try:
@@ -233,7 +233,7 @@
             part = self.parts[name] = joining.join(name, self)
             known = self.router.table.listed()
             if (begun := part.begin(known, {})) is not known:
-                self.router.hear(begun)
+                self.router.apply_list(begun)
             self._later(part.start())
         elif part is not None and wanted:
             part.change()
@@ -334,7 +334,7 @@
             if self.stomp is not None:
                 self.stomp.change(conf.catalogue)
         if conf.settings != old.settings:
-            self.router.change_settings(conf.settings)
+            self.router.apply_settings(conf.settings)
             self._tell_understanding()
             self.watch.fleet_size, self.watch.is_pushed = (
                 conf.settings.fleet_size,
@@ -353,7 +353,7 @@
     async def leave(self) -> None:
         """A planned end. Clients go on using the connections that they have, and another dispatcher may be
         down just now: so serve on for as long as what comes can still be finished, then close the doors."""
-        log.info("leaving: %d flows open", len(self.router.flows))
+        log.info("leaving: %d flows open", len(self.router.requests))
         self.leaving = True
         longest = max(row.deadline_ms for row in self.conf.catalogue.classes) / 1e3
         end = min(longest, LONGEST) + BEFORE_KILL
@@ -388,7 +388,7 @@
 
     def _close_doors(self) -> None:
         """No new connections, and none is kept."""
-        log.info("doors closed: %d flows to finish", len(self.router.flows))
+        log.info("doors closed: %d flows to finish", len(self.router.requests))
         self.client_listener.stop_accepting()
         if self.stomp is not None:
             self.stomp.stop_accepting()
@@ -397,7 +397,7 @@
         """Until all are answered. Who has sent a part of a request, or nothing yet, is answered too: until
         the kill there is time for it."""
         await self.client_listener.wait_closed(ends_at - asyncio.get_running_loop().time())
-        await self.router.drained()
+        await self.router.wait_idle()
 
     async def close(self) -> None:
         self._closed = True
--- a/hazelbend/program/console_server.py
+++ b/hazelbend/program/console_server.py
@@ -92,12 +92,12 @@
             case ["show", what, *_] | [what, *_] if what in OFF:
                 raise CommandError(OFF[what])
             case ["drain" | "undrain" as verb, host]:
-                if not self._program.router.hold_back(host, verb == "drain"):
+                if not self._program.router.set_manual_drain(host, verb == "drain"):
                     raise CommandError(f"no server {host!r} is listed; see: show servers")
                 return f"{host}: {'gets nothing new' if verb == 'drain' else 'gets work again'}"
             case ["shutdown"]:
                 self._program.stopping.set()
-                return f"leaving; {len(self._program.router.flows)} flows to finish"
+                return f"leaving; {len(self._program.router.requests)} flows to finish"
         raise CommandError(f"unknown command {line[:60]!r}; see: help")
 
     def _of_parts(self, of: Callable[[Part], dict[str, Show]], name: str, words: list[str]) -> Show | None:
@@ -155,7 +155,7 @@
         return table([("FRONT", "CONNECTIONS"), *view.fronts.items()])
 
     def _sources(self) -> str:
-        heard = "heard" if self._program.router.listed.is_set() else "as known"
+        heard = "heard" if self._program.router.list_received.is_set() else "as known"
         servers = len(self._program.overview().servers)
         return table([("SOURCE", "STATE", "BOXES"), ("box list", heard, servers)])
 
--- a/hazelbend/program/drain.py
+++ b/hazelbend/program/drain.py
@@ -35,7 +35,7 @@
     def start(self) -> None:
         """From now on clients are sent away. One that runs goes on as it began."""
         if self._task is None:
-            log.info("draining: %d flows open", len(self._program.router.flows))
+            log.info("draining: %d flows open", len(self._program.router.requests))
             now = asyncio.get_running_loop().time()
             self._program.client_listener.start_draining(now + KEPT, now + LAST)
             self._task = asyncio.create_task(self._run())
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -72,7 +72,7 @@
     def begin(self, known: EndpointList, handed_over: dict[str, Any]) -> EndpointList:
         """The list to begin with: the known list, and the last known records of the SRV names."""
         now = self._clock.now()
-        self._router.guest_watcher = self.merger.apply_connected
+        self._router.on_registered_changed = self.merger.apply_connected
         last_known = self._snapshots.load(handed_over)
         if last_known is not None:
             tombstones = {record.host: _tombstone(record) for record in last_known.tombstones}
@@ -115,8 +115,8 @@
     def stop(self) -> None:
         """Hand the router back the endpoint list alone."""
         self._closed = True
-        self._router.guest_watcher = lambda entry: None
-        self._router.hear(EndpointList(self.merger.listed(), whole=True))
+        self._router.on_registered_changed = lambda entry: None
+        self._router.apply_list(EndpointList(self.merger.listed(), whole=True))
 
     async def close(self) -> None:
         """End the queries, and write the last snapshot."""
@@ -184,7 +184,7 @@
     def _send(self, changes: EndpointList) -> None:
         self._carry_over_drains()
         if changes.entries:
-            self._router.hear(changes)
+            self._router.apply_list(changes)
 
     def _carry_over_drains(self) -> None:
         """An endpoint that is drained by hand stays so under its new host."""
@@ -246,7 +246,7 @@
 
     def _show_sources(self) -> str:
         return self.status.show_sources(
-            list_received=self._router.listed.is_set(), snapshot_error=self.snapshot_error
+            list_received=self._router.list_received.is_set(), snapshot_error=self.snapshot_error
         )
 
     def _configured(self) -> SrvSettings:
--- a/hazelbend/program/srv_priorities.py
+++ b/hazelbend/program/srv_priorities.py
@@ -58,7 +58,7 @@
         """Open and close priorities by which endpoints are available now."""
         if not self._with_several:
             return
-        ejected = self._router.decider.avoided(now)
+        ejected = self._router.module.avoided(now)
         members = self._merger.view.members
         for name in sorted(self._with_several):
             available = self._available_priorities(name, members, ejected)
--- a/hazelbend/protocol/stomp_jobs.py
+++ b/hazelbend/protocol/stomp_jobs.py
@@ -69,7 +69,7 @@
     if answer.verdict is Verdict.REFUSED and answer.retry_after > 0:
         milliseconds = math.ceil(answer.retry_after / US_PER_MS)
         headers["retry-after"] = f"{milliseconds / MS_PER_S:.3f}"
-    if answer.verdict is Verdict.FAILED and answer.overdue:
+    if answer.verdict is Verdict.FAILED and answer.is_expired:
         headers["reason"] = "deadline"
     if answer.reason:
         headers["reason"] = answer.reason
--- a/hazelbend/protocol/worker_lines.py
+++ b/hazelbend/protocol/worker_lines.py
@@ -10,7 +10,7 @@
 import orjson
 
 from hazelbend.decisions.interface import LoadReport, Outcome
-from hazelbend.routing.ports import AttemptResult, News
+from hazelbend.routing.ports import AttemptResult, ProgressReport
 
 MAX_LINE_BYTES = 128 * 1024  # a result is at most 64 KiB, and JSON may double what it holds
 RETRYABLE_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
@@ -54,7 +54,7 @@
             return None
 
 
-def read_line(line: bytes, job_id: str, fields: LoadReportFields) -> News | AttemptResult | None:
+def read_line(line: bytes, job_id: str, fields: LoadReportFields) -> ProgressReport | AttemptResult | None:
     """What a line says of the job: its progress or its end. None for a state that is not known.
 
     Raises:
@@ -65,10 +65,10 @@
         raise WorkerLineError("a line that does not speak of this job")
     state = value.get("state")
     if state == "started":
-        return News()
+        return ProgressReport()
     if state == "running":
         share = value.get("share")
-        return News(float(share) if isinstance(share, int | float) and isfinite(share) else 0.0)
+        return ProgressReport(float(share) if isinstance(share, int | float) and isfinite(share) else 0.0)
     outcome = _ENDINGS.get(state) if isinstance(state, str) else None
     if outcome is None:
         return None
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -98,8 +98,8 @@
 
 def take_figures(router: Router, classes: Iterable[str]) -> Figures:
     """The counts of this moment."""
-    answers, servers = router.tally.answers, router.table.servers
-    avoided = router.decider.avoided(router.clock.now())
+    answers, servers = router.counters.answers, router.table.servers
+    avoided = router.module.avoided(router.clock.now())
     return Figures(
         classes=tuple(
             ClassFigures(
@@ -110,8 +110,8 @@
             )
             for index, name in enumerate(classes)
         ),
-        forwards=router.tally.forwards,
-        outstanding=sum(not flow.is_closed for flow in router.flows.values()),
+        forwards=router.counters.forwards,
+        outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
         ejected=sum(each.held_back or number in avoided for number, each in servers.items()),
     )
@@ -127,20 +127,20 @@
         name=name,
         uptime=now - router.started_at,
         state=state,
-        taken=router.tally.taken,
-        abandoned=router.tally.abandoned,
-        verdicts=router.tally.verdicts,
+        taken=router.counters.received,
+        abandoned=router.counters.abandoned,
+        verdicts=router.counters.verdicts,
         figures=take_figures(router, classes),
-        outcomes=dict(router.tally.outcomes),
+        outcomes=dict(router.counters.outcomes),
         flows=tuple(
             FlowRow(
                 flow.job.id,
                 flow.job.class_index,
                 now - flow.arrived_at,
                 max(flow.deadline - now, 0),
-                tuple(each.server.entry.host for each in flow.attempts if each.server and not each.over),
+                tuple(each.backend.entry.host for each in flow.attempts if each.backend and not each.is_over),
             )
-            for flow in router.flows.values()
+            for flow in router.requests.values()
         ),
         servers=tuple(
             ServerRow(
--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -42,7 +42,7 @@
     verdict: Verdict
     result: bytes = b""
     retry_after: int = 0  # microseconds
-    overdue: bool = False  # failed because time ran out
+    is_expired: bool = False  # failed because its time was over
     reason: str = ""  # for the client, where there is more to say
 
 
@@ -57,14 +57,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class ProgressReport:
     """A job has started (no fraction yet) or got on."""
 
     fraction: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Forwarded:
+class AttemptWritten:
     """The last byte of an attempt was written to its server: from now on it may run."""
 
 
@@ -73,13 +73,20 @@
 which its head tells, or None where it may no longer be sent and ends as `NOT_SENT`."""
 
 
+AttemptCallback: TypeAlias = Callable[[ProgressReport | AttemptWritten], None]
+"""Gets `AttemptWritten` once, and the reports that follow it."""
+
+
 class BackendClient(Protocol):
     """The way to one backend. A cancelled call gives the attempt up, so that the backend stops it."""
 
     async def attempt(
-        self, job: Job, before_first_byte: BeforeFirstByte, tell: Callable[[News | Forwarded], None]
+        self,
+        job: Job,
+        before_first_byte: BeforeFirstByte,
+        tell: AttemptCallback,
     ) -> AttemptResult:
-        """Connect, ask `before_first_byte`, write, and read the answer; `tell` hears `Forwarded` first."""
+        """Connect, call `before_first_byte`, write, and read the answer."""
 
     async def probe(self, patience: int) -> AttemptResult:
         """Ask for the load report, for so many microseconds at most."""
@@ -120,10 +127,10 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class RequestCounters:
     """Counts since the start: the one place, whoever shows them."""
 
-    taken: int = 0
+    received: int = 0
     abandoned: int = 0  # the client left before the answer
     answers: Counter[tuple[int, Verdict]] = field(default_factory=Counter)  # by class
     forwards: int = 0  # attempts written whole
--- /dev/null
+++ b/hazelbend/routing/request_context.py
@@ -0,0 +1,102 @@
+"""The state of one request, from its arrival until its answer is given and its last attempt has ended."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+
+from hazelbend.routing.ports import Answer, AttemptResult, BackendClient, Job
+from hazelbend.routing.request_events import ClientDisconnected, RequestEvent
+from hazelbend.routing.table import Backend
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One attempt to have the request served. Times are microseconds."""
+
+    backend: Backend | None  # None: it is not listed any more
+    worker_id: int
+    started_at: int
+    deadline: int
+    client: BackendClient | None  # for the backend's address at the start
+    task: asyncio.Task[AttemptResult] | None = None
+    is_permitted: bool = False  # the check before the first byte was passed: it cannot be withdrawn any more
+    is_written: bool = False  # its last byte was written: from now on it may be executed
+    is_reported: bool = False  # its end is in the request's inbox
+    is_over: bool = False  # and was handled
+
+
+@dataclass(slots=True, eq=False)
+class RequestContext:
+    """One request. Times are microseconds."""
+
+    number: int
+    job: Job
+    arrived_at: int
+    inbox: asyncio.Queue[RequestEvent] = field(default_factory=asyncio.Queue)
+    attempts: list[Attempt] = field(default_factory=list)
+    answered: asyncio.Future[Answer] = field(
+        default_factory=lambda: asyncio.get_running_loop().create_future()
+    )
+    client_left: bool = False  # set at once; `ClientDisconnected` is handled in its turn
+    abandoned: bool = False  # counted as given up by its client
+    task: asyncio.Task[None] | None = None
+    replies: list[asyncio.Future[Answer]] = field(default_factory=list)
+
+    @property
+    def deadline(self) -> int:
+        """When the client gives up."""
+        return self.arrived_at + self.job.patience
+
+    @property
+    def is_closed(self) -> bool:
+        """Whether nothing more may be sent: it has its answer, or its client has gone."""
+        return self.client_left or self.answered.done()
+
+    @property
+    def is_over(self) -> bool:
+        """Whether nothing more happens to it.
+
+        Its inbox is handled to the end: the decision module waits for the outcome of each `Send`, even of one
+        that came too late.
+        """
+        return self.is_closed and self.inbox.empty() and all(each.is_over for each in self.attempts)
+
+    def leave(self) -> None:
+        """The client has gone: nothing is sent from this moment on."""
+        if not self.client_left:
+            self.client_left = True
+            self.inbox.put_nowait(ClientDisconnected())
+
+    def reply(self) -> asyncio.Future[Answer]:
+        """Return a future of the answer that the caller may cancel; `answered` is not affected.
+
+        It is set in the turn of the loop in which the answer is given; callbacks of `answered` run a turn
+        later.
+        """
+        reply = asyncio.get_running_loop().create_future()
+        if self.answered.done():
+            reply.set_result(self.answered.result())
+        else:
+            self.replies.append(reply)
+        return reply
+
+    def set_answer(self, answer: Answer) -> None:
+        """Give the one final answer to all who wait for it."""
+        self.answered.set_result(answer)
+        for reply in self.replies:
+            if not reply.done():
+                reply.set_result(answer)
+        self.replies.clear()
+
+    def withdraw_attempts(self) -> None:
+        """Cancel the attempts of which nothing was written, whatever cancels the module may send."""
+        for attempt in self.attempts:
+            if attempt.task is not None and not attempt.is_permitted and not attempt.is_over:
+                attempt.task.cancel()
+
+    def cancel_attempts(self) -> None:
+        """Cancel all attempts."""
+        for attempt in self.attempts:
+            if attempt.task is not None and not attempt.is_over:
+                attempt.task.cancel()
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import logging
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
 from functools import partial
@@ -14,7 +14,14 @@
 
 from hazelbend.decisions.interface import Outcome
 from hazelbend.protocol.worker_lines import MAX_LINE_BYTES, LoadReportFields, outcome_of_status, read_line
-from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Forwarded, Job, News
+from hazelbend.routing.ports import (
+    AttemptCallback,
+    AttemptResult,
+    AttemptWritten,
+    BeforeFirstByte,
+    Job,
+    ProgressReport,
+)
 from hazelbend.transport.http.aiohttp_client import (
     RequestProgress,
     RequestWithdrawnError,
@@ -113,7 +120,10 @@
         """See the Protocol. The idle connections of a backend that is gone time out by themselves."""
 
     async def attempt(
-        self, job: Job, before_first_byte: BeforeFirstByte, tell: Callable[[News | Forwarded], None]
+        self,
+        job: Job,
+        before_first_byte: BeforeFirstByte,
+        tell: AttemptCallback,
     ) -> AttemptResult:
         """See the Protocol. Where it is cancelled, its connection is closed."""
         with self._pool.reserve_connection() as is_free:
@@ -122,7 +132,10 @@
             return await self._attempt(job, before_first_byte, tell)
 
     async def _attempt(
-        self, job: Job, before_first_byte: BeforeFirstByte, tell: Callable[[News | Forwarded], None]
+        self,
+        job: Job,
+        before_first_byte: BeforeFirstByte,
+        tell: AttemptCallback,
     ) -> AttemptResult:
         headers = {"X-Request-ID": job.id}
         if job.idempotency_key is not None:
@@ -131,7 +144,7 @@
             before_first_byte,
             TIMEOUT_HEADER,
             has_body=bool(job.body),
-            on_written=partial(tell, Forwarded()),
+            on_written=partial(tell, AttemptWritten()),
         )
         try:
             url = raw_url(self._base_url, job.target)
@@ -155,7 +168,10 @@
             response.close()  # closes its connection, unless it was read to its end
 
     async def _read_result(
-        self, response: aiohttp.ClientResponse, job: Job, tell: Callable[[News | Forwarded], None]
+        self,
+        response: aiohttp.ClientResponse,
+        job: Job,
+        tell: AttemptCallback,
     ) -> AttemptResult:
         """Read lines of progress up to the one with the result."""
         if response.status != 200:
@@ -170,7 +186,7 @@
             if not line.strip():
                 continue
             message = read_line(line, job.id, self._pool.settings.fields)
-            if isinstance(message, News):
+            if isinstance(message, ProgressReport):
                 tell(message)
             elif message is not None:
                 await _drain(response)
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -106,9 +106,9 @@
             job = read_job(request.raw_path, request.headers, body, self.catalogue)
             if queueing_time_s > MIN_QUEUEING_TIME_S:
                 job = replace(job, patience=max(job.patience - round(queueing_time_s * 1e6), 1))
-            if self._router.holds(job.id):
+            if self._router.is_open(job.id):
                 raise JobRejectedError(409, "a request of this id is open")
-            return self._router.take(job) if self.gate is None else self.gate(job, request.headers)
+            return self._router.accept(job) if self.gate is None else self.gate(job, request.headers)
         except BadRequestError as error:
             raise JobRejectedError(400, str(error)) from None
 
@@ -136,4 +136,4 @@
         if answer.reason:
             headers["X-Reason"] = quote(answer.reason, safe=" ,:;")
         return web.Response(status=503, headers=headers, text="refused; trying again is harmless\n")
-    return web.Response(status=504 if answer.overdue else 502, text="failed\n")
+    return web.Response(status=504 if answer.is_expired else 502, text="failed\n")
--- a/hazelbend/transport/stomp/stomp_clients.py
+++ b/hazelbend/transport/stomp/stomp_clients.py
@@ -116,13 +116,13 @@
         if allowed_tenants and frame.get("tenant") not in allowed_tenants:
             raise BadRequestError("this client may not send for that tenant")
         job = stomp_jobs.read_job(frame, self.identity, self.catalogue)
-        if self._router.holds(job.id):
+        if self._router.is_open(job.id):
             # In an upgrade: its flow is open in the process before. It must not run anew beside it.
             raise BadRequestError("a request of this id is open in another process: send it again later")
         entry = Entry(request_id, secrets.token_hex(8))
         if self._is_full(len(frame.body)):
             # Nothing has run: a refusal is true. It is not kept, as there is no room to keep it.
-            entry.answer = self._router.refuse(job, FULL_PAUSE)
+            entry.answer = self._router.reject(job, FULL_PAUSE)
             entry.settled = True
             if self._subscriptions:
                 self._write(self._subscriptions[-1], entry, remember=False)
@@ -130,7 +130,7 @@
         self._entries[request_id] = entry
         self._hold(entry, len(frame.body))
         try:
-            flow = self._router.take(job) if self.gate is None else self.gate(job, self.identity, frame)
+            flow = self._router.accept(job) if self.gate is None else self.gate(job, self.identity, frame)
         except BadRequestError:
             self._drop(entry)
             raise
--- a/hazelbend/transport/stomp/stomp_workers.py
+++ b/hazelbend/transport/stomp/stomp_workers.py
@@ -5,7 +5,6 @@
 import asyncio
 import logging
 import secrets
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from hazelbend.decisions.interface import Outcome, WorkerState
@@ -13,7 +12,15 @@
 from hazelbend.protocol.http_fields import Catalogue
 from hazelbend.protocol.stomp import Frame
 from hazelbend.protocol.worker_lines import LoadReportFields, read_line
-from hazelbend.routing.ports import AttemptResult, BeforeFirstByte, Endpoint, Forwarded, Job, News
+from hazelbend.routing.ports import (
+    AttemptCallback,
+    AttemptResult,
+    AttemptWritten,
+    BeforeFirstByte,
+    Endpoint,
+    Job,
+    ProgressReport,
+)
 from hazelbend.routing.router import Router
 from hazelbend.transport.stomp.stomp_clients import Outlet
 
@@ -35,7 +42,7 @@
 @dataclass(slots=True)
 class _Work:
     job: Job
-    tell: Callable[[News | Forwarded], None]
+    tell: AttemptCallback
     ending: asyncio.Future[AttemptResult]
     started: bool = False
 
@@ -59,7 +66,10 @@
         return len(self._work)
 
     async def attempt(
-        self, job: Job, before_first_byte: BeforeFirstByte, tell: Callable[[News | Forwarded], None]
+        self,
+        job: Job,
+        before_first_byte: BeforeFirstByte,
+        tell: AttemptCallback,
     ) -> AttemptResult:
         if self._lost:
             return AttemptResult(Outcome.CONNECT_FAILED)
@@ -76,7 +86,7 @@
         )
         if not self.outlet.send(frame):
             return AttemptResult(Outcome.CONNECT_FAILED)  # not a byte of it went out
-        tell(Forwarded())
+        tell(AttemptWritten())
         work = self._work[message_id] = _Work(job, tell, asyncio.get_running_loop().create_future())
         try:
             return await work.ending
@@ -103,7 +113,7 @@
         except ValueError as error:
             log.warning("box: unreadable news: %s", error)
             said = AttemptResult(Outcome.ERROR)
-        if isinstance(said, News):
+        if isinstance(said, ProgressReport):
             work.started = True
             work.tell(said)
         elif said is not None:
@@ -154,7 +164,7 @@
         link = self._links.get(account.login)
         if link is not None and link.outlet is outlet:
             link.subscription = subscription
-            self._router.change_guest(_host(account), WorkerState.READY)
+            self._router.change_registered(_host(account), WorkerState.READY)
             return link
         if link is not None:
             self.leave(account, link)
@@ -172,21 +182,21 @@
             weight=account.weight,
             started_at=self._router.clock.now(),
         )
-        self._router.add_guest(entry, link)
+        self._router.register(entry, link)
         log.info("box %s: connected", account.login)
         return link
 
     def drain(self, account: BoxAccount, link: StompBackendClient) -> None:
         """It unsubscribed: it finishes what it has and wants nothing new."""
         if self._links.get(account.login) is link:
-            self._router.change_guest(_host(account), WorkerState.DRAINING)
+            self._router.change_registered(_host(account), WorkerState.DRAINING)
 
     def leave(self, account: BoxAccount, link: StompBackendClient) -> None:
         """Its connection is lost."""
         link.lost()
         if self._links.get(account.login) is link:
             del self._links[account.login]
-            self._router.change_guest(_host(account), WorkerState.GONE)
+            self._router.change_registered(_host(account), WorkerState.GONE)
             log.info("box %s: gone", account.login)
 
 
--- a/hazelbend/waiting/gate.py
+++ b/hazelbend/waiting/gate.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field, replace
 
 from hazelbend.routing.ports import Answer, Job, Verdict
-from hazelbend.routing.router import Flow, Router
+from hazelbend.routing.request_context import RequestContext
+from hazelbend.routing.router import Router
 from hazelbend.waiting.engine import Engine, Node, State
 from hazelbend.waiting.terms import Bounds, Effect, End, Key, Refusal, Release, Request, Terms, TermsError
 
@@ -34,7 +35,7 @@
     answered: asyncio.Future[Answer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    flow: Flow | None = None
+    flow: RequestContext | None = None
     left: bool = False
 
     def reply(self) -> asyncio.Future[Answer]:
@@ -107,7 +108,7 @@
             del self.held[key]
             raise
         self._idle.clear()
-        self.router.hold_id(job.id)
+        self.router.reserve_id(job.id)
         self._carry_out(effects)
         if self._leaving is not None:
             self.leave(*self._leaving)
@@ -211,7 +212,7 @@
         job = replace(held.job, patience=max(min(left, held.job.patience), 1))
         if release.results:
             job = replace(job, body=with_results(job.body, release.results))
-        flow = held.flow = self.router.take(job)
+        flow = held.flow = self.router.accept(job)
         flow.answered.add_done_callback(lambda done: self._ended(held, done))
 
     def _ended(self, held: Held, done: asyncio.Future[Answer]) -> None:
@@ -222,12 +223,12 @@
         self._wake()
 
     def _refuse(self, held: Held, refusal: Refusal) -> None:
-        self.router.free_id(held.job.id)
+        self.router.release_id(held.job.id)
         if held.left:
-            self.router.abandon()
+            self.router.count_abandoned()
             answer = Answer(Verdict.REFUSED)
         else:
-            answer = self.router.refuse(held.job, refusal.retry_after, refusal.reason)
+            answer = self.router.reject(held.job, refusal.retry_after, refusal.reason)
         self._forget(held, answer)
 
     def _forget(self, held: Held, answer: Answer) -> None:
--- a/tests/crossing_kit.py
+++ b/tests/crossing_kit.py
@@ -13,8 +13,9 @@
 
 from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.clock import Clock
+from hazelbend.routing.decision_module import DecisionModule
 from hazelbend.routing.ports import Endpoint, EndpointList
-from hazelbend.routing.router import Decider, Router
+from hazelbend.routing.router import Router
 from hazelbend.routing.table import BackendTable
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
@@ -136,19 +137,19 @@
 
     def tell(self, *entries: Endpoint, whole: bool = False) -> None:
         """A list or a change of it."""
-        self.router.hear(EndpointList(entries, whole=whole))
+        self.router.apply_list(EndpointList(entries, whole=whole))
 
 
 @asynccontextmanager
 async def core(
-    decider: Decider, entry: Endpoint, backend: ScriptedBackend, connect_timeout: float = 10.0
+    decider: DecisionModule, entry: Endpoint, backend: ScriptedBackend, connect_timeout: float = 10.0
 ) -> AsyncIterator[Core]:
     """The core with a connection pool before this backend, whose entry gets its port."""
     await backend.listen()
     pool = ConnectionPool(PoolSettings(connect_timeout, 60.0, 8, LoadReportFields({})))
     router = Router(decider, Clock(), BackendTable(lambda each: pool.client(each.dial)))
     listed = replace(entry, dial=f"127.0.0.1:{backend.port}")
-    router.begin(EndpointList((listed,), whole=True))
+    router.start(EndpointList((listed,), whole=True))
     try:
         yield Core(router, backend, listed)
     finally:
--- a/tests/deployment_kit.py
+++ b/tests/deployment_kit.py
@@ -225,7 +225,7 @@
         grace = conf["rules"]["drain_grace_us"] / 1e6
         late = [each for each in seen if each.server == "s-0" and each.began > told_at + grace + LATE / 4]
         assert not late, f"sent to a server that drains: {late}"
-        await asyncio.wait_for(app.router.drained(), 15)
+        await asyncio.wait_for(app.router.wait_idle(), 15)
     check(played, conf)
     return played
 
@@ -239,7 +239,7 @@
     listing.drain("s-0")
     await until(lambda: not server.takes_work)
     if conf["membership_mode"] == "push":
-        assert app.router.hold_back("s-0", True), "and by hand besides"
+        assert app.router.set_manual_drain("s-0", True), "and by hand besides"
 
 
 async def _send(played: Played, conf: dict[str, Any], chance: random.Random, number: int) -> None:
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -162,7 +162,7 @@
     recent = RecentLines()
     recent.lines.extend(["first line", "second line"])
     router = SimpleNamespace(
-        listed=asyncio.Event(), flows={"f1": None}, hold_back=lambda host, _: host == "h1"
+        list_received=asyncio.Event(), requests={"f1": None}, set_manual_drain=lambda host, _: host == "h1"
     )
     program = SimpleNamespace(
         overview=view,
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -12,7 +12,7 @@
 
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.protocol.worker_lines import LoadReportFields
-from hazelbend.routing.ports import Forwarded, Job, News
+from hazelbend.routing.ports import AttemptWritten, Job, ProgressReport
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
 JOB = Job("9b", 0, 0, 1_000_000, target="/nearby/%31?q=%20+&x=", body=b"a\0b", idempotency_key="k")
@@ -105,7 +105,7 @@
 
 def test_the_result_news_and_load_come_through():
     [ending], news = attempt(Script(CASES["done"][0]))
-    assert ending.result == b"r" and news == [Forwarded(), News()]
+    assert ending.result == b"r" and news == [AttemptWritten(), ProgressReport()]
     [ending], _ = attempt(Script(REFUSED))
     assert ending.load == LoadReport(in_flight=7.0)
 
@@ -275,7 +275,7 @@
         await pool.close()
         return ending.outcome, told
 
-    assert asyncio.run(run()) == (Outcome.RESET, [Forwarded()])
+    assert asyncio.run(run()) == (Outcome.RESET, [AttemptWritten()])
 
 
 def test_idle_connections_are_no_more_than_there_are_places():
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -88,7 +88,7 @@
             assert b"HTTP/1.1 413 " in await talk(
                 app.client_listener.port, chunked.partition(b"\r\n\r\n")[0] + b"\r\n\r\n", too_much
             )
-            assert app.router.tally.taken == 0
+            assert app.router.counters.received == 0
             assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
@@ -122,7 +122,7 @@
         async with site(tmp_path, stomp="") as (app, _):
             app.client_listener.connection_limit = 1
             running = asyncio.create_task(talk(app.client_listener.port, request("run", b"300")))
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             assert b"\r\nConnection: close\r\n" in await talk(app.client_listener.port, request())
             app.client_listener.connection_limit = 0
             assert b"\r\nConnection: close\r\n" in await running
@@ -142,7 +142,7 @@
                     wrong = b"\0" + wrong
                 answer = await talk(app.client_listener.port, wrong, end=True)
                 assert not answer or answer.startswith(b"HTTP/1.")
-            await until(lambda: not app.router.flows)
+            await until(lambda: not app.router.requests)
 
     asyncio.run(run())
 
@@ -156,8 +156,8 @@
             writer.write(request(body=b"hang"))
             await until(lambda: toy.ran)
             writer.close()
-            await until(lambda: toy.holds == 0 and not app.router.flows)
-            assert app.router.tally.abandoned == 1
+            await until(lambda: toy.holds == 0 and not app.router.requests)
+            assert app.router.counters.abandoned == 1
 
     asyncio.run(run())
 
@@ -208,7 +208,7 @@
             busy.write(data[:-2])  # its body is still to come
             await until(lambda: app.client_listener.connections == 2)
             running = asyncio.create_task(talk(app.client_listener.port, request("run", b"200")))
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             app.client_listener.stop_accepting()
             assert await asyncio.wait_for(kept.read(), 10) == b""
             busy.write(data[-2:])
@@ -253,7 +253,7 @@
             await until(lambda: toy.ran)
             again = await talk(app.client_listener.port, request(more="Connection: close\r\n"))
             assert again.startswith(b"HTTP/1.1 409 ") and b" 200 " in await running
-            assert toy.ran == ["9b"] and app.router.tally.taken == 1
+            assert toy.ran == ["9b"] and app.router.counters.received == 1
             assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
@@ -286,7 +286,7 @@
             answer = await talk(app.client_listener.port, data)
             assert answer[9:12] == status
             await until(lambda: app.client_listener.connections == 0)
-            assert app.router.tally.taken == 0
+            assert app.router.counters.received == 0
 
     asyncio.run(run())
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -48,7 +48,7 @@
             assert await rest(reader) == b""
             writer.close()
             await until(lambda: app.client_listener.connections == 0 and not app.client_listener._lingering)
-            assert toy.ran == ["first"] and app.router.tally.taken == 1
+            assert toy.ran == ["first"] and app.router.counters.received == 1
 
     asyncio.run(run())
 
@@ -215,9 +215,9 @@
             await until(lambda: toy.ran and app.client_listener._open)
             await writer.drain()
             go(writer)
-            await until(lambda: app.router.tally.abandoned == 1)
-            await until(lambda: not app.router.flows and toy.holds == 0)
-            assert toy.ran == ["first"] and app.router.tally.taken == 1
+            await until(lambda: app.router.counters.abandoned == 1)
+            await until(lambda: not app.router.requests and toy.holds == 0)
+            assert toy.ran == ["first"] and app.router.counters.received == 1
             writer.close()
 
     asyncio.run(run())
@@ -303,7 +303,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
                 writer.write(request(f"h{number}", b"hang"))
                 peers.append((reader, writer))
-            await until(lambda: len(app.router.flows) == 5)
+            await until(lambda: len(app.router.requests) == 5)
             shut = [await rest(reader) for reader, _ in peers[5:]]
             assert shut == [b""] * 4 and app.client_listener.connections == 5
             for _, writer in peers:
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -18,8 +18,9 @@
 
 from hazelbend.decisions.brain import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
-from hazelbend.routing.ports import AttemptResult, Endpoint, EndpointList, Forwarded, Job, News
-from hazelbend.routing.router import GRACE, Flow, Router
+from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
+from hazelbend.routing.request_context import RequestContext
+from hazelbend.routing.router import DECISION_GRACE_S, Router
 from hazelbend.routing.table import BackendTable
 
 SAFE, KEYED, UNSAFE = range(3)
@@ -77,7 +78,7 @@
                 self.machine.first_byte(held, left)
             except AssertionError as broken:  # the core would take it for the link's fault
                 self.machine.broken.append(str(broken))
-            tell(Forwarded())
+            tell(AttemptWritten())
             held.ending = asyncio.get_running_loop().create_future()
             ending = await held.ending
             held.over = ending.outcome
@@ -103,7 +104,7 @@
         super().__init__()
         self.loop = VirtualLoop()
         self.attempts: list[Held] = []
-        self.flows: dict[str, Flow] = {}
+        self.flows: dict[str, RequestContext] = {}
         self.classes: dict[str, int] = {}
         self.running = 0
         self.broken: list[str] = []  # rules, at first bytes
@@ -137,7 +138,7 @@
             self.router = Router(
                 self.dispatcher, LoopClock(self.loop), BackendTable(lambda entry: HeldLink(self, entry))
             )
-            self.router.begin(EndpointList(tuple(map(self.entry, range(BACKENDS))), whole=True))
+            self.router.start(EndpointList(tuple(map(self.entry, range(BACKENDS))), whole=True))
 
         self.do(build)
 
@@ -152,7 +153,7 @@
                 held.connected.set()
             self.loop.run_until_complete(asyncio.sleep(20))
             self.check()
-            assert not self.router.flows and self.running == 0, "every request is over in the end"
+            assert not self.router.requests and self.running == 0, "every request is over in the end"
             assert not self.dispatcher.requests and not self.router.open_ids
             self.router.close()
             self.do()
@@ -166,7 +167,7 @@
         self.classes[name] = job_class
 
         def take():
-            self.flows[name] = self.router.take(Job(name, job_class, 0, patience))
+            self.flows[name] = self.router.accept(Job(name, job_class, 0, patience))
 
         self.do(take)
 
@@ -197,7 +198,7 @@
         self.classes[name] = job_class
 
         def take():
-            self.flows[name] = self.router.take(Job(name, job_class, 0, 1_000_000))
+            self.flows[name] = self.router.accept(Job(name, job_class, 0, 1_000_000))
 
         self.do(take, turns)
         self.do(self.flows[name].leave)
@@ -263,7 +264,7 @@
     @rule(data=st.data(), fraction=st.sampled_from([None, 0.5]))
     def speak(self, data, fraction):
         held = data.draw(st.sampled_from(self.out()))
-        self.do(lambda: held.tell(News(fraction)))
+        self.do(lambda: held.tell(ProgressReport(fraction)))
 
     @rule(
         backend=st.integers(0, BACKENDS - 1), state=st.sampled_from([WorkerState.READY, WorkerState.DRAINING])
@@ -284,7 +285,7 @@
     def whole_list(self, absent):
         """Some are gone, and come back with a later list."""
         rows = tuple(self.entry(each) for each in range(BACKENDS) if each not in absent)
-        self.do(lambda: self.router.hear(EndpointList(rows, whole=True)))
+        self.do(lambda: self.router.apply_list(EndpointList(rows, whole=True)))
 
     @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, 0.5, 2.0]))
     def wait(self, seconds):
@@ -319,7 +320,7 @@
         return [each for each in self.attempts if each.ending is not None and not each.ending.done()]
 
     def tell(self, backend: int) -> None:
-        self.router.hear(EndpointList((self.entry(backend),)))
+        self.router.apply_list(EndpointList((self.entry(backend),)))
 
     @invariant()
     def check(self) -> None:
@@ -327,20 +328,22 @@
             return
         self.do()
         assert not self.broken
-        tally, now = self.router.tally, self.router.clock.now()
+        tally, now = self.router.counters, self.router.clock.now()
         open_flows = [flow for flow in self.flows.values() if not flow.answered.done() and not flow.abandoned]
-        assert tally.answers.total() + tally.abandoned + len(open_flows) == tally.taken == len(self.flows)
+        assert tally.answers.total() + tally.abandoned + len(open_flows) == tally.received == len(self.flows)
         for flow in open_flows:
-            assert now <= flow.deadline + round(GRACE * 1e6) + 1_000, "no answer by its time"
-        out = Counter(each.worker for flow in self.flows.values() for each in flow.attempts if not each.over)
+            assert now <= flow.deadline + round(DECISION_GRACE_S * 1e6) + 1_000, "no answer by its time"
+        out = Counter(
+            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_over
+        )
         assert sum(out.values()) == self.running, "attempts out and attempts counted"
         for number, worker in self.dispatcher.workers.items():
             counted = self.router.table.servers[number].out
             mine = sum(
-                each.server is self.router.table.servers[number]
+                each.backend is self.router.table.servers[number]
                 for flow in self.flows.values()
                 for each in flow.attempts
-                if not each.over
+                if not each.is_over
             )
             assert counted == mine and len(worker.attempts) <= out[number]
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -38,7 +38,7 @@
             reader, writer = await open_kept(app.client_listener.port)
             idle, _ = await open_kept(app.client_listener.port, "idle")
             long = asyncio.create_task(talk(app.client_listener.port, request("long", b"2500")))
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             assert (await asked(app, "/ops/drain/start", "POST"))[0] == 200
             assert (await asked(app, "/ops/readiness"))[0] == 503
             assert b" 503 " in await talk(app.client_listener.port, HEALTHZ)
@@ -137,7 +137,7 @@
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             busy.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             busy.job("b", b"1000")
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             app.drain()
             await until(lambda: idle.closed)
             assert "emptied" in idle.of("ERROR")[0].headers["message"] and not busy.closed
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -34,11 +34,11 @@
             running = asyncio.create_task(talk(app.client_listener.port, closing("run", b"1500")))
             await until(lambda: toy.holds)
             await talk(app.client_listener.port, closing("bad", b"1").replace(b"/nearby", b"/bogus"))
-            app.router.hold_back("toy-0", True)
+            app.router.set_manual_drain("toy-0", True)
             assert b" 503 " in await talk(app.client_listener.port, closing("c", b"1", 100)), (
                 "no server takes work"
             )
-            app.router.hold_back("toy-0", False)
+            app.router.set_manual_drain("toy-0", False)
             found = await stats(app)
             assert found == {
                 "succeeded.nearby": 2, "declined.nearby": 1, "aborted.nearby": 0,
@@ -54,23 +54,23 @@
 def test_a_fault_counts_once_and_a_client_that_left_is_no_longer_outstanding(tmp_path):
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, [toy]):
-            handle = app.router.decider.handle
+            handle = app.router.module.handle
 
             def faulty(event, now):
                 if type(event).__name__ == "AttemptEnded":
                     raise RuntimeError("a fault")
                 return handle(event, now)
 
-            app.router.decider.handle = faulty
+            app.router.module.handle = faulty
             assert b" 200 " in await talk(app.client_listener.port, closing("a", b"1")), (
                 "it was served by then"
             )
-            app.router.decider.handle = handle
+            app.router.module.handle = handle
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("gone", b"hang"))
             await until(lambda: toy.holds == 1)
             writer.close()
-            await until(lambda: not app.router.flows)
+            await until(lambda: not app.router.requests)
             found = await stats(app)
             assert found["outstanding"] == 0 and found["forwards"] == 2
             assert [found[f"{name}.nearby"] for name in ("succeeded", "declined", "aborted")] == [1, 0, 0]
@@ -86,7 +86,7 @@
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             box.send("SUBSCRIBE", id="w", destination="/hazelbend/work")
             await until(lambda: len(app.router.table.servers) == 2)
-            app.router.hold_back("toy-0", True)
+            app.router.set_manual_drain("toy-0", True)
             peer.job("to the box", b"1")
             await until(lambda: box.of("MESSAGE"))
             found = await stats(app)
@@ -96,7 +96,7 @@
             peer.job("too many", b"1")
             await until(lambda: peer.answers() == {"too many": ["refused"]})
             assert (await stats(app))["declined.nearby"] == 1
-            assert app.router.tally.taken == 2
+            assert app.router.counters.received == 2
 
     asyncio.run(run())
 
@@ -117,7 +117,7 @@
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
             for number in range(3):
                 await talk(app.client_listener.port, closing(f"r{number}", b"1"))
-            app.router.hold_back("toy-0", True)
+            app.router.set_manual_drain("toy-0", True)
             found = await stats(app)
             shown = Commands(app).run("show figures")
             assert {row.split()[0]: int(row.split()[1]) for row in shown.splitlines()} == found
@@ -130,6 +130,6 @@
             assert rest == [found[name] for name in ("forwards", "discovered", "ejected")]
             assert not isinstance(told[(*snmp_agent.OBJECTS, 2, 6, 0)], OctetString)
             assert int(told[(*snmp_agent.OBJECTS, 2, 6, 0)]) == found["outstanding"] == 0
-            assert app.router.tally.outcomes[Outcome.SERVED] == 3
+            assert app.router.counters.outcomes[Outcome.SERVED] == 3
 
     asyncio.run(run())
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -29,14 +29,14 @@
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
-                flow = site.router.take(job)
+                flow = site.router.accept(job)
                 await until(lambda: connects.waiting)
                 await change(site, flow)
                 await turns()
                 connects.let_go()
                 async with asyncio.timeout(10):
-                    await site.router.drained()
-            again = site.router.take(replace(LONG, id="again"))
+                    await site.router.wait_idle()
+            again = site.router.accept(replace(LONG, id="again"))
             async with asyncio.timeout(10):
                 await again.answered
             return decider, site, flow
@@ -57,7 +57,7 @@
 
 
 async def drain_by_hand(site, flow):
-    assert site.router.hold_back(site.entry.host, True)
+    assert site.router.set_manual_drain(site.entry.host, True)
 
 
 @pytest.mark.parametrize("change", [drain, drop, move, drain_by_hand])
@@ -97,7 +97,7 @@
     decider, site, _flow = hold_and(leave)
     assert [each.field("X-Request-ID") for each in site.backend.requests] == ["again"]
     assert decider.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
-    assert site.router.tally.abandoned == 1
+    assert site.router.counters.abandoned == 1
 
 
 def test_a_send_that_was_queued_before_the_client_left_is_not_written():
@@ -107,12 +107,12 @@
         decider = Module()
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
-            flow = site.router.take(LONG)
+            flow = site.router.accept(LONG)
             await turns()
             flow.inbox.put_nowait(face.Send(flow.number, ID))
             flow.leave()
             async with asyncio.timeout(10):
-                await site.router.drained()
+                await site.router.wait_idle()
             return decider, backend
 
     decider, backend = asyncio.run(run())
@@ -141,9 +141,9 @@
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held():
-                flow = site.router.take(replace(JOB, patience=100_000))
+                flow = site.router.accept(replace(JOB, patience=100_000))
                 async with asyncio.timeout(10):
-                    await site.router.drained()
+                    await site.router.wait_idle()
         return decider, flow
 
     decider, flow = asyncio.run(run())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -258,7 +258,7 @@
         async with site(tmp_path) as (app, [toy]):
             whole = app.client_listener.connection_limit
             here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
-            app.router.held_elsewhere, app.router.id_watcher = here.holds, here.tell
+            app.router.is_open_elsewhere, app.router.on_id_changed = here.holds, here.tell
             await here.listen()
             other = Told()
             there = Handover(tmp_path / "next", other, lambda: app.conf.reader)
--- a/tests/test_ops_door.py
+++ b/tests/test_ops_door.py
@@ -43,7 +43,7 @@
                 assert b" 400 " in await talk(app.door.port, wrong)
             body = call("/ops/drain/stop", "POST", more="Content-Length: 2\r\n") + b"ab"
             assert b" 200 " in await talk(app.door.port, body)
-            assert app.accepts_clients and not app.router.tally.taken
+            assert app.accepts_clients and not app.router.counters.received
 
     asyncio.run(run())
 
@@ -93,7 +93,7 @@
                 asyncio.create_task(talk(app.client_listener.port, request(f"r{n}", b"300")))
                 for n in range(4)
             ]
-            await until(lambda: len(app.router.flows) == 4)
+            await until(lambda: len(app.router.requests) == 4)
             assert (await asked(app, "/ops/readiness"))[0] == 200
             app.client_listener.connection_limit = 0
             await asyncio.gather(*running)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -17,7 +17,7 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
 from hazelbend.protocol.worker_lines import LoadReportFields, read_line
-from hazelbend.routing.ports import AttemptResult, News
+from hazelbend.routing.ports import AttemptResult, ProgressReport
 
 FIELDS = LoadReportFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
 CATALOGUE = Catalogue(
@@ -202,8 +202,8 @@
     def line(**fields):
         return read_line(orjson.dumps({"id": "9b", **fields}), "9b", FIELDS)
 
-    assert line(state="started") == News()
-    assert line(state="running", share=0.4) == News(0.4)
+    assert line(state="started") == ProgressReport()
+    assert line(state="running", share=0.4) == ProgressReport(0.4)
     assert line(state="dreaming") is None
     assert line(**LINE) == AttemptResult(Outcome.SERVED, "ü".encode(), LoadReport(7.0, 2.0, 1.5))
     outcomes = {state: line(state=state).outcome for state in ("failed", "returned", "lost")}
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -67,14 +67,14 @@
             running = asyncio.create_task(
                 talk(app.client_listener.port, request("a", b"150", more="Connection: close\r\n"))
             )
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             app.apply(changed(app, tmp_path, {"membership_mode": "ask"}, discovery=second))
             assert app.router.table.servers, "the list is kept until the new address has answered"
             await until(lambda: len(new.asked) == 2 and old.open == 0)
             assert new.asked[0] == "/v1/servers", "another service: its numbers say nothing of the old ones"
             assert len(old.asked) == 2, "nothing more goes to the old address"
             assert b" 200 " in await running
-            assert app.router.tally.taken == 1 and app.router.table.servers
+            assert app.router.counters.received == 1 and app.router.table.servers
         await toy.close()
 
     asyncio.run(run())
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -7,7 +7,15 @@
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.interface import Outcome, WorkerState
 from hazelbend.routing.clock import Clock
-from hazelbend.routing.ports import AttemptResult, Endpoint, EndpointList, Forwarded, Job, News, Verdict
+from hazelbend.routing.ports import (
+    AttemptResult,
+    AttemptWritten,
+    Endpoint,
+    EndpointList,
+    Job,
+    ProgressReport,
+    Verdict,
+)
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import BackendTable, stable_id
 
@@ -45,7 +53,7 @@
         if before_first_byte() is None:
             return AttemptResult(Outcome.NOT_SENT)
         self.calls += 1
-        tell(Forwarded())
+        tell(AttemptWritten())
         for each in self.news:
             tell(each)
         if self.ending is None:
@@ -63,12 +71,12 @@
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: link))
-        router.begin(EndpointList((ENTRY,), whole=True))
-        flows = [router.take(job) for job in jobs]
+        router.start(EndpointList((ENTRY,), whole=True))
+        flows = [router.accept(job) for job in jobs]
         if before:
             before(router)
         answers = [await asyncio.wait_for(flow.answered, 10) for flow in flows]
-        await asyncio.wait_for(router.drained(), 10)
+        await asyncio.wait_for(router.wait_idle(), 10)
         return answers, router
 
     return asyncio.run(run())
@@ -80,14 +88,14 @@
 
 def test_a_flow_from_its_arrival_to_its_one_answer():
     module = Module(RequestArrived=send)
-    link = FakeLink(AttemptResult(Outcome.SERVED, b"r"), [News(), News(0.5)])
+    link = FakeLink(AttemptResult(Outcome.SERVED, b"r"), [ProgressReport(), ProgressReport(0.5)])
     [answer], router = play(module, link, JOB)
     assert (answer.verdict, answer.result) == (Verdict.SERVED, b"r")
     assert [type(event).__name__ for event in module.events] == [
         "MembershipUpdate", "RequestArrived", "JobStarted", "JobProgress", "AttemptEnded"
     ]  # fmt: skip
     [ended] = module.of(face.AttemptEnded)
-    assert ended.closed and ended.outcome is Outcome.SERVED and router.flows == {}
+    assert ended.closed and ended.outcome is Outcome.SERVED and router.requests == {}
 
 
 def test_a_server_that_drains_between_decision_and_first_byte_gets_nothing():
@@ -99,7 +107,7 @@
         def change(router, state=state, held=held):
             entry = Endpoint("s-1", "h:1", 0, 0, 0, state, 1.0, 0)
             router.table.apply(EndpointList((entry,)))
-            router.hold_back("s-1", held)
+            router.set_manual_drain("s-1", held)
 
         [answer], _ = play(module, link, JOB, before=change)
         assert answer.verdict is Verdict.REFUSED and link.calls == 0
@@ -114,12 +122,12 @@
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: link))
-        router.begin(EndpointList((ENTRY,), whole=True))
-        flow = router.take(JOB)
+        router.start(EndpointList((ENTRY,), whole=True))
+        flow = router.accept(JOB)
         while not link.calls:
             await asyncio.sleep(0)
         flow.leave()
-        await asyncio.wait_for(router.drained(), 10)
+        await asyncio.wait_for(router.wait_idle(), 10)
         return router
 
     router = asyncio.run(run())
@@ -128,7 +136,7 @@
         Outcome.NOT_SENT,
     ]
     assert all(event.closed for event in module.of(face.AttemptEnded))
-    assert router.tally.abandoned == 1 and not router.tally.answers.total()
+    assert router.counters.abandoned == 1 and not router.counters.answers.total()
 
 
 def test_a_scheduling_cancelled_before_its_task_first_runs_is_over_all_the_same():
@@ -144,7 +152,7 @@
     [ended] = module.of(face.AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT, "not a byte went out"
     assert [server.out for server in router.table.servers.values()] == [0]
-    assert not router.holds(JOB.id)
+    assert not router.is_open(JOB.id)
 
 
 def test_flows_whose_clients_leave_at_every_step_all_end():
@@ -155,34 +163,34 @@
             RequestArrived=send, ClientGone=lambda event: [face.Cancel(event.request, 0), *send(event)]
         )
         router = Router(module, Clock(), BackendTable(lambda entry: FakeLink()))
-        router.begin(EndpointList((ENTRY,), whole=True))
+        router.start(EndpointList((ENTRY,), whole=True))
         for turns in range(8):
             for number in range(4):
-                flow = router.take(replace(JOB, id=f"{turns}-{number}"))
+                flow = router.accept(replace(JOB, id=f"{turns}-{number}"))
                 for _ in range(turns):
                     await asyncio.sleep(0)
                 flow.leave()
         async with asyncio.timeout(10):
-            await router.drained()
+            await router.wait_idle()
         return router, module
 
     router, module = asyncio.run(run())
     assert len(module.of(face.AttemptEnded)) == 2 * 32, "each send and its end, once"
     assert [server.out for server in router.table.servers.values()] == [0]
-    assert router.tally.abandoned == 32 and not router.open_ids
+    assert router.counters.abandoned == 32 and not router.open_ids
 
 
 def test_a_flow_ended_before_its_task_first_runs_leaves_nothing():
     async def run():
         router = Router(Module(), Clock(), BackendTable(lambda entry: FakeLink()))
-        flow = router.take(JOB)
+        flow = router.accept(JOB)
         router.close()
         async with asyncio.timeout(10):
-            await router.drained()
+            await router.wait_idle()
         return await flow.answered, router
 
     answer, router = asyncio.run(run())
-    assert answer.verdict is Verdict.FAILED and not router.holds(JOB.id)
+    assert answer.verdict is Verdict.FAILED and not router.is_open(JOB.id)
 
 
 def test_a_second_answer_is_dropped_and_a_late_attempt_still_reported():
@@ -200,15 +208,15 @@
         return [face.Refuse(event.request), face.Fail(event.request)]
 
     module = Module(RequestArrived=send, JobStarted=started)
-    [answer], router = play(module, LateLink(AttemptResult(Outcome.SERVED), [News()]), JOB)
-    assert answer.verdict is Verdict.REFUSED and router.tally.verdicts[Verdict.REFUSED] == 1
+    [answer], router = play(module, LateLink(AttemptResult(Outcome.SERVED), [ProgressReport()]), JOB)
+    assert answer.verdict is Verdict.REFUSED and router.counters.verdicts[Verdict.REFUSED] == 1
     assert [event.outcome for event in module.of(face.AttemptEnded)] == [Outcome.SERVED]
 
 
 def test_an_attempt_ends_at_the_deadline_and_a_silent_module_is_overruled():
     module = Module(RequestArrived=send)
     [answer], _ = play(module, FakeLink(), Job("9b", 0, 0, 50_000))
-    assert answer.verdict is Verdict.FAILED and answer.overdue
+    assert answer.verdict is Verdict.FAILED and answer.is_expired
     assert module.of(face.AttemptEnded)[0].outcome is Outcome.TIMED_OUT
     assert module.of(face.ClientGone), "the module is told, so that it lets go of the flow"
 
@@ -219,7 +227,7 @@
         AttemptEnded=lambda event: [face.Fail(event.request)],
     )
     [answer], _ = play(module, FakeLink(), JOB)
-    assert answer.verdict is Verdict.FAILED and not answer.overdue
+    assert answer.verdict is Verdict.FAILED and not answer.is_expired
 
 
 def test_a_fault_in_one_flow_ends_that_flow_alone(caplog):
@@ -241,7 +249,7 @@
 
     module = Module(RequestArrived=send, JobStarted=started)
     with caplog.at_level(logging.CRITICAL):
-        [answer], router = play(module, FakeLink(news=[News()]), JOB)
+        [answer], router = play(module, FakeLink(news=[ProgressReport()]), JOB)
     [ended] = module.of(face.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
     assert [server.out for server in router.table.servers.values()] == [0]
@@ -256,7 +264,7 @@
 
 def test_a_timer_whose_handling_failed_rings_again(caplog, monkeypatch):
     """Guards the module's upkeep and its asking for lists, which live on timers that it sets itself."""
-    monkeypatch.setattr("hazelbend.routing.router.FAULT_PAUSE", 0.01)
+    monkeypatch.setattr("hazelbend.routing.router.TIMER_RETRY_S", 0.01)
     rings = []
 
     def ring(event):
@@ -321,12 +329,12 @@
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: FakeLink()))
-        await router.take(JOB).answered
-        router.end_by(router.clock.now() + 200_000)
+        await router.accept(JOB).answered
+        router.set_final_deadline(router.clock.now() + 200_000)
         for patience in (100_000, 500_000):
-            await router.take(replace(JOB, patience=patience)).answered
-        router.end_by(router.clock.now() - 1)
-        await router.take(JOB).answered
+            await router.accept(replace(JOB, patience=patience)).answered
+        router.set_final_deadline(router.clock.now() - 1)
+        await router.accept(JOB).answered
 
     asyncio.run(run())
     before, short, long, after = (event.patience for event in module.of(face.RequestArrived))
@@ -340,8 +348,8 @@
 
     async def run():
         router = Router(Module(RequestArrived=send), Clock(), BackendTable(lambda entry: link))
-        router.begin(EndpointList((ENTRY,), whole=True))
-        flow, turns = router.take(JOB), 0
+        router.start(EndpointList((ENTRY,), whole=True))
+        flow, turns = router.accept(JOB), 0
         while not flow.answered.done():
             await asyncio.sleep(0)
             turns += 1
@@ -357,19 +365,19 @@
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: link))
-        router.begin(EndpointList((ENTRY,), whole=True))
-        served = router.take(JOB)
+        router.start(EndpointList((ENTRY,), whole=True))
+        served = router.accept(JOB)
         reply = served.reply()
         while not served.answered.done():
             await asyncio.sleep(0)
         in_the_same_turn = reply.done()
         link.ending = None
-        hangs = router.take(replace(JOB, id="9c"))
+        hangs = router.accept(replace(JOB, id="9c"))
         left = hangs.reply()
         await asyncio.sleep(0)
         left.cancel()
         hangs.leave()
-        await asyncio.wait_for(router.drained(), 10)
+        await asyncio.wait_for(router.wait_idle(), 10)
         return in_the_same_turn, reply.result(), hangs.answered.result()
 
     module = Module(RequestArrived=send)
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -174,9 +174,9 @@
         heard, receiver, port = await listen()
         enable(tmp_path, f'"127.0.0.1:{port}"')
         async with site(tmp_path, stomp="") as (app, _):
-            app.router.hold_back("toy-0", True)
+            app.router.set_manual_drain("toy-0", True)
             await until(lambda: len(heard) == 1)
-            app.router.hold_back("toy-0", False)
+            app.router.set_manual_drain("toy-0", False)
             await until(lambda: len(heard) == 2)
         receiver.close_dispatcher()
         kinds = [tuple(each[(1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0)]) for each in heard]
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -306,9 +306,9 @@
             server.serve_zone(both)
             await until(lambda: not spare.takes_work)
             async with load(app) as statuses:
-                app.router.hold_back(first.entry.host, True)
+                app.router.set_manual_drain(first.entry.host, True)
                 await until(lambda: spare.takes_work)
-                app.router.hold_back(first.entry.host, False)
+                app.router.set_manual_drain(first.entry.host, False)
                 back = time.monotonic()
                 assert first.takes_work and spare.takes_work
                 await until(lambda: not spare.takes_work)
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -72,17 +72,17 @@
             posts = []
             for number, (body, job_class) in enumerate(plan):
                 if number == plan.index((b"hang", "nearby")):  # what waited behind one would time out as well
-                    await until(lambda: not app.router.flows)
+                    await until(lambda: not app.router.requests)
                 # Receipts are asked for, and must not count.
                 more = {"deadline": "1500", "receipt": f"r{number}", "key": f"k{number}"}
                 peer.job(f"s{number}", body, job_class, **more)
                 posts.append(
                     asyncio.create_task(post(app.client_listener.port, f"h{number}", body, job_class, 1_500))
                 )
-                await until(lambda: app.router.tally.taken == 2 * len(posts) + 1)
+                await until(lambda: app.router.counters.received == 2 * len(posts) + 1)
             statuses = await asyncio.gather(*posts)
             await until(lambda: len(peer.answers()) == len(plan))
-            await until(lambda: not app.router.flows)
+            await until(lambda: not app.router.requests)
             back = await client(port, "partner")
             await until(lambda: back.answers())
             peer.send("DISCONNECT", receipt="last")
@@ -90,12 +90,12 @@
 
             answers = {**peer.answers(), **back.answers()}
             assert all(len(each) == 1 for each in answers.values()), answers
-            assert len(answers) + len(statuses) == app.router.tally.taken
-            assert sum(app.router.tally.verdicts.values()) == app.router.tally.taken
+            assert len(answers) + len(statuses) == app.router.counters.received
+            assert sum(app.router.counters.verdicts.values()) == app.router.counters.received
             assert len(peer.of("RECEIPT")) == len(plan) + 1
             assert answers["gone"] == ["served"] and leaving.answers() == {}
             served = statuses.count(200) + sum(each == ["served"] for each in answers.values())
-            assert app.router.tally.verdicts[next(iter(app.router.tally.verdicts))] == served
+            assert app.router.counters.verdicts[next(iter(app.router.counters.verdicts))] == served
             assert box.ran and toy.ran, "both kinds of server must have had work"
             ran = {*box.ran, *toy.ran}
             for number, (body, job_class) in enumerate(plan):
@@ -133,7 +133,7 @@
             third.job("one", b"1", receipt="sent")  # known: it attaches, nothing runs anew
             await until(lambda: third.answers())
             assert third.of("MESSAGE")[0].body == sent.body
-            assert len(toy.ran) == app.router.tally.taken == 1
+            assert len(toy.ran) == app.router.counters.received == 1
 
     asyncio.run(run())
 
@@ -175,8 +175,8 @@
         async with site(tmp_path) as (app, _):
             peer = await client(app.stomp.port)
             peer.job("late", b"hang", "reserve", deadline="300")
-            await until(lambda: app.router.flows)
-            taken = list(app.router.flows.values())
+            await until(lambda: app.router.requests)
+            taken = list(app.router.requests.values())
             await until(lambda: peer.answers())
             assert peer.answers() == {"late": ["failed"]}
             assert peer.of("MESSAGE")[0].headers["reason"] == "deadline"
@@ -303,7 +303,7 @@
             other.job("1", tenant="ege-volt")
             await until(lambda: other.closed)
             assert "may not send for that tenant" in other.of("ERROR")[0].headers["message"]
-            assert app.router.tally.taken == 0
+            assert app.router.counters.received == 0
 
     asyncio.run(run())
 
@@ -335,7 +335,7 @@
             first.job("one", b"1 ".ljust(60_000))
             await until(lambda: first.answers())  # settled: the room of its job is free again
             second.job("two", b"hang ".ljust(65_500), deadline="1000")
-            await until(lambda: app.router.flows)
+            await until(lambda: app.router.requests)
             first.job("three", b"1 ".ljust(100))
             await until(lambda: len(first.answers()) == 2 and second.answers())
             assert first.answers() == {"one": ["served"], "three": ["refused"]}
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -54,7 +54,7 @@
         async with waiting_site(tmp_path) as (app, [toy]):
             child = post(app, "plan", b"5", After="n1, n2", Take_Results="1")
             await until(lambda: app.parts["waiting"].gate.rows())
-            assert app.router.holds("plan") and not toy.ran
+            assert app.router.is_open("plan") and not toy.ran
             parents = [post(app, each, b"20") for each in ("n1", "n2")]
             answers = await asyncio.gather(child, *parents)
             assert [status(each) for each in answers] == [200] * 3 and toy.ran == ["n1", "n2", "plan"]
@@ -64,7 +64,9 @@
             peer.job("p", b"5")
             await until(lambda: peer.answers().get("c") == ["served"])
             assert (
-                app.router.tally.taken == 6 and not app.parts["waiting"].gate.held and not app.router.open_ids
+                app.router.counters.received == 6
+                and not app.parts["waiting"].gate.held
+                and not app.router.open_ids
             )
 
     asyncio.run(run())
@@ -148,7 +150,7 @@
             await until(lambda: len(app.parts["waiting"].gate.rows()) == 2)
             writer.close()
             assert status(await child) == 200, "of one that left, it needed no more than its end"
-            assert app.router.tally.abandoned == 1 and "gone" not in toy.ran
+            assert app.router.counters.abandoned == 1 and "gone" not in toy.ran
             peer = await stomp_client(app)
             peer.job("s", b"5", after="p2")
             await until(lambda: app.parts["waiting"].gate.rows())
