--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -15,7 +15,7 @@
 from benchmarks.control.fleet import Fleet, Machine
 from hazelbend.consensus import replicator
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.raft import Done, RaftNode
+from hazelbend.consensus.raft import RaftNode, ReadIndexOutcome
 from hazelbend.control import announcements, cluster_membership, config_state_machine, outputs
 from hazelbend.control.announcements import Announcements
 from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, StoredConfig
@@ -23,14 +23,14 @@
 from hazelbend.control.messages import WorkerUpdateAck
 from hazelbend.control.peers import PeerTable
 
-STALE = 1_000_000  # tickets of reads that are answered without asking a majority
+STALE = 1_000_000  # ids of reads that are answered without asking a majority
 NEVER = 1 << 40
 
 Patch = tuple[Any, str, Any]
 
 
 def _acknowledge_before_majority() -> list[Patch]:
-    return [(RaftNode, "_majority_holds", lambda self: self.persistent.last)]
+    return [(RaftNode, "_quorum_match_index", lambda self: self.persistent.last_index)]
 
 
 def _unconfirmed_counts() -> list[Patch]:
@@ -49,16 +49,16 @@
     """A leader's rounds count as answered, and it never steps down by itself."""
 
     def confirm(self: RaftNode) -> None:
-        while self._rounds:
-            self.confirmed_at = self._rounds.popleft()[1]
+        while self._unconfirmed_rounds:
+            self.confirmed_at = self._unconfirmed_rounds.popleft()[1]
 
-    return [(RaftNode, "_confirm", confirm), (RaftNode, "_heard_by_majority", lambda self, now: True)]
+    return [(RaftNode, "_confirm_rounds", confirm), (RaftNode, "_quorum_is_active", lambda self, now: True)]
 
 
 def _stale_read() -> list[Patch]:
     def read_config(self: ControlEngine, now: int) -> int:
         number = self._next_request_id()
-        self.raft.done.append(Done(number + STALE, True))
+        self.raft.outcomes.append(ReadIndexOutcome(number + STALE, True))
         self._config_calls._reads[number + STALE] = number
         return number
 
@@ -175,7 +175,7 @@
 
 def _no_lease_before_orders() -> list[Patch]:
     def order_token(self: ControlEngine, now: int) -> int | None:
-        return self.fencing_token if self.raft.settled else None
+        return self.fencing_token if self.raft.has_committed_in_term else None
 
     return [(ControlEngine, "order_token", order_token)]
 
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -111,8 +111,10 @@
         record = leader.engine.raft
         for address in list(self._wiped):
             engine = self.fleet.machines[address].engine
-            listed = engine is not None and engine.identity in record.persistent.voters_at(record.commit)
-            if listed and engine.raft.commit >= record.commit:
+            listed = engine is not None and engine.identity in record.persistent.voters_at(
+                record.commit_index
+            )
+            if listed and engine.raft.commit_index >= record.commit_index:
                 self._wiped.discard(address)
         gone = [each for each in record.voters if each.rpartition("@")[2] in self._removed()]
         return len(self._wiped) + len(gone) < self.fleet.tolerance
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -45,10 +45,10 @@
         old = self.persistent
         persistent = PersistentState("")
         if old is not None:
-            for part in state_codec.whole_parts(old):
-                state_codec.take(persistent, part)
+            for part in state_codec.state_records(old):
+                state_codec.apply_record(persistent, part)
         for part in parts:
-            state_codec.take(persistent, part)
+            state_codec.apply_record(persistent, part)
         self.persistent = persistent
         self.commit = max(commit, self.commit)
 
@@ -142,15 +142,15 @@
         persistent = None
         if stored is not None:
             persistent = PersistentState("")
-            for part in state_codec.whole_parts(stored):
-                state_codec.take(persistent, part)
+            for part in state_codec.state_records(stored):
+                state_codec.apply_record(persistent, part)
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
         machine.engine = ce.ControlEngine(
             identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, persistent
         )
         if persistent is not None:
-            machine.engine.raft.restore_commit(machine.disk.commit, self.now)
+            machine.engine.raft.restore_commit_index(machine.disk.commit, self.now)
         machine.saving = False
         machine.pending_calls = {}
         machine.published_version = 0
@@ -206,8 +206,8 @@
     @property
     def leader(self) -> Machine | None:
         """The one that leads with a commit in its term, of the highest term."""
-        leading = [each for each in self.alive if each.engine.raft.settled]
-        return max(leading, key=lambda each: each.engine.raft.persistent.term, default=None)
+        leading = [each for each in self.alive if each.engine.raft.has_committed_in_term]
+        return max(leading, key=lambda each: each.engine.raft.persistent.current_term, default=None)
 
     # --- the driver, as in system/control_daemon.py ---
 
@@ -238,13 +238,13 @@
         if machine.saving or not engine.has_durable_output:
             return
         durable = engine.take_durable_output()
-        parts = state_codec.changed_parts(engine.raft)
+        parts = state_codec.take_changed_records(engine.raft)
         if not parts:
             self._send_durable(machine, durable)
             return
         machine.saving = True
         incarnation = machine.incarnation
-        commit = engine.raft.commit
+        commit = engine.raft.commit_index
         delay = machine.disk.sync + max(machine.disk.stalled_until - self.now, 0)
         self.call_later(delay, lambda: self._saved(machine, incarnation, parts, commit, durable))
 
@@ -255,8 +255,8 @@
         if machine.incarnation != incarnation or engine is None:
             return
         if machine.disk.full:
-            engine.raft.promise_changed = True
-            engine.raft.unsaved = engine.raft.persistent.base
+            engine.raft.hard_state_changed = True
+            engine.raft.first_unsaved_index = engine.raft.persistent.last_included_index
             for outcome in (*output.outcomes, *engine.discard_durable_output()):
                 self._resolve(machine, _unknown(outcome))
             self.call_later(200 * MS, lambda: self._free_to_save(machine, incarnation))
@@ -396,5 +396,5 @@
 def has_formed(fleet: Fleet, machines: int) -> bool:
     """Whether the cluster has a leader and this many voters, and all voters know it."""
     records = [each.engine.raft for each in fleet.alive if each.address not in fleet.observers]
-    known = [len(each.persistent.voters_at(each.commit)) for each in records]
+    known = [len(each.persistent.voters_at(each.commit_index)) for each in records]
     return fleet.leader is not None and known == [machines] * machines
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -113,7 +113,7 @@
             if machine.address in self.fleet.observers:
                 continue
             record = machine.engine.raft
-            if record.commit < leader.engine.raft.commit or not record.is_voter:
+            if record.commit_index < leader.engine.raft.commit_index or not record.is_voter:
                 raise BrokenRuleError(
                     f"{machine.address} has not caught up {RECOVERY_US / S:.0f} s after all"
                 )
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -47,7 +47,7 @@
     times: dict[str, int] = {}
 
     def both_seen() -> bool:
-        if not old.engine.raft.leads:
+        if not old.engine.raft.is_leader:
             times.setdefault("step_down", fleet.now - began)
         if fleet.leader is not None and fleet.leader is not old:
             times.setdefault("new_leader", fleet.now - began)
@@ -61,7 +61,9 @@
         fleet.run(200 * MS)
     healed = fleet.now
     fleet.heal()
-    caught_up = fleet.run_until(lambda: old.engine.raft.commit == fleet.leader.engine.raft.commit, 10 * S)
+    caught_up = fleet.run_until(
+        lambda: old.engine.raft.commit_index == fleet.leader.engine.raft.commit_index, 10 * S
+    )
     assert caught_up
     times["caught_up"] = fleet.now - healed
     return times
@@ -95,14 +97,14 @@
 async def _store_changes(folder: Path) -> None:
     """Write a single voter's store, saved after each change as `system.control_node` does."""
     raft = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigStateMachine(), TIMING, 1, 0)
-    raft.found(256, 0)
+    raft.force_new_cluster(256, 0)
     store = ControlStore(folder)
     await store.open("10.0.0.1:7")
     rng = random.Random(1)
     for version in range(1, CHANGES + 1):
         body = b'{"version":%d,"x":"%s"}' % (version, rng.randbytes(BODY_BYTES // 3).hex().encode())
         raft.propose(encode_config_change(version - 1, version, body), 0)
-        await store.save(state_codec.changed_parts(raft), raft.commit)
+        await store.save(state_codec.take_changed_records(raft), raft.commit_index)
     await store.close()
 
 
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -35,8 +35,8 @@
 from benchmarks.control.defects import DEFECTS, planted
 from hazelbend.consensus.messages import Entry, Message, VoteResponse
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.raft import RaftNode, Role
-from hazelbend.consensus.replication import Assembly, Progress
+from hazelbend.consensus.raft import ProposalOutcome, RaftNode, ReadIndexOutcome, Role
+from hazelbend.consensus.replication import IncomingTransfer, Progress
 from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, encode_config_change
 from hazelbend.control.engine import TIMING
 
@@ -90,10 +90,17 @@
     @staticmethod
     def _record_key(record: RaftNode) -> tuple[object, ...]:
         memory = record.persistent
-        peers = tuple(sorted((name, peer.match) for name, peer in record.peers.items()))
-        stored = (memory.identity, memory.epoch, memory.term, memory.vote, memory.base, tuple(memory.entries))
-        tickets = tuple(sorted(record.tickets.items()))
-        return (stored, record.role, record.commit, peers, tickets, frozenset(record.learners))
+        peers = tuple(sorted((name, peer.match_index) for name, peer in record.peers.items()))
+        stored = (
+            memory.identity,
+            memory.epoch,
+            memory.current_term,
+            memory.voted_for,
+            memory.last_included_index,
+            tuple(memory.entries),
+        )
+        proposals = tuple(sorted(record.pending_proposals.items()))
+        return (stored, record.role, record.commit_index, peers, proposals, frozenset(record.learners))
 
     # --- steps ---
 
@@ -101,14 +108,14 @@
         """All that may happen, with a name."""
         for slot, record in enumerate(self.records):
             others = [other for other in range(3) if other != slot]
-            if self.left.stands and record.is_voter and not record.leads:
+            if self.left.stands and record.is_voter and not record.is_leader:
                 for reached in _subsets(others):
                     yield from self._stand(slot, reached)
             if self.left.restarts:
-                yield f"{record.me} starts again", self._restart(slot)
-            if self.left.wipes and record.me in VOTERS:
-                yield f"{record.me} loses its disk", self._wipe(slot)
-            if record.leads:
+                yield f"{record.identity} starts again", self._restart(slot)
+            if self.left.wipes and record.identity in VOTERS:
+                yield f"{record.identity} loses its disk", self._wipe(slot)
+            if record.is_leader:
                 for other in others:
                     yield from self._exchanges(slot, other)
                 yield from self._calls(slot)
@@ -118,19 +125,19 @@
             yield f"the held frame reaches {self.held.to}", self._deliver_held()
 
     def _stand(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
-        name = self.records[slot].me
-        names = ",".join(self.records[each].me for each in reached)
+        name = self.records[slot].identity
+        names = ",".join(self.records[each].identity for each in reached)
         for holds in (None, *reached) if self.left.late and self.held is None else (None,):
             after = self._copy(stands=1)
             record = after.records[slot]
             record._campaign(0, pre=False, handed=True)
-            asked = {message.to: message for message in record.out}
-            record.out.clear()
+            asked = {message.to: message for message in record.outbox}
+            record.outbox.clear()
             for other in reached:
                 voter = after.records[other]
-                if voter.me not in asked:
+                if voter.identity not in asked:
                     continue
-                voter.receive(asked[voter.me], 0)
+                voter.receive(asked[voter.identity], 0)
                 for answer in after._take(voter, name):
                     if other == holds and isinstance(answer.body, VoteResponse):
                         after.held, after.left = answer, after.left._replace(late=after.left.late - 1)
@@ -141,7 +148,7 @@
             yield f"{name} stands, reaches {names}, holds {holds}", after._settled()
 
     def _exchanges(self, slot: int, other: int) -> Iterator[tuple[str, World]]:
-        leader, replica = self.records[slot].me, self.records[other].me
+        leader, replica = self.records[slot].identity, self.records[other].identity
         if replica not in self.records[slot].peers and replica != NEWCOMER:
             return
         for lost in ("nothing", "the answer", "held request", "held answer"):
@@ -154,20 +161,20 @@
     def _exchange(self, slot: int, other: int, lost: str) -> bool:
         """Messages both ways until there are none, or until one is lost or held back."""
         leader, replica = self.records[slot], self.records[other]
-        if not leader.leads:
+        if not leader.is_leader:
             return False
-        if replica.me not in leader.peers:
-            leader.set_learners({replica.me}, 0)
-        leader._send(replica.me, 0)
+        if replica.identity not in leader.peers:
+            leader.set_learners({replica.identity}, 0)
+        leader._send_entries(replica.identity, 0)
         for _ in range(MOST_MESSAGES):
-            requests = self._take(leader, replica.me)
+            requests = self._take(leader, replica.identity)
             if not requests:
                 return True
             if lost == "held request":
                 return self._hold(requests[-1])
             for request in requests:
                 replica.receive(request, 0)
-            answers = self._take(replica, leader.me)
+            answers = self._take(replica, leader.identity)
             if lost == "held answer" and answers:
                 return self._hold(answers[-1])
             if lost == "the answer":
@@ -185,58 +192,58 @@
             after = self._copy(writes=1)
             after.sent += 1
             after._propose(slot, self.sent)
-            yield f"change {self.sent} is sent to {self.records[slot].me}", after._settled()
+            yield f"change {self.sent} is sent to {self.records[slot].identity}", after._settled()
         if self.left.resends:
             for number in range(self.sent):
                 after = self._copy(resends=1)
                 after._propose(slot, number)
-                yield f"change {number} is sent again to {self.records[slot].me}", after._settled()
+                yield f"change {number} is sent again to {self.records[slot].identity}", after._settled()
 
     def _propose(self, slot: int, number: int) -> None:
         record = self.records[slot]
         if record.propose(encode_config_change(0, 1, BODIES[number]), 0) is not None:
-            record.tickets[record.persistent.last] = number + 1  # names the change
+            record.pending_proposals[record.persistent.last_index] = number + 1  # names the change
 
     def _confirmed(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
         """The leader is heard by these in this round: it may answer a read, or replace an erased voter."""
-        names = ",".join(self.records[each].me for each in reached)
+        names = ",".join(self.records[each].identity for each in reached)
         after = self._copy()
         leader = after.records[slot]
-        if not leader.settled:
+        if not leader.has_committed_in_term:
             return
         leader.confirmed_at = None
-        leader._rounds.clear()
-        ticket = leader.read(0)
+        leader._unconfirmed_rounds.clear()
+        read_id = leader.request_read(0)
         for other in reached:
             after._exchange(slot, other, "nothing")
-        if ticket is None or not any(each.ticket == ticket and each.ok for each in leader.done):
+        if read_id is None or ReadIndexOutcome(read_id, True) not in leader.outcomes:
             return
         for number, outcome in enumerate(self.outcomes):
-            current = leader.machine.current
+            current = leader.state_machine.current
             if outcome is ChangeResult.ACCEPTED and (current.version, BODIES[number]) != (1, _body(leader)):
-                after.wrong = f"a read at {leader.me} does not show change {number}, which was acknowledged"
+                after.wrong = f"a read at {leader.identity} does not show the acknowledged change {number}"
         after._settled()
-        yield f"{leader.me} answers a read, heard by {names}", after
+        yield f"{leader.identity} answers a read, heard by {names}", after
         gone = set(leader.voters) & after.erased
-        newcomer = next((each for each in after.records if each.me == NEWCOMER), None)
+        newcomer = next((each for each in after.records if each.identity == NEWCOMER), None)
         if gone and newcomer is not None and NEWCOMER not in leader.voters:
             replaced = copy.copy(after)
             replaced.records = [_copy(each) for each in after.records]
             voters = tuple(sorted({*leader.voters, NEWCOMER} - gone))
             replaced.records[slot].set_learners({NEWCOMER}, 0)
             if replaced.records[slot].change_voters(voters, 0, after.erased):
-                yield f"{leader.me} replaces {min(gone)}, heard by {names}", replaced._settled()
+                yield f"{leader.identity} replaces {min(gone)}, heard by {names}", replaced._settled()
 
     def _restart(self, slot: int) -> World:
         after = self._copy(restarts=1)
         before = after.records[slot]
         after.records[slot] = self._make(before.persistent)
-        after.records[slot].restore_commit(before.commit, 0)
+        after.records[slot].restore_commit_index(before.commit_index, 0)
         return after._settled()
 
     def _wipe(self, slot: int) -> World:
         after = self._copy(wipes=1)
-        after.erased |= {after.records[slot].me}
+        after.erased |= {after.records[slot].identity}
         after.records[slot] = self._make(PersistentState(NEWCOMER))
         return after._settled()
 
@@ -245,7 +252,7 @@
         message, after.held = self.held, None
         assert message is not None
         for record in after.records:
-            if record.me == message.to:
+            if record.identity == message.to:
                 record.receive(message, 0)
         return after._settled()
 
@@ -261,23 +268,24 @@
     @staticmethod
     def _take(record: RaftNode, to: str) -> list[Message]:
         """Its messages to this one; all others are lost."""
-        found = [message for message in record.out if message.to == to]
-        record.out.clear()
+        found = [message for message in record.outbox if message.to == to]
+        record.outbox.clear()
         return found
 
     def _settled(self) -> World:
         """Note what has come of the step, and check it."""
         for record in self.records:
-            record.out.clear()
-            record.unsaved, record.promise_changed = None, False
+            record.outbox.clear()
+            record.first_unsaved_index, record.hard_state_changed = None, False
             for peer in record.peers.values():
-                peer.transfer, peer.asked, peer.confirmed = None, None, None
-                peer.next = peer.match + 1 if peer.match else record.persistent.last + 1
-            for done in record.done:
-                if done.ok and isinstance(done.result, ChangeResult):
-                    self._decided(done.ticket - 1, done.result)
-            record.done.clear()
-            record.reads.clear()
+                peer.transfer, peer.pending_timestamp, peer.confirmed_timestamp = None, None, None
+                match, last = peer.match_index, record.persistent.last_index
+                peer.next_index = match + 1 if match else last + 1
+            for outcome in record.outcomes:
+                if isinstance(outcome, ProposalOutcome) and isinstance(outcome.result, ChangeResult):
+                    self._decided(outcome.proposal_id - 1, outcome.result)
+            record.outcomes.clear()
+            record.pending_reads.clear()
         self.wrong = self.wrong or self._check()
         return self
 
@@ -294,23 +302,23 @@
     def _check(self) -> str:
         for record in self.records:
             if record.role is Role.LEADER:
-                self.leaders |= {(record.persistent.term, record.me)}
+                self.leaders |= {(record.persistent.current_term, record.identity)}
             entries = _committed(record)
             shared = min(len(entries), len(self.committed))
             if entries[:shared] != self.committed[:shared]:
-                return f"{record.me} has committed something else"
+                return f"{record.identity} has committed something else"
             self.committed = max(self.committed, entries, key=len)
         terms = [term for term, _ in self.leaders]
         if len(terms) != len(set(terms)):
             return "two leaders in a term"
         for record in self.records:
-            if record.role is Role.LEADER and self._newest_term() == record.persistent.term:
+            if record.role is Role.LEADER and self._newest_term() == record.persistent.current_term:
                 held = tuple(record.persistent.entries[: len(self.committed)])
-                if record.persistent.base == 1 and held != self.committed:
-                    return f"{record.me} leads without all that was committed"
+                if record.persistent.last_included_index == 1 and held != self.committed:
+                    return f"{record.identity} leads without all that was committed"
             body = _body(record)
             if any(body == BODIES[n] and _is_refused(each) for n, each in enumerate(self.outcomes)):
-                return f"{record.me} has a change in force that was refused"
+                return f"{record.identity} has a change in force that was refused"
         return ""
 
     def _newest_term(self) -> int:
@@ -323,13 +331,15 @@
 
 def _committed(record: RaftNode) -> tuple[Entry, ...]:
     memory = record.persistent
-    return tuple(memory.entries[: record.commit - memory.base]) if memory.base == 1 else ()
+    if memory.last_included_index != 1:
+        return ()
+    return tuple(memory.entries[: record.commit_index - memory.last_included_index])
 
 
 def _body(record: RaftNode) -> bytes:
     from hazelbend.control.config_state_machine import decompress_body
 
-    return decompress_body(record.machine.current) if record.machine.current.version else b""
+    return decompress_body(record.state_machine.current) if record.state_machine.current.version else b""
 
 
 def _empty() -> bytes:
@@ -348,24 +358,26 @@
     made.persistent = PersistentState(
         memory.identity,
         memory.epoch,
-        memory.term,
-        memory.vote,
-        memory.base,
-        memory.base_term,
-        memory.base_voters,
-        memory.base_state,
+        memory.current_term,
+        memory.voted_for,
+        memory.last_included_index,
+        memory.last_included_term,
+        memory.snapshot_voters,
+        memory.snapshot_state,
         list(memory.entries),
     )
-    made.machine = ConfigStateMachine()
-    made.machine.current, made.machine.floor = record.machine.current, record.machine.floor
-    made.machine.accepted = dict(record.machine.accepted)
+    made.state_machine = ConfigStateMachine()
+    made.state_machine.current = record.state_machine.current
+    made.state_machine.floor = record.state_machine.floor
+    made.state_machine.accepted = dict(record.state_machine.accepted)
     made.votes, made.learners = set(record.votes), set(record.learners)
-    made.peers = {name: Progress(peer.next, peer.match) for name, peer in record.peers.items()}
+    made.peers = {name: Progress(peer.next_index, peer.match_index) for name, peer in record.peers.items()}
     for name, peer in record.peers.items():
-        made.peers[name].round = peer.round
-    made.assembly = Assembly()  # an exchange that is lost midway begins anew
-    made.out, made.done, made.reads, made.tickets = [], [], [], dict(record.tickets)
-    made._rounds = record._rounds.copy()
+        made.peers[name].answered_round = peer.answered_round
+    made.incoming_transfer = IncomingTransfer()  # an exchange that is lost midway begins anew
+    made.outbox, made.outcomes, made.pending_reads = [], [], []
+    made.pending_proposals = dict(record.pending_proposals)
+    made._unconfirmed_rounds = record._unconfirmed_rounds.copy()
     return made
 
 
--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hazelbend.consensus.messages import Entry
-from hazelbend.consensus.raft import Done, RaftNode
+from hazelbend.consensus.raft import RaftNode, ReadIndexOutcome
 from hazelbend.leases.client import LeaseClient
 from hazelbend.leases.expiry_watcher import ExpiryWatcher
 from hazelbend.leases.lease_table import LeaseTable, TableState
@@ -35,26 +35,26 @@
     """Voters are changed while a change is under way, and by a leader that has committed nothing."""
 
     def change_voters(self, voters: tuple[str, ...], now: int) -> bool:
-        if not self.leads or not voters:
+        if not self.is_leader or not voters:
             return False
-        self._append_and_send(Entry(self.persistent.term, tuple(sorted(voters))), now)
+        self._append_and_replicate(Entry(self.persistent.current_term, tuple(sorted(voters))), now)
         return True
 
 
 class Careless(RaftNode):
     """A read is answered at once."""
 
-    def read(self, now: int) -> int | None:
-        if not self.leads:
+    def request_read(self, now: int) -> int | None:
+        if not self.is_leader:
             return None
-        self.last_ticket += 1
-        self.done.append(Done(self.last_ticket, True))
-        return self.last_ticket
+        self.last_request_id += 1
+        self.outcomes.append(ReadIndexOutcome(self.last_request_id, True))
+        return self.last_request_id
 
 
 class Hopeful(RaftNode):
     """An entry of an earlier term is held to be committed once a majority has it (Raft's figure 8)."""
 
-    def _advance(self, now: int) -> None:
-        if self.leads:
-            self._commit(self._majority_holds(), now)
+    def _advance_commit_index(self, now: int) -> None:
+        if self.is_leader:
+            self._apply_committed(self._quorum_match_index(), now)
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -38,7 +38,7 @@
         lead = LeaseNode._lead
 
         def hasty(self: LeaseNode, now: int) -> None:
-            forget_the_wait(self.expiry_watcher, self.raft.persistent.term)
+            forget_the_wait(self.expiry_watcher, self.raft.persistent.current_term)
             lead(self, now)
 
         LeaseNode._lead = hasty  # type: ignore[method-assign]
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -26,7 +26,7 @@
 from benchmarks.fleet_defects import Hopeful, Rash
 from hazelbend.consensus.messages import Entry, Message, TimeoutNow
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.raft import RaftNode, Role, Timing
+from hazelbend.consensus.raft import RaftConfig, RaftNode, Role
 from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
 from hazelbend.leases.operations import OpenEpoch, encode
 
@@ -65,7 +65,7 @@
         self.leaders: frozenset[tuple[int, str]] = frozenset()
 
     def _make(self, memory: PersistentState) -> RaftNode:
-        return KINDS.get(self.defect, RaftNode)(memory, LeaseTable(LeaseLimits()), Timing(), 1, 0)
+        return KINDS.get(self.defect, RaftNode)(memory, LeaseTable(LeaseLimits()), RaftConfig(), 1, 0)
 
     def key(self) -> tuple[object, ...]:
         return (self.left, self.sent, tuple(self._record_key(each) for each in self.records.values()))
@@ -73,21 +73,21 @@
     @staticmethod
     def _record_key(record: RaftNode) -> tuple[object, ...]:
         memory = record.persistent
-        peers = tuple((name, peer.next, peer.match) for name, peer in record.peers.items())
-        state = (record.role, record.commit, frozenset(record.votes), peers)
-        return (memory.term, memory.vote, tuple(memory.entries), *state)
+        peers = tuple((name, peer.next_index, peer.match_index) for name, peer in record.peers.items())
+        state = (record.role, record.commit_index, frozenset(record.votes), peers)
+        return (memory.current_term, memory.voted_for, tuple(memory.entries), *state)
 
     def next(self) -> Iterator[tuple[str, World]]:
         left = self.left
         for name, record in self.records.items():
-            if left.stands and not record.leads:
+            if left.stands and not record.is_leader:
                 yield f"{name} stands", self._step(name, left._replace(stands=left.stands - 1), "stand")
-            if left.puts and record.leads:
+            if left.puts and record.is_leader:
                 yield f"{name} adds an entry", self._step(name, left._replace(puts=left.puts - 1), "put")
             if left.restarts:
                 after = left._replace(restarts=left.restarts - 1)
                 yield f"{name} starts again", self._step(name, after, "restart")
-            if left.changes and record.leads:
+            if left.changes and record.is_leader:
                 after = left._replace(changes=left.changes - 1)
                 for other in record.voters:
                     yield f"{name} drops the voter {other}", self._step(name, after, f"drop {other}")
@@ -104,25 +104,25 @@
         if what == "restart":
             memory = record.persistent
             if self.defect == "vote forgotten":
-                memory.vote = ""
+                memory.voted_for = ""
             elif self.defect == "memory forgotten":
-                memory = PersistentState(name, 1, 1, "", 1, 1, VOTERS, memory.base_state)
+                memory = PersistentState(name, 1, 1, "", 1, 1, VOTERS, memory.snapshot_state)
             record = self._make(memory)
         elif what == "stand":
-            record.receive(Message("", name, 1, record.persistent.term, TimeoutNow()), 0)
+            record.receive(Message("", name, 1, record.persistent.current_term, TimeoutNow()), 0)
         elif what == "put":
             record.propose(OP, 0)
         elif isinstance(what, str):
             record.change_voters(tuple(each for each in record.voters if each != what[-1]), 0)
         else:
             record.receive(what, 0)
-        after.sent = self.sent | frozenset(record.out)
-        record.out.clear()
-        record.done.clear()
-        record.tickets.clear()
+        after.sent = self.sent | frozenset(record.outbox)
+        record.outbox.clear()
+        record.outcomes.clear()
+        record.pending_proposals.clear()
         after.records = self.records | {name: record}
         if record.role is Role.LEADER:
-            after.leaders = self.leaders | {(record.persistent.term, name)}
+            after.leaders = self.leaders | {(record.persistent.current_term, name)}
         return after
 
     def broken(self) -> str:
@@ -131,15 +131,14 @@
             return f"election: {sorted(self.leaders)}"
         known: dict[int, Entry] = {}
         for name, record in self.records.items():
-            entries = {
-                record.persistent.base + n: each for n, each in enumerate(record.persistent.entries, 1)
-            }
-            for index in range(record.persistent.base + 1, record.commit + 1):
+            first = record.persistent.last_included_index + 1
+            entries = dict(enumerate(record.persistent.entries, first))
+            for index in range(first, record.commit_index + 1):
                 if known.setdefault(index, entries[index]) != entries[index]:
                     return f"machine: {name} holds another entry at {index}"
-        newest = max(record.persistent.term for record in self.records.values())
+        newest = max(record.persistent.current_term for record in self.records.values())
         for name, record in self.records.items():
-            if record.leads and record.persistent.term == newest:
+            if record.is_leader and record.persistent.current_term == newest:
                 for index, entry in known.items():
                     if record.persistent.term_at(index) != entry.term:
                         return f"completeness: {name} leads without what is committed at {index}"
@@ -150,10 +149,10 @@
     made = copy.copy(record)
     made.persistent = copy.copy(record.persistent)
     made.persistent.entries = list(record.persistent.entries)
-    made.machine = copy.deepcopy(record.machine)
+    made.state_machine = copy.deepcopy(record.state_machine)
     made.votes, made.peers = set(record.votes), {name: copy.copy(peer) for name, peer in record.peers.items()}
-    made.out, made.done, made.reads, made.tickets = [], [], [], {}
-    made._rounds = record._rounds.copy()
+    made.outbox, made.outcomes, made.pending_reads, made.pending_proposals = [], [], [], {}
+    made._unconfirmed_rounds = record._unconfirmed_rounds.copy()
     return made
 
 
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -26,8 +26,8 @@
 from benchmarks.fleet_history import Call, linearizable
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import Entry, Message
-from hazelbend.consensus.persistent_state import PersistentState, epoch_number
-from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.persistent_state import PersistentState, next_epoch
+from hazelbend.consensus.raft import RaftConfig, RaftNode, ReadIndexOutcome
 from hazelbend.consensus.voters import next_voters
 from hazelbend.leases.client import LeaseClient, LeaseRequest, Stage
 from hazelbend.leases.expiry_watcher import ExpiryWatcher
@@ -71,7 +71,8 @@
     last_request_id: int = 0
     paused: bool = False
     inbox: list[Callable[[], None]] = field(default_factory=list)
-    tickets: dict[int, Callable[[bool, object], None]] = field(default_factory=dict)
+    proposals: dict[int, Callable[[bool, object], None]] = field(default_factory=dict)
+    reads: dict[int, Callable[[bool], None]] = field(default_factory=dict)
     down_since: int | None = None
     wake_at: int = 0
     checked: tuple[int, int] = (0, 0)  # epoch and index up to which its entries were compared
@@ -134,26 +135,28 @@
     def _start(self, node: Node) -> None:
         """With its disk's memory if it has one, else as somebody new."""
         node.lives += 1
-        memory = state_codec.read(node.disk)[0] if node.disk is not None else None
+        memory = state_codec.decode_state(node.disk)[0] if node.disk is not None else None
         if memory is None:
             identity = f"n{node.number}.{node.lives}"
             if self.defect == "memory forgotten":
                 identity = f"n{node.number}"  # it votes as if it remembered
             memory = PersistentState(identity)
         elif self.defect == "vote forgotten":
-            memory.vote = ""
+            memory.voted_for = ""
         leases = Forgetful(LIMITS) if self.defect.startswith("token") else LeaseTable(LIMITS)
         node.leases, node.watcher = leases, ExpiryWatcher(LIMITS)
         kinds = {"two voter changes at once": Rash, "stale read": Careless}
         now = self.local(node)
-        record = kinds.get(self.defect, RaftNode)(memory, leases, Timing(), self.random.getrandbits(32), now)
-        record.watcher = lambda at: node.watcher.observe(node.leases, at)
+        record = kinds.get(self.defect, RaftNode)(
+            memory, leases, RaftConfig(), self.random.getrandbits(32), now
+        )
+        record.on_applied = lambda at: node.watcher.observe(node.leases, at)
         node.record, node.down_since, node.paused, node.inbox = record, None, False, []
         node.checked = (0, 0)
-        node.clients, node.tickets = [], {}
-        record.watcher(now)
+        node.clients, node.proposals, node.reads = [], {}, {}
+        record.on_applied(now)
         if node.has_store:
-            node.disk = state_codec.whole(memory)
+            node.disk = state_codec.encode_state(memory)
         for _ in range(2):
             self._new_client(node)
         self._pump(node)
@@ -172,7 +175,7 @@
             return
         node.record, node.down_since, node.clients = None, self.now, []
         if node.disk is not None and self.torn.random() < 0.3:  # it was writing: some of a frame is there
-            frame = state_codec.frame(state_codec.Entries(1, (Entry(1),)))
+            frame = state_codec.encode_frame(state_codec.LogEntries(1, (Entry(1),)))
             node.disk += frame[: self.torn.randrange(1, len(frame))]
         self.at(
             self.random.uniform(0, longest) * S, lambda: self._start(node) if node.record is None else None
@@ -181,8 +184,8 @@
     def _found(self, node: Node) -> None:
         assert node.record is not None
         known = max(node.record.persistent.epoch, 0)
-        self.epoch = epoch_number(known, self.now / S + 1_000, node.record.me)
-        node.record.found(self.epoch, self.local(node))
+        self.epoch = next_epoch(known, self.now / S + 1_000, node.record.identity)
+        node.record.force_new_cluster(self.epoch, self.local(node))
         self._pump(node)
 
     def _do(self, node: Node, act: Callable[[RaftNode, int], None]) -> None:
@@ -201,32 +204,40 @@
         record, now = node.record, self.local(node)
         if record is None or node.paused:
             return
-        if now >= record.due:
+        if now >= record.next_tick_at:
             record.tick(now)
-        if record.leads:
+        if record.is_leader:
             self._lead(node, record, now)
         for client in node.clients:
             for request in client.tick(now):
                 self._submit(node, client, request)
-        if record.promise_changed and self.random.random() < 0.1:
+        if record.hard_state_changed and self.random.random() < 0.1:
             # The worst moment to die: just after a promise.
             lives = node.lives
             self.at(self.random.uniform(0, 10_000), lambda: self._die(node, lives, 0.03))
-        if record.promise_changed or record.unsaved is not None:
-            frames = state_codec.changed(record)
+        if record.has_unsaved_changes:
+            frames = state_codec.encode_changes(record)
             if node.disk is not None:
                 node.disk += frames
                 if len(node.disk) > 50_000:
-                    node.disk = state_codec.whole(record.persistent)
-        for message in record.out:
+                    node.disk = state_codec.encode_state(record.persistent)
+        for message in record.outbox:
             self._carry(message)
-        record.out.clear()
-        done, record.done = record.done, []
-        for each in done:
-            node.tickets.pop(each.ticket, lambda ok, result: None)(each.ok, each.result)
-        due = min([record.due, *(client.next_at for client in node.clients)])
+        record.outbox.clear()
+        self._report_outcomes(node, record)
+        due = min([record.next_tick_at, *(client.next_at for client in node.clients)])
         self._wake(node, max(due - now, 1000) / node.rate)
 
+    @staticmethod
+    def _report_outcomes(node: Node, record: RaftNode) -> None:
+        outcomes, record.outcomes = record.outcomes, []
+        for outcome in outcomes:
+            if isinstance(outcome, ReadIndexOutcome):
+                node.reads.pop(outcome.read_id, lambda confirmed: None)(outcome.confirmed)
+            else:
+                ended = node.proposals.pop(outcome.proposal_id, lambda committed, result: None)
+                ended(outcome.committed, outcome.result)
+
     def _wake(self, node: Node, delay: float) -> None:
         at = self.now + round(delay)
         if self.now < node.wake_at <= at:
@@ -236,8 +247,8 @@
 
     def _lead(self, node: Node, record: RaftNode, now: int) -> None:
         if self.defect == "no wait by a new leader":
-            forget_the_wait(node.watcher, record.persistent.term)
-        for operation in node.watcher.new_proposals(node.leases, record.persistent.term, now):
+            forget_the_wait(node.watcher, record.persistent.current_term)
+        for operation in node.watcher.new_proposals(node.leases, record.persistent.current_term, now):
             record.propose(encode(operation), now)
 
     # --- the network ---
@@ -262,7 +273,7 @@
         self.at(delay, act)
 
     def _arrive(self, node: Node, message: Message) -> None:
-        if node.record is not None and node.record.me == message.to:
+        if node.record is not None and node.record.identity == message.to:
             self._do(node, lambda record, now: record.receive(message, now))
 
     @staticmethod
@@ -290,17 +301,17 @@
             self._deliver(target, node.number, back)
 
         def put(record: RaftNode, now: int) -> None:
-            ticket = record.propose(encode(request.operation), now)
-            if ticket is None:
+            proposal_id = record.propose(encode(request.operation), now)
+            if proposal_id is None:
                 reply(None)
                 return
 
-            def ended(ok: bool, result: object) -> None:
+            def ended(committed: bool, result: object) -> None:
                 epoch = record.persistent.epoch
-                self.finished[epoch] = max(self.finished[epoch], record.commit if ok else 0)
-                reply(result if ok and isinstance(result, LeaseResponse) else None)
+                self.finished[epoch] = max(self.finished[epoch], record.commit_index if committed else 0)
+                reply(result if committed and isinstance(result, LeaseResponse) else None)
 
-            there.tickets[ticket] = ended
+            there.proposals[proposal_id] = ended
 
         self._deliver(node.number, target, lambda: self._do(there, put))
 
@@ -327,42 +338,44 @@
                     client.release(now)
                 if client.may_act(now):
                     self._act(client)
-            if node.record.leads:
+            if node.record.is_leader:
                 self._see_to_voters(node, node.record, now)
                 self._read(node, node.record, now)
             self._pump(node)
 
     def _see_to_voters(self, node: Node, record: RaftNode, now: int) -> None:
-        up = {each.record.me: each for each in self.nodes if each.record is not None}
+        up = {each.record.identity: each for each in self.nodes if each.record is not None}
         gone = {
             name
             for name in record.voters
             if name not in up and self.now - (self.nodes[self._number(name)].down_since or 0) > LOST_AFTER
         }
-        wanted = next_voters(record.voters, record.me, sorted(up), gone, self.wanted)
+        wanted = next_voters(record.voters, record.identity, sorted(up), gone, self.wanted)
         record.set_learners(set(wanted or ()) - set(record.voters), now)
         if wanted is not None:
             self.counts["voter changes"] += record.change_voters(wanted, now)
 
     def _read(self, node: Node, record: RaftNode, now: int) -> None:
         epoch = record.persistent.epoch
-        finished, ticket = self.finished[epoch], record.read(now)
-        if ticket is None:
+        finished, read_id = self.finished[epoch], record.request_read(now)
+        if read_id is None:
             return
 
         start = self.now
 
-        def ended(ok: bool, result: object) -> None:
-            self.counts["reads"] += ok
-            if ok:
+        def ended(confirmed: bool) -> None:
+            self.counts["reads"] += confirmed
+            if confirmed:
                 for name in NAMES:
                     lease = node.leases.state.leases.get(name)
                     call = Call(start, self.now, "read", lease.token if lease else 0)
                     self.history[name].append(call)
-            if ok and epoch == record.persistent.epoch and record.commit < finished:
-                raise BrokenRuleError(f"stale read: {record.me} shows {record.commit} of {finished}")
+            if confirmed and epoch == record.persistent.epoch and record.commit_index < finished:
+                raise BrokenRuleError(
+                    f"stale read: {record.identity} shows {record.commit_index} of {finished}"
+                )
 
-        node.tickets[ticket] = ended
+        node.reads[read_id] = ended
 
     def _act(self, client: LeaseClient) -> None:
         """A write to the task's store, which comes there some time later: its holder may be stopped on the
@@ -417,14 +430,14 @@
             self.at(self.random.uniform(0.2, 2) * S, lambda: setattr(self, "slow", 1.0))
         else:
             leader = next(
-                (each for each in up if each.record and each.record.leads and not each.paused), None
+                (each for each in up if each.record and each.record.is_leader and not each.paused), None
             )
             if leader is None or leader.record is None:
                 self._maybe_found(up)
                 return
-            others = [name for name in leader.record.voters if name != leader.record.me]
+            others = [name for name in leader.record.voters if name != leader.record.identity]
             if others:
-                leader.record.hand_over(self.random.choice(others), self.local(leader))
+                leader.record.transfer_leadership(self.random.choice(others), self.local(leader))
                 self._pump(leader)
         self.faults[kind] += 1
 
@@ -436,11 +449,12 @@
             if each.record and each.record.persistent.epoch == self.epoch and not each.paused
         ]
         voters = max((each.record.voters for each in known if each.record), key=len, default=())
-        alive = {each.record.me for each in up if each.record}
+        alive = {each.record.identity for each in up if each.record}
         back = {
             name
             for name in voters
-            if (disk := self.nodes[self._number(name)].disk) and state_codec.read(disk)[0].identity == name
+            if (disk := self.nodes[self._number(name)].disk)
+            and state_codec.decode_state(disk)[0].identity == name
         }
         if (
             2 * len((alive | back) & set(voters)) <= len(voters)
@@ -469,10 +483,12 @@
             if record is None:
                 continue
             memory = record.persistent
-            if record.leads:
-                before = self.leaders.setdefault((memory.epoch, memory.term), record.me)
-                if before != record.me:
-                    raise BrokenRuleError(f"election: {before} and {record.me} lead in term {memory.term}")
+            if record.is_leader:
+                before = self.leaders.setdefault((memory.epoch, memory.current_term), record.identity)
+                if before != record.identity:
+                    raise BrokenRuleError(
+                        f"election: {before} and {record.identity} lead in term {memory.current_term}"
+                    )
             self._check_applied(node, record)
             now = self.local(node)
             for client in node.clients:
@@ -484,13 +500,13 @@
 
     def _check_applied(self, node: Node, record: RaftNode) -> None:
         memory = record.persistent
-        first = max(node.checked[1] if node.checked[0] == memory.epoch else 0, memory.base)
-        for index in range(first + 1, record.commit + 1):
-            entry = memory.entries[index - memory.base - 1]
-            known = self.committed.setdefault((memory.epoch, index), (entry.term, entry.op))
-            if known != (entry.term, entry.op):
+        first = max(node.checked[1] if node.checked[0] == memory.epoch else 0, memory.last_included_index)
+        for index in range(first + 1, record.commit_index + 1):
+            entry = memory.entries[index - memory.last_included_index - 1]
+            known = self.committed.setdefault((memory.epoch, index), (entry.term, entry.operation))
+            if known != (entry.term, entry.operation):
                 raise BrokenRuleError(
-                    f"machine: {record.me} applies another entry at {index} of epoch {memory.epoch}"
+                    f"machine: {record.identity} applies another entry at {index} of epoch {memory.epoch}"
                 )
         node_state = node.leases.state
         for name, lease in node_state.leases.items():
@@ -510,7 +526,7 @@
                 raise BrokenRuleError(
                     f"epoch {memory.epoch} grants {min(tokens)}, epoch {epoch} granted {before}"
                 )
-        node.checked = (memory.epoch, record.commit)
+        node.checked = (memory.epoch, record.commit_index)
 
 
 def play(seed: int, nodes: int, seconds: float, defect: str) -> dict[str, object]:
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -151,7 +151,7 @@
 
 @then("there is one leader")
 def then_one_leader(context):
-    assert sum(machine.engine.raft.leads for machine in context.fleet.alive) == 1
+    assert sum(machine.engine.raft.is_leader for machine in context.fleet.alive) == 1
 
 
 # --- workers ---
--- a/hazelbend/consensus/messages.py
+++ b/hazelbend/consensus/messages.py
@@ -15,28 +15,30 @@
 
     term: int
     voters: tuple[str, ...] | None = None
-    op: bytes = b""
+    operation: bytes = b""
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="Ask"):
     """For a vote; `pre`: whether it would get one."""
 
-    pre: bool
-    last: int
-    last_term: int
-    handed: bool = False  # the leader itself asked it to stand
+    is_pre_vote: bool = msgspec.field(name="pre")
+    last_log_index: int = msgspec.field(name="last")
+    last_log_term: int = msgspec.field(name="last_term")
+    is_leadership_transfer: bool = msgspec.field(
+        default=False, name="handed"
+    )  # the leader itself asked it to stand
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="Vote"):
     granted: bool
-    pre: bool
+    is_pre_vote: bool = msgspec.field(name="pre")
 
 
-class Stamp(msgspec.Struct, frozen=True, array_like=True):
+class Timestamp(msgspec.Struct, frozen=True, array_like=True):
     """A time of one process's clock, in microseconds, and the life of that process that it belongs to."""
 
-    life: int
-    at: int
+    incarnation: int
+    time_us: int
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="Put"):
@@ -46,39 +48,39 @@
     that was committed at that time lies at or below `commit`.
     """
 
-    before: int
-    before_term: int
+    prev_log_index: int = msgspec.field(name="before")
+    prev_log_term: int = msgspec.field(name="before_term")
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int = msgspec.field(name="commit")
     round: int
-    confirmed: Stamp | None = None
+    confirmed_timestamp: Timestamp | None = msgspec.field(default=None, name="confirmed")
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag="Install"):
     """The state after an entry, for who is too far behind for the entries."""
 
-    base: int
-    base_term: int
+    last_included_index: int = msgspec.field(name="base")
+    last_included_term: int = msgspec.field(name="base_term")
     voters: tuple[str, ...]
     state: bytes
     round: int
 
 
-class Piece(msgspec.Struct, frozen=True, tag=True):
+class Chunk(msgspec.Struct, frozen=True, tag="Piece"):
     """A part of an encoded `AppendEntries` or `InstallSnapshot` that is too large for one message. The
     leader's `number` names the transfer within its term."""
 
-    number: int
+    transfer_id: int = msgspec.field(name="number")
     offset: int
-    total: int
+    total_bytes: int = msgspec.field(name="total")
     data: bytes
     round: int
 
 
-class PieceResponse(msgspec.Struct, frozen=True, tag="PieceTaken"):
+class ChunkResponse(msgspec.Struct, frozen=True, tag="PieceTaken"):
     """Bytes of this transfer that the replica holds; 0 where it knows nothing of it, as after a restart."""
 
-    number: int
+    transfer_id: int = msgspec.field(name="number")
     offset: int
     round: int
 
@@ -87,10 +89,10 @@
     """`ok`: all up to this index is held as the leader holds it; else up to it may be. `stamp`: the sender's
     time, which comes back in `AppendEntries.confirmed`."""
 
-    ok: bool
+    success: bool = msgspec.field(name="ok")
     index: int
     round: int
-    stamp: Stamp | None = None
+    timestamp: Timestamp | None = msgspec.field(default=None, name="stamp")
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="TimeIsUp"):
@@ -102,8 +104,8 @@
     | VoteResponse
     | AppendEntries
     | InstallSnapshot
-    | Piece
-    | PieceResponse
+    | Chunk
+    | ChunkResponse
     | AppendResponse
     | TimeoutNow
 )
--- a/hazelbend/consensus/persistent_state.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -16,7 +16,7 @@
 BY_OPERATOR = 1  # the last bit of an epoch that an operator has founded
 
 
-def epoch_number(known: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
+def next_epoch(known: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
     """For a new epoch: above the known one, and above those that nobody remembers as far as the wall clock is
     right; two that are founded at once get two numbers, but for one time in 128."""
     after = max(int(unix_s) // EPOCH_S, (known >> EPOCH_BITS) + 1)
@@ -24,7 +24,7 @@
     return (after << EPOCH_BITS) + founder + (BY_OPERATOR if by_operator else 0)
 
 
-def founded_by_operator(epoch: int) -> bool:
+def started_by_operator(epoch: int) -> bool:
     """Whether an operator has founded this epoch, knowing that the record before it is given up."""
     return bool(epoch & BY_OPERATOR)
 
@@ -35,32 +35,36 @@
 
     identity: str
     epoch: int = 0
-    term: int = 0
-    vote: str = ""
-    base: int = 0
-    base_term: int = 0
-    base_voters: tuple[str, ...] = ()
-    base_state: bytes = b""
+    current_term: int = 0
+    voted_for: str = ""
+    last_included_index: int = 0
+    last_included_term: int = 0
+    snapshot_voters: tuple[str, ...] = ()
+    snapshot_state: bytes = b""
     entries: list[Entry] = field(default_factory=list)
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        return self.last_included_index + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
         """None: not held any more, or not yet."""
-        if index == self.base:
-            return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
+        if index == self.last_included_index:
+            return self.last_included_term
+        return (
+            self.entries[index - self.last_included_index - 1].term
+            if self.last_included_index < index <= self.last_index
+            else None
+        )
 
     def voters_at(self, index: int) -> tuple[str, ...]:
         """The list in force there, committed or not."""
-        for entry in reversed(self.entries[: index - self.base]):
+        for entry in reversed(self.entries[: index - self.last_included_index]):
             if entry.voters is not None:
                 return entry.voters
-        return self.base_voters
+        return self.snapshot_voters
 
     @property
     def has_operations(self) -> bool:
         """Whether it holds anything that may have been acknowledged."""
-        return self.base > 0 or any(entry.op for entry in self.entries)
+        return self.last_included_index > 0 or any(entry.operation for entry in self.entries)
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -13,10 +13,10 @@
 from hazelbend.consensus.messages import (
     AppendEntries,
     AppendResponse,
+    Chunk,
     Entry,
     InstallSnapshot,
-    Piece,
-    Stamp,
+    Timestamp,
     encode_transfer,
 )
 
@@ -25,20 +25,24 @@
 
 
 @dataclass(slots=True)
-class Transfer:
+class OutgoingTransfer:
     """A message that goes to a replica in pieces, one at a time."""
 
-    number: int
+    transfer_id: int
     content: bytes
     round: int  # the leader's round when it began: an older refusal does not concern it
     offset: int = 0  # bytes that the replica holds
     sent_at: int = 0
 
-    def piece(self, round_number: int) -> Piece:
+    def piece(self, round_number: int) -> Chunk:
         """The next one; the last one again where its answer was lost."""
         first = self.offset
-        return Piece(
-            self.number, first, len(self.content), self.content[first : first + PIECE_BYTES], round_number
+        return Chunk(
+            self.transfer_id,
+            first,
+            len(self.content),
+            self.content[first : first + PIECE_BYTES],
+            round_number,
         )
 
 
@@ -46,25 +50,25 @@
 class Progress:
     """How far one replica is, as its leader knows."""
 
-    next: int  # index of the entry to send next
-    match: int = 0  # all up to it is held
-    heard_at: int = 0
-    round: int = 0  # the last of the leader's rounds that it has answered
-    transfer: Transfer | None = None
-    asked: Stamp | None = None  # to be confirmed by a round that begins after it has come
-    asked_round: int = 0
-    confirmed: Stamp | None = None
+    next_index: int  # index of the entry to send next
+    match_index: int = 0  # all up to it is held
+    last_contact_at: int = 0
+    answered_round: int = 0  # the last of the leader's rounds that it has answered
+    transfer: OutgoingTransfer | None = None
+    pending_timestamp: Timestamp | None = None  # to be confirmed by a round that begins after it has come
+    pending_timestamp_round: int = 0
+    confirmed_timestamp: Timestamp | None = None
 
 
 @dataclass(slots=True)
-class Assembly:
+class IncomingTransfer:
     """A message that comes in pieces, at the replica."""
 
     key: tuple[str, int, int] = ("", 0, 0)  # sender, term, number
     content: bytearray = field(default_factory=bytearray)
     answer: AppendResponse | None = None  # once it is whole
 
-    def add(self, piece: Piece) -> None:
+    def add(self, piece: Chunk) -> None:
         """Take the piece if it is the next one."""
         if piece.offset == len(self.content):
             self.content += piece.data
@@ -72,7 +76,7 @@
 
 def size_of(entries: Sequence[Entry]) -> int:
     """Bytes of their operations."""
-    return sum(len(entry.op) for entry in entries)
+    return sum(len(entry.operation) for entry in entries)
 
 
 def batch(entries: Sequence[Entry], most: int) -> tuple[Entry, ...]:
@@ -80,7 +84,7 @@
     chosen: list[Entry] = []
     size = 0
     for entry in entries[:most]:
-        size += len(entry.op)
+        size += len(entry.operation)
         if chosen and size > BATCH_BYTES:
             break
         chosen.append(entry)
@@ -93,6 +97,6 @@
     return isinstance(body, InstallSnapshot) or size_of(body.entries) > BATCH_BYTES
 
 
-def begin_transfer(number: int, body: AppendEntries | InstallSnapshot, now: int) -> Transfer:
+def begin_transfer(number: int, body: AppendEntries | InstallSnapshot, now: int) -> OutgoingTransfer:
     """A transfer of this message, of which nothing is sent yet."""
-    return Transfer(number, encode_transfer(body), body.round, sent_at=now)
+    return OutgoingTransfer(number, encode_transfer(body), body.round, sent_at=now)
--- a/hazelbend/consensus/state_codec.py
+++ b/hazelbend/consensus/state_codec.py
@@ -3,10 +3,10 @@
 
     file   = MAGIC, frames
     frame  = length of the body, CRC-32 of the body, CRC-32 of these two (4 bytes each, little-endian), body
-    body   = Promise | Entries | Base, in msgpack
+    body   = HardState | LogEntries | Snapshot, in msgpack
 
-Frames are added, and take effect in their order: a Promise replaces the one before, Entries replace all from
-their first index on, a Base takes the place of all up to its index.
+Frames are added, and take effect in their order: a HardState replaces the one before, LogEntries
+replace all from their first index on, a Snapshot takes the place of all up to its index.
 
 Reading, in doubt a voter is somebody new (see record.py), so nothing is ever guessed:
     - a last frame that is shorter than it says was being written when the process died. It was never
@@ -31,34 +31,34 @@
 HEAD = 3 * NUMBER
 
 
-class DamagedError(Exception):
+class CorruptStateError(Exception):
     """This is no memory that can be gone on with."""
 
 
-class Promise(msgspec.Struct, frozen=True, tag=True):
+class HardState(msgspec.Struct, frozen=True, tag="Promise"):
     identity: str
     epoch: int
-    term: int
-    vote: str
+    current_term: int = msgspec.field(name="term")
+    voted_for: str = msgspec.field(name="vote")
 
 
-class Entries(msgspec.Struct, frozen=True, tag=True):
-    first: int
+class LogEntries(msgspec.Struct, frozen=True, tag="Entries"):
+    first_index: int = msgspec.field(name="first")
     entries: tuple[Entry, ...]
 
 
-class Base(msgspec.Struct, frozen=True, tag=True):
-    index: int
-    term: int
+class Snapshot(msgspec.Struct, frozen=True, tag="Base"):
+    last_included_index: int = msgspec.field(name="index")
+    last_included_term: int = msgspec.field(name="term")
     voters: tuple[str, ...]
     state: bytes
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Promise | Entries | Base)
+_decoder = msgspec.msgpack.Decoder(HardState | LogEntries | Snapshot)
 
 
-def frame(body: Promise | Entries | Base) -> bytes:
+def encode_frame(body: HardState | LogEntries | Snapshot) -> bytes:
     text = _encoder.encode(body)
     head = _number(len(text)) + _number(zlib.crc32(text))
     return head + _number(zlib.crc32(head)) + text
@@ -68,51 +68,53 @@
     return value.to_bytes(NUMBER, "little")
 
 
-def whole(memory: PersistentState) -> bytes:
+def encode_state(memory: PersistentState) -> bytes:
     """A new file's content."""
-    return MAGIC + b"".join(map(frame, whole_parts(memory)))
+    return MAGIC + b"".join(map(encode_frame, state_records(memory)))
 
 
-def whole_parts(memory: PersistentState) -> list[Promise | Entries | Base]:
+def state_records(memory: PersistentState) -> list[HardState | LogEntries | Snapshot]:
     """All of a memory, to be taken in this order."""
-    return [_promise(memory), _base(memory), _entries(memory, memory.base + 1)]
+    return [_promise(memory), _base(memory), _entries(memory, memory.last_included_index + 1)]
 
 
-def changed(record: RaftNode) -> bytes:
+def encode_changes(record: RaftNode) -> bytes:
     """The frames to be added for what has changed since the last call."""
-    return b"".join(map(frame, changed_parts(record)))
+    return b"".join(map(encode_frame, take_changed_records(record)))
 
 
-def changed_parts(record: RaftNode) -> list[Promise | Entries | Base]:
+def take_changed_records(record: RaftNode) -> list[HardState | LogEntries | Snapshot]:
     """What has changed since the last call, to be taken in this order; the record's marks are taken off."""
-    memory, first = record.persistent, record.unsaved
-    parts: list[Promise | Entries | Base] = []
-    if record.promise_changed:
+    memory, first = record.persistent, record.first_unsaved_index
+    parts: list[HardState | LogEntries | Snapshot] = []
+    if record.hard_state_changed:
         parts.append(_promise(memory))
     if first is not None:
-        if first <= memory.base:
+        if first <= memory.last_included_index:
             parts.append(_base(memory))
-        parts.append(_entries(memory, max(first, memory.base + 1)))
-    record.unsaved, record.promise_changed = None, False
+        parts.append(_entries(memory, max(first, memory.last_included_index + 1)))
+    record.first_unsaved_index, record.hard_state_changed = None, False
     return parts
 
 
-def _promise(memory: PersistentState) -> Promise:
-    return Promise(memory.identity, memory.epoch, memory.term, memory.vote)
+def _promise(memory: PersistentState) -> HardState:
+    return HardState(memory.identity, memory.epoch, memory.current_term, memory.voted_for)
 
 
-def _base(memory: PersistentState) -> Base:
-    return Base(memory.base, memory.base_term, memory.base_voters, memory.base_state)
+def _base(memory: PersistentState) -> Snapshot:
+    return Snapshot(
+        memory.last_included_index, memory.last_included_term, memory.snapshot_voters, memory.snapshot_state
+    )
 
 
-def _entries(memory: PersistentState, first: int) -> Entries:
-    return Entries(first, tuple(memory.entries[first - memory.base - 1 :]))
+def _entries(memory: PersistentState, first: int) -> LogEntries:
+    return LogEntries(first, tuple(memory.entries[first - memory.last_included_index - 1 :]))
 
 
-def read(content: bytes) -> tuple[PersistentState, int]:
+def decode_state(content: bytes) -> tuple[PersistentState, int]:
     """The memory, and how many bytes of the content are good. DamagedError if it is of no use."""
     if not content.startswith(MAGIC):
-        raise DamagedError("not a fleet's memory, or of another version")
+        raise CorruptStateError("not a fleet's memory, or of another version")
     memory, at = PersistentState(""), len(MAGIC)
     while at + HEAD <= len(content):
         numbers = [content[at + n : at + n + NUMBER] for n in range(0, HEAD, NUMBER)]
@@ -120,32 +122,35 @@
         body = content[at + HEAD : at + HEAD + length]
         whole_head = zlib.crc32(numbers[0] + numbers[1]) == head_check
         if not whole_head or (len(body) == length and zlib.crc32(body) != check):
-            raise DamagedError(f"another checksum at {at}")
+            raise CorruptStateError(f"another checksum at {at}")
         if len(body) < length:
             break
         try:
-            take(memory, _decoder.decode(body))
+            apply_record(memory, _decoder.decode(body))
         except msgspec.DecodeError as error:
-            raise DamagedError(f"at {at}: {error}") from None
+            raise CorruptStateError(f"at {at}: {error}") from None
         at += HEAD + length
     if not memory.identity:
-        raise DamagedError("it names nobody")
+        raise CorruptStateError("it names nobody")
     return memory, at
 
 
-def take(memory: PersistentState, body: Promise | Entries | Base) -> None:
+def apply_record(memory: PersistentState, body: HardState | LogEntries | Snapshot) -> None:
     """Let a stored part take effect. DamagedError if it cannot stand here."""
-    if isinstance(body, Promise):
+    if isinstance(body, HardState):
         if body.epoch != memory.epoch:  # another epoch begins with nothing
-            memory.entries, memory.base, memory.base_term = [], 0, 0
-            memory.base_voters, memory.base_state = (), b""
+            memory.entries, memory.last_included_index, memory.last_included_term = [], 0, 0
+            memory.snapshot_voters, memory.snapshot_state = (), b""
         memory.identity, memory.epoch = body.identity, body.epoch
-        memory.term, memory.vote = body.term, body.vote
-    elif isinstance(body, Base):
-        memory.entries = memory.entries[max(body.index - memory.base, 0) :]
-        memory.base, memory.base_term = body.index, body.term
-        memory.base_voters, memory.base_state = body.voters, body.state
+        memory.current_term, memory.voted_for = body.current_term, body.voted_for
+    elif isinstance(body, Snapshot):
+        memory.entries = memory.entries[max(body.last_included_index - memory.last_included_index, 0) :]
+        memory.last_included_index, memory.last_included_term = (
+            body.last_included_index,
+            body.last_included_term,
+        )
+        memory.snapshot_voters, memory.snapshot_state = body.voters, body.state
     else:
-        if body.first > memory.last + 1 or body.first <= memory.base:
-            raise DamagedError(f"entries from {body.first} on after {memory.last}")
-        memory.entries = [*memory.entries[: body.first - memory.base - 1], *body.entries]
+        if body.first_index > memory.last_index + 1 or body.first_index <= memory.last_included_index:
+            raise CorruptStateError(f"entries from {body.first_index} on after {memory.last_index}")
+        memory.entries = [*memory.entries[: body.first_index - memory.last_included_index - 1], *body.entries]
--- a/hazelbend/control/cluster_membership.py
+++ b/hazelbend/control/cluster_membership.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from hazelbend.consensus.persistent_state import epoch_number
+from hazelbend.consensus.persistent_state import next_epoch
 from hazelbend.consensus.raft import RaftNode
 from hazelbend.consensus.voters import next_voters
 from hazelbend.control.config_state_machine import ConfigStateMachine, encode_force_new_cluster
@@ -40,8 +40,8 @@
         if self._raft.persistent.epoch or not settings.may_bootstrap or not settings.counts_for_quorum:
             return
         if self._peers.may_bootstrap(now):
-            epoch = epoch_number(0, self._unix_seconds(), self._raft.me, by_operator=False)
-            self._raft.found(epoch, now)
+            epoch = next_epoch(0, self._unix_seconds(), self._raft.identity, by_operator=False)
+            self._raft.force_new_cluster(epoch, now)
 
     def force_new_cluster(self, now: int) -> int:
         """Start a new cluster from this process's state, as an operator orders; returns its epoch.
@@ -54,27 +54,27 @@
         snapshot = self._state_machine.snapshot()
         persistent = self._raft.persistent
         # Above all that this epoch's fencing tokens have reached: terms carry into the epoch.
-        known_epoch = persistent.epoch + (persistent.term >> TERM_BITS) + 1
-        epoch = epoch_number(known_epoch, self._unix_seconds(), self._raft.me)
-        self._raft.found(epoch, now)
+        known_epoch = persistent.epoch + (persistent.current_term >> TERM_BITS) + 1
+        epoch = next_epoch(known_epoch, self._unix_seconds(), self._raft.identity)
+        self._raft.force_new_cluster(epoch, now)
         self._raft.propose(encode_force_new_cluster(snapshot), now)
         return epoch
 
     def reconcile_voters(self, now: int) -> None:
         """On the leader: propose one step towards voters that are all alive and count for the quorum."""
         raft = self._raft
-        if not raft.leads:
+        if not raft.is_leader:
             return
         self._peers.track_voters(raft.voters, now)
         replaceable = {voter for voter in raft.voters if self._peers.is_replaceable(voter, now)}
-        members = [raft.me] if self._settings.counts_for_quorum else []
+        members = [raft.identity] if self._settings.counts_for_quorum else []
         members += self._peers.voter_candidates(raft.voters, replaceable, now)
         without_state = frozenset(voter for voter in replaceable if self._peers.has_lost_state(voter))
         min_voters = 2 * self._settings.tolerance + 1
         # A voter that is merely unheard is not surplus: the list shrinks only by replaceable ones.
         wanted_voters = max(min_voters, len({*members, *raft.voters} - replaceable))
         voters = next_voters(
-            raft.voters, raft.me, members, replaceable, wanted_voters, min_voters, without_state
+            raft.voters, raft.identity, members, replaceable, wanted_voters, min_voters, without_state
         )
         raft.set_learners(set(voters or ()) - set(raft.voters), now)
         if voters is not None:
@@ -84,4 +84,4 @@
         """Let another voter lead. False: this process does not lead, or no other voter can take over."""
         staying = {peer.identity for peer in self._peers.alive(now).values() if not peer.leaving}
         successors = [voter for voter in self._raft.voters if voter in staying]
-        return bool(successors) and self._raft.hand_over(successors[0], now)
+        return bool(successors) and self._raft.transfer_leadership(successors[0], now)
--- a/hazelbend/control/config_calls.py
+++ b/hazelbend/control/config_calls.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from hazelbend.consensus.raft import RaftNode
+from hazelbend.consensus.raft import RaftNode, ReadIndexOutcome
 from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, encode_config_change
 from hazelbend.control.outputs import CallOutcome, PutOutcome, ReadOutcome
 
@@ -18,36 +18,38 @@
         self._raft = raft
         self._state_machine = state_machine
         self._next_request_id = next_request_id
-        self._puts: dict[int, int] = {}  # request id by the log's ticket
-        self._reads: dict[int, int] = {}  # request id by the log's ticket
+        self._puts: dict[int, int] = {}  # request id by proposal id
+        self._reads: dict[int, int] = {}  # request id by read id
 
     def put(self, base: int, version: int, body: bytes, now: int) -> int | None:
         """Propose a validated configuration; see `ControlEngine.put_config`."""
-        ticket = self._raft.propose(encode_config_change(base, version, body), now)
-        if ticket is None:
+        proposal_id = self._raft.propose(encode_config_change(base, version, body), now)
+        if proposal_id is None:
             return None
         request_id = self._next_request_id()
-        self._puts[ticket] = request_id
+        self._puts[proposal_id] = request_id
         return request_id
 
     def read(self, now: int) -> int | None:
         """Read the newest committed configuration; see `ControlEngine.read_config`."""
-        ticket = self._raft.read(now)
-        if ticket is None:
+        read_id = self._raft.request_read(now)
+        if read_id is None:
             return None
         request_id = self._next_request_id()
-        self._reads[ticket] = request_id
+        self._reads[read_id] = request_id
         return request_id
 
     def take_outcomes(self) -> list[CallOutcome]:
         """The outcomes of calls that the log has decided since the last call."""
         outcomes: list[CallOutcome] = []
-        decided = self._raft.done
-        self._raft.done = []
-        for done in decided:
-            if (request_id := self._puts.pop(done.ticket, None)) is not None:
-                result = done.result if done.ok and isinstance(done.result, ChangeResult) else None
+        decided = self._raft.outcomes
+        self._raft.outcomes = []
+        for outcome in decided:
+            if isinstance(outcome, ReadIndexOutcome):
+                if (request_id := self._reads.pop(outcome.read_id, None)) is not None:
+                    config = self._state_machine.current if outcome.confirmed else None
+                    outcomes.append(ReadOutcome(request_id, config))
+            elif (request_id := self._puts.pop(outcome.proposal_id, None)) is not None:
+                result = outcome.result if isinstance(outcome.result, ChangeResult) else None
                 outcomes.append(PutOutcome(request_id, result))
-            elif (request_id := self._reads.pop(done.ticket, None)) is not None:
-                outcomes.append(ReadOutcome(request_id, self._state_machine.current if done.ok else None))
         return outcomes
--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -13,7 +13,7 @@
 from hazelbend.consensus.identity import address_of
 from hazelbend.consensus.messages import Message
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.raft import RaftConfig, RaftNode
 from hazelbend.control import messages as m
 from hazelbend.control.cluster_membership import ClusterMembership
 from hazelbend.control.config_calls import ConfigCalls
@@ -38,7 +38,9 @@
 AGES_PERIOD_US = 500_000  # between two messages on when workers were heard
 VOTERS_PERIOD_US = 200_000  # between the leader's checks of the voters
 FIRST_ELECTION_RANGE_US = (120_000, 400_000)  # after a restart, until a voter without a leader campaigns
-TIMING = Timing(heartbeat=100_000, election=500_000, batch=32, kept=48)
+TIMING = RaftConfig(
+    heartbeat_us=100_000, election_timeout_us=500_000, max_batch_entries=32, snapshot_after_entries=48
+)
 
 
 class ControlEngine:
@@ -58,8 +60,10 @@
         self.config_state = ConfigStateMachine()
         self.raft = RaftNode(persistent or PersistentState(identity), self.config_state, TIMING, seed, now)
         if persistent is not None:
-            self.raft.campaign_at(now + random.Random(seed).randint(*FIRST_ELECTION_RANGE_US))
-        self.peers = PeerTable(self.raft.me, settings.address, settings.seeds, self.raft.life, now)
+            self.raft.schedule_campaign(now + random.Random(seed).randint(*FIRST_ELECTION_RANGE_US))
+        self.peers = PeerTable(
+            self.raft.identity, settings.address, settings.seeds, self.raft.incarnation, now
+        )
         self.planner = PhasePlanner()
         self.watching_routers: set[str] = set()  # routers that watch this process
         self.peak_router_count = 1  # routers that have watched the fleet at a time: they share budgets
@@ -78,7 +82,7 @@
     @property
     def identity(self) -> str:
         """This process's identity, which its persistent state keeps."""
-        return self.raft.me
+        return self.raft.identity
 
     @property
     def registry(self) -> WorkerRegistry:
@@ -88,7 +92,7 @@
     @property
     def next_tick_at(self) -> int:
         """When `tick` has something to do."""
-        times = [self.raft.due, self._next_hello_at, self._next_ages_at, self._next_voters_check_at]
+        times = [self.raft.next_tick_at, self._next_hello_at, self._next_ages_at, self._next_voters_check_at]
         if (expiry_at := self._workers.next_expiry_at) is not None:
             times.append(expiry_at)
         return min(times)
@@ -97,7 +101,9 @@
     def has_durable_output(self) -> bool:
         """Whether something is to be stored, or sent after that."""
         raft = self.raft
-        return bool(raft.promise_changed or raft.unsaved is not None or raft.out or raft.done)
+        return bool(
+            raft.hard_state_changed or raft.first_unsaved_index is not None or raft.outbox or raft.outcomes
+        )
 
     @property
     def leader(self) -> str:
@@ -134,9 +140,9 @@
     def take_durable_output(self) -> DurableOutput:
         """What may be sent once the log's changes are stored."""
         messages_by_address: dict[str, list[Message]] = {}
-        for message in self.raft.out:
+        for message in self.raft.outbox:
             messages_by_address.setdefault(address_of(message.to), []).append(message)
-        self.raft.out.clear()
+        self.raft.outbox.clear()
         return DurableOutput(
             messages=[
                 (address, m.RaftMessages(tuple(messages)))
@@ -228,7 +234,7 @@
     def tick(self, now: int) -> None:
         """Do what is due."""
         self._membership.bootstrap_if_first(now)
-        if now >= self.raft.due:
+        if now >= self.raft.next_tick_at:
             self.raft.tick(now)
         if now >= self._next_hello_at:
             self._send_hellos(now)
--- a/hazelbend/control/fencing.py
+++ b/hazelbend/control/fencing.py
@@ -14,7 +14,7 @@
 
     An epoch is above all terms of the one before: see `ClusterMembership.force_new_cluster`.
     """
-    return (state.epoch << TERM_BITS) + state.term
+    return (state.epoch << TERM_BITS) + state.current_term
 
 
 class OrderAuthority:
@@ -38,9 +38,9 @@
         majority must confirm each order besides, and the token must still be the same after that: a process
         that has stepped down meanwhile knows the next leader's term.
         """
-        term = self._raft.persistent.term
-        if not self._raft.settled or term != self._leader_term:
-            self._leader_term = term if self._raft.settled else 0
+        term = self._raft.persistent.current_term
+        if not self._raft.has_committed_in_term or term != self._leader_term:
+            self._leader_term = term if self._raft.has_committed_in_term else 0
             self._leading_since = now
         has_led_for_lease = now - self._leading_since >= self._lease_us + LEASE_MARGIN_US
         return fencing_token(self._raft.persistent) if self.is_leading and has_led_for_lease else None
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from hazelbend.consensus.messages import Message as RaftMessage
-from hazelbend.consensus.messages import Stamp
+from hazelbend.consensus.messages import Timestamp
 from hazelbend.control.load_table import CachedPrefix, LoadUpdate, RouterLoad
 from hazelbend.control.workers import WorkerRecord
 
@@ -26,8 +26,8 @@
     control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of the processes that it knows
     leader: str = ""  # identity of the leader, as far as it knows: for those that have no vote
     leaving: bool = False  # it is about to end
-    stamp: Stamp | None = None  # its incarnation and time, which the receiver echoes
-    echoed_stamp: Stamp | None = msgspec.field(default=None, name="answers")  # the receiver's last stamp
+    stamp: Timestamp | None = None  # its incarnation and time, which the receiver echoes
+    echoed_stamp: Timestamp | None = msgspec.field(default=None, name="answers")  # the receiver's last stamp
 
 
 class RaftMessages(msgspec.Struct, frozen=True, tag="Agreement"):
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from hazelbend.consensus.identity import address_of
-from hazelbend.consensus.messages import Stamp
+from hazelbend.consensus.messages import Timestamp
 from hazelbend.control.messages import PeerHello
 
 ALIVE_TIMEOUT_US = 1_000_000  # a peer counts as alive for so long after it was heard
@@ -31,7 +31,7 @@
     leader: str = ""  # that it follows, if it has a vote
     routers: tuple[str, ...] = ()  # that watch it
     switching: tuple[str, ...] = ()  # workers that it has ordered to another phase
-    stamp: Stamp | None = None  # of its last hello, to be echoed
+    stamp: Timestamp | None = None  # of its last hello, to be echoed
     proven_identity: str = ""  # that it surely had after `proven_at`
     proven_at: int = 0
     digest_mismatches: int = 0  # messages in a row by which it knows other workers
@@ -93,7 +93,7 @@
     def hellos(self, now: int, *, counts_for_quorum: bool, leader: str) -> list[tuple[str, PeerHello]]:
         """One hello for each address; drops addresses that are silent for long and no seeds."""
         known_addresses = (self.address, *self.alive(now))
-        stamp = Stamp(self._incarnation, now)
+        stamp = Timestamp(self._incarnation, now)
         hellos = []
         for address, peer in list(self._peers.items()):
             is_forgotten = now - max(peer.heard_at, self._started_at) > FORGET_TIMEOUT_US
@@ -119,9 +119,9 @@
         self._known_alive_at[hello.identity] = now
         echo = hello.echoed_stamp
         # A late hello must not undo a newer proof.
-        if echo is not None and echo.life == self._incarnation and echo.at >= peer.proven_at:
+        if echo is not None and echo.incarnation == self._incarnation and echo.time_us >= peer.proven_at:
             peer.proven_identity = hello.identity
-            peer.proven_at = echo.at
+            peer.proven_at = echo.time_us
         self.learn(hello.control_addresses, now)
         return is_new
 
--- a/hazelbend/control/worker_sync.py
+++ b/hazelbend/control/worker_sync.py
@@ -42,7 +42,7 @@
         self._peers = peers
         self._outbox = outbox
         self._next_request_id = next_request_id
-        self._announcements = Announcements(raft.life, settings.tolerance)
+        self._announcements = Announcements(raft.incarnation, settings.tolerance)
 
     @property
     def next_expiry_at(self) -> int | None:
@@ -135,7 +135,9 @@
             self.registry.mark_heard(instance, now - age)
 
     def _ack(self, update: m.WorkerUpdate) -> m.WorkerUpdateAck:
-        return m.WorkerUpdateAck(update.request_id, update.incarnation, self._raft.me, self._raft.voters)
+        return m.WorkerUpdateAck(
+            update.request_id, update.incarnation, self._raft.identity, self._raft.voters
+        )
 
     def _forward(self, records: list[WorkerRecord]) -> None:
         """Send changed records to routers and to all peers: what is new here is new to others as well."""
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -22,8 +22,8 @@
 from hazelbend.consensus import raft as consensus
 from hazelbend.consensus.identity import address_of
 from hazelbend.consensus.messages import Message
-from hazelbend.consensus.persistent_state import PersistentState, epoch_number
-from hazelbend.consensus.raft import RaftNode
+from hazelbend.consensus.persistent_state import PersistentState, next_epoch
+from hazelbend.consensus.raft import RaftNode, ReadIndexOutcome
 from hazelbend.consensus.voters import next_voters
 from hazelbend.gossip.messages import LeaderHint, Packet
 from hazelbend.gossip.swim import SwimNode
@@ -107,13 +107,13 @@
         self.expiry_watcher = ExpiryWatcher(settings.limits)
         self.members = SwimNode(identity, settings.fleet, settings.seeds, GossipTiming(), seed, now)
         self.raft = RaftNode(
-            persistent or PersistentState(identity), self.leases, consensus.Timing(), seed, now
+            persistent or PersistentState(identity), self.leases, consensus.RaftConfig(), seed, now
         )
-        self.raft.watcher = lambda at: self.expiry_watcher.observe(self.leases, at)
-        self.raft.watcher(now)
+        self.raft.on_applied = lambda at: self.expiry_watcher.observe(self.leases, at)
+        self.raft.on_applied(now)
         self.outbox: list[OutgoingMessage] = []
         self.replies: list[NumberedReply] = []
-        self._proposals: dict[int, Proposal] = {}  # by raft's ticket
+        self._proposals: dict[int, Proposal] = {}  # by proposal id
         self._long_polls: dict[int, LongPoll] = {}  # by the driver's number
         self._acquire_rate = TokenBucket(settings.acquires_per_s, 2 * settings.acquires_per_s, now)
         self._next_voter_check_at = now
@@ -128,7 +128,7 @@
     def has_output(self) -> bool:
         """Whether something is to be saved, sent or answered."""
         raft = self.raft
-        return bool(self.outbox or self.replies or raft.promise_changed or raft.unsaved is not None)
+        return bool(self.outbox or self.replies or raft.has_unsaved_changes)
 
     def take_output(self) -> tuple[list[OutgoingMessage], list[NumberedReply]]:
         """What to send and answer, once the state that it rests on is saved."""
@@ -141,8 +141,8 @@
     @property
     def next_at(self) -> int:
         """When `tick` has something to do."""
-        times = [self.members.next_at, self.raft.due]
-        if self.raft.leads:
+        times = [self.members.next_at, self.raft.next_tick_at]
+        if self.raft.is_leader:
             times.append(self._next_voter_check_at)
             times.append(self.expiry_watcher.next_at(self.leases))
         times += [poll.expires_at for poll in self._long_polls.values()]
@@ -164,9 +164,9 @@
         self._now = now
         if now >= self.members.next_at:
             self.members.tick(now)
-        if now >= self.raft.due:
+        if now >= self.raft.next_tick_at:
             self.raft.tick(now)
-        if self.raft.leads:
+        if self.raft.is_leader:
             self._lead(now)
         for number, poll in list(self._long_polls.items()):
             if now >= poll.expires_at:
@@ -185,21 +185,21 @@
     def submit(self, number: int, operation: Operation, now: int) -> None:
         """A client's request. A reply under this number follows at once, or once the entry is committed."""
         self._now = now
-        if isinstance(operation, Acquire) and self.raft.leads and not self._acquire_rate.try_take(now):
+        if isinstance(operation, Acquire) and self.raft.is_leader and not self._acquire_rate.try_take(now):
             # Only new requests are limited: a flood of them must not keep holders from renewing.
             self._reply(number, Reply(LeaseResponse(reason=Reason.BUSY), self.me))
             return
-        ticket = self.raft.propose(encode(operation), now)
-        if ticket is None:
-            self._reply(number, Reply(leader="" if self.raft.leads else self.leader))
+        proposal_id = self.raft.propose(encode(operation), now)
+        if proposal_id is None:
+            self._reply(number, Reply(leader="" if self.raft.is_leader else self.leader))
         else:
-            self._proposals[ticket] = Proposal(number, operation)
+            self._proposals[proposal_id] = Proposal(number, operation)
         self._collect_output()
 
     def found_epoch(self, unix_s: float, now: int) -> int:
         """Start a new epoch, with this one voter, by an operator. Its number."""
-        epoch = epoch_number(self.raft.persistent.epoch, unix_s, self.me)
-        self.raft.found(epoch, now)
+        epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.me)
+        self.raft.force_new_cluster(epoch, now)
         self._collect_output()
         return epoch
 
@@ -214,9 +214,9 @@
         """
         active = self.members.table.active()
         others = [voter for voter in self.raft.voters if voter in active and voter != self.me]
-        if not self.raft.leads or not others:
+        if not self.raft.is_leader or not others:
             return False
-        self.raft.hand_over(others[0], now)
+        self.raft.transfer_leadership(others[0], now)
         self._collect_output()
         return True
 
@@ -228,12 +228,12 @@
             me=self.me,
             role=raft.role.value if raft.is_voter else "member",
             epoch=raft.persistent.epoch,
-            term=raft.persistent.term,
+            term=raft.persistent.current_term,
             leader=self.leader,
-            is_fresh=raft.settled,
+            is_fresh=raft.has_committed_in_term,
             is_open=self.leases.state.is_open,
-            commit_index=raft.commit,
-            uncommitted=raft.persistent.last - raft.commit,
+            commit_index=raft.commit_index,
+            uncommitted=raft.persistent.last_index - raft.commit_index,
             health_score=self.members.health_score,
             voters=raft.voters,
             members=self._member_views(now),
@@ -272,7 +272,7 @@
 
     def _lead(self, now: int) -> None:
         raft = self.raft
-        for operation in self.expiry_watcher.new_proposals(self.leases, raft.persistent.term, now):
+        for operation in self.expiry_watcher.new_proposals(self.leases, raft.persistent.current_term, now):
             raft.propose(encode(operation), now)
         if now >= self._next_voter_check_at:
             self._next_voter_check_at = now + VOTER_CHECK_INTERVAL_US
@@ -298,25 +298,27 @@
 
     def _spread_leader(self) -> None:
         persistent = self.raft.persistent
-        hint = LeaderHint(persistent.epoch, persistent.term, self.raft.leader)
+        hint = LeaderHint(persistent.epoch, persistent.current_term, self.raft.leader)
         self.members.leader_hint = max(self.members.leader_hint, hint)
 
     def _collect_messages(self) -> None:
         for packet in self.members.outbox:
             self.outbox.append(OutgoingMessage(address_of(packet.to) or packet.to, packet))
         self.members.outbox.clear()
-        for message in self.raft.out:
+        for message in self.raft.outbox:
             self.outbox.append(OutgoingMessage(address_of(message.to), message))
-        self.raft.out.clear()
+        self.raft.outbox.clear()
 
     def _collect_proposals(self) -> None:
-        ended = self.raft.done
-        self.raft.done = []
-        for done in ended:
-            proposal = self._proposals.pop(done.ticket, None)
+        outcomes = self.raft.outcomes
+        self.raft.outcomes = []
+        for outcome in outcomes:
+            if isinstance(outcome, ReadIndexOutcome):
+                continue
+            proposal = self._proposals.pop(outcome.proposal_id, None)
             if proposal is None:
                 continue
-            response = done.result if done.ok and isinstance(done.result, LeaseResponse) else None
+            response = outcome.result if isinstance(outcome.result, LeaseResponse) else None
             request = proposal.operation
             if response is not None and response.queue_position and isinstance(request, Acquire):
                 expires_at = self._now + long_poll_us(request.ttl_us)
@@ -330,7 +332,7 @@
             if lease is not None and lease.is_for(poll.request):
                 # It was granted after its request was sent, so its time may count from then.
                 self._end_long_poll(number, LeaseResponse(lease.token))
-            elif not self.raft.leads:
+            elif not self.raft.is_leader:
                 self._end_long_poll(number, None)
 
     def _end_long_poll(self, number: int, response: LeaseResponse | None) -> None:
--- a/hazelbend/program/fleet.py
+++ b/hazelbend/program/fleet.py
@@ -88,7 +88,7 @@
             }
         return snapshot_counts | {
             "fleet_members": self.node.members.table.size,
-            "fleet_leads": int(self.node.raft.leads),
+            "fleet_leads": int(self.node.raft.is_leader),
             "fleet_epoch": self.node.raft.persistent.epoch,
             "fleet_leases": len(self.node.leases.state.leases),
             "fleet_requests": self.driver.links.requests_sent,
--- a/hazelbend/program/lease_node_driver.py
+++ b/hazelbend/program/lease_node_driver.py
@@ -11,7 +11,7 @@
 
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.identity import address_of
-from hazelbend.consensus.state_codec import DamagedError
+from hazelbend.consensus.state_codec import CorruptStateError
 from hazelbend.leases.lease_node import LeaseNode, NumberedReply, OutgoingMessage, PeerMessage, Reply
 from hazelbend.leases.operations import LeaseResponse, Operation
 from hazelbend.leases.settings import FleetSettings
@@ -61,7 +61,7 @@
         store = FleetStore(Path(self._settings.store))
         try:
             persistent = await asyncio.to_thread(store.open, f"@{self._settings.advertised_address}")
-        except DamagedError as error:
+        except CorruptStateError as error:
             log.error("fleet: store: %s; it is set aside, and this is another member from now on", error)
             persistent = None
         except OSError as error:
@@ -72,7 +72,7 @@
             settings = self._settings.node_settings
             self.node = LeaseNode(persistent.identity, settings, self._seed, self._clock(), persistent)
         try:
-            await asyncio.to_thread(store.begin, state_codec.whole(self.node.raft.persistent))
+            await asyncio.to_thread(store.begin, state_codec.encode_state(self.node.raft.persistent))
         except OSError as error:
             self._lose_store(store, error)
         else:
@@ -173,8 +173,8 @@
         if now >= self.node.next_at:
             self.node.tick(now)
         if self._store is None:
-            self.node.raft.unsaved = None
-            self.node.raft.promise_changed = False
+            self.node.raft.first_unsaved_index = None
+            self.node.raft.hard_state_changed = False
             self._send(*self.node.take_output())
         elif self._saving is None:
             self._saving = asyncio.create_task(self._save(self._store))
@@ -198,11 +198,11 @@
         try:
             while node.has_output:
                 output = node.take_output()
-                frames = state_codec.changed(node.raft)
+                frames = state_codec.encode_changes(node.raft)
                 file_is_large = bool(frames) and await asyncio.to_thread(store.add, frames)
                 if file_is_large:
                     # This has changes made meanwhile, which are added once more: frames are idempotent.
-                    await asyncio.to_thread(store.begin, state_codec.whole(node.raft.persistent))
+                    await asyncio.to_thread(store.begin, state_codec.encode_state(node.raft.persistent))
                 self._send(*output)
         except OSError as error:
             self._lose_store(store, error)
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -138,7 +138,7 @@
         """
         engine = self._node.engine
         deadline = time.monotonic() + LEADER_TIMEOUT_S
-        while not engine.raft.settled:
+        while not engine.raft.has_committed_in_term:
             leader = engine.leader
             if leader and leader != engine.identity:
                 host = split_address(address_of(leader))[0]
--- a/hazelbend/system/control_event_log.py
+++ b/hazelbend/system/control_event_log.py
@@ -34,10 +34,10 @@
         self._observe_conflicting_epoch(engine)
 
     def _observe_leader(self, engine: ControlEngine) -> None:
-        term = engine.raft.persistent.term
-        if self._led_term and not engine.raft.leads:
+        term = engine.raft.persistent.current_term
+        if self._led_term and not engine.raft.is_leader:
             log.warning("control: stepped down in term %d; term %d now", self._led_term, term)
-        self._led_term = term if engine.raft.leads else 0
+        self._led_term = term if engine.raft.is_leader else 0
         if engine.leader != self._leader:
             self._leader = engine.leader
             log.info("control: leader %s, term %d", self._leader or "unknown", term)
@@ -68,16 +68,16 @@
         peers = engine.raft.peers
         catching_up = {name for name, peer in peers.items() if peer.transfer is not None}
         for name in sorted(catching_up - self._catching_up):
-            behind = engine.raft.persistent.last - peers[name].match
+            behind = engine.raft.persistent.last_index - peers[name].match_index
             log.info("control: replica %s is behind by %d entries: catching up", name, behind)
         for name in sorted(self._catching_up - catching_up):
             log.info("control: replica %s has caught up or is unreachable", name)
         self._catching_up = catching_up
 
     def _observe_conflicting_epoch(self, engine: ControlEngine) -> None:
-        if engine.raft.foreign_epoch == self._conflicting_epoch:
+        if engine.raft.conflicting_epoch == self._conflicting_epoch:
             return
-        self._conflicting_epoch = engine.raft.foreign_epoch
+        self._conflicting_epoch = engine.raft.conflicting_epoch
         log.error(
             "control: another cluster, epoch %d, was bootstrapped elsewhere; this process stays in epoch %d: "
             "an operator must choose one",
--- a/hazelbend/system/control_node.py
+++ b/hazelbend/system/control_node.py
@@ -76,7 +76,7 @@
         self.engine = ControlEngine(identity, self._settings, seed, clock(), time.time, state)
         if restored is not None:
             commit_index = restored[1]
-            self.engine.raft.restore_commit(commit_index, clock())
+            self.engine.raft.restore_commit_index(commit_index, clock())
             self.config = self.engine.config_state.current
         log.info("control: started as %s, %s", self.engine.identity, "restored" if state else "new")
 
@@ -87,7 +87,7 @@
         if not handed_over:
             return
         deadline = time.monotonic() + HAND_OVER_TIMEOUT_S
-        while self.engine.raft.leads and time.monotonic() < deadline:  # noqa: ASYNC110 (the engine has no I/O)
+        while self.engine.raft.is_leader and time.monotonic() < deadline:  # noqa: ASYNC110 (the engine has no I/O)
             await asyncio.sleep(HAND_OVER_POLL_S)
 
     async def close(self) -> None:
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -61,12 +61,12 @@
         identity=engine.identity,
         leader=engine.leader,
         epoch=raft.persistent.epoch,
-        conflicting_epoch=raft.foreign_epoch or None,
-        term=raft.persistent.term,
+        conflicting_epoch=raft.conflicting_epoch or None,
+        term=raft.persistent.current_term,
         voters=raft.voters,
         lost=[voter for voter in other_voters if engine.peers.is_replaceable(voter, now)],
         joining=sorted(raft.learners),
-        commit_index=raft.commit,
+        commit_index=raft.commit_index,
         config_version=config_version,
         confirmed_ms_ago=None if confirmed_age is None else confirmed_age // MILLISECOND_US,
         replicas=_replicas(engine, now),
@@ -80,9 +80,9 @@
     raft = engine.raft
     return {
         identity: ReplicaStatus(
-            confirms=peer.round >= raft.round - 1,
-            answered_ms_ago=(now - peer.heard_at) // MILLISECOND_US,
-            behind=raft.persistent.last - peer.match,
+            confirms=peer.answered_round >= raft.round - 1,
+            answered_ms_ago=(now - peer.last_contact_at) // MILLISECOND_US,
+            behind=raft.persistent.last_index - peer.match_index,
             bytes_to_come=len(peer.transfer.content) - peer.transfer.offset if peer.transfer else 0,
         )
         for identity, peer in raft.peers.items()
--- a/hazelbend/system/state_persister.py
+++ b/hazelbend/system/state_persister.py
@@ -56,7 +56,7 @@
         Raises:
             StateNotSavedError: nothing was saved; the next call saves the full state.
         """
-        parts = state_codec.changed_parts(raft)
+        parts = state_codec.take_changed_records(raft)
         if parts and self._store is not None:
             await self._save(self._store, raft, parts)
 
@@ -66,18 +66,18 @@
         Raises:
             StateNotSavedError: nothing was saved; the next call saves the full state.
         """
-        if self._store is not None and raft.commit != self._saved_commit:
+        if self._store is not None and raft.commit_index != self._saved_commit:
             await self._save(self._store, raft, [])
 
     async def _save(self, store: ControlStore, raft: RaftNode, parts: Sequence[Part]) -> None:
         if not self._has_full_state:
-            parts = state_codec.whole_parts(raft.persistent)
-        commit = raft.commit
+            parts = state_codec.state_records(raft.persistent)
+        commit = raft.commit_index
         try:
             await store.save(parts, commit)
         except StoreError as error:
             self._has_full_state = False
-            raft.promise_changed = True  # so that there is something to save
+            raft.hard_state_changed = True  # so that there is something to save
             raise StateNotSavedError(str(error)) from error
         self._saved_commit = commit
         self._has_full_state = True
--- a/hazelbend/transport/storage/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -18,7 +18,7 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.state_codec import Base, DamagedError, Entries, Promise
+from hazelbend.consensus.state_codec import CorruptStateError, HardState, LogEntries, Snapshot
 
 DATABASE = "control.db"
 DAMAGED = "control.damaged"
@@ -29,13 +29,13 @@
 CREATE TABLE IF NOT EXISTS entry (position INTEGER PRIMARY KEY, content BLOB NOT NULL);
 """
 
-Part = Promise | Entries | Base
+Part = HardState | LogEntries | Snapshot
 T = TypeVar("T")
 StoreError = (sqlite3.Error, OSError)
 
 _encoder = msgspec.msgpack.Encoder()
-_promises = msgspec.msgpack.Decoder(Promise)
-_bases = msgspec.msgpack.Decoder(Base)
+_promises = msgspec.msgpack.Decoder(HardState)
+_bases = msgspec.msgpack.Decoder(Snapshot)
 _entries = msgspec.msgpack.Decoder(Entry)
 
 
@@ -80,8 +80,8 @@
         try:
             self._connect()
             memory = self._read()
-        except (DamagedError, sqlite3.DatabaseError) as error:
-            damaged = isinstance(error, DamagedError) or not isinstance(error, sqlite3.OperationalError)
+        except (CorruptStateError, sqlite3.DatabaseError) as error:
+            damaged = isinstance(error, CorruptStateError) or not isinstance(error, sqlite3.OperationalError)
             if damaged:
                 self._set_aside()
                 self._connect()
@@ -116,14 +116,14 @@
         self._commit = int(rows.get("commit", b"0"))
         memory = PersistentState("")
         try:
-            state_codec.take(memory, _promises.decode(rows["promise"]))
+            state_codec.apply_record(memory, _promises.decode(rows["promise"]))
             if "base" in rows:
-                state_codec.take(memory, _bases.decode(rows["base"]))
+                state_codec.apply_record(memory, _bases.decode(rows["base"]))
             found = self._connection.execute("SELECT position, content FROM entry ORDER BY position")
             for position, content in found:
-                state_codec.take(memory, Entries(position, (_entries.decode(content),)))
+                state_codec.apply_record(memory, LogEntries(position, (_entries.decode(content),)))
         except msgspec.DecodeError as error:
-            raise DamagedError(str(error)) from None
+            raise CorruptStateError(str(error)) from None
         return memory
 
     def _save(self, parts: Sequence[Part], commit: int) -> None:
@@ -145,13 +145,13 @@
 
     @staticmethod
     def _write(connection: sqlite3.Connection, part: Part) -> None:
-        if isinstance(part, Entries):
-            connection.execute("DELETE FROM entry WHERE position >= ?", (part.first,))
-            rows = [(at, _encoder.encode(entry)) for at, entry in enumerate(part.entries, part.first)]
+        if isinstance(part, LogEntries):
+            connection.execute("DELETE FROM entry WHERE position >= ?", (part.first_index,))
+            rows = [(at, _encoder.encode(entry)) for at, entry in enumerate(part.entries, part.first_index)]
             connection.executemany("INSERT INTO entry VALUES (?, ?)", rows)
             return
-        if isinstance(part, Base):
-            connection.execute("DELETE FROM entry WHERE position <= ?", (part.index,))
+        if isinstance(part, Snapshot):
+            connection.execute("DELETE FROM entry WHERE position <= ?", (part.last_included_index,))
             kind = "base"
         else:
             kind = "promise"
--- a/hazelbend/transport/storage/fleet_store.py
+++ b/hazelbend/transport/storage/fleet_store.py
@@ -36,8 +36,8 @@
         except FileNotFoundError:
             return None
         try:
-            memory, good = state_codec.read(content)
-        except state_codec.DamagedError:
+            memory, good = state_codec.decode_state(content)
+        except state_codec.CorruptStateError:
             os.replace(path, self._folder / "memory.damaged")
             raise
         if not memory.identity.endswith(identity_ends_with):
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -112,7 +112,7 @@
     ),
     "lease_answer": msgpack_form(lease_operations.LeaseResponse),
     "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
-    "memory_part": msgpack_form(state_codec.Promise | state_codec.Entries | state_codec.Base),
+    "memory_part": msgpack_form(state_codec.HardState | state_codec.LogEntries | state_codec.Snapshot),
     "log_entry": msgpack_form(log_messages.Entry),
     "configuration_entry": msgpack_form(
         config_state_machine.ConfigChange | config_state_machine.ForceNewCluster
@@ -150,7 +150,7 @@
     "log_body": log_messages.Body,
     "packet_body": gossip_messages.PacketBody,
     "lease_operation": lease_operations.Operation,
-    "memory_part": state_codec.Promise | state_codec.Entries | state_codec.Base,
+    "memory_part": state_codec.HardState | state_codec.LogEntries | state_codec.Snapshot,
     "configuration_entry": config_state_machine.ConfigChange | config_state_machine.ForceNewCluster,
     "quota_operation": quota_operations.Operation,
 }
@@ -164,7 +164,7 @@
 def epoch_numbers() -> list[int]:
     """Of founders at some times, with and without a known epoch."""
     return [
-        persistent_state.epoch_number(known, unix_s, identity, by_operator)
+        persistent_state.next_epoch(known, unix_s, identity, by_operator)
         for known in (0, 456_789_012_345)
         for unix_s in (0.0, 1_764_000_000.5)
         for identity in (N1, N2)
@@ -665,7 +665,7 @@
 
 def history_file() -> bytes:
     parts = [FORMS["memory_part"].read(msgspec.msgpack.encode(part)) for part in MEMORY_HISTORY]
-    return state_codec.MAGIC + b"".join(map(state_codec.frame, parts))
+    return state_codec.MAGIC + b"".join(map(state_codec.encode_frame, parts))
 
 
 def save_json(name: str, value: Any) -> None:
@@ -708,7 +708,7 @@
     history = history_file()
     (GOLDEN / "memory").write_bytes(history)
     (GOLDEN / "memory.torn").write_bytes(history[:-TORN_BYTES])
-    (GOLDEN / "memory.whole").write_bytes(state_codec.whole(state_codec.read(history)[0]))
+    (GOLDEN / "memory.whole").write_bytes(state_codec.encode_state(state_codec.decode_state(history)[0]))
 
     async def store(folder: Path) -> None:
         control_store = ControlStore(folder)
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -177,7 +177,7 @@
     def flush(address: str) -> None:
         nonlocal number
         fleet = fleets[address]
-        saved = state_codec.changed(fleet.raft)
+        saved = state_codec.encode_changes(fleet.raft)
         out, answers = fleet.take_output()
         trace.add(address, saved, answers)
         for to, item in out:
@@ -193,7 +193,7 @@
         now += 10 * MS
         if step == 5:
             fleets[addresses[0]].found_epoch(1_764_000_000.0, now)
-        leading = [address for address, fleet in fleets.items() if fleet.raft.leads]
+        leading = [address for address, fleet in fleets.items() if fleet.raft.is_leader]
         if step == 1_000:
             fleets[leading[0]].transfer_leadership(now)
         if step == 1_400:
@@ -234,7 +234,7 @@
             for name, lease in fleet.leases.state.leases.items():
                 tokens[name] = max(tokens.get(name, 0), lease.token)
     for fleet in fleets.values():
-        trace.add(encode(fleet.view(now)), state_codec.whole(fleet.raft.persistent))
+        trace.add(encode(fleet.view(now)), state_codec.encode_state(fleet.raft.persistent))
         trace.add(next_draws(fleet.members, fleet.raft))
     return trace
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -302,7 +302,7 @@
     )
     assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
     fleet.run(2 * S)
-    assert sum(each.engine.raft.leads for each in fleet.alive) == 1
+    assert sum(each.engine.raft.is_leader for each in fleet.alive) == 1
 
 
 def test_nothing_is_acknowledged_by_too_few_replicas():
@@ -426,7 +426,7 @@
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, (first, second) = fleet.addresses[:3], fleet.addresses[3:]
-    [leader] = [each.engine for each in fleet.alive if each.engine.raft.leads]
+    [leader] = [each.engine for each in fleet.alive if each.engine.raft.is_leader]
     observer = fleet.machines[first].engine
     assert observer.leader == leader.identity
     assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.identity for each in core)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -8,8 +8,8 @@
 import pytest
 
 from benchmarks.control.fleet import MS, Fleet, S, has_formed
-from hazelbend.consensus.messages import AppendEntries, Message, Stamp
-from hazelbend.consensus.persistent_state import PersistentState, founded_by_operator
+from hazelbend.consensus.messages import AppendEntries, Message, Timestamp
+from hazelbend.consensus.persistent_state import PersistentState, started_by_operator
 from hazelbend.consensus.voters import next_voters
 from hazelbend.control import config_state_machine
 from hazelbend.control import messages as m
@@ -74,7 +74,7 @@
         other = next(each for each in fleet.alive if each is not leader)
         partition_off(fleet, [leader.address, other.address])
         fleet.run(10 * S)
-        assert [each.engine.raft.leads for each in fleet.alive] == [False] * 4
+        assert [each.engine.raft.is_leader for each in fleet.alive] == [False] * 4
         assert all(each.engine.raft.voters == voters for each in fleet.alive)
         assert min(each.engine.raft.confirmed_age(fleet.now) for each in fleet.alive) > 8 * S
         fleet.heal()
@@ -114,10 +114,10 @@
 def test_each_incarnation_has_a_number_of_its_own():
     fleet = started(3)
     victim = fleet.alive[0]
-    before = victim.engine.raft.life
+    before = victim.engine.raft.incarnation
     fleet.kill(victim.address)
     fleet.start(victim.address)
-    assert victim.engine.raft.life != before
+    assert victim.engine.raft.incarnation != before
 
 
 def test_a_drain_is_acknowledged_only_with_a_majority():
@@ -232,7 +232,7 @@
 
 def test_a_fleet_bootstraps_once_without_a_seed_and_its_epoch_is_not_an_operators():
     fleet = started(3)
-    assert not founded_by_operator(fleet.leader.engine.raft.persistent.epoch)
+    assert not started_by_operator(fleet.leader.engine.raft.persistent.epoch)
 
 
 # --- row 6: fencing tokens rise ---
@@ -346,7 +346,7 @@
     assert fleet.run_until(lambda: leaving.engine.identity not in fleet.leader.engine.raft.voters, 600 * MS)
 
 
-def hello(identity: str, stamp: Stamp | None = None, answers: Stamp | None = None) -> m.PeerHello:
+def hello(identity: str, stamp: Timestamp | None = None, answers: Timestamp | None = None) -> m.PeerHello:
     return m.PeerHello(identity, True, (), "", False, stamp, answers)
 
 
@@ -357,12 +357,12 @@
     table.track_voters(("x@10.0.2.1:7",), 1 * S)
     for answers in (
         None,
-        Stamp(8, 5 * S),
-        Stamp(9, 900 * MS),
+        Timestamp(8, 5 * S),
+        Timestamp(9, 900 * MS),
     ):  # none, another incarnation's, one from before
         table.handle_hello(there, hello("old@10.0.2.1:7", answers=answers), 2 * S)
         assert not table.has_lost_state("x@10.0.2.1:7")
-    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Stamp(9, 1_500 * MS)), 2 * S)
+    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Timestamp(9, 1_500 * MS)), 2 * S)
     assert table.has_lost_state("x@10.0.2.1:7")
 
 
@@ -370,8 +370,8 @@
     table = PeerTable("a@10.0.1.1:7", "10.0.1.1:7", ("10.0.2.1:7",), incarnation=9, now=0)
     there = "10.0.2.1:7"
     table.track_voters(("y@10.0.2.1:7",), 0)
-    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Stamp(9, 3 * S)), 3 * S)
-    table.handle_hello(there, hello("x@10.0.2.1:7", answers=Stamp(9, 2 * S)), 4 * S)
+    table.handle_hello(there, hello("y@10.0.2.1:7", answers=Timestamp(9, 3 * S)), 3 * S)
+    table.handle_hello(there, hello("x@10.0.2.1:7", answers=Timestamp(9, 2 * S)), 4 * S)
     assert not table.has_lost_state("y@10.0.2.1:7")
 
 
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -79,29 +79,29 @@
 
 def test_a_memory_file_is_read_and_written_whole() -> None:
     content = bytes_of("memory")
-    memory, good = state_codec.read(content)
+    memory, good = state_codec.decode_state(content)
     assert good == len(content)
-    assert state_codec.whole(memory) == bytes_of("memory.whole")
-    again, _ = state_codec.read(bytes_of("memory.whole"))
-    assert state_codec.whole(again) == bytes_of("memory.whole")
+    assert state_codec.encode_state(memory) == bytes_of("memory.whole")
+    again, _ = state_codec.decode_state(bytes_of("memory.whole"))
+    assert state_codec.encode_state(again) == bytes_of("memory.whole")
 
 
 def test_frames_of_a_memory_file_are_the_same_bytes() -> None:
-    frames = state_codec.MAGIC + b"".join(map(state_codec.frame, history_parts()))
+    frames = state_codec.MAGIC + b"".join(map(state_codec.encode_frame, history_parts()))
     assert frames == bytes_of("memory")
 
 
 def test_the_torn_end_of_a_memory_file_is_cut_off(tmp_path: Path) -> None:
-    last = len(state_codec.frame(history_parts()[-1]))
+    last = len(state_codec.encode_frame(history_parts()[-1]))
     good = bytes_of("memory")[:-last]
     shutil.copy(kit.GOLDEN / "memory.torn", tmp_path / "memory")
     store = fleet_store.FleetStore(tmp_path)
     try:
         memory = store.open("@127.0.0.1:9100")
         assert memory is not None
-        assert state_codec.whole(memory) == state_codec.whole(state_codec.read(good)[0])
+        assert state_codec.encode_state(memory) == state_codec.encode_state(state_codec.decode_state(good)[0])
         assert (tmp_path / "memory").read_bytes() == good
-        store.add(state_codec.frame(history_parts()[-1]))
+        store.add(state_codec.encode_frame(history_parts()[-1]))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory")
         store.begin(bytes_of("memory.whole"))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory.whole")
@@ -116,7 +116,7 @@
     (tmp_path / "memory").write_bytes(content)
     store = fleet_store.FleetStore(tmp_path)
     try:
-        with pytest.raises(state_codec.DamagedError):
+        with pytest.raises(state_codec.CorruptStateError):
             store.open("@127.0.0.1:9100")
     finally:
         store.close()
@@ -135,7 +135,7 @@
             found = await store.open("127.0.0.1:9100")
             assert found is not None
             memory, commit = found
-            return state_codec.whole(memory), commit
+            return state_codec.encode_state(memory), commit
         finally:
             await store.close()
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -11,8 +11,8 @@
 from benchmarks.fleet_sim import play
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import AppendEntries, AppendResponse, Entry, Message
-from hazelbend.consensus.persistent_state import PersistentState, epoch_number
-from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.persistent_state import PersistentState, next_epoch
+from hazelbend.consensus.raft import RaftConfig, RaftNode
 from hazelbend.consensus.voters import next_voters
 from hazelbend.leases.client import LeaseClient, Stage
 from hazelbend.leases.expiry_watcher import ExpiryWatcher
@@ -220,52 +220,53 @@
 
 
 def record(identity: str = "a.1", memory: PersistentState | None = None, now: int = 0) -> RaftNode:
-    return RaftNode(memory or PersistentState(identity), LeaseTable(LIMITS), Timing(), 1, now)
+    return RaftNode(memory or PersistentState(identity), LeaseTable(LIMITS), RaftConfig(), 1, now)
 
 
 def test_one_voter_founds_an_epoch_and_a_lower_one_is_not_gone_back_to():
     alone = record()
     assert alone.propose(encode(OpenEpoch()), 0) is None, "nobody has founded anything"
-    alone.found(5, 0)
-    ticket = alone.propose(encode(OpenEpoch()), 0)
-    assert alone.settled and [each.ticket for each in alone.done if each.ok] == [ticket]
+    alone.force_new_cluster(5, 0)
+    proposal_id = alone.propose(encode(OpenEpoch()), 0)
+    assert alone.has_committed_in_term
+    assert [each.proposal_id for each in alone.outcomes if each.committed] == [proposal_id]
     with pytest.raises(ValueError, match="not higher"):
-        alone.found(5, 0)
-    assert alone.promise_changed and alone.unsaved == 1
-    first, second = epoch_number(0, 1.9e9, "a"), epoch_number(0, 1.9e9, "b")
+        alone.force_new_cluster(5, 0)
+    assert alone.hard_state_changed and alone.first_unsaved_index == 1
+    first, second = next_epoch(0, 1.9e9, "a"), next_epoch(0, 1.9e9, "b")
     assert max(first, second) << TOKEN_BITS < 1 << 63, "tokens fit into what is sent"
-    assert first != second and epoch_number(second, 3.0, "a") > second, "also after a step of the wall clock"
+    assert first != second and next_epoch(second, 3.0, "a") > second, "also after a step of the wall clock"
 
 
 def test_what_is_not_held_is_asked_for_and_an_old_answer_makes_no_storm():
     leader, new = record("a.1"), record("b.1")
-    leader.found(5, 0)
+    leader.force_new_cluster(5, 0)
     leader.set_learners({"b.1"}, 0)
     for _ in range(600):
         leader.propose(encode(OpenEpoch()), 0)
-    assert leader.persistent.base > 0, "what is applied goes into a snapshot"
+    assert leader.persistent.last_included_index > 0, "what is applied goes into a snapshot"
     now = 0
     for _ in range(40):
         now += 100_000
         leader.tick(now)
-        for each in leader.out:
+        for each in leader.outbox:
             new.receive(each, now)
-        leader.out.clear()
-        for each in new.out:
+        leader.outbox.clear()
+        for each in new.outbox:
             leader.receive(each, now)
-        new.out.clear()
-    assert new.commit == leader.commit and new.machine.state.is_open
-    leader.out.clear()
-    leader.peers["b.1"].match = leader.persistent.last
+        new.outbox.clear()
+    assert new.commit_index == leader.commit_index and new.state_machine.state.is_open
+    leader.outbox.clear()
+    leader.peers["b.1"].match_index = leader.persistent.last_index
     leader.receive(Message("b.1", "a.1", 5, 1, AppendResponse(False, 3, 0)), now)
-    assert leader.out == []
+    assert leader.outbox == []
 
 
 def test_a_voter_answers_only_after_its_promise_is_to_be_saved():
     """The driver saves what these name before `out` leaves; a message without them would rest on nothing."""
     voter = record("b.1")
     voter.receive(Message("a.1", "b.1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a.1", "b.1")),), 0, 1)), 0)
-    assert voter.promise_changed and voter.unsaved == 1 and voter.out
+    assert voter.hard_state_changed and voter.first_unsaved_index == 1 and voter.outbox
 
 
 @pytest.mark.parametrize(
@@ -355,7 +356,7 @@
                     by_address[address].receive(item, now)
     leads = by_address["h:0"].raft
     others = [each for each in by_address.values() if not each.raft.is_voter]
-    assert leads.leads and len(leads.voters) == 3 and len(others) == 2
+    assert leads.is_leader and len(leads.voters) == 3 and len(others) == 2
     for each in others:
         each.submit(1, Acquire("a", "x", 1, 2 * S), 60 * S)
         assert each.replies == [(1, Reply(leader=names[0]))] and each.view(60 * S).leader == names[0]
@@ -373,24 +374,24 @@
 def kept() -> tuple[bytes, PersistentState]:
     """A file of several writes, one of which takes entries back, and what it holds."""
     voter = record("b.1")
-    content = state_codec.whole(voter.persistent)
+    content = state_codec.encode_state(voter.persistent)
     entries = [Entry(term, None, bytes([term])) for term in (1, 1, 2)]
     for term, before, some in ((1, 0, entries[:2]), (2, 1, entries[2:]), (2, 2, entries[2:])):
         before_term = 0 if before == 0 else entries[0].term if before == 1 else 2
         voter.receive(
             Message("a.1", "b.1", 5, term, AppendEntries(before, before_term, tuple(some), 0, 1)), 0
         )
-        content += state_codec.changed(voter)
+        content += state_codec.encode_changes(voter)
     return content, voter.persistent
 
 
 def test_a_file_gives_back_what_was_written_and_drops_only_what_was_not_confirmed():
     content, memory = kept()
-    first = len(state_codec.whole(PersistentState("b.1")))
-    found, good = state_codec.read(content)
+    first = len(state_codec.encode_state(PersistentState("b.1")))
+    found, good = state_codec.decode_state(content)
     assert found == memory and good == len(content) and [each.term for each in found.entries] == [1, 2, 2]
-    sizes = {state_codec.read(content[:cut])[1] for cut in range(first, len(content))}
-    assert all(state_codec.read(content[:size])[1] == size for size in sizes) and len(sizes) > 3
+    sizes = {state_codec.decode_state(content[:cut])[1] for cut in range(first, len(content))}
+    assert all(state_codec.decode_state(content[:size])[1] == size for size in sizes) and len(sizes) > 3
 
 
 def test_a_changed_bit_is_never_gone_on_with():
@@ -398,8 +399,8 @@
     for place in range(len(content)):
         changed = bytearray(content)
         changed[place] ^= 0x10
-        with pytest.raises(state_codec.DamagedError):
-            state_codec.read(bytes(changed))
+        with pytest.raises(state_codec.CorruptStateError):
+            state_codec.decode_state(bytes(changed))
 
 
 def test_a_store_has_one_process_and_a_file_of_another_version_or_address_is_not_taken(tmp_path):
@@ -408,21 +409,22 @@
     with pytest.raises(OSError):
         other.open("@h:1")
     other.close()
-    store.begin(state_codec.whole(PersistentState("n@h:1", 7, 3, "n@h:1")))
-    assert store.add(state_codec.frame(state_codec.Promise("n@h:1", 7, 4, ""))) is False
+    store.begin(state_codec.encode_state(PersistentState("n@h:1", 7, 3, "n@h:1")))
+    assert store.add(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 4, ""))) is False
     store.close()
     with (tmp_path / "s" / "memory").open("ab") as file:
         file.write(b"\x07")
     again = FleetStore(tmp_path / "s")
     assert again.open("@h:1") == PersistentState("n@h:1", 7, 4, "")
-    again.add(state_codec.frame(state_codec.Promise("n@h:1", 7, 5, "")))
+    again.add(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 5, "")))
     again.close()
-    assert state_codec.read((tmp_path / "s" / "memory").read_bytes())[0].term == 5, "the torn end is gone"
+    stored, _ = state_codec.decode_state((tmp_path / "s" / "memory").read_bytes())
+    assert stored.current_term == 5, "the torn end is gone"
     moved = FleetStore(tmp_path / "s")
     assert moved.open("@h:2") is None
     moved.close()
     (tmp_path / "s" / "memory").write_bytes(b"another format")
-    with pytest.raises(state_codec.DamagedError):
+    with pytest.raises(state_codec.CorruptStateError):
         moved.open("@h:1")
     moved.close()
     assert (tmp_path / "s" / "memory.damaged").read_bytes() == b"another format"
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,13 +6,15 @@
 
 import pytest
 
-from hazelbend.consensus.messages import AppendEntries, InstallSnapshot, Message, Piece
-from hazelbend.consensus.persistent_state import PersistentState, epoch_number
-from hazelbend.consensus.raft import RaftNode, Timing
+from hazelbend.consensus.messages import AppendEntries, Chunk, InstallSnapshot, Message
+from hazelbend.consensus.persistent_state import PersistentState, next_epoch
+from hazelbend.consensus.raft import RaftConfig, RaftNode
 from hazelbend.consensus.replication import BATCH_BYTES, PIECE_BYTES
 
 MS, S = 1_000, 1_000_000
-TIMING = Timing(heartbeat=100 * MS, election=500 * MS, batch=32, kept=48)
+CONFIG = RaftConfig(
+    heartbeat_us=100 * MS, election_timeout_us=500 * MS, max_batch_entries=32, snapshot_after_entries=48
+)
 
 
 class LastValue:
@@ -48,17 +50,19 @@
         self._free_at: dict[tuple[str, str], int] = {}
         for number, name in enumerate("abc"):
             memory = PersistentState(name, 256, 1, "", 1, 1, ("a", "b", "c"), b"")
-            self.records[name] = RaftNode(memory, LastValue(), TIMING, number + 1, 0)
+            self.records[name] = RaftNode(memory, LastValue(), CONFIG, number + 1, 0)
 
     @property
     def leader(self) -> RaftNode | None:
-        leading = [each for name, each in self.records.items() if each.settled and name not in self.cut]
-        return max(leading, key=lambda each: each.persistent.term, default=None)
+        leading = [
+            each for name, each in self.records.items() if each.has_committed_in_term and name not in self.cut
+        ]
+        return max(leading, key=lambda each: each.persistent.current_term, default=None)
 
     def restart(self, name: str) -> None:
         before = self.records[name]
-        self.records[name] = RaftNode(before.persistent, LastValue(), TIMING, 77, self.now)
-        self.records[name].restore_commit(before.commit, self.now)
+        self.records[name] = RaftNode(before.persistent, LastValue(), CONFIG, 77, self.now)
+        self.records[name].restore_commit_index(before.commit_index, self.now)
 
     def run(self, duration: int, step: int = 1 * MS) -> None:
         end = self.now + duration
@@ -70,16 +74,16 @@
                 if message.to not in self.cut and message.sender not in self.cut:
                     self.records[message.to].receive(message, self.now)
             for record in self.records.values():
-                if self.now >= record.due:
+                if self.now >= record.next_tick_at:
                     record.tick(self.now)
                 self._carry(record)
 
     def _carry(self, record: RaftNode) -> None:
-        out, record.out = record.out, []
+        out, record.outbox = record.outbox, []
         for message in out:
             body = message.body
-            size = sum(len(each.op) for each in body.entries) if isinstance(body, AppendEntries) else 0
-            size += len(body.data) if isinstance(body, Piece) else 0
+            size = sum(len(each.operation) for each in body.entries) if isinstance(body, AppendEntries) else 0
+            size += len(body.data) if isinstance(body, Chunk) else 0
             self.largest[type(body)] = max(self.largest.get(type(body), 0), size)
             self.sent += size
             link = (message.sender, message.to)
@@ -109,37 +113,40 @@
     up in the time of the bytes that are kept, nobody else leads meanwhile, and no message is large."""
     group = Group(bytes_per_s=625_000)
     leader = led(group)
-    lost = next(name for name in group.records if name != leader.me)
+    lost = next(name for name in group.records if name != leader.identity)
     group.cut.add(lost)
     chance = random.Random(1)
     for _ in range(changes):
         leader.propose(chance.randbytes(size), group.now)
-        assert group.until(lambda: leader.commit == leader.persistent.last, 60 * S)
+        assert group.until(lambda: leader.commit_index == leader.persistent.last_index, 60 * S)
     group.cut.clear()
-    term, kept = leader.persistent.term, sum(len(each.op) for each in leader.persistent.entries)
-    state = len(leader.persistent.base_state)
+    term = leader.persistent.current_term
+    kept = sum(len(each.operation) for each in leader.persistent.entries)
+    state = len(leader.persistent.snapshot_state)
     needed = (kept + state) / 625_000 * S
-    assert group.until(lambda: group.records[lost].commit == leader.commit, round(2 * needed) + 4 * S)
-    assert (leader.leads, leader.persistent.term) == (True, term)
+    assert group.until(
+        lambda: group.records[lost].commit_index == leader.commit_index, round(2 * needed) + 4 * S
+    )
+    assert (leader.is_leader, leader.persistent.current_term) == (True, term)
     assert max(group.largest.values()) <= max(BATCH_BYTES, PIECE_BYTES)
-    assert kept <= TIMING.kept_bytes + size and InstallSnapshot not in group.largest
+    assert kept <= CONFIG.snapshot_after_bytes + size and InstallSnapshot not in group.largest
 
 
 def test_a_replica_that_starts_again_within_a_transfer_is_sent_it_anew():
     group = Group(bytes_per_s=625_000)
     leader = led(group)
-    other = next(name for name in group.records if name != leader.me)
+    other = next(name for name in group.records if name != leader.identity)
     leader.propose(b"x" * 1_000_000, group.now)
     group.run(600 * MS)
     assert leader.peers[other].transfer.offset > 0
     group.restart(other)
-    assert group.until(lambda: group.records[other].commit == leader.persistent.last, 10 * S)
+    assert group.until(lambda: group.records[other].commit_index == leader.persistent.last_index, 10 * S)
 
 
 def test_entries_that_no_majority_takes_are_bounded_by_their_bytes():
     group = Group()
     leader = led(group)
-    group.cut |= set(group.records) - {leader.me}
+    group.cut |= set(group.records) - {leader.identity}
     taken = [leader.propose(b"x" * 4_000_000, group.now) for _ in range(8)]
     assert sum(each is not None for each in taken) == 3
 
@@ -154,7 +161,7 @@
     for record in group.records.values():
         age = record.confirmed_age(group.now)
         assert age is not None and age < 450 * MS
-    cut = next(name for name in group.records if name != leader.me)
+    cut = next(name for name in group.records if name != leader.identity)
     group.cut.add(cut)
     group.run(20 * S)
     assert group.records[cut].confirmed_age(group.now) > 19 * S
@@ -164,21 +171,21 @@
 def test_a_leader_that_is_cut_off_is_not_confirmed_and_steps_down():
     group = Group()
     old = led(group)
-    group.cut.add(old.me)
+    group.cut.add(old.identity)
     group.run(900 * MS)
     assert old.confirmed_age(group.now) > 700 * MS
     group.run(600 * MS)
-    assert not old.leads
+    assert not old.is_leader
 
 
 def test_a_confirmation_of_an_earlier_life_counts_for_nothing():
     group = Group()
     leader = led(group)
     group.run(1 * S)
-    other = next(name for name in group.records if name != leader.me)
+    other = next(name for name in group.records if name != leader.identity)
     late = Message(
-        leader.me, other, 256, leader.persistent.term,
-        AppendEntries(0, 0, (), leader.commit, leader.round, leader.peers[other].confirmed),
+        leader.identity, other, 256, leader.persistent.current_term,
+        AppendEntries(0, 0, (), leader.commit_index, leader.round, leader.peers[other].confirmed_timestamp),
     )  # fmt: skip
     group.restart(other)
     group.records[other].receive(late, group.now)
@@ -189,10 +196,14 @@
     group = Group()
     leader = led(group)
     group.run(1 * S)
-    other = group.records[next(name for name in group.records if name != leader.me)]
+    other = group.records[next(name for name in group.records if name != leader.identity)]
     before = other.confirmed_at
-    ahead = AppendEntries(0, 0, (), other.commit + 1, leader.round, leader.peers[other.me].confirmed)
-    other.receive(Message(leader.me, other.me, 256, leader.persistent.term, ahead), group.now)
+    ahead = AppendEntries(
+        0, 0, (), other.commit_index + 1, leader.round, leader.peers[other.identity].confirmed_timestamp
+    )
+    other.receive(
+        Message(leader.identity, other.identity, 256, leader.persistent.current_term, ahead), group.now
+    )
     assert other.confirmed_at == before
 
 
@@ -202,11 +213,11 @@
 def test_a_list_is_changed_only_while_a_majority_confirms_the_leader():
     group = Group()
     leader = led(group)
-    gone = next(name for name in leader.voters if name != leader.me)
+    gone = next(name for name in leader.voters if name != leader.identity)
     fewer = tuple(each for each in leader.voters if each != gone)
-    group.cut |= set(group.records) - {leader.me}
+    group.cut |= set(group.records) - {leader.identity}
     group.run(300 * MS)
-    assert leader.leads and not leader.change_voters(fewer, group.now)
+    assert leader.is_leader and not leader.change_voters(fewer, group.now)
     group.cut.clear()
     group.run(300 * MS)
     assert leader.change_voters(fewer, group.now)
@@ -216,15 +227,15 @@
     group = Group()
     leader = led(group)
     group.run(300 * MS)
-    erased = next(name for name in leader.voters if name != leader.me)
-    group.records["d"] = RaftNode(PersistentState("d", 256), LastValue(), TIMING, 9, group.now)
+    erased = next(name for name in leader.voters if name != leader.identity)
+    group.records["d"] = RaftNode(PersistentState("d", 256), LastValue(), CONFIG, 9, group.now)
     replaced = tuple(sorted({*leader.voters, "d"} - {erased}))
     leader.set_learners({"d"}, group.now)
     group.run(500 * MS)
     assert not leader.change_voters(replaced, group.now)
     assert leader.change_voters(replaced, group.now, frozenset({erased}))
     group.run(200 * MS)
-    assert leader.persistent.voters_at(leader.commit) == replaced
+    assert leader.persistent.voters_at(leader.commit_index) == replaced
 
 
 # --- epochs ---
@@ -235,18 +246,18 @@
     leader = led(group)
     leader.propose(b"op", group.now)
     group.run(300 * MS)
-    first = epoch_number(256, 5_000.0, "x", by_operator=False)
-    word = epoch_number(256, 5_000.0, "x")
-    other = group.records[next(name for name in group.records if name != leader.me)]
+    first = next_epoch(256, 5_000.0, "x", by_operator=False)
+    word = next_epoch(256, 5_000.0, "x")
+    other = group.records[next(name for name in group.records if name != leader.identity)]
     for epoch, followed in ((first, False), (word, True)):
         heartbeat = AppendEntries(0, 0, (), 0, 1)
-        other.receive(Message("x", other.me, epoch, 1, heartbeat), group.now)
+        other.receive(Message("x", other.identity, epoch, 1, heartbeat), group.now)
         assert (other.persistent.epoch == epoch) is followed
-        assert (other.foreign_epoch == epoch) is not followed
+        assert (other.conflicting_epoch == epoch) is not followed
 
 
 def test_an_empty_record_follows_the_first_epoch_that_it_hears_of():
-    record = RaftNode(PersistentState("a"), LastValue(), TIMING, 1, 0)
-    epoch = epoch_number(0, 5_000.0, "x", by_operator=False)
+    record = RaftNode(PersistentState("a"), LastValue(), CONFIG, 1, 0)
+    epoch = next_epoch(0, 5_000.0, "x", by_operator=False)
     record.receive(Message("x", "a", epoch, 1, AppendEntries(0, 0, (), 0, 1)), 0)
     assert record.persistent.epoch == epoch
--- a/tests/test_system_sockets.py
+++ b/tests/test_system_sockets.py
@@ -25,7 +25,7 @@
 
 
 def memory(identity: str = "a@10.0.0.1:7", entries: int = 3) -> PersistentState:
-    made = PersistentState(identity, epoch=5, term=2, vote="b")
+    made = PersistentState(identity, epoch=5, current_term=2, voted_for="b")
     made.entries = [Entry(1, ("a", "b") if n == 0 else None, b"op%d" % n) for n in range(entries)]
     return made
 
@@ -33,7 +33,7 @@
 async def test_a_memory_is_found_again_as_it_was(tmp_path):
     store = ControlStore(tmp_path / "new" / "folder")
     assert await store.open("10.0.0.1:7") is None
-    await store.save(state_codec.whole_parts(memory()), 2)
+    await store.save(state_codec.state_records(memory()), 2)
     await store.close()
     again = ControlStore(tmp_path / "new" / "folder")
     assert await again.open("10.0.0.1:7") == (memory(), 2)
@@ -43,7 +43,7 @@
 async def test_the_memory_of_another_address_is_not_taken(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.whole_parts(memory()), 0)
+    await store.save(state_codec.state_records(memory()), 0)
     assert await store.open("10.0.0.2:7") is None
     await store.close()
 
@@ -51,27 +51,27 @@
 async def test_later_parts_take_the_place_of_earlier_ones_and_another_epoch_begins_with_nothing(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.whole_parts(memory()), 0)
-    await store.save([state_codec.Entries(2, (Entry(2, None, b"new"),))], 1)
+    await store.save(state_codec.state_records(memory()), 0)
+    await store.save([state_codec.LogEntries(2, (Entry(2, None, b"new"),))], 1)
     found, commit = await store.open("10.0.0.1:7")
-    assert [each.op for each in found.entries] == [b"op0", b"new"] and commit == 1
-    await store.save([state_codec.Base(2, 2, ("a",), b"state")], 2)
+    assert [each.operation for each in found.entries] == [b"op0", b"new"] and commit == 1
+    await store.save([state_codec.Snapshot(2, 2, ("a",), b"state")], 2)
     found, _ = await store.open("10.0.0.1:7")
-    assert (found.base, found.base_state, found.entries) == (2, b"state", [])
-    await store.save([state_codec.Promise("a@10.0.0.1:7", 6, 0, "")], 0)
+    assert (found.last_included_index, found.snapshot_state, found.entries) == (2, b"state", [])
+    await store.save([state_codec.HardState("a@10.0.0.1:7", 6, 0, "")], 0)
     found, _ = await store.open("10.0.0.1:7")
-    assert (found.epoch, found.base, found.entries) == (6, 0, [])
+    assert (found.epoch, found.last_included_index, found.entries) == (6, 0, [])
     await store.close()
 
 
 async def test_a_save_that_fails_changes_nothing_and_the_next_one_works(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.whole_parts(memory()), 1)
+    await store.save(state_codec.state_records(memory()), 1)
     with pytest.raises((sqlite3.Error, AttributeError, TypeError)):
-        await store.save([state_codec.Entries(1, (Entry(9, None, b"x"),)), None], 9)
+        await store.save([state_codec.LogEntries(1, (Entry(9, None, b"x"),)), None], 9)
     assert await store.open("10.0.0.1:7") == (memory(), 1)
-    await store.save([state_codec.Entries(4, (Entry(2, None, b"x"),))], 3)
+    await store.save([state_codec.LogEntries(4, (Entry(2, None, b"x"),))], 3)
     found, _ = await store.open("10.0.0.1:7")
     assert len(found.entries) == 4
     await store.close()
@@ -80,12 +80,12 @@
 async def test_what_was_not_committed_when_the_process_died_is_not_there(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.whole_parts(memory()), 1)
+    await store.save(state_codec.state_records(memory()), 1)
     await store.close()
     log = tmp_path / (DATABASE + "-wal")
     other = ControlStore(tmp_path)
     await other.open("10.0.0.1:7")
-    await other.save([state_codec.Entries(4, (Entry(2, None, b"x" * 9_000),))], 2)
+    await other.save([state_codec.LogEntries(4, (Entry(2, None, b"x" * 9_000),))], 2)
     content = log.read_bytes()
     copy = tmp_path / "after"
     copy.mkdir()
@@ -103,7 +103,7 @@
     store = ControlStore(tmp_path)
     assert await store.open("10.0.0.1:7") is None
     assert (tmp_path / DAMAGED).exists()
-    await store.save(state_codec.whole_parts(memory()), 0)
+    await store.save(state_codec.state_records(memory()), 0)
     await store.close()
 
 
