--- a/hazelbend/control/__init__.py
+++ b/hazelbend/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's engines: configuration, workers, and the agreement between control processes."""
+"""The control plane's sans-I/O engines: configuration, workers, and consensus between control processes."""
