--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -15,6 +15,7 @@
 import random
 import time
 from collections.abc import Callable
+from functools import partial
 
 import msgspec
 
@@ -110,7 +111,7 @@
             self.bytes += len(self.encoder.encode(packet))
             to = address_of(packet.to) or packet.to
             if not self.is_cut(address_of(packet.sender), to) and self.random.random() >= self.loss:
-                self.at(self.random.expovariate(1 / 3_000), lambda packet=packet: self._arrive(packet))
+                self.at(self.random.expovariate(1 / 3_000), partial(self._arrive, packet))
         member.outbox.clear()
         for change in member.table.status_changes:
             if change.status is MemberStatus.DEAD:
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -285,4 +285,5 @@
                     return each
             return None
 
-        return wait_for(known)
+        leader: Machine = wait_for(known)
+        return leader
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -21,6 +21,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import cast
 
 from benchmarks.fleet_defects import Careless, Forgetful, Hasty, Rash, forget_the_wait
 from benchmarks.fleet_history import Call, linearizable
@@ -32,7 +33,7 @@
 from hazelbend.leases.client import LeaseClient, LeaseRequest, Stage
 from hazelbend.leases.expiry_watcher import ExpiryWatcher
 from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
-from hazelbend.leases.operations import Acquire, LeaseResponse, Operation, encode
+from hazelbend.leases.operations import Acquire, LeaseResponse, OpenEpoch, Operation, encode
 
 S = 1_000_000  # microseconds
 LIMITS = LeaseLimits(min_ttl_us=S, max_ttl_us=3 * S, max_clock_drift=0.05)
@@ -320,7 +321,7 @@
         token = response.token or getattr(operation, "token", 0)
         kinds = {"released": "released", "lost": "ended", "free": "ended"}
         kind = "held" if response.token else kinds.get(response.reason)
-        if kind is not None and token:
+        if kind is not None and token and not isinstance(operation, OpenEpoch):
             self.history[operation.name].append(Call(start, self.now, kind, token))
 
     def _tend(self) -> None:
@@ -545,6 +546,10 @@
     }
 
 
+def _ignore(ok: bool, result: object) -> None:
+    """Nobody waits for this answer any more."""
+
+
 def _one(task: tuple[int, int, float, str]) -> dict[str, object]:
     return play(*task)
 
@@ -567,7 +572,7 @@
     began, after = time.monotonic(), 0
     with multiprocessing.Pool(args.jobs) as pool:
         for number, each in enumerate(pool.imap(_one, tasks, chunksize=4), 1):
-            faults.update(each["faults"])  # type: ignore[arg-type]
+            faults.update(cast(Counter[str], each["faults"]))
             total.update(
                 {key: value for key, value in each.items() if isinstance(value, int) and key != "seed"}
             )
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -10,6 +10,7 @@
 import statistics
 from collections import Counter
 from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
 from benchmarks.quota_sim import QuotaSimulation, S, Scenario
@@ -80,18 +81,19 @@
         super().__init__(seed, scenario)
         self.received = [dict[int, Counter[str]]() for _ in self.machines]
         for index in range(len(self.machines)):
-            self.at(self.random.randrange(GOSSIP_INTERVAL_US), lambda index=index: self.send_counts(index))
+            self.at(self.random.randrange(GOSSIP_INTERVAL_US), partial(self.send_counts, index))
 
     def send_counts(self, index: int) -> None:
         counts = Counter(self.own[index])
         for other in range(len(self.machines)):
             if other != index:
                 self.counts["messages"] += 1
-                self.at(
-                    self.now + self.delay(), lambda other=other: self.received[other].update({index: counts})
-                )
+                self.at(self.now + self.delay(), partial(self.receive_counts, other, index, counts))
         self.at(self.now + GOSSIP_INTERVAL_US, lambda: self.send_counts(index))
 
+    def receive_counts(self, index: int, sender: int, counts: Counter[str]) -> None:
+        self.received[index][sender] = counts
+
     def job_arrives(self, account: str) -> None:
         index = self._next_arrival(account)
         others = sum(counts[account] for counts in self.received[index].values())
--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -20,6 +20,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 from hazelbend.leases.time_bounds import NEVER
@@ -135,9 +136,9 @@
 
     def run(self, until: int) -> None:
         for account in self.leaves:
-            self.at(0, lambda name=account.name: self.job_arrives(name))
+            self.at(0, partial(self.job_arrives, account.name))
         for index in range(len(self.machines)):
-            self.at(0, lambda index=index: self.pump(index))
+            self.at(0, partial(self.pump, index))
         self.at(0, self.lead)
         if self.scenario.faults:
             self.at(self.random.randrange(2 * S), self.fault)
--- a/benchmarks/router_latency.py
+++ b/benchmarks/router_latency.py
@@ -67,7 +67,8 @@
 def _configuration() -> dict[str, object]:
     routes = [*CONFIGURATION["routes"], ROUTE]
     services = [*CONFIGURATION["services"], {"name": "echo"}]
-    return CONFIGURATION | {"version": 2, "routes": routes, "services": services}
+    updated: dict[str, object] = CONFIGURATION | {"version": 2, "routes": routes, "services": services}
+    return updated
 
 
 async def _measure(worker: str, calls: int) -> tuple[dict[str, float], dict[str, float]]:
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -19,6 +19,7 @@
 import time
 from collections import Counter, defaultdict
 from pathlib import Path
+from typing import Any
 
 from benchmarks import cpu_per_job
 from hazelbend.waiting.engine import Engine
@@ -95,7 +96,7 @@
     sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
     from site_kit import STOMP, FakeStompClient, site
 
-    lanes = [
+    lanes: list[dict[str, Any]] = [
         {"name": "station-detail", "deadline_us": 3_000_000, "objective_us": 300_000,
          "semantics": "read_like"},
         {"name": "nearby", "deadline_us": 5_000_000, "objective_us": 2_000_000, "semantics": "read_like",
@@ -107,7 +108,9 @@
     if rule != "first come, first served":
         text += f"[admission]\n{RULES[rule]}\n"
     (folder / "waiting.toml").write_text(text)
-    drawn, waits, counts = random.Random(7), defaultdict(list), Counter()
+    drawn = random.Random(7)
+    waits: defaultdict[str, list[float]] = defaultdict(list)
+    counts: Counter[tuple[object, str]] = Counter()
     async with site(folder, toys=4, stomp=STOMP, lanes=lanes, tick_us=4_000) as (app, _):
         loop, tasks = asyncio.get_running_loop(), set()
 
