--- a/hazelbend/benchlink/instances.py
+++ b/hazelbend/benchlink/instances.py
@@ -4,7 +4,7 @@
 
 from hazelbend.benchlink.errors import InstanceFailedError, MalformedInputError
 from hazelbend.benchlink.messages import Configure, Kill, Message
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Action
 
 
--- a/hazelbend/decisions/fleet_plan.py
+++ b/hazelbend/decisions/fleet_plan.py
@@ -27,7 +27,7 @@
 from math import exp
 from typing import TYPE_CHECKING
 
-from hazelbend.decisions.formulas import key_rank
+from hazelbend.decisions.rendezvous import key_rank
 
 if TYPE_CHECKING:
     from hazelbend.decisions.interface import Settings
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -12,21 +12,23 @@
 from math import isfinite
 from typing import Any
 
-from hazelbend.decisions.brain import K_MAX, LAST_BACKOFF, Dispatcher, expected_jobs
+from hazelbend.decisions.dispatcher import Dispatcher
+from hazelbend.decisions.health import MAX_BACKOFF_US
+from hazelbend.decisions.job_count import MAX_JOB_COUNT, expected_jobs
 from hazelbend.decisions.reliability import FailureEstimate
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import ColdAttempt, Worker
 
-# Attributes by their stored keys.
+# Attributes of the load model and of workers, by their stored keys.
 MEANS = {
     "work": "work",
     "width": "width",
-    "runs_with": "runs_with",
-    "runs_without": "runs_without",
+    "runs_with": "cached_run_ratio",
+    "runs_without": "fetch_run_ratio",
     "rates": "rates",
     "weights": "weights",
-    "slowness": "slowness",
-    "erring": "erring",
+    "slowness": "run_ratio",
+    "erring": "error_time",
 }
 WORKER_NUMBERS = {
     "slots": "slots",
@@ -47,12 +49,12 @@
 def export_state(dispatcher: Dispatcher, now: int) -> dict[str, Any]:
     """Return all that the next process can use, as plain values."""
     return {
-        "means": {key: _export_mean(getattr(dispatcher, name)) for key, name in MEANS.items()},
+        "means": {key: _export_mean(getattr(dispatcher.load_model, name)) for key, name in MEANS.items()},
         "share": _export_mean(dispatcher.slow_start.own_traffic),
-        "runs": [_export_mean(mean) for mean in dispatcher.runs],
-        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.usuals.items()],
-        "paces": [[kind, _export_mean(mean)] for kind, mean in dispatcher.paces.items()],
-        "misses": dispatcher.lag.errors,
+        "runs": [_export_mean(mean) for mean in dispatcher.load_model.run_times],
+        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.usual_levels.items()],
+        "paces": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.kind_run_ratios.items()],
+        "misses": dispatcher.load_model.report_lag.errors,
         "part": dispatcher.slow_start.share,
         "workers": [_export_worker(number, worker, now) for number, worker in dispatcher.workers.items()],
     }
@@ -62,7 +64,7 @@
     return {
         "worker": number,
         "started_at": worker.entry.started_at,
-        "others": min(round(expected_jobs(worker, now, worker.rate)), K_MAX),
+        "others": min(round(expected_jobs(worker, now, worker.rate)), MAX_JOB_COUNT),
         "keys": list(worker.cached_keys),
         "spent": [(attempt.at, attempt.cost) for attempt in worker.cold_attempts],
         "ratio": _export_mean(worker.run_time_ratio),
@@ -98,14 +100,15 @@
         ]
     except (KeyError, TypeError, OverflowError) as error:
         raise ValueError(f"no memory of a dispatcher: {error!r}") from None
-    if len(runs) != len(dispatcher.runs) or len(lag_errors) != len(dispatcher.lag.errors):
+    model = dispatcher.load_model
+    if len(runs) != len(model.run_times) or len(lag_errors) != len(model.report_lag.errors):
         raise ValueError("the memory of a dispatcher of another kind")
     for name, mean in means.items():
-        setattr(dispatcher, name, mean)
-    dispatcher.runs = runs
-    dispatcher.usuals = usuals
-    dispatcher.paces = paces
-    dispatcher.lag.errors = lag_errors
+        setattr(model, name, mean)
+    model.run_times = runs
+    model.usual_levels = usuals
+    model.kind_run_ratios = paces
+    model.report_lag.errors = lag_errors
     dispatcher.slow_start.own_traffic = own_traffic
     dispatcher.slow_start.share = share
     for worker, attributes in workers:
@@ -127,8 +130,8 @@
         raise ValueError("a worker without a rate")
     found["rated_at"] = min(found["rated_at"], now)
     found["heard_at"] = min(found["heard_at"], now)
-    found["backoff_until"] = min(found["backoff_until"], now + 2 * LAST_BACKOFF)
-    found["backoff"] = min(found["backoff"], LAST_BACKOFF)
+    found["backoff_until"] = min(found["backoff_until"], now + 2 * MAX_BACKOFF_US)
+    found["backoff"] = min(found["backoff"], MAX_BACKOFF_US)
     found["peer_jobs"] = int(_number(values["others"]))
     found["peer_jobs_at"] = now
     found["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
--- /dev/null
+++ b/hazelbend/decisions/probing.py
@@ -0,0 +1,136 @@
+"""Which workers to probe for a load report, and when. A probe costs a part of the result."""
+
+from __future__ import annotations
+
+import random
+from heapq import nsmallest
+
+from hazelbend.decisions.health import MAX_OVERTAKEN, PAUSE_US
+from hazelbend.decisions.interface import Settings
+from hazelbend.decisions.load_model import LoadModel, has_reports_of_large_fleet
+from hazelbend.decisions.membership import Membership
+from hazelbend.decisions.request import Attempt, Request
+from hazelbend.decisions.selection import WorkerSelector, by_score
+from hazelbend.decisions.worker import Worker
+
+MAX_PROBES = 2  # for a request
+SAMPLE_SIZE = 8  # workers that a selection with probes is among: with more all dispatchers select alike
+PROBE_WAIT_FRACTION = 0.1  # of a mean job that a request waits for probes: reports are worth no more
+# Parts of the result that may be spent on probes.
+REQUEST_SPENDING = 0.01  # for requests, where probes are the only reports
+LARGE_FLEET_SPENDING = 0.004  # for requests, in a large fleet with reports in answers
+REFRESH_SPENDING = 0.002  # to refresh old reports, in a large fleet
+# Reports that are old.
+OLD_REPORT_US = 1_000_000
+OLD_CANDIDATE_REPORT_US = 400_000  # of workers that a selection is about to go by
+
+
+class Prober:
+    """Chooses the workers to be probed. Times in microseconds."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        membership: Membership,
+        load_model: LoadModel,
+        selector: WorkerSelector,
+        rng: random.Random,
+    ) -> None:
+        """Choose from `membership`; `rng` draws samples."""
+        self._membership = membership
+        self._load_model = load_model
+        self._selector = selector
+        self._random = rng
+        self.refresh_budget = 0.0  # probes that may be sent to refresh old reports
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take new settings: what probes cost, and what they are for."""
+        self._settings = settings
+        charge = settings.probe_charge
+        self.refreshes_reports = has_reports_of_large_fleet(settings)
+        self._refreshes_per_request = 0.0
+        spending = 0.0
+        if self.refreshes_reports:
+            self._refreshes_per_request = REFRESH_SPENDING / max(charge, REFRESH_SPENDING)
+            spending = LARGE_FLEET_SPENDING
+        if settings.probes_allowed and settings.reports_by_probe:
+            spending = REQUEST_SPENDING
+        self._probes_per_request = min(MAX_PROBES, int(spending / max(charge, 1e-6)))
+
+    # --- probes for a request ---
+
+    def request_wait(self, request: Request, now: int) -> int | None:
+        """Return how long the request is to wait for probes; None where it is not to wait."""
+        wait = round(self._load_model.work.value * PROBE_WAIT_FRACTION)
+        if not self._probes_per_request or request.deadline - now < 2 * wait:
+            return None
+        return wait
+
+    def choose_for(self, request: Request, now: int) -> list[Worker]:
+        """Choose the candidates of a request; return those of them whose reports it is to wait for.
+
+        Without this the worker with the least of many old estimates is selected, which is the one whose
+        estimate is most often wrong.
+        """
+        eligible = self._selector.eligible(request, self._membership.ready, now)
+        if self._settings.reports_inline:
+            return self._choose_best(request, eligible, now)
+        return self._choose_sample(request, eligible, now)
+
+    def _choose_best(self, request: Request, eligible: list[Worker], now: int) -> list[Worker]:
+        rows = self._selector.options(request, eligible, now)
+        best = nsmallest(self._probes_per_request + 1, rows, key=by_score)
+        request.candidates = [row[-1] for row in best]
+        old = [worker for worker in request.candidates if now > worker.reported_at + OLD_CANDIDATE_REPORT_US]
+        return old[: self._probes_per_request]
+
+    def _choose_sample(self, request: Request, eligible: list[Worker], now: int) -> list[Worker]:
+        closes_at = now - self._settings.keepalive  # connections idle since then are closed
+        cheap = [
+            worker
+            for worker in eligible
+            if worker.connection_idle_at > closes_at
+            and not worker.attempts
+            and worker.entry.zone == self._settings.zone
+        ]
+        cold = [worker for worker in eligible if worker.lottery_number]
+        drawn: list[Worker] = []
+        for workers, size in ((cheap, SAMPLE_SIZE // 2), (eligible, SAMPLE_SIZE), (cold, SAMPLE_SIZE)):
+            drawn += self._random.sample(workers, min(size, len(workers)))
+        rows = self._selector.options(request, list(dict.fromkeys(drawn)), now)
+        request.candidates = [row[-1] for row in nsmallest(SAMPLE_SIZE, rows, key=by_score)]
+        # A worker that has answered since would hardly report anything else.
+        fresh = now - self._load_model.report_period.period / 2
+        best = request.candidates[: self._probes_per_request]
+        return [worker for worker in best if worker.reported_at < fresh]
+
+    # --- probes in a large fleet ---
+
+    def count_arrival(self) -> None:
+        """Earn the budget of a request that has arrived."""
+        budget = self.refresh_budget + self._refreshes_per_request
+        self.refresh_budget = min(budget, 2.0 * len(self._membership.workers))
+
+    def take_old_reports(self, now: int) -> list[Worker]:
+        """Return the workers whose reports are to be refreshed, as far as the budget goes.
+
+        In a large fleet own answers bring few reports: a worker that is sent nothing would keep seeming full.
+        """
+        chosen = []
+        for worker in self._membership.ready:
+            is_old = now - max(worker.reported_at, worker.probed_at) > OLD_REPORT_US
+            if is_old and worker.backoff_until <= now and self.refresh_budget >= 1:
+                self.refresh_budget -= 1
+                chosen.append(worker)
+        return chosen
+
+    def explains_silence(self, attempt: Attempt) -> bool:
+        """Whether a silent worker may just be full of peers' jobs, so that a probe is to tell."""
+        is_lost = bool(attempt.started_at) or attempt.overtaken_by >= MAX_OVERTAKEN
+        return self.refreshes_reports and not is_lost
+
+    @staticmethod
+    def awaits_answer(worker: Worker, now: int) -> bool:
+        """Whether a worker that was probed may still answer."""
+        return now <= worker.probed_at + PAUSE_US
--- /dev/null
+++ b/hazelbend/decisions/selection.py
@@ -0,0 +1,136 @@
+"""Selects the worker for a request: the least (E[N] + 1) / mu, plus the delays that other costs are worth."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+from dataclasses import dataclass
+from operator import attrgetter, itemgetter
+from typing import TypeAlias
+
+from hazelbend.decisions.fleet_plan import FleetPlan, preference_order
+from hazelbend.decisions.interface import Effect, Group, RequestId, Settings
+from hazelbend.decisions.job_count import expected_jobs
+from hazelbend.decisions.load_model import LoadModel
+from hazelbend.decisions.membership import Membership
+from hazelbend.decisions.request import Request
+from hazelbend.decisions.slow_start import SlowStart
+from hazelbend.decisions.worker import Worker
+
+RATE_LIFETIME_US = 2_000_000  # after which a rate is computed anew: it costs CPU time and changes slowly
+PLAN_CHOICES = 4  # workers drawn by the plan, of which the best one is selected: with more all select alike
+
+# The fields of an `Option`. A plain tuple is cheaper to make, and one is made for each worker.
+OptionRow: TypeAlias = tuple[float, float, float, Worker]
+by_score = itemgetter(0)
+
+
+@dataclass(slots=True)
+class Option:
+    """A worker that a request may be sent to. Times in microseconds."""
+
+    score: float  # the delay with all costs; the least is selected
+    delay: float  # expected delay
+    run_time: float  # of a mean job there
+    worker: Worker
+
+
+class WorkerSelector:
+    """Selection by Shortest Expected Delay (SED_e of Hyytia and Righter). Times in microseconds."""
+
+    def __init__(
+        self,
+        membership: Membership,
+        load_model: LoadModel,
+        slow_start: SlowStart,
+        plan: FleetPlan,
+        requests: dict[RequestId, Request],
+        rng: random.Random,
+    ) -> None:
+        """Select from `membership`; `requests` are the open ones, `rng` is for ties and for the plan."""
+        self._membership = membership
+        self._load_model = load_model
+        self._slow_start = slow_start
+        self._plan = plan
+        self._requests = requests
+        self._random = rng
+        self.started_at = -1  # when the dispatcher started
+
+    def select(self, request: Request, now: int) -> Option | None:
+        """Select from the request's candidates, or from all ready workers; None where none is eligible."""
+        workers = self.eligible(request, request.candidates or self._membership.ready, now)
+        request.candidates = []
+        if self._load_model.uses_plan and workers:
+            if self._random.random() < self._plan.unassigned:
+                return None
+            weights = self._plan.weights(request.key, workers)
+            workers = self._random.choices(workers, weights, k=PLAN_CHOICES)
+        first = self._random.randrange(len(workers) or 1)  # of equals not always the same one
+        rows = self.options(request, workers[first:] + workers[:first], now)
+        best = min(rows, key=by_score, default=None)
+        return None if best is None else Option(*best)
+
+    def eligible(self, request: Request, workers: Iterable[Worker], now: int) -> list[Worker]:
+        """Return those of these workers that the request may be sent to."""
+        job = request.job
+        ready = self._membership.ready
+        tried = {attempt.worker for attempt in request.attempts}
+        healthy = [worker for worker in workers if worker.backoff_until <= now and worker in ready]
+        found = [worker for worker in healthy if self._slow_start.may_use(worker) and worker not in tried]
+        found = [worker for worker in found if job.machine_kind in (-1, worker.entry.machine_kind)]
+        if job.effect is Effect.KEYED and job.group is not Group.ALL:
+            first = request.first_possible_run
+            if first is not None:
+                # A retry may only go where the worker of the first attempt shares its keys.
+                group = attrgetter("entry.zone" if job.group is Group.ZONE else "entry.cell")
+                found = [worker for worker in found if group(worker) == group(first.worker)]
+        return found
+
+    def options(self, request: Request, workers: list[Worker], now: int) -> list[OptionRow]:
+        """Return the options for a request, as rows; a cold worker without budget left has none."""
+        model = self._load_model
+        settings = model.settings
+        uses_plan = model.uses_plan
+        job = request.job
+        # About the delay that is worth as much as the whole value.
+        full_value = (job.objective + job.stretch * request.work) * (1 + job.late_worth)
+        key_order = preference_order(request.key, workers) if request.key and not uses_plan else {}
+        fetch_time = model.fetch_time if key_order else 0.0
+        queueing_delay = 0.0
+        if uses_plan and settings.tells_start:
+            queueing_delay = self._plan.queueing_delay(self._requests.values(), now)
+        is_last = job.effect is Effect.UNSAFE or len(request.attempts) + 1 >= settings.max_attempts
+        rows: list[OptionRow] = []
+        for worker in workers:
+            if now > worker.rated_at + RATE_LIFETIME_US:
+                model.update_rate(worker, now)
+            rate = worker.rate * settings.warmth(worker.entry.started_at, now)
+            if worker.lottery_number and not self.has_budget(worker, request.cost, rate, now):
+                continue
+            # An error loses what can't be retried; else it takes the time of an error, again and again.
+            risk = worker.reliability.risk(now)
+            extra = risk * full_value if is_last else risk / (1 - risk) * model.error_time.value
+            if not uses_plan:  # the plan takes precedence over charges
+                extra += self._charge(worker, settings, now) * full_value
+            if key_order and request.key not in worker.cached_keys:
+                extra += fetch_time * key_order[worker]
+            run_time = worker.concurrency / rate
+            delay = (expected_jobs(worker, now, rate) + 1) / rate
+            if uses_plan:
+                # All workers are alike full: jobs wait as long anywhere, and what own jobs add decides.
+                rows.append((delay - 1 / rate + extra, queueing_delay + run_time, run_time, worker))
+            else:
+                rows.append((delay + extra, delay, run_time, worker))
+        return rows
+
+    def has_budget(self, worker: Worker, cost: float, rate: float, now: int) -> bool:
+        """Whether the slow-start budget of a cold worker allows a job of this cost."""
+        settings = self._load_model.settings
+        return self._slow_start.allows(worker, cost, rate, settings, self.started_at, now)
+
+    @staticmethod
+    def _charge(worker: Worker, settings: Settings, now: int) -> float:
+        """Return the charge of a send, as a part of the value: another zone, a connection to be opened."""
+        is_remote = worker.entry.zone != settings.zone
+        opens = worker.attempts or now >= worker.connection_idle_at + settings.keepalive
+        return is_remote * settings.cross_zone_charge + (settings.handshake_charge if opens else 0.0)
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 from hazelbend.control.workers import WorkerRecord, WorkerState
-from hazelbend.decisions.brain import expected_jobs
 from hazelbend.decisions.interface import WorkerEntry
+from hazelbend.decisions.job_count import expected_jobs
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import Worker
 from hazelbend.placement.prefix_cache import PrefixCache
--- a/hazelbend/placement/selector.py
+++ b/hazelbend/placement/selector.py
@@ -15,7 +15,7 @@
 from hashlib import blake2b
 
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.decisions.formulas import key_rank
+from hazelbend.decisions.rendezvous import key_rank
 from hazelbend.placement.choices import Choice, Stage, WorkerPair
 from hazelbend.placement.estimates import WorkerEstimate
 from hazelbend.placement.fleet_view import FleetView
--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.program import config
 from hazelbend.program import parts as joining
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -34,7 +34,7 @@
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.decisions import interface as face
 from hazelbend.decisions import learned_state
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.gossip.messages import Packet
 from hazelbend.leases import lease_table
 from hazelbend.leases import operations as lease_operations
--- a/tests/model.py
+++ b/tests/model.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 
 SLACK = 16_000
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hazelbend.decisions import interface as face
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import (
     Effect,
     JobClass,
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from virtual_loop import VirtualLoop
 
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
--- a/tests/test_estimate.py
+++ b/tests/test_estimate.py
@@ -10,7 +10,8 @@
 from model import Model
 
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.brain import K_MAX, Dispatcher, drained, expected_jobs
+from hazelbend.decisions.dispatcher import Dispatcher
+from hazelbend.decisions.job_count import MAX_JOB_COUNT, drained, expected_jobs
 from hazelbend.decisions.request import Attempt, Request
 from hazelbend.decisions.worker import Worker
 
@@ -51,14 +52,14 @@
     return dispatcher
 
 
-@given(count=st.integers(0, K_MAX), load=st.floats(0, 40))
+@given(count=st.integers(0, MAX_JOB_COUNT), load=st.floats(0, 40))
 def test_short_sum_is_the_mean_of_the_distribution(count, load):
     chances = update([0.0] * count + [1.0], load, 0)
     assert sum(chances) == pytest.approx(1.0)
     assert drained(count, load) == pytest.approx(sum(n * p for n, p in enumerate(chances)), abs=1e-9)
 
 
-@given(count=st.integers(0, K_MAX), first=st.floats(0, 20), second=st.floats(0, 20))
+@given(count=st.integers(0, MAX_JOB_COUNT), first=st.floats(0, 20), second=st.floats(0, 20))
 def test_draining_composes(count, first, second):
     twice = update(update([0.0] * count + [1.0], first, 0), second, 0)
     assert drained(count, first + second) == pytest.approx(sum(n * p for n, p in enumerate(twice)), abs=1e-9)
@@ -76,7 +77,7 @@
     assert expected_jobs(worker, elapsed, 1e-6) == pytest.approx(mean, abs=1e-9)
 
 
-@given(others=st.integers(0, K_MAX), level=st.floats(0.1, 15), slots=st.integers(1, 8))
+@given(others=st.integers(0, MAX_JOB_COUNT), level=st.floats(0.1, 15), slots=st.integers(1, 8))
 def test_an_old_report_says_nothing_and_a_new_one_all(others, level, slots):
     """Guards against the herd on workers whose old reports, drained to nothing, made them look empty."""
     worker = make_worker()
@@ -97,10 +98,10 @@
     entries = [dy.WorkerEntry(worker, machine_kind=worker % 2) for worker in range(8)]
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, tuple(entries)), 1_000)
     for worker in (0, 2, 4):
-        dispatcher._report(dispatcher.workers[worker], dy.LoadReport(8.0, 4.0, 0.0), 2_000)
-    dispatcher._report(dispatcher.workers[1], dy.LoadReport(0.0, 0.0, 4.0), 2_000)
+        dispatcher.load_model.apply_report(dispatcher.workers[worker], dy.LoadReport(8.0, 4.0, 0.0), 2_000)
+    dispatcher.load_model.apply_report(dispatcher.workers[1], dy.LoadReport(0.0, 0.0, 4.0), 2_000)
     for worker in dispatcher.workers.values():
-        dispatcher._set_rate(worker, 3_000)
+        dispatcher.load_model.update_rate(worker, 3_000)
     level = {each: worker.background_load * worker.rate for each, worker in dispatcher.workers.items()}
     assert level[6] > 1.0
     assert level[3] == 0.0
@@ -137,7 +138,7 @@
             model.end(request, dy.Outcome.SERVED, load=report)
     workers = model.dispatcher.workers
     usual = [worker.background_load * worker.rate for worker in workers.values()]
-    model.dispatcher._set_rate(workers[3], model.now)
+    model.dispatcher.load_model.update_rate(workers[3], model.now)
     assert workers[3].slots == 0
     assert workers[3].background_load * workers[3].rate > 0.7 * min(usual[:3]) > 4.0
 
@@ -145,7 +146,7 @@
 def test_a_send_that_a_report_holds_is_not_counted_twice():
     worker = make_worker()
     send(worker, 100)
-    make_dispatcher(worker)._report(worker, dy.LoadReport(in_flight=1.0), 1_000_000)
+    make_dispatcher(worker).load_model.apply_report(worker, dy.LoadReport(in_flight=1.0), 1_000_000)
     assert (worker.peer_jobs, expected_jobs(worker, 1_000_000, 1e-6)) == (0, 1.0)
 
 
@@ -162,7 +163,9 @@
             worker.remove(out.pop(0), now, 10**9)
         if step % 5 == 0:
             seen = worker.own_jobs.at(now - 800_000)
-            dispatcher._report(worker, dy.LoadReport(in_flight=seen + 3.0, free_slots=step / 1e6), now)
+            dispatcher.load_model.apply_report(
+                worker, dy.LoadReport(in_flight=seen + 3.0, free_slots=step / 1e6), now
+            )
     assert now - worker.peer_jobs_at == pytest.approx(800_000, abs=100_001)
 
 
@@ -182,7 +185,7 @@
     dispatcher.handle(dy.AttemptEnded(5, 1, 0, dy.Outcome.TIMED_OUT), 1_002_000)
     worker = dispatcher.workers[1]
     assert expected_jobs(worker, 1_002_000, worker.rate) == pytest.approx(1.0)
-    dispatcher._report(worker, dy.LoadReport(in_flight=0.0), 2_000_000)
+    dispatcher.load_model.apply_report(worker, dy.LoadReport(in_flight=0.0), 2_000_000)
     assert expected_jobs(worker, 2_000_000, worker.rate) == 0.0
 
 
@@ -193,14 +196,14 @@
     entries = (dy.WorkerEntry(1), dy.WorkerEntry(2), dy.WorkerEntry(3, started_at=now))
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
     for worker in (1, 2):
-        dispatcher._report(dispatcher.workers[worker], dy.LoadReport(9.0, 5.0, 0.0), now)
+        dispatcher.load_model.apply_report(dispatcher.workers[worker], dy.LoadReport(9.0, 5.0, 0.0), now)
     for worker in dispatcher.workers.values():
-        dispatcher._set_rate(worker, now)
+        dispatcher.load_model.update_rate(worker, now)
     assert dispatcher.workers[3].background_load == 0.0 < dispatcher.workers[2].background_load
     dispatcher.slow_start.draw(
         dispatcher.workers.values(), dispatcher.settings, dispatcher.random, now + 10_000_000
     )
-    dispatcher._set_rate(dispatcher.workers[3], now + 10_000_000)
+    dispatcher.load_model.update_rate(dispatcher.workers[3], now + 10_000_000)
     assert dispatcher.workers[3].background_load > 0.0
 
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -10,7 +10,7 @@
 from test_router import ENTRY, ID, JOB, Module, send
 
 from hazelbend.decisions import interface as face
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
 from hazelbend.routing.ports import Verdict
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,9 +11,11 @@
 
 from hazelbend.decisions import discovery_retry
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.brain import MEMORY, MOST_PROBES, Dispatcher
 from hazelbend.decisions.discovery_retry import FIRST_EACH, DiscoveryRetry
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
+from hazelbend.decisions.load_model import MEMORY_SAMPLES
+from hazelbend.decisions.probing import MAX_PROBES
 from hazelbend.decisions.report_age import ReportPeriod
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import Worker
@@ -37,9 +39,9 @@
 def test_workers_that_may_win_are_asked_before_the_pick():
     """Guards against picks by reports that are seconds old: the empty worker is found by asking."""
     model = Model(ASKING)
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, MOST_PROBES + 1)))
+    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, MAX_PROBES + 1)))
     model.arrive(1)
-    assert len(model.probes) == MOST_PROBES
+    assert len(model.probes) == MAX_PROBES
     assert not model.sends
     answer(model, {1: 9, 2: 0, 3: 7})
     assert [send[1] for send in model.sends] == [2]
@@ -61,7 +63,7 @@
     entries = [dy.WorkerEntry(worker, weight=6.0) for worker in (1, 2)]
     model.list_workers(*entries)
     for worker in model.dispatcher.workers.values():
-        model.dispatcher._report(worker, dy.LoadReport(0.0, 0.0, 4.0), model.now)
+        model.dispatcher.load_model.apply_report(worker, dy.LoadReport(0.0, 0.0, 4.0), model.now)
     model.advance(100_000)
     model.list_workers(dy.WorkerEntry(1, weight=2.0), dy.WorkerEntry(2, weight=6.0), kind=dy.ListKind.DELTA)
     assert [model.dispatcher.workers[worker].peer_jobs for worker in (1, 2)] == [8, 0]
@@ -112,7 +114,7 @@
         for worker in fleet[number].workers.values():
             held = sum(sent <= now - 600_000 < end for sent, end in zip(to_cold, leaves, strict=True))
             at_cold = dy.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
-            fleet[number]._report(worker, at_cold if worker.entry.worker == 9 else full, now)
+            fleet[number].load_model.apply_report(worker, at_cold if worker.entry.worker == 9 else full, now)
         tell(number, dy.RequestArrived(request, 5_000_000), now)
     return to_cold, cold_since
 
@@ -158,9 +160,7 @@
     assert not model.probes, "what they said is new enough"
     model.arrive(1)
     model.advance(400_000)
-    assert len(model.probes) == 1 + MOST_PROBES, (
-        "the best before the pick, and one more a job: by their price"
-    )
+    assert len(model.probes) == 1 + MAX_PROBES, "the best before the pick, and one more a job: by their price"
     assert model.dispatcher.workers[1].reported_at
 
 
@@ -180,7 +180,9 @@
         dy.MembershipUpdate(dy.ListKind.FULL, (dy.WorkerEntry(1), dy.WorkerEntry(2))), 1_000_000
     )
     for worker, slots in ((1, 2.0), (2, 5.0)):
-        dispatcher._report(dispatcher.workers[worker], dy.LoadReport(0.0, 0.0, slots), 1_000_000)
+        dispatcher.load_model.apply_report(
+            dispatcher.workers[worker], dy.LoadReport(0.0, 0.0, slots), 1_000_000
+        )
     now = 1_100_000
     for number, run in enumerate(runs):
         request = dispatcher.handle(dy.RequestArrived(number, 5_000_000), now) and dispatcher.requests[number]
@@ -192,7 +194,7 @@
         now += run
         dispatcher.handle(dy.AttemptEnded(number, 1, 0, dy.Outcome.SERVED), now)
     for worker in dispatcher.workers.values():
-        dispatcher._set_rate(worker, now)
+        dispatcher.load_model.update_rate(worker, now)
     return [dispatcher.workers[number].rate * 1e6 for number in (1, 2)]
 
 
@@ -298,9 +300,9 @@
     fleet: 25 runs each with the data there, and without it."""
     dispatcher = Dispatcher(dy.Settings(classes=(SAFE,)), 1)
     for _ in range(25):
-        dispatcher.runs_with.add(1.0, MEMORY)
-        dispatcher.runs_without.add(fetched_runs, MEMORY)
-    return dispatcher.runs_without.value - dispatcher.runs_with.value
+        dispatcher.load_model.cached_run_ratio.add(1.0, MEMORY_SAMPLES)
+        dispatcher.load_model.fetch_run_ratio.add(fetched_runs, MEMORY_SAMPLES)
+    return dispatcher.load_model.fetch_run_ratio.value - dispatcher.load_model.cached_run_ratio.value
 
 
 def test_what_a_fetch_costs_is_learnt_from_the_runs_of_some_seconds():
@@ -348,13 +350,13 @@
     entries = tuple(dy.WorkerEntry(number, machine_kind=number % 2) for number in range(1, 7))
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, entries), 1_000_000)
     for worker in dispatcher.workers.values():
-        dispatcher._report(worker, dy.LoadReport(0.0, 0.0, 2.0), 1_000_000)
+        dispatcher.load_model.apply_report(worker, dy.LoadReport(0.0, 0.0, 2.0), 1_000_000)
     for _ in range(40):
-        dispatcher.paces.setdefault(0, Mean()).add(2.0, 60.0)
-        dispatcher.paces.setdefault(1, Mean()).add(1.0, 60.0)
-        dispatcher.slowness.add(1.5, 60.0)
+        dispatcher.load_model.kind_run_ratios.setdefault(0, Mean()).add(2.0, 60.0)
+        dispatcher.load_model.kind_run_ratios.setdefault(1, Mean()).add(1.0, 60.0)
+        dispatcher.load_model.run_ratio.add(1.5, 60.0)
     for worker in dispatcher.workers.values():
-        dispatcher._set_rate(worker, 2_000_000)
+        dispatcher.load_model.update_rate(worker, 2_000_000)
     slow, fast = (dispatcher.workers[number].rate for number in (2, 1))
     assert fast > 1.8 * slow
 
@@ -373,7 +375,7 @@
     answer(model, {1: 9, 2: 1})
     assert [send[1] for send in model.sends] == [2]
     for worker in model.dispatcher.workers.values():
-        model.dispatcher._report(worker, dy.LoadReport(1.0, 0.0, 3.0), model.now)
+        model.dispatcher.load_model.apply_report(worker, dy.LoadReport(1.0, 0.0, 3.0), model.now)
     model.arrive(2)
     assert len(model.sends) == 2 and not model.probes, "what was just said is gone by"
 
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -10,7 +10,7 @@
 import pytest
 
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.fleet_plan import FleetPlan, work_shares
 from hazelbend.decisions.worker import Worker
 
@@ -211,7 +211,7 @@
     dispatcher.handle(dy.TimerFired(0), now)
     dispatcher.handle(dy.RequestArrived(1, 10_000_000), now)
     [attempt] = dispatcher.requests[1].attempts
-    run = dispatcher.runs[0].value
+    run = dispatcher.load_model.run_times[0].value
     assert attempt.worker.concurrency > 3, "several jobs at once, by its listed size"
     assert attempt.silence_limit >= 3 * run
     dispatcher.handle(dy.TimerFired(0), now + round(2 * run))
--- a/tests/test_golden_runs.py
+++ b/tests/test_golden_runs.py
@@ -18,7 +18,7 @@
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions import learned_state
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 
 GOLDEN = json.loads(golden_runs.RUNS.read_text())
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,6 +6,7 @@
 from model import Model
 
 from hazelbend.decisions import interface as dy
+from hazelbend.decisions.health import suspect
 
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
 EMPTY = dy.LoadReport(0.0, 0.0, 4.0)
@@ -92,8 +93,8 @@
 def test_a_process_started_anew_holds_nothing_and_is_trusted():
     model = two_workers()
     worker = model.dispatcher.workers[1]
-    model.dispatcher._report(worker, dy.LoadReport(12.0, 8.0, 0.0), model.now)
-    model.dispatcher._suspect(worker, model.now)
+    model.dispatcher.load_model.apply_report(worker, dy.LoadReport(12.0, 8.0, 0.0), model.now)
+    suspect(worker, model.dispatcher.random, model.now)
     model.list_workers(dy.WorkerEntry(1, started_at=model.now), kind=dy.ListKind.DELTA)
     assert (worker.peer_jobs, worker.backoff_until) == (0, 0)
 
@@ -125,7 +126,7 @@
     """Guards against flooding a worker on its return: the next trial waits for a sign or its turn."""
     model = two_workers()
     for worker in model.dispatcher.workers.values():
-        model.dispatcher._suspect(worker, model.now)
+        suspect(worker, model.dispatcher.random, model.now)
     model.advance(1_300_000)
     for request in range(6):
         model.arrive(request)
@@ -140,7 +141,7 @@
     held = {worker: (worker * 5 + turn * 3) % 7 for worker in range(1, 8)}
     loads = {each: dy.LoadReport(count, max(count - 2, 0), max(2 - count, 0)) for each, count in held.items()}
     for worker, load in loads.items():
-        model.dispatcher._report(model.dispatcher.workers[worker], load, model.now)
+        model.dispatcher.load_model.apply_report(model.dispatcher.workers[worker], load, model.now)
     model.advance(1_000_000)
     model.arrive(1)
     assert model.probes
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,6 +14,7 @@
 
 from hazelbend.decisions import Dispatcher, Settings
 from hazelbend.decisions import interface as face
+from hazelbend.decisions.health import suspect
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
@@ -49,7 +50,7 @@
                 outcome = face.Outcome.CONNECT_FAILED if action.worker == 2 else face.Outcome.SERVED
                 event = face.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
                 dispatcher.handle(event, now + 40_000)
-    dispatcher._suspect(dispatcher.workers[2], now)
+    suspect(dispatcher.workers[2], dispatcher.random, now)
     dispatcher.workers[2].reliability.record(now, is_error=True)
     dispatcher.handle(face.RequestArrived(1_000, 5_000_000), 4_100_000)
     return dispatcher
@@ -64,7 +65,9 @@
     assert old.avoided(now) == {2} and new.avoided(now) == set()
     import_state(new, passed(export_state(old, now)), now)
     assert new.avoided(now) == {2}
-    assert [each.value for each in new.runs] == [each.value for each in old.runs]
+    assert [each.value for each in new.load_model.run_times] == [
+        each.value for each in old.load_model.run_times
+    ]
     held = {number: len(worker.attempts) for number, worker in old.workers.items()}
     assert held[3]
     for number, worker in new.workers.items():
@@ -97,9 +100,9 @@
         each["level"] = each.pop("usual")
         del each["size"]
     import_state(new, memory, now)
-    assert new.usuals == {} and new.avoided(now) == {2}
+    assert new.load_model.usual_levels == {} and new.avoided(now) == {2}
     for worker in new.workers.values():
-        new._set_rate(worker, now)
+        new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
 
 
@@ -128,7 +131,7 @@
     except ValueError:
         assert export_state(new, 4_200_000) == before
     actions = new.handle(face.RequestArrived(1, 5_000_000), 4_300_000)
-    assert any(isinstance(each, face.Send) for each in actions) or new.held, "it goes on deciding"
+    assert any(isinstance(each, face.Send) for each in actions) or new.queued, "it goes on deciding"
 
 
 READER = EndpointListCodec(("ankara-1", "konya-1"), ("big-box",))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,7 @@
         model = Model(dy.Settings(classes=classes, **settings))
         model.list_workers(dy.WorkerEntry(1))
         load = dy.LoadReport(in_flight=queued + 1.0, queued=queued, free_slots=0.0)
-        model.dispatcher._report(model.dispatcher.workers[1], load, model.now)
+        model.dispatcher.load_model.apply_report(model.dispatcher.workers[1], load, model.now)
         model.arrive(0, job_class=job_class)
         after = [each.retry_after for each in model.last if isinstance(each, dy.Refuse)]
         found.append(after[0] if after else None)
@@ -51,7 +51,10 @@
     light, heavy = (dy.JobClass(effect=dy.Effect.SAFE, objective=work) for work in (RUN, 10 * RUN))
     for by_work, dearer in ((False, 10.0), (True, 1.0)):
         model = Model(dy.Settings(classes=(heavy, light), worth_by_work=by_work))
-        worths = [model.dispatcher._worth(job, index) for index, job in enumerate(model.settings.classes)]
+        worths = [
+            model.dispatcher.admission.value_rate(job, index)
+            for index, job in enumerate(model.settings.classes)
+        ]
         assert worths[1] / worths[0] == pytest.approx(dearer)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -18,7 +18,7 @@
 from hazelbend.benchlink.errors import MalformedInputError
 from hazelbend.benchlink.messages import Message
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.brain import Dispatcher
+from hazelbend.decisions.dispatcher import Dispatcher
 
 U32 = st.integers(0, 2**32 - 1)
 U52 = st.integers(0, 2**52 - 1)
@@ -160,7 +160,7 @@
         assert str(error)
 
 
-def test_an_exception_in_the_brain_is_reported(monkeypatch):
+def test_an_exception_in_the_dispatcher_is_reported(monkeypatch):
     def fail(self, event, now):
         raise ValueError("out of its mind")
 
