--- a/hazelbend/program/app.py
+++ b/hazelbend/program/app.py
@@ -254,7 +254,7 @@
         return HandoverState(
             tuple(self._class_names),
             heard[0] if heard else table.listed(),
-            table.held_back(),
+            table.manually_drained(),
             self.router.open_ids,
             export_state(self.module, now),
             {name: state for name, part in self.parts.items() if (state := part.state())},
--- a/hazelbend/program/sources.py
+++ b/hazelbend/program/sources.py
@@ -81,7 +81,7 @@
         self.resolver.track_only(self._names, now)
         if last_known is not None:
             self._restore_names(last_known, now)
-        for server in self._router.table.guests():
+        for server in self._router.table.registered():
             self.merger.apply_connected(server.entry)
         return EndpointList(self.merger.entries(), whole=True, seq=known.seq)
 
@@ -190,7 +190,7 @@
         """An endpoint that is drained by hand stays so under its new host."""
         renamed, self.merger.renamed = self.merger.renamed, []
         for old_host, new_host in renamed:
-            self._router.table.hold_back_as(old_host, new_host)
+            self._router.table.rename_manual_drain(old_host, new_host)
 
     # --- periodic checks ---
 
--- a/hazelbend/program/srv_priorities.py
+++ b/hazelbend/program/srv_priorities.py
@@ -78,6 +78,6 @@
             member = members[host]
             server = self._router.table.by_host(host)
             ready = member.spare or member.entry.state is WorkerState.READY
-            excluded = server is not None and (server.held_back or server.id in ejected)
+            excluded = server is not None and (server.is_manually_drained or server.id in ejected)
             available[priority] = available.get(priority, False) or (ready and not excluded)
         return available
--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -45,10 +45,10 @@
         request.attempts.append(attempt)
         number = len(request.attempts) - 1
         is_late = request.is_closed or timeout <= 0
-        if backend is None or client is None or not backend.takes_work or is_late:
+        if backend is None or client is None or not backend.accepts_work or is_late:
             request.inbox.put_nowait(AttemptFinished(number, AttemptResult(Outcome.NOT_SENT)))
             return
-        backend.out += 1
+        backend.in_flight += 1
         attempt.task = asyncio.create_task(self._run(request, number, client))
         # A task that is cancelled before it first runs never runs `_run`: its callback reports the end.
         attempt.task.add_done_callback(lambda task: _report_unreported(request, number, task))
@@ -93,7 +93,7 @@
         backend = attempt.backend
         if request.is_closed or remaining <= 0 or backend is None:
             return None
-        if not backend.takes_work or backend.client is not attempt.client:
+        if not backend.accepts_work or backend.client is not attempt.client:
             return None
         if not self._module.may_begin(request.number, number, now):
             return None
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -89,7 +89,7 @@
 
 def state_word(server: Backend) -> str:
     """The state of a backend, in one word."""
-    if server.held_back:
+    if server.is_manually_drained:
         return "held back"
     return {WorkerState.READY: "ready", WorkerState.DRAINING: "draining", WorkerState.GONE: "gone"}[
         server.entry.state
@@ -113,7 +113,7 @@
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(each.held_back or number in avoided for number, each in servers.items()),
+        ejected=sum(each.is_manually_drained or number in avoided for number, each in servers.items()),
     )
 
 
@@ -150,7 +150,7 @@
                 each.entry.zone,
                 each.entry.kind,
                 state_word(each),
-                each.out,
+                each.in_flight,
                 each.served,
                 each.failed,
             )
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -144,19 +144,19 @@
 
     def register(self, entry: Endpoint, client: BackendClient) -> None:
         """A backend has connected by itself."""
-        self._notify(self.table.add_guest(entry, client))
+        self._notify(self.table.register(entry, client))
         self.on_registered_changed(entry)
 
     def change_registered(self, host: str, state: face.WorkerState) -> None:
         """A backend that connected by itself drains, is back, or is gone."""
         backend = self.table.by_host(host)
-        self._notify(self.table.change_guest(host, state))
+        self._notify(self.table.change_registered(host, state))
         if backend is not None:
             self.on_registered_changed(backend.entry)
 
     def set_manual_drain(self, host: str, is_drained: bool) -> bool:
         """Drain or undrain a backend by hand; return False if none of that name is listed."""
-        update = self.table.hold_back(host, is_drained)
+        update = self.table.set_manual_drain(host, is_drained)
         if update is not None:
             self._notify(update)
         return update is not None
@@ -240,7 +240,7 @@
             outcome = Outcome.CANCELLED
             events.append(face.AttemptEnded(request.number, attempt.worker_id, number, outcome, closed=True))
             if attempt.backend is not None and attempt.task is not None:
-                attempt.backend.out -= 1
+                attempt.backend.in_flight -= 1
         for event in events:
             try:
                 self.module.handle(event, self.clock.now())
@@ -277,7 +277,7 @@
         attempt.is_over = True
         backend = attempt.backend
         if backend is not None and attempt.task is not None:
-            backend.out -= 1
+            backend.in_flight -= 1
             if result.outcome is Outcome.SERVED:
                 backend.served += 1
             elif result.outcome not in NOT_THE_BACKENDS_FAULT:
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -1,4 +1,4 @@
-"""The table of real servers: what the lists named, whether they may get work, and the client to each."""
+"""The table of backends: what lists have named or has connected by itself, and the client of each."""
 
 from __future__ import annotations
 
@@ -9,145 +9,173 @@
 from hazelbend.decisions.interface import ListKind, MembershipUpdate, WorkerEntry, WorkerState
 from hazelbend.routing.ports import BackendClient, Endpoint, EndpointList
 
+ID_BYTES = 6
 
-def stable_id(name: str) -> int:
-    """The same number for a name at every dispatcher and after every restart; never 0."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=6).digest()) or 1
+
+def stable_id(host: str) -> int:
+    """Return the same number for a name at every dispatcher and after every restart; never 0."""
+    return int.from_bytes(blake2b(host.encode(), digest_size=ID_BYTES).digest()) or 1
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """A backend, and the client to it."""
+    """A backend, and the client for it."""
 
     id: int
     index: int  # from 1, in order of first appearance; the same again after an absence
     entry: Endpoint
     client: BackendClient
-    listed: bool = True
-    held_back: bool = False  # drained by hand
-    out: int = 0  # attempts under way
+    is_listed: bool = True
+    is_manually_drained: bool = False
+    in_flight: int = 0  # attempts
     served: int = 0
     failed: int = 0
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether it may get new requests."""
-        return self.listed and not self.held_back and self.entry.state is WorkerState.READY
+        return self.is_listed and not self.is_manually_drained and self.entry.state is WorkerState.READY
 
-    def told(self) -> WorkerEntry:
-        """The entry as the decision module sees it."""
-        each = self.entry
-        state = WorkerState.DRAINING if self.held_back and each.state is WorkerState.READY else each.state
-        return WorkerEntry(self.id, each.zone, each.kind, each.cell, state, each.weight, each.started_at)
+    def worker_entry(self) -> WorkerEntry:
+        """Return the entry as the decision module gets it."""
+        entry = self.entry
+        state = entry.state
+        if self.is_manually_drained and state is WorkerState.READY:
+            state = WorkerState.DRAINING
+        return WorkerEntry(self.id, entry.zone, entry.kind, entry.cell, state, entry.weight, entry.started_at)
 
 
 class BackendTable:
-    """Entries come from lists and from boxes that connect; a whole list replaces only its own."""
+    """The backends by id. A complete list replaces what lists have named, not what has connected by itself.
+
+    Methods that change the table return the update for the decision module.
+    """
 
     def __init__(self, connect: Callable[[Endpoint], BackendClient]) -> None:
+        """`connect` makes the client of a listed backend."""
         self._connect = connect
         self.servers: dict[int, Backend] = {}
-        self.watcher: Callable[[Backend, bool], None] | None = None  # told when one starts or stops
-        self._guests: set[int] = set()
+        self.watcher: Callable[[Backend, bool], None] | None = None  # gets changes of `accepts_work`
+        self._registered: set[int] = set()  # have connected by themselves
         self._indexes: dict[int, int] = {}
-        self._held_back: set[int] = set()  # by hand; it outlasts an absence from the list
+        self._manually_drained: set[int] = set()  # kept while a backend is absent from the list
+
+    # --- lists ---
 
-    def apply(self, news: EndpointList, kind: ListKind = ListKind.FULL) -> MembershipUpdate:
-        """Take a list or its changes in; the update for the decision module."""
-        if news.failed:
+    def apply(self, endpoints: EndpointList, kind: ListKind = ListKind.FULL) -> MembershipUpdate:
+        """Take in a list, or changes of one."""
+        if endpoints.failed:
             return MembershipUpdate(ListKind.FAILED)
-        if not news.whole:
-            return MembershipUpdate(ListKind.DELTA, tuple(self._enter(news.entries)))
-        told = list(self._enter(news.entries))
-        named = {entry.worker for entry in told} | self._guests
-        for absent in [each for each in self.servers if each not in named]:
-            self._drop(self.servers[absent])
-        guests = [self.servers[each].told() for each in sorted(self._guests)]
-        return MembershipUpdate(kind, (*told, *guests))
-
-    def add_guest(self, entry: Endpoint, client: BackendClient) -> MembershipUpdate:
-        """A box has connected."""
-        server = self._add(entry, client)
-        self._guests.add(server.id)
-        return MembershipUpdate(ListKind.DELTA, (server.told(),))
-
-    def change_guest(self, host: str, state: WorkerState) -> MembershipUpdate:
-        """One that came by itself changes its state; the update for the decision module."""
-        server = self.servers[stable_id(host)]
-        self._change(server, replace(server.entry, state=state))
-        told = server.told()
+        if not endpoints.whole:
+            return MembershipUpdate(ListKind.DELTA, tuple(self._apply_entries(endpoints.entries)))
+        listed = list(self._apply_entries(endpoints.entries))
+        present = {entry.worker for entry in listed} | self._registered
+        absent = [number for number in self.servers if number not in present]
+        for number in absent:
+            self._remove(self.servers[number])
+        registered = [self.servers[number].worker_entry() for number in sorted(self._registered)]
+        return MembershipUpdate(kind, (*listed, *registered))
+
+    def _apply_entries(self, entries: Iterable[Endpoint]) -> Iterable[WorkerEntry]:
+        for entry in entries:
+            backend = self.servers.get(stable_id(entry.host))
+            if backend is None:
+                if entry.state is WorkerState.GONE:
+                    continue
+                backend = self._add(entry, self._connect(entry))
+            elif backend.entry.dial != entry.dial:
+                backend.client.close()
+                backend.client = self._connect(entry)
+            self._replace_entry(backend, entry)
+            yield backend.worker_entry()
+            if entry.state is WorkerState.GONE:
+                self._remove(backend)
+
+    # --- backends that connect by themselves ---
+
+    def register(self, entry: Endpoint, client: BackendClient) -> MembershipUpdate:
+        """A backend has connected."""
+        backend = self._add(entry, client)
+        self._registered.add(backend.id)
+        return MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
+
+    def change_registered(self, host: str, state: WorkerState) -> MembershipUpdate:
+        """A registered backend has changed its state."""
+        backend = self.servers[stable_id(host)]
+        self._replace_entry(backend, replace(backend.entry, state=state))
+        update = MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
         if state is WorkerState.GONE:
-            self._guests.discard(server.id)
-            self._drop(server)
-        return MembershipUpdate(ListKind.DELTA, (told,))
-
-    def hold_back(self, host: str, held: bool) -> MembershipUpdate | None:
-        """Drain or undrain a server by hand; None if no such server is listed."""
-        server = self.servers.get(stable_id(host))
-        if server is None:
-            return None
-        before, server.held_back = server.takes_work, held
-        (self._held_back.add if held else self._held_back.discard)(server.id)
-        self._notice(server, before)
-        return MembershipUpdate(ListKind.DELTA, (server.told(),))
+            self._registered.discard(backend.id)
+            self._remove(backend)
+        return update
 
-    def hold_back_as(self, old: str, new: str) -> None:
-        """A server will be known by another name: a drain by hand goes along."""
-        if stable_id(old) in self._held_back:
-            self._held_back.discard(stable_id(old))
-            self._held_back.add(stable_id(new))
+    # --- drains by hand ---
+
+    def set_manual_drain(self, host: str, is_drained: bool) -> MembershipUpdate | None:
+        """Drain or undrain a backend by hand; None if no such backend is listed."""
+        backend = self.servers.get(stable_id(host))
+        if backend is None:
+            return None
+        accepted_work = backend.accepts_work
+        backend.is_manually_drained = is_drained
+        if is_drained:
+            self._manually_drained.add(backend.id)
+        else:
+            self._manually_drained.discard(backend.id)
+        self._notify_watcher(backend, accepted_work)
+        return MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
+
+    def rename_manual_drain(self, old_host: str, new_host: str) -> None:
+        """A backend will be known by another name: its drain by hand stays."""
+        if stable_id(old_host) in self._manually_drained:
+            self._manually_drained.discard(stable_id(old_host))
+            self._manually_drained.add(stable_id(new_host))
+
+    # --- queries ---
 
     def by_host(self, host: str) -> Backend | None:
-        """The listed backend of this name."""
+        """Return the listed backend of this name."""
         return self.servers.get(stable_id(host))
 
-    def guests(self) -> tuple[Backend, ...]:
-        """The servers that came by themselves."""
-        return tuple(self.servers[each] for each in sorted(self._guests))
+    def registered(self) -> tuple[Backend, ...]:
+        """Return the backends that have connected by themselves."""
+        return tuple(self.servers[number] for number in sorted(self._registered))
 
     def listed(self) -> EndpointList:
-        """The servers that lists have named, as they stand now."""
-        entries = (each.entry for number, each in self.servers.items() if number not in self._guests)
+        """Return the backends that lists have named, as they are now."""
+        entries = (
+            backend.entry for number, backend in self.servers.items() if number not in self._registered
+        )
         return EndpointList(tuple(entries), whole=True)
 
-    def held_back(self) -> tuple[str, ...]:
-        """The names of those that are drained by hand."""
-        return tuple(each.entry.host for each in self.servers.values() if each.held_back)
+    def manually_drained(self) -> tuple[str, ...]:
+        """Return the names of those that are drained by hand."""
+        return tuple(backend.entry.host for backend in self.servers.values() if backend.is_manually_drained)
 
-    def _enter(self, entries: Iterable[Endpoint]) -> Iterable[WorkerEntry]:
-        for entry in entries:
-            server = self.servers.get(stable_id(entry.host))
-            if server is None:
-                if entry.state is WorkerState.GONE:
-                    continue
-                server = self._add(entry, self._connect(entry))
-            elif server.entry.dial != entry.dial:
-                server.client.close()
-                server.client = self._connect(entry)
-            self._change(server, entry)
-            yield server.told()
-            if entry.state is WorkerState.GONE:
-                self._drop(server)
+    # --- changes of one backend ---
 
     def _add(self, entry: Endpoint, client: BackendClient) -> Backend:
         number = stable_id(entry.host)
         index = self._indexes.setdefault(number, len(self._indexes) + 1)
-        server = Backend(number, index, entry, client, held_back=number in self._held_back)
-        self.servers[number] = server
-        self._notice(server, False)
-        return server
-
-    def _change(self, server: Backend, entry: Endpoint) -> None:
-        before, server.entry = server.takes_work, entry
-        self._notice(server, before)
-
-    def _drop(self, server: Backend) -> None:
-        """It gets nothing new; what is out there ends by itself."""
-        before, server.listed = server.takes_work, False
-        self.servers.pop(server.id, None)
-        self._notice(server, before)
-        server.client.close()
-
-    def _notice(self, server: Backend, before: bool) -> None:
-        if self.watcher is not None and server.takes_work is not before:
-            self.watcher(server, server.takes_work)
+        is_drained = number in self._manually_drained
+        backend = Backend(number, index, entry, client, is_manually_drained=is_drained)
+        self.servers[number] = backend
+        self._notify_watcher(backend, False)
+        return backend
+
+    def _replace_entry(self, backend: Backend, entry: Endpoint) -> None:
+        accepted_work = backend.accepts_work
+        backend.entry = entry
+        self._notify_watcher(backend, accepted_work)
+
+    def _remove(self, backend: Backend) -> None:
+        """It gets nothing new; attempts in flight end by themselves."""
+        accepted_work = backend.accepts_work
+        backend.is_listed = False
+        self.servers.pop(backend.id, None)
+        self._notify_watcher(backend, accepted_work)
+        backend.client.close()
+
+    def _notify_watcher(self, backend: Backend, accepted_work: bool) -> None:
+        if self.watcher is not None and backend.accepts_work is not accepted_work:
+            self.watcher(backend, backend.accepts_work)
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -236,7 +236,7 @@
         """Tell those who asked that a server went up or down."""
         if self._engine is None or not self._notify:
             return
-        state = STATES["ready" if takes_work else "held back" if server.held_back else "draining"]
+        state = STATES["ready" if takes_work else "held back" if server.is_manually_drained else "draining"]
         objects = [
             (
                 (1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0),
--- a/tests/deployment_kit.py
+++ b/tests/deployment_kit.py
@@ -237,7 +237,7 @@
     # open.
     await until(lambda: listing.asked > 1)
     listing.drain("s-0")
-    await until(lambda: not server.takes_work)
+    await until(lambda: not server.accepts_work)
     if conf["membership_mode"] == "push":
         assert app.router.set_manual_drain("s-0", True), "and by hand besides"
 
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -300,7 +300,7 @@
         assert not flow.client_left, "its client has gone"
         assert not flow.answered.done(), "it has its answer"
         assert 0 < left <= flow.deadline - now, "more time than is left"
-        assert server is not None and server.takes_work, "drained or gone"
+        assert server is not None and server.accepts_work, "drained or gone"
         earlier = [each for each in self.attempts if each.job.id == held.job.id and each.begun_at is not None]
         ran = [each for each in earlier if each.may_have_run]
         assert len(earlier) < self.settings.max_attempts
@@ -338,7 +338,7 @@
         )
         assert sum(out.values()) == self.running, "attempts out and attempts counted"
         for number, worker in self.dispatcher.workers.items():
-            counted = self.router.table.servers[number].out
+            counted = self.router.table.servers[number].in_flight
             mine = sum(
                 each.backend is self.router.table.servers[number]
                 for flow in self.flows.values()
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -292,7 +292,7 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with site(tmp_path, stomp="", discovery=address, membership_mode="push") as (app, _):
             [backend] = app.router.table.servers.values()
-            assert not backend.takes_work, "before the first client may come"
+            assert not backend.accepts_work, "before the first client may come"
             assert app.conf.understanding.goes_by["list"] == "pushed on a watch"
         server.close()
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -151,7 +151,7 @@
     assert answer.verdict is Verdict.REFUSED and link.calls == 0
     [ended] = module.of(face.AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT, "not a byte went out"
-    assert [server.out for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.servers.values()] == [0]
     assert not router.is_open(JOB.id)
 
 
@@ -176,7 +176,7 @@
 
     router, module = asyncio.run(run())
     assert len(module.of(face.AttemptEnded)) == 2 * 32, "each send and its end, once"
-    assert [server.out for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.servers.values()] == [0]
     assert router.counters.abandoned == 32 and not router.open_ids
 
 
@@ -252,7 +252,7 @@
         [answer], router = play(module, FakeLink(news=[ProgressReport()]), JOB)
     [ended] = module.of(face.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
-    assert [server.out for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.servers.values()] == [0]
 
 
 def test_a_fault_in_a_link_is_an_error_of_that_attempt(caplog):
@@ -290,12 +290,12 @@
     table = BackendTable(lambda entry: FakeLink())
     changes = []
     table.watcher = lambda server, up: changes.append((server.entry.host, up))
-    table.add_guest(Endpoint("box", "", 0, 0, 0, WorkerState.READY, 1.0, 9), FakeLink())
+    table.register(Endpoint("box", "", 0, 0, 0, WorkerState.READY, 1.0, 9), FakeLink())
     update = table.apply(EndpointList((ENTRY,), whole=True))
     assert {entry.worker for entry in update.entries} == {ID, stable_id("box")}
     update = table.apply(EndpointList((), whole=True))
     assert [entry.worker for entry in update.entries] == [stable_id("box")]
-    assert table.change_guest("box", WorkerState.GONE).entries[0].state is WorkerState.GONE
+    assert table.change_registered("box", WorkerState.GONE).entries[0].state is WorkerState.GONE
     assert changes == [("box", True), ("s-1", True), ("s-1", False), ("box", False)]
     assert not table.servers
 
@@ -303,7 +303,7 @@
 def test_a_drain_by_hand_outlasts_an_absence_from_the_list():
     table = BackendTable(lambda entry: FakeLink())
     table.apply(EndpointList((ENTRY,), whole=True))
-    table.hold_back("s-1", True)
+    table.set_manual_drain("s-1", True)
     table.apply(EndpointList((), whole=True))
     [entry] = table.apply(EndpointList((ENTRY,), whole=True)).entries
     assert entry.state is WorkerState.DRAINING
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -304,19 +304,19 @@
             ports = [port_of(each.entry.dial) for each in (first, spare)]
             both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
-            await until(lambda: not spare.takes_work)
+            await until(lambda: not spare.accepts_work)
             async with load(app) as statuses:
                 app.router.set_manual_drain(first.entry.host, True)
-                await until(lambda: spare.takes_work)
+                await until(lambda: spare.accepts_work)
                 app.router.set_manual_drain(first.entry.host, False)
                 back = time.monotonic()
-                assert first.takes_work and spare.takes_work
-                await until(lambda: not spare.takes_work)
+                assert first.accepts_work and spare.accepts_work
+                await until(lambda: not spare.accepts_work)
                 assert time.monotonic() - back > 0.29, "the hysteresis"
                 app.module.avoided = lambda now: {first.id}
-                await until(lambda: spare.takes_work)
+                await until(lambda: spare.accepts_work)
                 del app.module.avoided
-                await until(lambda: not spare.takes_work)
+                await until(lambda: not spare.accepts_work)
                 server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
                 await until(lambda: len(app.router.table.servers) == 1)
                 assert await boxes_of(app) == {spare.entry.host}
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -207,7 +207,7 @@
             peer.job("first", b"20")
             await until(lambda: box.ran)
             box.send("UNSUBSCRIBE", id="w")
-            await until(lambda: not next(iter(app.router.table.servers.values())).takes_work)
+            await until(lambda: not next(iter(app.router.table.servers.values())).accepts_work)
             peer.job("second", b"20", deadline="300")
             await until(lambda: len(peer.answers()) == 2)
             assert peer.answers() == {"first": ["served"], "second": ["refused"]}
