--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -1,13 +1,14 @@
-"""A fleet on virtual time: the engines of consensus, gossip and leases unchanged, a network that loses,
-doubles, delays and cuts, processes that die with and without their memory, stop and go on, and clocks that
-run fast or slow.
+"""A fleet on virtual time: the real engines of consensus, gossip and leases, and faults around them.
+
+The network loses, repeats, delays and partitions. Processes crash with and without their persistent state,
+pause and resume. Clocks run fast or slow.
 
     python -m benchmarks.fleet_sim --schedules 1000 --seed 1 [--defect NAME] [--nodes 5] [--seconds 20]
 
 The last line is one JSON object; the exit status is 1 if anything is broken. The same seed is the same run.
-Checked after every step: the invariants at the heads of record.py and leases.py, that no two may act at once,
-that a store which checks tokens takes none lower than it has seen, and that a read shows all that ended
-before it began. `--defect` plants a mistake, which the checks must find.
+Checked after every step: the invariants of raft.py and lease_table.py; that no two holders may act at once;
+that a store which checks tokens takes none lower than it has seen; that a read shows all that ended before it
+began. `--defect` plants a mistake, which the checks must find.
 """
 
 from __future__ import annotations
@@ -39,6 +40,8 @@
 LIMITS = LeaseLimits(min_ttl_us=S, max_ttl_us=3 * S, max_clock_drift=0.05)
 NAMES = ("snapshot", "export")
 LOST_AFTER = S  # a member that is down so long is known to be
+MAX_FILE_BYTES = 50_000  # of a disk; then it is written anew
+FAULT_KINDS = ("kill", "kill", "pause", "cut", "one way", "loss", "slow", "hand over", "wipe")
 DEFECTS = (
     "no token check",
     "time from the answer",
@@ -51,7 +54,7 @@
 )
 
 
-class BrokenRuleError(Exception):
+class BrokenInvariantError(Exception):
     """What should always hold does not."""
 
 
@@ -63,12 +66,12 @@
     rate: float
     offset: int
     has_store: bool
-    record: RaftNode | None = None
+    raft: RaftNode | None = None
     leases: LeaseTable = field(default_factory=lambda: LeaseTable(LIMITS))
     watcher: ExpiryWatcher = field(default_factory=lambda: ExpiryWatcher(LIMITS))
     clients: list[LeaseClient] = field(default_factory=list)
     disk: bytes | None = None  # a file, as state_codec.py writes it
-    lives: int = 0
+    incarnation: int = 0
     last_request_id: int = 0
     paused: bool = False
     inbox: list[Callable[[], None]] = field(default_factory=list)
@@ -79,7 +82,7 @@
     checked: tuple[int, int] = (0, 0)  # epoch and index up to which its entries were compared
 
 
-class Fleet:
+class FleetSimulation:
     def __init__(self, seed: int, nodes: int = 3, seconds: float = 20.0, defect: str = "") -> None:
         self.random, self.torn, self.defect = random.Random(seed), random.Random(seed), defect
         self.now, self.end, self.sequence = 0, round(seconds * S), 0
@@ -90,7 +93,7 @@
             for n in range(nodes)
         ]
         self.wanted = 3 if nodes < 7 else 5
-        self.cuts: dict[tuple[int, int], int] = {}  # one way, until then
+        self.partitions: dict[tuple[int, int], int] = {}  # one way, until then
         self.loss = 0.0
         self.slow = 1.0
         self.counts: Counter[str] = Counter()
@@ -117,8 +120,8 @@
         for node in self.nodes:
             self._start(node)
         first = self.nodes[0]
-        assert first.record is not None
-        self._found(first)
+        assert first.raft is not None
+        self._found_epoch(first)
         self.at(S, self._tend)
         self.at(self.random.expovariate(1 / S), self._fault)
         while self.events and self.events[0][0] <= self.end:
@@ -127,37 +130,37 @@
             self._check()
         for name, calls in self.history.items():
             if not linearizable(calls):
-                raise BrokenRuleError(
+                raise BrokenInvariantError(
                     f"history: what callers saw of {name} could not have happened in any order"
                 )
 
     # --- processes ---
 
     def _start(self, node: Node) -> None:
-        """With its disk's memory if it has one, else as somebody new."""
-        node.lives += 1
-        memory = state_codec.decode_state(node.disk)[0] if node.disk is not None else None
-        if memory is None:
-            identity = f"n{node.number}.{node.lives}"
+        """With the state of its disk if it has one, else as a new identity."""
+        node.incarnation += 1
+        persistent = state_codec.decode_state(node.disk)[0] if node.disk is not None else None
+        if persistent is None:
+            identity = f"n{node.number}.{node.incarnation}"
             if self.defect == "memory forgotten":
                 identity = f"n{node.number}"  # it votes as if it remembered
-            memory = PersistentState(identity)
+            persistent = PersistentState(identity)
         elif self.defect == "vote forgotten":
-            memory.voted_for = ""
+            persistent.voted_for = ""
         leases = Forgetful(LIMITS) if self.defect.startswith("token") else LeaseTable(LIMITS)
         node.leases, node.watcher = leases, ExpiryWatcher(LIMITS)
         kinds = {"two voter changes at once": Rash, "stale read": Careless}
         now = self.local(node)
-        record = kinds.get(self.defect, RaftNode)(
-            memory, leases, RaftConfig(), self.random.getrandbits(32), now
+        raft = kinds.get(self.defect, RaftNode)(
+            persistent, leases, RaftConfig(), self.random.getrandbits(32), now
         )
-        record.on_applied = lambda at: node.watcher.observe(node.leases, at)
-        node.record, node.down_since, node.paused, node.inbox = record, None, False, []
+        raft.on_applied = lambda at: node.watcher.observe(node.leases, at)
+        node.raft, node.down_since, node.paused, node.inbox = raft, None, False, []
         node.checked = (0, 0)
         node.clients, node.proposals, node.reads = [], {}, {}
-        record.on_applied(now)
+        raft.on_applied(now)
         if node.has_store:
-            node.disk = state_codec.encode_state(memory)
+            node.disk = state_codec.encode_state(persistent)
         for _ in range(2):
             self._new_client(node)
         self._pump(node)
@@ -165,73 +168,76 @@
     def _new_client(self, node: Node) -> None:
         node.last_request_id += 1
         kind = Hasty if self.defect == "time from the answer" else LeaseClient
-        name = f"n{node.number}.{node.lives}"
+        name = f"n{node.number}.{node.incarnation}"
         wait = self.random.choice((0, 5 * S))
         lease, ttl = self.random.choice(NAMES), self.random.randint(S, 3 * S)
         request = Acquire(lease, name, node.last_request_id, ttl, wait)
         node.clients.append(kind(request, LIMITS, self.local(node)))
 
-    def _die(self, node: Node, lives: int, longest: float) -> None:
-        if node.record is None or node.lives != lives:
+    def _crash(self, node: Node, incarnation: int, longest: float) -> None:
+        if node.raft is None or node.incarnation != incarnation:
             return
-        node.record, node.down_since, node.clients = None, self.now, []
+        node.raft, node.down_since, node.clients = None, self.now, []
         if node.disk is not None and self.torn.random() < 0.3:  # it was writing: some of a frame is there
             frame = state_codec.encode_frame(state_codec.LogEntries(1, (Entry(1),)))
             node.disk += frame[: self.torn.randrange(1, len(frame))]
-        self.at(
-            self.random.uniform(0, longest) * S, lambda: self._start(node) if node.record is None else None
-        )
+        self.at(self.random.uniform(0, longest) * S, lambda: self._start(node) if node.raft is None else None)
 
-    def _found(self, node: Node) -> None:
-        assert node.record is not None
-        known = max(node.record.persistent.epoch, 0)
-        self.epoch = next_epoch(known, self.now / S + 1_000, node.record.identity)
-        node.record.force_new_cluster(self.epoch, self.local(node))
+    def _found_epoch(self, node: Node) -> None:
+        assert node.raft is not None
+        known = max(node.raft.persistent.epoch, 0)
+        self.epoch = next_epoch(known, self.now / S + 1_000, node.raft.identity)
+        node.raft.force_new_cluster(self.epoch, self.local(node))
         self._pump(node)
 
     def _do(self, node: Node, act: Callable[[RaftNode, int], None]) -> None:
         """Something comes to a process: a stopped one finds it when it goes on, a dead one never."""
-        lives = node.lives
+        incarnation = node.incarnation
 
         def later() -> None:
-            if node.record is not None and node.lives == lives:
-                act(node.record, self.local(node))
+            if node.raft is not None and node.incarnation == incarnation:
+                act(node.raft, self.local(node))
                 self._pump(node)
 
         node.inbox.append(later) if node.paused else later()
 
     def _pump(self, node: Node) -> None:
-        """Let a process do all that is due; its memory is on its disk before a message leaves."""
-        record, now = node.record, self.local(node)
-        if record is None or node.paused:
+        """Let a process do all that is due. Its state is on its disk before a message is sent."""
+        raft, now = node.raft, self.local(node)
+        if raft is None or node.paused:
             return
-        if now >= record.next_tick_at:
-            record.tick(now)
-        if record.is_leader:
-            self._lead(node, record, now)
+        if now >= raft.next_tick_at:
+            raft.tick(now)
+        if raft.is_leader:
+            self._lead(node, raft, now)
         for client in node.clients:
             for request in client.tick(now):
                 self._submit(node, client, request)
-        if record.hard_state_changed and self.random.random() < 0.1:
-            # The worst moment to die: just after a promise.
-            lives = node.lives
-            self.at(self.random.uniform(0, 10_000), lambda: self._die(node, lives, 0.03))
-        if record.has_unsaved_changes:
-            frames = state_codec.encode_changes(record)
-            if node.disk is not None:
-                node.disk += frames
-                if len(node.disk) > 50_000:
-                    node.disk = state_codec.encode_state(record.persistent)
-        for message in record.outbox:
+        if raft.hard_state_changed and self.random.random() < 0.1:
+            # The worst moment to crash: just after a vote.
+            incarnation = node.incarnation
+            self.at(self.random.uniform(0, 10_000), lambda: self._crash(node, incarnation, 0.03))
+        if raft.has_unsaved_changes:
+            self._save(node, raft)
+        for message in raft.outbox:
             self._carry(message)
-        record.outbox.clear()
-        self._report_outcomes(node, record)
-        due = min([record.next_tick_at, *(client.next_at for client in node.clients)])
-        self._wake(node, max(due - now, 1000) / node.rate)
+        raft.outbox.clear()
+        self._report_outcomes(node, raft)
+        next_at = min([raft.next_tick_at, *(client.next_at for client in node.clients)])
+        self._wake(node, max(next_at - now, 1000) / node.rate)
+
+    @staticmethod
+    def _save(node: Node, raft: RaftNode) -> None:
+        frames = state_codec.encode_changes(raft)
+        if node.disk is None:
+            return
+        node.disk += frames
+        if len(node.disk) > MAX_FILE_BYTES:
+            node.disk = state_codec.encode_state(raft.persistent)
 
     @staticmethod
-    def _report_outcomes(node: Node, record: RaftNode) -> None:
-        outcomes, record.outcomes = record.outcomes, []
+    def _report_outcomes(node: Node, raft: RaftNode) -> None:
+        outcomes, raft.outcomes = raft.outcomes, []
         for outcome in outcomes:
             if isinstance(outcome, ReadIndexOutcome):
                 node.reads.pop(outcome.read_id, lambda confirmed: None)(outcome.confirmed)
@@ -246,11 +252,11 @@
         node.wake_at = at
         self.at(delay, lambda: self._pump(node) if node.wake_at <= self.now else None)
 
-    def _lead(self, node: Node, record: RaftNode, now: int) -> None:
+    def _lead(self, node: Node, raft: RaftNode, now: int) -> None:
         if self.defect == "no wait by a new leader":
-            forget_the_wait(node.watcher, record.persistent.current_term)
-        for operation in node.watcher.new_proposals(node.leases, record.persistent.current_term, now):
-            record.propose(encode(operation), now)
+            forget_the_wait(node.watcher, raft.persistent.current_term)
+        for operation in node.watcher.new_proposals(node.leases, raft.persistent.current_term, now):
+            raft.propose(encode(operation), now)
 
     # --- the network ---
 
@@ -264,7 +270,7 @@
     def _deliver(self, source: int, to: int, act: Callable[[], None]) -> None:
         """What meets a cut is lost, or, as TCP sends it again and again, comes when the cut is over."""
         delay = 1.0 if source == to else self.random.expovariate(1 / (3_000 * self.slow))
-        until = self.cuts.get((source, to), 0)
+        until = self.partitions.get((source, to), 0)
         if until > self.now:
             if self.random.random() < 0.5:
                 return
@@ -274,8 +280,8 @@
         self.at(delay, act)
 
     def _arrive(self, node: Node, message: Message) -> None:
-        if node.record is not None and node.record.identity == message.to:
-            self._do(node, lambda record, now: record.receive(message, now))
+        if node.raft is not None and node.raft.identity == message.to:
+            self._do(node, lambda raft, now: raft.receive(message, now))
 
     @staticmethod
     def _number(identity: str) -> int:
@@ -285,10 +291,10 @@
 
     def _submit(self, node: Node, client: LeaseClient, request: LeaseRequest) -> None:
         """To the member that it believes to lead, and back; either way can be lost."""
-        record = node.record
-        assert record is not None
-        target = self._number(record.leader) if record.leader else self.random.randrange(len(self.nodes))
-        there, lives = self.nodes[target], node.lives
+        raft = node.raft
+        assert raft is not None
+        target = self._number(raft.leader) if raft.leader else self.random.randrange(len(self.nodes))
+        there, incarnation = self.nodes[target], node.incarnation
 
         start = self.now
 
@@ -296,20 +302,20 @@
             def back() -> None:
                 if response is not None:
                     self._note(start, request.operation, response)
-                if node.lives == lives:
-                    self._do(node, lambda record, now: client.handle_response(request.number, response, now))
+                if node.incarnation == incarnation:
+                    self._do(node, lambda raft, now: client.handle_response(request.number, response, now))
 
             self._deliver(target, node.number, back)
 
-        def put(record: RaftNode, now: int) -> None:
-            proposal_id = record.propose(encode(request.operation), now)
+        def put(raft: RaftNode, now: int) -> None:
+            proposal_id = raft.propose(encode(request.operation), now)
             if proposal_id is None:
                 reply(None)
                 return
 
             def ended(committed: bool, result: object) -> None:
-                epoch = record.persistent.epoch
-                self.finished[epoch] = max(self.finished[epoch], record.commit_index if committed else 0)
+                epoch = raft.persistent.epoch
+                self.finished[epoch] = max(self.finished[epoch], raft.commit_index if committed else 0)
                 reply(result if committed and isinstance(result, LeaseResponse) else None)
 
             there.proposals[proposal_id] = ended
@@ -328,7 +334,7 @@
         """Now and then: the leader sees to its voters, tasks begin and end, and somebody reads."""
         self.at(self.random.uniform(0.1, 0.4) * S, self._tend)
         for node in self.nodes:
-            if node.record is None or node.paused:
+            if node.raft is None or node.paused:
                 continue
             now = self.local(node)
             node.clients = [each for each in node.clients if each.stage is not Stage.ENDED]
@@ -339,26 +345,26 @@
                     client.release(now)
                 if client.may_act(now):
                     self._act(client)
-            if node.record.is_leader:
-                self._see_to_voters(node, node.record, now)
-                self._read(node, node.record, now)
+            if node.raft.is_leader:
+                self._see_to_voters(node, node.raft, now)
+                self._read(node, node.raft, now)
             self._pump(node)
 
-    def _see_to_voters(self, node: Node, record: RaftNode, now: int) -> None:
-        up = {each.record.identity: each for each in self.nodes if each.record is not None}
+    def _see_to_voters(self, node: Node, raft: RaftNode, now: int) -> None:
+        up = {each.raft.identity: each for each in self.nodes if each.raft is not None}
         gone = {
             name
-            for name in record.voters
+            for name in raft.voters
             if name not in up and self.now - (self.nodes[self._number(name)].down_since or 0) > LOST_AFTER
         }
-        wanted = next_voters(record.voters, record.identity, sorted(up), gone, self.wanted)
-        record.set_learners(set(wanted or ()) - set(record.voters), now)
+        wanted = next_voters(raft.voters, raft.identity, sorted(up), gone, self.wanted)
+        raft.set_learners(set(wanted or ()) - set(raft.voters), now)
         if wanted is not None:
-            self.counts["voter changes"] += record.change_voters(wanted, now)
+            self.counts["voter changes"] += raft.change_voters(wanted, now)
 
-    def _read(self, node: Node, record: RaftNode, now: int) -> None:
-        epoch = record.persistent.epoch
-        finished, read_id = self.finished[epoch], record.request_read(now)
+    def _read(self, node: Node, raft: RaftNode, now: int) -> None:
+        epoch = raft.persistent.epoch
+        finished, read_id = self.finished[epoch], raft.request_read(now)
         if read_id is None:
             return
 
@@ -371,9 +377,9 @@
                     lease = node.leases.state.leases.get(name)
                     call = Call(start, self.now, "read", lease.token if lease else 0)
                     self.history[name].append(call)
-            if confirmed and epoch == record.persistent.epoch and record.commit_index < finished:
-                raise BrokenRuleError(
-                    f"stale read: {record.identity} shows {record.commit_index} of {finished}"
+            if confirmed and epoch == raft.persistent.epoch and raft.commit_index < finished:
+                raise BrokenInvariantError(
+                    f"stale read: {raft.identity} shows {raft.commit_index} of {finished}"
                 )
 
         node.reads[read_id] = ended
@@ -389,7 +395,7 @@
                 if self.defect != "no token check":
                     self.counts["refused by token"] += 1
                     return
-                raise BrokenRuleError(f"{name}: the store took {token} after {self.highest[name]}")
+                raise BrokenInvariantError(f"{name}: the store took {token} after {self.highest[name]}")
             self.highest[name] = token
 
         late = self.random.random() < 0.1
@@ -400,57 +406,78 @@
     def _fault(self) -> None:
         self.at(self.random.expovariate(1 / (1.2 * S)), self._fault)
         node = self.random.choice(self.nodes)
-        kind = self.random.choice(
-            ("kill", "kill", "pause", "cut", "one way", "loss", "slow", "hand over", "wipe")
-        )
-        up = [each for each in self.nodes if each.record is not None]
-        if kind in ("kill", "wipe"):
-            if node.record is None or (2 * len(up) <= len(self.nodes) + 1 and self.random.random() < 0.8):
-                return
-            if kind == "wipe":
-                node.disk = None
-            self._die(node, node.lives, 4.0)
-        elif kind == "pause":
-            if node.record is None or node.paused:
-                return
-            node.paused, lives = True, node.lives
-            self.at(self.random.uniform(0.1, 6) * S, lambda: self._go_on(node, lives))
-        elif kind in ("cut", "one way"):
-            side = set(
-                self.random.sample(range(len(self.nodes)), self.random.randint(1, len(self.nodes) - 1))
-            )
-            other = set(range(len(self.nodes))) - side
-            cut = {(a, b) for a in side for b in other}
-            cut |= {(b, a) for a, b in cut} if kind == "cut" else set()
-            self.cuts |= dict.fromkeys(cut, self.now + round(self.random.uniform(0.2, 4) * S))
-        elif kind == "loss":
-            self.loss = self.random.uniform(0.05, 0.4)
-            self.at(self.random.uniform(0.2, 3) * S, lambda: setattr(self, "loss", 0.0))
-        elif kind == "slow":
-            self.slow = self.random.uniform(10, 200)
-            self.at(self.random.uniform(0.2, 2) * S, lambda: setattr(self, "slow", 1.0))
-        else:
-            leader = next(
-                (each for each in up if each.record and each.record.is_leader and not each.paused), None
-            )
-            if leader is None or leader.record is None:
-                self._maybe_found(up)
-                return
-            others = [name for name in leader.record.voters if name != leader.record.identity]
-            if others:
-                leader.record.transfer_leadership(self.random.choice(others), self.local(leader))
-                self._pump(leader)
-        self.faults[kind] += 1
-
-    def _maybe_found(self, up: list[Node]) -> None:
-        """An operator's word, where it is true: most of the voters' memory is lost for good."""
+        kind = self.random.choice(FAULT_KINDS)
+        up = [each for each in self.nodes if each.raft is not None]
+        match kind:
+            case "kill" | "wipe":
+                happened = self._kill(node, up, wipe=kind == "wipe")
+            case "pause":
+                happened = self._pause(node)
+            case "cut" | "one way":
+                happened = self._partition(both_ways=kind == "cut")
+            case "loss":
+                happened = self._lose_messages()
+            case "slow":
+                happened = self._slow_down()
+            case _:
+                happened = self._transfer_leadership(up)
+        self.faults[kind] += happened
+
+    def _kill(self, node: Node, up: list[Node], *, wipe: bool) -> bool:
+        few_are_up = 2 * len(up) <= len(self.nodes) + 1
+        if node.raft is None or (few_are_up and self.random.random() < 0.8):
+            return False
+        if wipe:
+            node.disk = None
+        self._crash(node, node.incarnation, 4.0)
+        return True
+
+    def _pause(self, node: Node) -> bool:
+        if node.raft is None or node.paused:
+            return False
+        node.paused = True
+        incarnation = node.incarnation
+        self.at(self.random.uniform(0.1, 6) * S, lambda: self._resume(node, incarnation))
+        return True
+
+    def _partition(self, *, both_ways: bool) -> bool:
+        numbers = range(len(self.nodes))
+        side = set(self.random.sample(numbers, self.random.randint(1, len(self.nodes) - 1)))
+        pairs = {(a, b) for a in side for b in set(numbers) - side}
+        if both_ways:
+            pairs |= {(b, a) for a, b in pairs}
+        self.partitions |= dict.fromkeys(pairs, self.now + round(self.random.uniform(0.2, 4) * S))
+        return True
+
+    def _lose_messages(self) -> bool:
+        self.loss = self.random.uniform(0.05, 0.4)
+        self.at(self.random.uniform(0.2, 3) * S, lambda: setattr(self, "loss", 0.0))
+        return True
+
+    def _slow_down(self) -> bool:
+        self.slow = self.random.uniform(10, 200)
+        self.at(self.random.uniform(0.2, 2) * S, lambda: setattr(self, "slow", 1.0))
+        return True
+
+    def _transfer_leadership(self, up: list[Node]) -> bool:
+        """Let another voter lead. Without a leader an operator may have to start a new epoch."""
+        leader = next((each for each in up if each.raft and each.raft.is_leader and not each.paused), None)
+        if leader is None or leader.raft is None:
+            self._start_epoch_if_lost(up)
+            return False
+        others = [name for name in leader.raft.voters if name != leader.raft.identity]
+        if others:
+            leader.raft.transfer_leadership(self.random.choice(others), self.local(leader))
+            self._pump(leader)
+        return True
+
+    def _start_epoch_if_lost(self, up: list[Node]) -> None:
+        """As an operator would, if the state of most voters is lost for good."""
         known = [
-            each
-            for each in up
-            if each.record and each.record.persistent.epoch == self.epoch and not each.paused
+            each for each in up if each.raft and each.raft.persistent.epoch == self.epoch and not each.paused
         ]
-        voters = max((each.record.voters for each in known if each.record), key=len, default=())
-        alive = {each.record.identity for each in up if each.record}
+        voters = max((each.raft.voters for each in known if each.raft), key=len, default=())
+        alive = {each.raft.identity for each in up if each.raft}
         back = {
             name
             for name in voters
@@ -464,10 +491,10 @@
         ):
             self.faults["new epoch"] += 1
             node = self.random.choice(known or up)
-            self._found(node)
+            self._found_epoch(node)
 
-    def _go_on(self, node: Node, lives: int) -> None:
-        if node.lives != lives or node.record is None:
+    def _resume(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation or node.raft is None:
             return
         node.paused = False
         inbox, node.inbox = node.inbox, []
@@ -480,69 +507,73 @@
     def _check(self) -> None:
         acting: dict[str, tuple[str, int]] = {}
         for node in self.nodes:
-            record = node.record
-            if record is None:
+            raft = node.raft
+            if raft is None:
                 continue
-            memory = record.persistent
-            if record.is_leader:
-                before = self.leaders.setdefault((memory.epoch, memory.current_term), record.identity)
-                if before != record.identity:
-                    raise BrokenRuleError(
-                        f"election: {before} and {record.identity} lead in term {memory.current_term}"
+            persistent = raft.persistent
+            if raft.is_leader:
+                before = self.leaders.setdefault((persistent.epoch, persistent.current_term), raft.identity)
+                if before != raft.identity:
+                    raise BrokenInvariantError(
+                        f"election: {before} and {raft.identity} lead in term {persistent.current_term}"
                     )
-            self._check_applied(node, record)
+            self._check_applied(node, raft)
             now = self.local(node)
             for client in node.clients:
                 if client.may_act(now):
                     request, acts_by = client.request, (client.request.holder, client.token)
                     other = acting.setdefault(request.name, acts_by)
                     if other != acts_by:
-                        raise BrokenRuleError(f"overlap: {other} and {acts_by} may act on {request.name}")
-
-    def _check_applied(self, node: Node, record: RaftNode) -> None:
-        memory = record.persistent
-        first = max(node.checked[1] if node.checked[0] == memory.epoch else 0, memory.last_included_index)
-        for index in range(first + 1, record.commit_index + 1):
-            entry = memory.entries[index - memory.last_included_index - 1]
-            known = self.committed.setdefault((memory.epoch, index), (entry.term, entry.operation))
+                        raise BrokenInvariantError(
+                            f"overlap: {other} and {acts_by} may act on {request.name}"
+                        )
+
+    def _check_applied(self, node: Node, raft: RaftNode) -> None:
+        persistent = raft.persistent
+        first = max(
+            node.checked[1] if node.checked[0] == persistent.epoch else 0, persistent.last_included_index
+        )
+        for index in range(first + 1, raft.commit_index + 1):
+            entry = persistent.entries[index - persistent.last_included_index - 1]
+            known = self.committed.setdefault((persistent.epoch, index), (entry.term, entry.operation))
             if known != (entry.term, entry.operation):
-                raise BrokenRuleError(
-                    f"machine: {record.identity} applies another entry at {index} of epoch {memory.epoch}"
+                raise BrokenInvariantError(
+                    f"machine: {raft.identity} applies another entry at {index} of epoch {persistent.epoch}"
                 )
         node_state = node.leases.state
         for name, lease in node_state.leases.items():
             known_holder = self.granted.setdefault(lease.token, (name, lease.holder))
             if known_holder != (name, lease.holder):
-                raise BrokenRuleError(
+                raise BrokenInvariantError(
                     f"token {lease.token} granted twice: {known_holder} and {name, lease.holder}"
                 )
             if any(each.holder == lease.holder for each in lease.waiters):
-                raise BrokenRuleError(f"{lease.holder} waits for {name}, which it holds")
+                raise BrokenInvariantError(f"{lease.holder} waits for {name}, which it holds")
         tokens = [lease.token for lease in node_state.leases.values()]
-        low, high = self.tokens.get(memory.epoch, (max(tokens, default=0), 0))
+        low, high = self.tokens.get(persistent.epoch, (max(tokens, default=0), 0))
         if tokens:
-            self.tokens[memory.epoch] = (min(low, *tokens), max(high, *tokens))
+            self.tokens[persistent.epoch] = (min(low, *tokens), max(high, *tokens))
         for epoch, (_, before) in self.tokens.items():
-            if epoch < memory.epoch and tokens and min(tokens) <= before:
-                raise BrokenRuleError(
-                    f"epoch {memory.epoch} grants {min(tokens)}, epoch {epoch} granted {before}"
+            if epoch < persistent.epoch and tokens and min(tokens) <= before:
+                raise BrokenInvariantError(
+                    f"epoch {persistent.epoch} grants {min(tokens)}, epoch {epoch} granted {before}"
                 )
-        node.checked = (memory.epoch, record.commit_index)
+        node.checked = (persistent.epoch, raft.commit_index)
 
 
-def play(seed: int, nodes: int, seconds: float, defect: str) -> dict[str, object]:
-    fleet = Fleet(seed, nodes, seconds, defect)
+def simulate(seed: int, nodes: int, seconds: float, defect: str) -> dict[str, object]:
+    simulation = FleetSimulation(seed, nodes, seconds, defect)
     broken = ""
     try:
-        fleet.run()
-    except BrokenRuleError as error:
-        broken = f"seed {seed}, {fleet.now / S:.3f} s: {error}"
+        simulation.run()
+    except BrokenInvariantError as error:
+        broken = f"seed {seed}, {simulation.now / S:.3f} s: {error}"
     return {
         "seed": seed,
         "broken": broken,
-        "faults": dict(fleet.faults),
-        "grants": len(fleet.granted),
-        **fleet.counts,
+        "faults": dict(simulation.faults),
+        "grants": len(simulation.granted),
+        **simulation.counts,
     }
 
 
@@ -551,7 +582,7 @@
 
 
 def _one(task: tuple[int, int, float, str]) -> dict[str, object]:
-    return play(*task)
+    return simulate(*task)
 
 
 def main() -> int:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,7 +8,7 @@
 
 from benchmarks.fleet_history import Call, linearizable
 from benchmarks.fleet_search import Left, search
-from benchmarks.fleet_sim import play
+from benchmarks.fleet_sim import simulate
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import AppendEntries, AppendResponse, Entry, Message
 from hazelbend.consensus.persistent_state import PersistentState, next_epoch
@@ -436,13 +436,13 @@
 @pytest.mark.parametrize("nodes, schedules", [(3, 20), (5, 12), (7, 5)])
 def test_no_two_holders_act_at_once_under_any_fault(nodes, schedules):
     """Schedules of ten seconds, with every fault; a longer run: benchmarks/fleet_sim.py."""
-    played = [play(seed, nodes, 10.0, "") for seed in range(schedules)]
+    played = [simulate(seed, nodes, 10.0, "") for seed in range(schedules)]
     assert [each["broken"] for each in played if each["broken"]] == []
     assert (
         sum(each["grants"] for each in played) > schedules
         and sum(each.get("acts", 0) for each in played) > 100
     )
-    assert played[0] == play(0, nodes, 10.0, ""), "the same seed is the same run"
+    assert played[0] == simulate(0, nodes, 10.0, ""), "the same seed is the same run"
 
 
 @pytest.mark.parametrize(
@@ -457,8 +457,8 @@
     ],
 )
 def test_the_checks_of_the_simulation_find_planted_defects(seed, nodes, defect, found):
-    assert found in str(play(seed, nodes, 20.0, defect)["broken"])
-    assert not play(seed, nodes, 20.0, "")["broken"], "it is the defect that they find"
+    assert found in str(simulate(seed, nodes, 20.0, defect)["broken"])
+    assert not simulate(seed, nodes, 20.0, "")["broken"], "it is the defect that they find"
 
 
 @pytest.mark.parametrize(
