--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -65,7 +65,7 @@
             self.raft.identity, settings.address, settings.seeds, self.raft.incarnation, now
         )
         self.planner = PhasePlanner()
-        self.watching_routers: set[str] = set()  # routers that watch this process
+        self.subscribed_routers: set[str] = set()  # routers that are subscribed to this process
         self.peak_router_count = 1  # routers that have watched the fleet at a time: they share budgets
         self._outbox = Outbox()
         self._config_calls = ConfigCalls(self.raft, self.config_state, self._next_request_id)
@@ -123,7 +123,7 @@
     def fleet_status(self, now: int) -> m.FleetStatus:
         """The status that routers get periodically."""
         alive = self.peers.alive(now)
-        routers = self.watching_routers.union(*(peer.routers for peer in alive.values()))
+        routers = self.subscribed_routers.union(*(peer.routers for peer in alive.values()))
         switching = {*self.planner.switching, *(name for peer in alive.values() for name in peer.switching)}
         own_addresses = (self.settings.address,) if self.settings.counts_for_quorum else ()
         addresses = own_addresses + self.peers.alive_quorum_peers(now)
@@ -240,7 +240,7 @@
             self._send_hellos(now)
         if now >= self._next_ages_at:
             self._next_ages_at = now + AGES_PERIOD_US
-            self._workers.send_ages(tuple(self.watching_routers), self.planner.switching, now)
+            self._workers.send_ages(tuple(self.subscribed_routers), self.planner.switching, now)
         if now >= self._next_voters_check_at:
             self._next_voters_check_at = now + VOTERS_PERIOD_US
             self._membership.reconcile_voters(now)
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -70,17 +70,17 @@
     """The sender knows other workers than the receiver: it requests all that the receiver knows."""
 
 
-class Watch(msgspec.Struct, frozen=True, tag=True):
+class SubscribeRequest(msgspec.Struct, frozen=True, tag="Watch"):
     """A router subscribes to all updates; `version`: of the configuration that it has."""
 
     router: str
     version: int
-    loads: bool = True  # whether it wants the loads of others here: one of its watches is enough
+    loads: bool = True  # whether it wants the loads of others here: one of its subscriptions is enough
     caches: bool = True  # whether it wants the workers' cached prefixes: not if it has followed the changes
 
 
 class Ping(msgspec.Struct, frozen=True, tag=True):
-    """A router's heartbeat on a watch, with its own time in microseconds."""
+    """A router's heartbeat on a subscription, with its own time in microseconds."""
 
     sent_at: int = 0
 
@@ -157,7 +157,7 @@
     | WorkerUpdateAck
     | WorkerAges
     | WorkerSyncRequest
-    | Watch
+    | SubscribeRequest
     | Ping
     | Pong
     | ConfigUpdate
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -91,22 +91,22 @@
         except ValueError as error:
             raise CallRejectedError(HttpResponse(400, f"{error}\n".encode())) from None
         now = clock()
-        number = self._node.engine.handle_heartbeat(record, now)
-        if number is None and not self._node.engine.reaches_quorum_peers(now):
+        request_id = self._node.engine.handle_heartbeat(record, now)
+        if request_id is None and not self._node.engine.reaches_quorum_peers(now):
             self._node.advance()
             return HttpResponse(503, b"no other control process can be reached from here\n")
-        return await self._wait_for_replicas(number)
+        return await self._wait_for_replicas(request_id)
 
     async def _deregister(self, instance: str) -> HttpResponse:
         return await self._wait_for_replicas(self._node.engine.handle_deregistration(instance, clock()))
 
-    async def _wait_for_replicas(self, number: int | None) -> HttpResponse:
+    async def _wait_for_replicas(self, request_id: int | None) -> HttpResponse:
         """Wait until enough control processes hold the record. None: there is nothing to wait for."""
-        if number is None:
+        if request_id is None:
             self._node.advance()
             return HttpResponse(200, b"{}", JSON)
-        answer = await self._node.wait_for_answer(number)
-        if not isinstance(answer, AnnouncementOutcome) or not answer.acknowledged:
+        outcome = await self._node.wait_for_outcome(request_id)
+        if not isinstance(outcome, AnnouncementOutcome) or not outcome.acknowledged:
             return HttpResponse(503, b"too few control processes hold it\n")
         return HttpResponse(200, b"{}", JSON)
 
@@ -115,20 +115,20 @@
     async def _put_config(self, request: HttpRequest) -> HttpResponse:
         change = _read_config_change(request)
         await self._require_leadership(request.path)
-        number = self._node.engine.put_config(change.base_version, change.version, change.body, clock())
-        if number is None:
+        request_id = self._node.engine.put_config(change.base_version, change.version, change.body, clock())
+        if request_id is None:
             return HttpResponse(503, b"no majority that is large enough\n")
-        return _put_response(await self._node.wait_for_answer(number), change.version)
+        return _put_response(await self._node.wait_for_outcome(request_id), change.version)
 
     async def _get_config(self, request: HttpRequest) -> HttpResponse:
         await self._require_leadership(request.path)
-        number = self._node.engine.read_config(clock())
-        answer = await self._node.wait_for_answer(number) if number is not None else None
-        if not isinstance(answer, ReadOutcome) or answer.config is None:
+        request_id = self._node.engine.read_config(clock())
+        outcome = await self._node.wait_for_outcome(request_id) if request_id is not None else None
+        if not isinstance(outcome, ReadOutcome) or outcome.config is None:
             return HttpResponse(503, b"no majority answers\n")
-        if not answer.config.version:
+        if not outcome.config.version:
             return HttpResponse(404, b"no configuration yet\n")
-        return HttpResponse(200, decompress_body(answer.config), JSON)
+        return HttpResponse(200, decompress_body(outcome.config), JSON)
 
     async def _require_leadership(self, path: str) -> None:
         """Wait until this process leads.
@@ -179,8 +179,8 @@
     return _ConfigChange(int(base_version), version, request.body)
 
 
-def _put_response(answer: CallOutcome | None, version: int) -> HttpResponse:
-    match answer.result if isinstance(answer, PutOutcome) else None:
+def _put_response(outcome: CallOutcome | None, version: int) -> HttpResponse:
+    match outcome.result if isinstance(outcome, PutOutcome) else None:
         case ChangeResult.ACCEPTED:
             return HttpResponse(200, b'{"version":%d}' % version, JSON)
         case ChangeResult.CONFLICT:
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -93,7 +93,7 @@
             connection.close()
             return
         match body:
-            case m.Watch():
+            case m.SubscribeRequest():
                 self._publisher.subscribe(connection, body)
             case m.Ping():
                 connection.send(m.encode(self._node.confirmation(body)))
--- a/hazelbend/system/control_node.py
+++ b/hazelbend/system/control_node.py
@@ -24,7 +24,7 @@
 log = picologging.getLogger("hazelbend.control")
 
 SECOND_US = 1_000_000
-ANSWER_TIMEOUT_S = 0.9  # for an API call that waits for the engine
+OUTCOME_TIMEOUT_S = 0.9  # for an API call that waits for the engine
 SAVE_RETRY_DELAY_S = 0.2  # after a write that the disk refused
 MIN_TICK_INTERVAL_S = 0.001
 HAND_OVER_TIMEOUT_S = 0.6  # at the end, for another process to become leader
@@ -59,7 +59,7 @@
         self._on_config = on_config
         self._on_workers = on_workers
         self._links: dict[str, FrameLink] = {}  # by address of the control process
-        self._pending_answers: dict[int, asyncio.Future[CallOutcome]] = {}  # by number
+        self._pending_calls: dict[int, asyncio.Future[CallOutcome]] = {}  # by request id
         self._save_task: asyncio.Task[None] | None = None
         self._tick_timer: asyncio.TimerHandle | None = None
         self._event_log = ControlEventLog()
@@ -132,18 +132,18 @@
         delay_s = max((self.engine.next_tick_at - clock()) / SECOND_US, MIN_TICK_INTERVAL_S)
         self._tick_timer = asyncio.get_running_loop().call_later(delay_s, self.advance)
 
-    async def wait_for_answer(self, number: int) -> CallOutcome | None:
-        """Wait for the engine's answer of this number; None where it does not come in time."""
+    async def wait_for_outcome(self, request_id: int) -> CallOutcome | None:
+        """Wait for the outcome of this request to the engine; None where it does not come in time."""
         self.advance()
         future: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
-        self._pending_answers[number] = future
+        self._pending_calls[request_id] = future
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(OUTCOME_TIMEOUT_S):
                 return await future
         except TimeoutError:
             return None
         finally:
-            del self._pending_answers[number]
+            del self._pending_calls[request_id]
 
     def confirmation(self, ping: m.Ping) -> m.Pong:
         """The answer to a router's ping: which configuration is in force, and how old its confirmation is."""
@@ -164,8 +164,8 @@
         except StateNotSavedError as error:
             # The output is lost, as on a bad link: this process abstains until it can save again.
             log.error("control: store: %s; this process abstains until writes succeed", error)
-            for answer in engine.discard_durable_output():
-                self._resolve(answer)
+            for outcome in engine.discard_durable_output():
+                self._resolve(outcome)
             await asyncio.sleep(SAVE_RETRY_DELAY_S)
         finally:
             self._save_task = None
@@ -173,27 +173,27 @@
     def _send_immediate(self, output: ImmediateOutput) -> None:
         for address, body in output.messages:
             self.send(address, m.encode(body))
-        for answer in output.outcomes:
+        for outcome in output.outcomes:
             # Later, since its caller comes to wait for it only after this call.
-            asyncio.get_running_loop().call_soon(self._resolve, answer)
+            asyncio.get_running_loop().call_soon(self._resolve, outcome)
         if output.changed_workers:
             self._on_workers(output.changed_workers)
 
     def _send_durable(self, output: DurableOutput) -> None:
         for address, messages in output.messages:
             self.send(address, m.encode(messages))
-        for answer in output.outcomes:
-            self._resolve(answer)
+        for outcome in output.outcomes:
+            self._resolve(outcome)
         self.confirmed_at = output.confirmed_at
         if output.config.version > self.config.version:
             self.config = output.config
             log.info("control: configuration %d is in force", output.config.version)
             self._on_config(output.config)
 
-    def _resolve(self, answer: CallOutcome) -> None:
-        future = self._pending_answers.get(answer.request_id)
+    def _resolve(self, outcome: CallOutcome) -> None:
+        future = self._pending_calls.get(outcome.request_id)
         if future is not None and not future.done():
-            future.set_result(answer)
+            future.set_result(outcome)
 
     def send(self, address: str, frame: bytes) -> None:
         """Send an encoded message to the control process at this address; it may be lost."""
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -71,7 +71,7 @@
         confirmed_ms_ago=None if confirmed_age is None else confirmed_age // MILLISECOND_US,
         replicas=_replicas(engine, now),
         control_addresses=(engine.settings.address, *engine.peers.alive(now)),
-        routers=sorted(engine.watching_routers),
+        routers=sorted(engine.subscribed_routers),
         workers=_workers(engine, now),
     )
 
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -89,7 +89,7 @@
     def subscribe(self, router: str, *, loads: bool, caches: bool) -> None:
         """Ask for all updates from now on. `loads`, `caches`: whether those of that kind are wanted too."""
         self.carries_loads = loads
-        self._link.send(m.encode(m.Watch(router, self._handler.config_version(), loads, caches)))
+        self._link.send(m.encode(m.SubscribeRequest(router, self._handler.config_version(), loads, caches)))
         self.ping()
 
     def ping(self) -> None:
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -93,9 +93,9 @@
         engine = self._node.engine
         token = engine.order_token(clock())
         self._announce()
-        number = engine.read_config(clock())
-        answer = await self._node.wait_for_answer(number) if number is not None else None
-        confirmed = isinstance(answer, ReadOutcome) and answer.config is not None
+        request_id = engine.read_config(clock())
+        outcome = await self._node.wait_for_outcome(request_id) if request_id is not None else None
+        confirmed = isinstance(outcome, ReadOutcome) and outcome.config is not None
         if not confirmed or engine.order_token(clock()) != token:
             return None
         return token
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -60,7 +60,7 @@
 
     # --- from routers ---
 
-    def subscribe(self, connection: FrameConnection, request: m.Watch) -> None:
+    def subscribe(self, connection: FrameConnection, request: m.SubscribeRequest) -> None:
         """Send a router all there is, and from now on what changes.
 
         A process without a vote has no configuration to send: it names those that have, and disconnects.
@@ -96,9 +96,9 @@
 
     def _update_router_set(self) -> None:
         routers = {subscriber.router for subscriber in self._subscribers.values()}
-        self._node.engine.watching_routers = routers
+        self._node.engine.subscribed_routers = routers
 
-    def _complete_state(self, request: m.Watch) -> list[m.Body]:
+    def _complete_state(self, request: m.SubscribeRequest) -> list[m.Body]:
         """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
         engine = self._node.engine
         config = self._node.config
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -251,7 +251,7 @@
     assert m.decode_soft_state(m.encode_soft_state(state)) == state
     for body in (
         m.Ping(),
-        m.Watch("r", 3),
+        m.SubscribeRequest("r", 3),
         m.WorkerUpdate(1, (record(),), {"i-1": 5}),
         RouterLoad("a", 1, {}),
     ):
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -259,7 +259,7 @@
     class Confirming:
         engine = leader
 
-        async def wait_for_answer(self, number: int) -> ReadOutcome:
+        async def wait_for_outcome(self, number: int) -> ReadOutcome:
             if number == steps_down:
                 leader.raft.receive(
                     Message(
--- a/tests/test_control_subscriptions.py
+++ b/tests/test_control_subscriptions.py
@@ -44,7 +44,7 @@
     def __init__(self, version: int = 1) -> None:
         self.version, self.mute = version, False
         self.reject: Callable[[FrameConnection], object] | None = None  # called in place of a subscription
-        self.subscribers: dict[FrameConnection, m.Watch] = {}
+        self.subscribers: dict[FrameConnection, m.SubscribeRequest] = {}
         self.loads: list[RouterLoad] = []
         self.server = FrameServer(
             self._frame_received, lambda connection: self.subscribers.pop(connection, None)
@@ -59,9 +59,9 @@
         if self.mute:
             return
         match m.decode(frame):
-            case m.Watch() if self.reject is not None:
+            case m.SubscribeRequest() if self.reject is not None:
                 self.reject(connection)
-            case m.Watch() as request:
+            case m.SubscribeRequest() as request:
                 self.subscribers[connection] = request
                 if self.version > request.version:
                     connection.send(m.encode(m.ConfigUpdate(self.version, b"")))
--- a/tests/test_update_publisher.py
+++ b/tests/test_update_publisher.py
@@ -47,7 +47,7 @@
 async def test_a_slow_subscriber_is_sent_the_newest_configuration_and_none_in_between():
     node, subscriber = FakeControlNode(), SlowSubscriber()
     publisher = UpdatePublisher(node, CacheTable())
-    publisher.subscribe(subscriber, control_messages.Watch("r", 1))
+    publisher.subscribe(subscriber, control_messages.SubscribeRequest("r", 1))
     subscriber.unsent_bytes, subscriber.sent = 0, []
     for version in range(2, 40):
         node.config = StoredConfig(version, b"x" * 100_000)
