--- a/hazelbend/system/state_persister.py
+++ b/hazelbend/system/state_persister.py
@@ -29,7 +29,7 @@
 
     def __init__(self, store: ControlStore | None) -> None:
         self._store = store
-        self._saved_commit = 0
+        self._saved_commit_index = 0
         self._has_full_state = False  # the store holds a full state, to which changes can be added
 
     async def restore(self, address: str) -> tuple[PersistentState, int] | None:
@@ -46,7 +46,7 @@
                 continue
             if restored is not None:
                 self._has_full_state = True
-                self._saved_commit = restored[1]
+                self._saved_commit_index = restored[1]
             return restored
         return None
 
@@ -56,9 +56,9 @@
         Raises:
             StateNotSavedError: nothing was saved; the next call saves the full state.
         """
-        parts = state_codec.take_changed_records(raft)
-        if parts and self._store is not None:
-            await self._save(self._store, raft, parts)
+        records = state_codec.take_changed_records(raft)
+        if records and self._store is not None:
+            await self._save(self._store, raft, records)
 
     async def save_commit_index(self, raft: RaftNode) -> None:
         """Save the commit index if it has changed since it was last saved.
@@ -66,18 +66,18 @@
         Raises:
             StateNotSavedError: nothing was saved; the next call saves the full state.
         """
-        if self._store is not None and raft.commit_index != self._saved_commit:
+        if self._store is not None and raft.commit_index != self._saved_commit_index:
             await self._save(self._store, raft, [])
 
-    async def _save(self, store: ControlStore, raft: RaftNode, parts: Sequence[Part]) -> None:
+    async def _save(self, store: ControlStore, raft: RaftNode, records: Sequence[Part]) -> None:
         if not self._has_full_state:
-            parts = state_codec.state_records(raft.persistent)
-        commit = raft.commit_index
+            records = state_codec.state_records(raft.persistent)
+        commit_index = raft.commit_index
         try:
-            await store.save(parts, commit)
+            await store.save(records, commit_index)
         except StoreError as error:
             self._has_full_state = False
             raft.hard_state_changed = True  # so that there is something to save
             raise StateNotSavedError(str(error)) from error
-        self._saved_commit = commit
+        self._saved_commit_index = commit_index
         self._has_full_state = True
--- a/tests/test_system_sockets.py
+++ b/tests/test_control_storage.py
@@ -21,40 +21,37 @@
     return "asyncio"
 
 
-# --- the store ---
+def state(identity: str = "a@10.0.0.1:7", entries: int = 3) -> PersistentState:
+    created = PersistentState(identity, epoch=5, current_term=2, voted_for="b")
+    created.entries = [Entry(1, ("a", "b") if n == 0 else None, b"op%d" % n) for n in range(entries)]
+    return created
 
 
-def memory(identity: str = "a@10.0.0.1:7", entries: int = 3) -> PersistentState:
-    made = PersistentState(identity, epoch=5, current_term=2, voted_for="b")
-    made.entries = [Entry(1, ("a", "b") if n == 0 else None, b"op%d" % n) for n in range(entries)]
-    return made
-
-
-async def test_a_memory_is_found_again_as_it_was(tmp_path):
+async def test_saved_state_is_restored_unchanged(tmp_path):
     store = ControlStore(tmp_path / "new" / "folder")
     assert await store.open("10.0.0.1:7") is None
-    await store.save(state_codec.state_records(memory()), 2)
+    await store.save(state_codec.state_records(state()), 2)
     await store.close()
     again = ControlStore(tmp_path / "new" / "folder")
-    assert await again.open("10.0.0.1:7") == (memory(), 2)
+    assert await again.open("10.0.0.1:7") == (state(), 2)
     await again.close()
 
 
-async def test_the_memory_of_another_address_is_not_taken(tmp_path):
+async def test_the_state_of_another_address_is_not_restored(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.state_records(memory()), 0)
+    await store.save(state_codec.state_records(state()), 0)
     assert await store.open("10.0.0.2:7") is None
     await store.close()
 
 
-async def test_later_parts_take_the_place_of_earlier_ones_and_another_epoch_begins_with_nothing(tmp_path):
+async def test_later_records_replace_earlier_ones_and_a_new_epoch_starts_empty(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.state_records(memory()), 0)
+    await store.save(state_codec.state_records(state()), 0)
     await store.save([state_codec.LogEntries(2, (Entry(2, None, b"new"),))], 1)
     found, commit = await store.open("10.0.0.1:7")
-    assert [each.operation for each in found.entries] == [b"op0", b"new"] and commit == 1
+    assert [entry.operation for entry in found.entries] == [b"op0", b"new"] and commit == 1
     await store.save([state_codec.Snapshot(2, 2, ("a",), b"state")], 2)
     found, _ = await store.open("10.0.0.1:7")
     assert (found.last_included_index, found.snapshot_state, found.entries) == (2, b"state", [])
@@ -64,23 +61,23 @@
     await store.close()
 
 
-async def test_a_save_that_fails_changes_nothing_and_the_next_one_works(tmp_path):
+async def test_a_failed_save_changes_nothing_and_the_next_one_works(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.state_records(memory()), 1)
+    await store.save(state_codec.state_records(state()), 1)
     with pytest.raises((sqlite3.Error, AttributeError, TypeError)):
         await store.save([state_codec.LogEntries(1, (Entry(9, None, b"x"),)), None], 9)
-    assert await store.open("10.0.0.1:7") == (memory(), 1)
+    assert await store.open("10.0.0.1:7") == (state(), 1)
     await store.save([state_codec.LogEntries(4, (Entry(2, None, b"x"),))], 3)
     found, _ = await store.open("10.0.0.1:7")
     assert len(found.entries) == 4
     await store.close()
 
 
-async def test_what_was_not_committed_when_the_process_died_is_not_there(tmp_path):
+async def test_a_transaction_that_was_not_committed_at_a_crash_is_not_restored(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
-    await store.save(state_codec.state_records(memory()), 1)
+    await store.save(state_codec.state_records(state()), 1)
     await store.close()
     log = tmp_path / (DATABASE + "-wal")
     other = ControlStore(tmp_path)
@@ -93,25 +90,25 @@
     for torn in (content[:-5_000], content[:-5_000] + bytes(5_000)):
         (copy / (DATABASE + "-wal")).write_bytes(torn)
         third = ControlStore(copy)
-        assert await third.open("10.0.0.1:7") == (memory(), 1)
+        assert await third.open("10.0.0.1:7") == (state(), 1)
         await third.close()
     await other.close()
 
 
-async def test_a_file_that_is_no_store_is_set_aside_and_this_is_somebody_new(tmp_path):
+async def test_a_damaged_database_is_set_aside_and_a_new_one_is_created(tmp_path):
     (tmp_path / DATABASE).write_bytes(b"no database at all" * 500)
     store = ControlStore(tmp_path)
     assert await store.open("10.0.0.1:7") is None
     assert (tmp_path / DAMAGED).exists()
-    await store.save(state_codec.state_records(memory()), 0)
+    await store.save(state_codec.state_records(state()), 0)
     await store.close()
 
 
-def test_soft_state_that_is_torn_or_missing_counts_as_none(tmp_path):
+def test_torn_or_missing_soft_state_is_ignored(tmp_path):
     path = tmp_path / "soft"
     assert read_soft_state(path) is None
     write_soft_state(path, b"content")
     assert read_soft_state(path) == b"content"
-    for bad in (b"", b"abc", path.read_bytes()[:-1], path.read_bytes() + b"x"):
-        path.write_bytes(bad)
+    for damaged in (b"", b"abc", path.read_bytes()[:-1], path.read_bytes() + b"x"):
+        path.write_bytes(damaged)
         assert read_soft_state(path) is None
