--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -34,7 +34,7 @@
 class Rash(RaftNode):
     """Voters are changed while a change is under way, and by a leader that has committed nothing."""
 
-    def change_voters(self, voters: tuple[str, ...], now: int) -> bool:
+    def change_voters(self, voters: tuple[str, ...], now: int, erased: frozenset[str] = frozenset()) -> bool:
         if not self.is_leader or not voters:
             return False
         self._append_and_replicate(Entry(self.persistent.current_term, tuple(sorted(voters))), now)
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -240,9 +240,9 @@
         outcomes, raft.outcomes = raft.outcomes, []
         for outcome in outcomes:
             if isinstance(outcome, ReadIndexOutcome):
-                node.reads.pop(outcome.read_id, lambda confirmed: None)(outcome.confirmed)
+                node.reads.pop(outcome.read_id, _ignore_read)(outcome.confirmed)
             else:
-                ended = node.proposals.pop(outcome.proposal_id, lambda committed, result: None)
+                ended = node.proposals.pop(outcome.proposal_id, _ignore_proposal)
                 ended(outcome.committed, outcome.result)
 
     def _wake(self, node: Node, delay: float) -> None:
@@ -577,8 +577,12 @@
     }
 
 
-def _ignore(ok: bool, result: object) -> None:
-    """Nobody waits for this answer any more."""
+def _ignore_read(_confirmed: bool) -> None:
+    """The caller no longer waits for this read."""
+
+
+def _ignore_proposal(_committed: bool, _result: object) -> None:
+    """The caller no longer waits for this proposal."""
 
 
 def _one(task: tuple[int, int, float, str]) -> dict[str, object]:
