--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -46,6 +47,20 @@
     reason: str = ""  # for the client, where there is more to say
 
 
+class PendingJob(Protocol):
+    """A job that was accepted: it is routed, or waits to be."""
+
+    @property
+    def answered(self) -> asyncio.Future[Answer]:
+        """Done with the one final answer."""
+
+    def leave(self) -> None:
+        """The client has disconnected."""
+
+    def reply(self) -> asyncio.Future[Answer]:
+        """Return the answer in a future that the caller may cancel."""
+
+
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
     """How a attempt ended, as its link saw it."""
--- a/hazelbend/routing/request_context.py
+++ b/hazelbend/routing/request_context.py
@@ -54,13 +54,9 @@
         return self.client_left or self.answered.done()
 
     @property
-    def is_over(self) -> bool:
-        """Whether nothing more happens to it.
-
-        Its inbox is handled to the end: the decision module waits for the outcome of each `Send`, even of one
-        that came too late.
-        """
-        return self.is_closed and self.inbox.empty() and all(each.is_over for each in self.attempts)
+    def has_pending_events(self) -> bool:
+        """Whether events are in its inbox, or are to come from its attempts."""
+        return not (self.inbox.empty() and all(attempt.is_over for attempt in self.attempts))
 
     def leave(self) -> None:
         """The client has gone: nothing is sent from this moment on."""
@@ -81,14 +77,6 @@
             self.replies.append(reply)
         return reply
 
-    def set_answer(self, answer: Answer) -> None:
-        """Give the one final answer to all who wait for it."""
-        self.answered.set_result(answer)
-        for reply in self.replies:
-            if not reply.done():
-                reply.set_result(answer)
-        self.replies.clear()
-
     def withdraw_attempts(self) -> None:
         """Cancel the attempts of which nothing was written, whatever cancels the module may send."""
         for attempt in self.attempts:
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -200,7 +200,8 @@
                 job.key,
             )
             self._notify(arrival, request)
-            while not (request.is_closed and request.is_over):
+            # To the end: the module waits for the outcome of each `Send`, even of one that came too late.
+            while not request.is_closed or request.has_pending_events:
                 event = await request.inbox.get()
                 self._event_handlers[type(event)](request, event)
         except Exception:
@@ -214,8 +215,9 @@
             self._answer(request, Answer(Verdict.FAILED))
 
     def _on_over(self, request: RequestContext) -> None:
-        """The request's task has ended, maybe before it first ran: nothing is kept of it."""
-        self._answer(request, Answer(Verdict.FAILED))
+        """The request's task has ended: nothing is kept of it."""
+        if not request.answered.done():  # the task was cancelled before it first ran
+            self._answer(request, Answer(Verdict.FAILED))
         self.requests.pop(request.number, None)
         self._open_ids.discard(request.job.id)
         self.on_id_changed(request.job.id, False)
@@ -226,7 +228,11 @@
         """Give the one final answer; any later one is dropped."""
         if request.answered.done():
             return
-        request.set_answer(answer)
+        request.answered.set_result(answer)
+        for reply in request.replies:
+            if not reply.done():
+                reply.set_result(answer)
+        request.replies.clear()
         request.withdraw_attempts()
         if not request.abandoned:
             self.counters.answers[request.job.class_index, answer.verdict] += 1
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -6,14 +6,14 @@
 import math
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, Protocol, TypeAlias
+from typing import Any, TypeAlias
 from urllib.parse import quote
 
 from aiohttp import web
 from multidict import MultiMapping
 
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, read_job
-from hazelbend.routing.ports import Answer, Job, Verdict
+from hazelbend.routing.ports import Answer, Job, PendingJob, Verdict
 from hazelbend.routing.router import Router
 from hazelbend.transport.http.client_connection import ClientConnection
 from hazelbend.transport.http.draining_listener import DrainingListener
@@ -34,20 +34,6 @@
         self.status = status
 
 
-class PendingJob(Protocol):
-    """A job that was accepted: it is routed, or waits to be."""
-
-    @property
-    def answered(self) -> asyncio.Future[Answer]:
-        """Done with the one final answer."""
-
-    def leave(self) -> None:
-        """The client has disconnected."""
-
-    def reply(self) -> asyncio.Future[Answer]:
-        """Return the answer in a future that the caller may cancel."""
-
-
 HttpGate: TypeAlias = Callable[[Job, MultiMapping[str]], PendingJob]
 
 
--- a/hazelbend/transport/stomp/stomp_clients.py
+++ b/hazelbend/transport/stomp/stomp_clients.py
@@ -12,7 +12,7 @@
 from hazelbend.protocol import stomp_jobs
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue
 from hazelbend.protocol.stomp import Frame
-from hazelbend.routing.ports import Answer, Job
+from hazelbend.routing.ports import Answer, Job, PendingJob
 from hazelbend.routing.router import Router
 
 log = logging.getLogger("hazelbend.stomp")
@@ -26,14 +26,7 @@
     def cut(self, text: str) -> None: ...
 
 
-class Open(Protocol):
-    """A job that was taken: a flow, or one that waits to be one."""
-
-    @property
-    def answered(self) -> asyncio.Future[Answer]: ...
-
-
-StompGate: TypeAlias = Callable[[Job, str, Frame], Open]
+StompGate: TypeAlias = Callable[[Job, str, Frame], PendingJob]
 
 
 @dataclass(slots=True)
