--- a/hazelbend/system/state_persister.py
+++ b/hazelbend/system/state_persister.py
@@ -13,7 +13,7 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode
-from hazelbend.transport.storage.control_store import ControlStore, Part, StoreError
+from hazelbend.transport.storage.control_store import STORE_ERRORS, ControlStore, StateRecord
 
 log = picologging.getLogger("hazelbend.control")
 
@@ -40,7 +40,7 @@
         while self._store is not None:
             try:
                 restored = await self._store.open(address)
-            except StoreError as error:
+            except STORE_ERRORS as error:
                 log.error("control: store: can't be opened, retrying: %s", error)
                 await asyncio.sleep(RESTORE_RETRY_DELAY_S)
                 continue
@@ -69,13 +69,13 @@
         if self._store is not None and raft.commit_index != self._saved_commit_index:
             await self._save(self._store, raft, [])
 
-    async def _save(self, store: ControlStore, raft: RaftNode, records: Sequence[Part]) -> None:
+    async def _save(self, store: ControlStore, raft: RaftNode, records: Sequence[StateRecord]) -> None:
         if not self._has_full_state:
             records = state_codec.state_records(raft.persistent)
         commit_index = raft.commit_index
         try:
             await store.save(records, commit_index)
-        except StoreError as error:
+        except STORE_ERRORS as error:
             self._has_full_state = False
             raft.hard_state_changed = True  # so that there is something to save
             raise StateNotSavedError(str(error)) from error
--- a/hazelbend/transport/storage/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -1,6 +1,6 @@
-"""Where a voter's memory lasts: sqlite3 with a write-ahead log, synced at each commit, in its own thread.
+"""Stores the consensus state of a control process: sqlite3 with a write-ahead log, synced at each commit.
 
-One owner: commands wait in the queue of the store's only thread. A command that fails changes nothing.
+All commands run one after the other in the store's own thread. A command that fails changes nothing.
 """
 
 from __future__ import annotations
@@ -20,52 +20,57 @@
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.state_codec import CorruptStateError, HardState, LogEntries, Snapshot
 
-DATABASE = "control.db"
-DAMAGED = "control.damaged"
-CHECKPOINT_PAGES = 200  # of the log, after which it is written back: it is bounded by that
+DATABASE_FILE = "control.db"
+DAMAGED_FILE = "control.damaged"  # a database that could not be read
+CHECKPOINT_PAGES = 200  # pages of the write-ahead log, after which it is written back: this bounds its size
+HARD_STATE = "promise"  # kinds of rows; they are stored, so they keep their first names
+SNAPSHOT = "base"
+COMMIT_INDEX = "commit"
 
 _SCHEMA = """
 CREATE TABLE IF NOT EXISTS part (kind TEXT PRIMARY KEY, content BLOB NOT NULL);
 CREATE TABLE IF NOT EXISTS entry (position INTEGER PRIMARY KEY, content BLOB NOT NULL);
 """
 
-Part = HardState | LogEntries | Snapshot
+StateRecord = HardState | LogEntries | Snapshot
 T = TypeVar("T")
-StoreError = (sqlite3.Error, OSError)
+STORE_ERRORS = (sqlite3.Error, OSError)  # what the methods of `ControlStore` raise where the disk refuses
 
 _encoder = msgspec.msgpack.Encoder()
-_promises = msgspec.msgpack.Decoder(HardState)
-_bases = msgspec.msgpack.Decoder(Snapshot)
+_hard_states = msgspec.msgpack.Decoder(HardState)
+_snapshots = msgspec.msgpack.Decoder(Snapshot)
 _entries = msgspec.msgpack.Decoder(Entry)
 
 
 class ControlStore:
-    """One process's, from `open` to `close`."""
+    """The database of one process, in its data directory. Use: `open`, any number of `save`, `close`."""
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
+    def __init__(self, data_dir: Path) -> None:
+        self._data_dir = data_dir
         self._thread = ThreadPoolExecutor(1, "control-store")
         self._connection: sqlite3.Connection | None = None
-        self._commit = 0  # as read
+        self._commit_index = 0  # as it was read
 
     async def open(self, address: str) -> tuple[PersistentState, int] | None:
-        """The memory that is kept there, if it is of this address, and up to which index it was committed.
+        """The stored state and commit index of the process at this address; None: there are none.
+
+        A damaged database is set aside, and a new one begun.
 
         Raises:
-            sqlite3.Error, OSError: the disk refuses; it may be tried again.
+            sqlite3.Error, OSError: the disk refuses; the call may be repeated.
         """
         return await self._run(self._open, address)
 
-    async def save(self, parts: Sequence[Part], commit: int) -> None:
-        """On the disk when it returns, all or nothing. `commit`: all up to this index is committed.
+    async def save(self, records: Sequence[StateRecord], commit_index: int) -> None:
+        """Store all records or none; they are synced to the disk when it returns.
 
         Raises:
             sqlite3.Error, OSError: nothing was changed.
         """
-        await self._run(self._save, parts, commit)
+        await self._run(self._save, records, commit_index)
 
     async def close(self) -> None:
-        """Wait for the command that runs, and let the file go."""
+        """Wait for the command that runs, and close the database."""
         await self._run(self._close)
         self._thread.shutdown()
 
@@ -76,10 +81,10 @@
 
     def _open(self, address: str) -> tuple[PersistentState, int] | None:
         self._close()
-        self._folder.mkdir(parents=True, exist_ok=True)
+        self._data_dir.mkdir(parents=True, exist_ok=True)
         try:
             self._connect()
-            memory = self._read()
+            state = self._read()
         except (CorruptStateError, sqlite3.DatabaseError) as error:
             damaged = isinstance(error, CorruptStateError) or not isinstance(error, sqlite3.OperationalError)
             if damaged:
@@ -87,13 +92,13 @@
                 self._connect()
                 return None
             raise
-        if memory is None or not memory.identity.endswith(f"@{address}"):
+        if state is None or not state.identity.endswith(f"@{address}"):
             return None
-        return memory, self._commit
+        return state, self._commit_index
 
     def _connect(self) -> None:
         connection = sqlite3.connect(
-            self._folder / DATABASE, isolation_level=None, check_same_thread=False, timeout=0
+            self._data_dir / DATABASE_FILE, isolation_level=None, check_same_thread=False, timeout=0
         )
         self._connection = connection
         connection.execute("PRAGMA locking_mode = EXCLUSIVE")  # no shared memory beside the file
@@ -104,29 +109,29 @@
 
     def _set_aside(self) -> None:
         self._close()
-        os.replace(self._folder / DATABASE, self._folder / DAMAGED)
-        for ending in ("-wal", "-shm"):
-            (self._folder / (DATABASE + ending)).unlink(missing_ok=True)
+        os.replace(self._data_dir / DATABASE_FILE, self._data_dir / DAMAGED_FILE)
+        for suffix in ("-wal", "-shm"):
+            (self._data_dir / (DATABASE_FILE + suffix)).unlink(missing_ok=True)
 
     def _read(self) -> PersistentState | None:
         assert self._connection is not None
         rows = dict(self._connection.execute("SELECT kind, content FROM part"))
-        if "promise" not in rows:
+        if HARD_STATE not in rows:
             return None
-        self._commit = int(rows.get("commit", b"0"))
-        memory = PersistentState("")
+        self._commit_index = int(rows.get(COMMIT_INDEX, b"0"))
+        state = PersistentState("")
         try:
-            state_codec.apply_record(memory, _promises.decode(rows["promise"]))
-            if "base" in rows:
-                state_codec.apply_record(memory, _bases.decode(rows["base"]))
-            found = self._connection.execute("SELECT position, content FROM entry ORDER BY position")
-            for position, content in found:
-                state_codec.apply_record(memory, LogEntries(position, (_entries.decode(content),)))
+            state_codec.apply_record(state, _hard_states.decode(rows[HARD_STATE]))
+            if SNAPSHOT in rows:
+                state_codec.apply_record(state, _snapshots.decode(rows[SNAPSHOT]))
+            entries = self._connection.execute("SELECT position, content FROM entry ORDER BY position")
+            for index, content in entries:
+                state_codec.apply_record(state, LogEntries(index, (_entries.decode(content),)))
         except msgspec.DecodeError as error:
             raise CorruptStateError(str(error)) from None
-        return memory
+        return state
 
-    def _save(self, parts: Sequence[Part], commit: int) -> None:
+    def _save(self, records: Sequence[StateRecord], commit_index: int) -> None:
         connection = self._connection
         if connection is None:
             self._connect()
@@ -134,9 +139,11 @@
             assert connection is not None
         connection.execute("BEGIN IMMEDIATE")
         try:
-            for part in parts:
-                self._write(connection, part)
-            connection.execute("INSERT OR REPLACE INTO part VALUES ('commit', ?)", (b"%d" % commit,))
+            for record in records:
+                self._write(connection, record)
+            connection.execute(
+                "INSERT OR REPLACE INTO part VALUES (?, ?)", (COMMIT_INDEX, b"%d" % commit_index)
+            )
             connection.execute("COMMIT")
         except BaseException:
             if connection.in_transaction:
@@ -144,22 +151,25 @@
             raise
 
     @staticmethod
-    def _write(connection: sqlite3.Connection, part: Part) -> None:
-        if isinstance(part, LogEntries):
-            connection.execute("DELETE FROM entry WHERE position >= ?", (part.first_index,))
-            rows = [(at, _encoder.encode(entry)) for at, entry in enumerate(part.entries, part.first_index)]
+    def _write(connection: sqlite3.Connection, record: StateRecord) -> None:
+        if isinstance(record, LogEntries):
+            connection.execute("DELETE FROM entry WHERE position >= ?", (record.first_index,))
+            rows = [
+                (index, _encoder.encode(entry))
+                for index, entry in enumerate(record.entries, record.first_index)
+            ]
             connection.executemany("INSERT INTO entry VALUES (?, ?)", rows)
             return
-        if isinstance(part, Snapshot):
-            connection.execute("DELETE FROM entry WHERE position <= ?", (part.last_included_index,))
-            kind = "base"
+        if isinstance(record, Snapshot):
+            connection.execute("DELETE FROM entry WHERE position <= ?", (record.last_included_index,))
+            kind = SNAPSHOT
         else:
-            kind = "promise"
-            row = connection.execute("SELECT content FROM part WHERE kind = 'promise'").fetchone()
-            if row is not None and _promises.decode(row[0]).epoch != part.epoch:
-                connection.execute("DELETE FROM entry")  # another epoch begins with nothing
-                connection.execute("DELETE FROM part WHERE kind = 'base'")
-        connection.execute("INSERT OR REPLACE INTO part VALUES (?, ?)", (kind, _encoder.encode(part)))
+            kind = HARD_STATE
+            row = connection.execute("SELECT content FROM part WHERE kind = ?", (HARD_STATE,)).fetchone()
+            if row is not None and _hard_states.decode(row[0]).epoch != record.epoch:
+                connection.execute("DELETE FROM entry")  # a new epoch starts with an empty log
+                connection.execute("DELETE FROM part WHERE kind = ?", (SNAPSHOT,))
+        connection.execute("INSERT OR REPLACE INTO part VALUES (?, ?)", (kind, _encoder.encode(record)))
 
     def _close(self) -> None:
         if self._connection is not None:
--- a/hazelbend/transport/storage/soft_state_file.py
+++ b/hazelbend/transport/storage/soft_state_file.py
@@ -1,7 +1,6 @@
-"""Soft state in a file: what is good to know after a restart, and does no harm where it is lost or old.
+"""A file for soft state: useful after a restart, harmless where it is lost or old.
 
-The file is replaced whole, and synced so that it outlives a loss of power. One that can't be read counts as
-none.
+The file is replaced atomically, and synced so that it survives a loss of power. A damaged file is ignored.
 """
 
 from __future__ import annotations
@@ -11,30 +10,34 @@
 import zlib
 from pathlib import Path
 
-CHECK = 4  # bytes of a checksum before the content
-ENDING = ".new"
+CHECKSUM_BYTES = 4  # of a CRC-32, big-endian, before the content
+TEMPORARY_SUFFIX = ".new"
 
 
 def write_soft_state(path: Path, content: bytes) -> None:
-    """Replace the file. OSError: the disk refuses; what was there stays."""
-    fresh = path.with_name(path.name + ENDING)
-    with fresh.open("wb") as file:
-        file.write(zlib.crc32(content).to_bytes(CHECK, "big") + content)
+    """Replace the file. Raises OSError where the disk refuses; the old file stays."""
+    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
+    with temporary.open("wb") as file:
+        file.write(zlib.crc32(content).to_bytes(CHECKSUM_BYTES, "big") + content)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary, path)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
 def read_soft_state(path: Path) -> bytes | None:
-    """What was written last, or None."""
+    """The content that was written last; None where there is none, or it is damaged."""
     with contextlib.suppress(OSError):
-        content = path.read_bytes()
-        check, text = content[:CHECK], content[CHECK:]
-        if len(check) == CHECK and zlib.crc32(text).to_bytes(CHECK, "big") == check:
-            return text
+        data = path.read_bytes()
+        checksum = data[:CHECKSUM_BYTES]
+        content = data[CHECKSUM_BYTES:]
+        if (
+            len(checksum) == CHECKSUM_BYTES
+            and zlib.crc32(content).to_bytes(CHECKSUM_BYTES, "big") == checksum
+        ):
+            return content
     return None
--- a/tests/test_control_storage.py
+++ b/tests/test_control_storage.py
@@ -9,7 +9,7 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.transport.storage.control_store import DAMAGED, DATABASE, ControlStore
+from hazelbend.transport.storage.control_store import DAMAGED_FILE, DATABASE_FILE, ControlStore
 from hazelbend.transport.storage.soft_state_file import read_soft_state, write_soft_state
 
 pytestmark = pytest.mark.anyio
@@ -79,16 +79,16 @@
     await store.open("10.0.0.1:7")
     await store.save(state_codec.state_records(state()), 1)
     await store.close()
-    log = tmp_path / (DATABASE + "-wal")
+    log = tmp_path / (DATABASE_FILE + "-wal")
     other = ControlStore(tmp_path)
     await other.open("10.0.0.1:7")
     await other.save([state_codec.LogEntries(4, (Entry(2, None, b"x" * 9_000),))], 2)
     content = log.read_bytes()
     copy = tmp_path / "after"
     copy.mkdir()
-    (copy / DATABASE).write_bytes((tmp_path / DATABASE).read_bytes())
+    (copy / DATABASE_FILE).write_bytes((tmp_path / DATABASE_FILE).read_bytes())
     for torn in (content[:-5_000], content[:-5_000] + bytes(5_000)):
-        (copy / (DATABASE + "-wal")).write_bytes(torn)
+        (copy / (DATABASE_FILE + "-wal")).write_bytes(torn)
         third = ControlStore(copy)
         assert await third.open("10.0.0.1:7") == (state(), 1)
         await third.close()
@@ -96,10 +96,10 @@
 
 
 async def test_a_damaged_database_is_set_aside_and_a_new_one_is_created(tmp_path):
-    (tmp_path / DATABASE).write_bytes(b"no database at all" * 500)
+    (tmp_path / DATABASE_FILE).write_bytes(b"no database at all" * 500)
     store = ControlStore(tmp_path)
     assert await store.open("10.0.0.1:7") is None
-    assert (tmp_path / DAMAGED).exists()
+    assert (tmp_path / DAMAGED_FILE).exists()
     await store.save(state_codec.state_records(state()), 0)
     await store.close()
 
