--- a/hazelbend/transport/http/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("hazelbend.discovery")
 
-CALL_TIMEOUT_S = discovery_retry.CALL_LIMIT / 1e6  # of a call that is not held
+CALL_TIMEOUT_S = discovery_retry.CALL_TIMEOUT_US / 1e6  # of a call that is not held
 HOLD_GRACE_S = 1.0  # beyond the hold of a call; 2 s after it a change counts as announced
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
@@ -123,11 +123,11 @@
             async with asyncio.timeout(timeout_s):
                 status, text = await self._fetch(session, url)
         except TimeoutError:
-            self._hold.given_up(self._callers)
+            self._hold.record_timeout(self._callers)
             raise
         if known_version is not None:
             elapsed = round((loop.time() - started_at) * 1e6)
-            self._hold.answered(elapsed - hold, self._callers)
+            self._hold.record_answer(elapsed - hold, self._callers)
         if 400 <= status < 500:
             self.known_version = None  # discovery does not know that version
         if status != 200:
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -70,7 +70,7 @@
         (43, False, 1),
         (43, False, 0),
     ]
-    hold = f"hold_ms={discovery_retry.HOLD // 1_000}"
+    hold = f"hold_ms={discovery_retry.WATCH_HOLD_US // 1_000}"
     assert asked == ["/v1/servers", *(f"/v1/servers?from={seq}&{hold}" for seq in (41, 43, 43))]
     assert max(gaps[1:]) < 0.2, "a later call starts a new watch, and what changed in between is lost"
 
@@ -82,8 +82,8 @@
     0.57 s after`."""
     _, asked, _ = watch(answer(41, True, "a"), fleet=fleet)
     assert asked[1].endswith("hold_ms=3000")
-    found_out = discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE_S
-    assert found_out + discovery_retry.SOON / 1e6 + discovery_retry.ANSWER_TIME / 1e6 < 6.0
+    found_out = discovery_retry.WATCH_HOLD_US / 1e6 + discovery_watch.HOLD_GRACE_S
+    assert found_out + discovery_retry.EARLY_RETRY_US / 1e6 + discovery_retry.ANSWER_TIME_US / 1e6 < 6.0
 
 
 @pytest.mark.parametrize(("fleet", "longest"), [(2, 3.0), (6, 4.5), (14, 10.5), (200, 30.0)])
@@ -91,17 +91,17 @@
     """Guards discovery's calls a second: of 14 dispatchers that came back every 3 s it failed some. One call
     without an answer is no sign: that watch has fallen silent."""
     hold = discovery_retry.WatchHold()
-    hold.given_up(fleet)
-    hold.answered(0, fleet)
-    hold.given_up(fleet)
+    hold.record_timeout(fleet)
+    hold.record_answer(0, fleet)
+    hold.record_timeout(fleet)
     assert hold.next_hold(fleet) == 3_000_000
     for _ in range(10):
-        hold.given_up(fleet)
+        hold.record_timeout(fleet)
     assert hold.next_hold(fleet) == longest * 1e6
     for _ in range(3):
-        hold.answered(0, fleet)
+        hold.record_answer(0, fleet)
     assert hold.next_hold(fleet) == 3_000_000, "short again as soon as it keeps up"
-    hold.answered(discovery_retry.LATE + 1, fleet)
+    hold.record_answer(discovery_retry.LATE_ANSWER_US + 1, fleet)
     assert hold.next_hold(fleet) == min(6.0, longest) * 1e6
 
 
@@ -133,7 +133,7 @@
     dispatchers that asked for 60 lines each nobody got an answer in time, again and again."""
     told, asked, _ = watch(answer(43, False, "b"), answer(44, False), held=41)
     assert [(news.seq, news.whole, len(news.entries)) for news in told] == [(43, False, 1), (44, False, 0)]
-    assert asked[0] == f"/v1/servers?from=41&hold_ms={discovery_retry.FIRST_HOLD // 1_000}"
+    assert asked[0] == f"/v1/servers?from=41&hold_ms={discovery_retry.FIRST_HOLD_US // 1_000}"
     assert [path.split("&")[0] for path in asked[1:]] == ["/v1/servers?from=43", "/v1/servers?from=44"]
 
 
@@ -175,9 +175,9 @@
 
 def test_a_watch_that_falls_silent_is_found_out_soon(monkeypatch):
     """Guards against an old list in force for 12 s: servers added meanwhile got nothing."""
-    assert discovery_retry.HOLD / 1e6 + discovery_watch.HOLD_GRACE_S < 6.0
-    monkeypatch.setattr(discovery_retry, "HOLD", 10_000)
-    monkeypatch.setattr(discovery_retry, "HOLD_EACH", 0)
+    assert discovery_retry.WATCH_HOLD_US / 1e6 + discovery_watch.HOLD_GRACE_S < 6.0
+    monkeypatch.setattr(discovery_retry, "WATCH_HOLD_US", 10_000)
+    monkeypatch.setattr(discovery_retry, "HOLD_PER_DISPATCHER_US", 0)
     monkeypatch.setattr(discovery_watch, "HOLD_GRACE_S", 0.05)
     told, asked, _ = watch(answer(41, True, "a"), None)
     assert [news.failed for news in told] == [False, True] and "hold_ms=10" in asked[1]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 
 from hazelbend.decisions import discovery_retry
 from hazelbend.decisions import interface as dy
-from hazelbend.decisions.discovery_retry import FIRST_EACH, DiscoveryRetry
+from hazelbend.decisions.discovery_retry import FIRST_CALL_SPREAD_US, DiscoveryRetry
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
 from hazelbend.decisions.load_model import MEMORY_SAMPLES
@@ -225,7 +225,7 @@
     """Guards discovery, which answers a few calls a second: of 14 in one moment it failed eight."""
     assert all(first_call(3, seed) == 0 for seed in range(5))
     calls = sorted(first_call(14, seed) for seed in range(14))
-    assert calls[-1] <= 14 * FIRST_EACH and sum(each < 500_000 for each in calls) < 9
+    assert calls[-1] <= 14 * FIRST_CALL_SPREAD_US and sum(each < 500_000 for each in calls) < 9
 
 
 @pytest.mark.parametrize("fleet", [3, 14, 200])
@@ -247,7 +247,7 @@
     s."""
     first = max(first_call(fleet, seed) for seed in range(60))
     restart, told = 14_200_000, 11_970_000 + 6_000_000
-    assert restart + first + discovery_retry.ANSWER_TIME < told
+    assert restart + first + discovery_retry.ANSWER_TIME_US < told
     moments = sorted(first_call(fleet, seed) for seed in range(fleet))
     assert sum(each < 500_000 for each in moments) < 0.4 * fleet, "nor do they come in one moment"
 
@@ -259,13 +259,13 @@
     From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
     besides."""
     settings = dy.Settings(fleet_size=fleet, list_must_be_asked=True, ask_within=ask_within)
-    limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD / 1e6 + HOLD_GRACE_S) * 1e6
+    limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
         delays = [retry.retry_delay(settings, chance) for _ in range(40)]
         answered = max(sum(pair) for pair in itertools.pairwise(delays)) + limit
-        assert answered + discovery_retry.ANSWER_TIME <= 6_000_000
-    assert discovery_retry.ANSWER_TIME >= 1_000_000, "discovery answers one after another"
+        assert answered + discovery_retry.ANSWER_TIME_US <= 6_000_000
+    assert discovery_retry.ANSWER_TIME_US >= 1_000_000, "discovery answers one after another"
 
 
 def test_where_lists_are_pushed_the_agent_is_asked_at_once_and_often():
