--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -219,13 +219,13 @@
 # --- the log ---
 
 
-def record(identity: str = "a.1", memory: PersistentState | None = None, now: int = 0) -> RaftNode:
-    return RaftNode(memory or PersistentState(identity), LeaseTable(LIMITS), RaftConfig(), 1, now)
+def raft_node(identity: str = "a.1") -> RaftNode:
+    return RaftNode(PersistentState(identity), LeaseTable(LIMITS), RaftConfig(), 1, 0)
 
 
-def test_one_voter_founds_an_epoch_and_a_lower_one_is_not_gone_back_to():
-    alone = record()
-    assert alone.propose(encode(OpenEpoch()), 0) is None, "nobody has founded anything"
+def test_one_voter_starts_an_epoch_and_never_a_lower_one():
+    alone = raft_node()
+    assert alone.propose(encode(OpenEpoch()), 0) is None, "there is no epoch yet"
     alone.force_new_cluster(5, 0)
     proposal_id = alone.propose(encode(OpenEpoch()), 0)
     assert alone.has_committed_in_term
@@ -238,8 +238,8 @@
     assert first != second and next_epoch(second, 3.0, "a") > second, "also after a step of the wall clock"
 
 
-def test_what_is_not_held_is_asked_for_and_an_old_answer_makes_no_storm():
-    leader, new = record("a.1"), record("b.1")
+def test_missing_entries_are_sent_and_an_old_response_causes_no_retransmission():
+    leader, new = raft_node("a.1"), raft_node("b.1")
     leader.force_new_cluster(5, 0)
     leader.set_learners({"b.1"}, 0)
     for _ in range(600):
@@ -262,9 +262,9 @@
     assert leader.outbox == []
 
 
-def test_a_voter_answers_only_after_its_promise_is_to_be_saved():
-    """The driver saves what these name before `out` leaves; a message without them would rest on nothing."""
-    voter = record("b.1")
+def test_a_voter_marks_its_vote_unsaved_before_it_responds():
+    """The driver saves what these name before it sends the outbox."""
+    voter = raft_node("b.1")
     voter.receive(Message("a.1", "b.1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a.1", "b.1")),), 0, 1)), 0)
     assert voter.hard_state_changed and voter.first_unsaved_index == 1 and voter.outbox
 
@@ -283,7 +283,7 @@
         ("abcde", "abc", "de", "abce"),
     ],
 )
-def test_who_votes_next(voters, members, lost, then):
+def test_the_next_voters(voters, members, lost, then):
     found = next_voters(tuple(voters), "a" if "a" in members else "b", tuple(members), set(lost), 3)
     assert found == (tuple(then) if then else None)
 
@@ -339,7 +339,7 @@
     )
 
 
-def test_one_that_does_not_vote_knows_who_leads():
+def test_a_member_that_does_not_vote_knows_the_leader():
     """Five members, three of which vote: the others hear of the record only what members tell each other."""
     names = [f"n{n}#1@h:{n}" for n in range(5)]
     settings = LeaseNodeSettings("f", ("h:0",), limits=LIMITS)
@@ -373,7 +373,7 @@
 
 def kept() -> tuple[bytes, PersistentState]:
     """A file of several writes, one of which takes entries back, and what it holds."""
-    voter = record("b.1")
+    voter = raft_node("b.1")
     content = state_codec.encode_state(voter.persistent)
     entries = [Entry(term, None, bytes([term])) for term in (1, 1, 2)]
     for term, before, some in ((1, 0, entries[:2]), (2, 1, entries[2:]), (2, 2, entries[2:])):
@@ -385,7 +385,7 @@
     return content, voter.persistent
 
 
-def test_a_file_gives_back_what_was_written_and_drops_only_what_was_not_confirmed():
+def test_a_file_returns_what_was_written_and_drops_only_an_incomplete_write():
     content, memory = kept()
     first = len(state_codec.encode_state(PersistentState("b.1")))
     found, good = state_codec.decode_state(content)
@@ -394,7 +394,7 @@
     assert all(state_codec.decode_state(content[:size])[1] == size for size in sizes) and len(sizes) > 3
 
 
-def test_a_changed_bit_is_never_gone_on_with():
+def test_a_flipped_bit_is_always_detected():
     content, _ = kept()
     for place in range(len(content)):
         changed = bytearray(content)
@@ -403,7 +403,7 @@
             state_codec.decode_state(bytes(changed))
 
 
-def test_a_store_has_one_process_and_a_file_of_another_version_or_address_is_not_taken(tmp_path):
+def test_a_store_has_one_process_and_rejects_files_of_another_version_or_address(tmp_path):
     store, other = FleetStore(tmp_path / "s"), FleetStore(tmp_path / "s")
     assert store.open("@h:1") is None
     with pytest.raises(OSError):
@@ -469,7 +469,7 @@
         ("two voter changes at once", Left(2, 0, 0, 2), "completeness"),
     ],
 )
-def test_every_order_of_events_is_tried_and_a_planted_mistake_found(defect, left, found):
+def test_the_search_of_all_event_orders_finds_planted_defects(defect, left, found):
     assert found in str(search(defect, left, 20_000)["broken"])
     assert not search("", left, 4_000)["broken"]
 
