--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 from hazelbend.decisions.interface import Outcome
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.decision_module import DecisionModule
@@ -34,7 +34,7 @@
         self._table = table
         self._counters = counters
 
-    def start(self, request: RequestContext, send: face.Send) -> None:
+    def start(self, request: RequestContext, send: decisions.Send) -> None:
         """Start the attempt that the module has decided on, unless its backend may get no work by now."""
         now = self._clock.now()
         backend = self._table.servers.get(send.worker)
--- a/hazelbend/routing/decision_module.py
+++ b/hazelbend/routing/decision_module.py
@@ -4,17 +4,17 @@
 
 from typing import Protocol
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 
 
 class DecisionModule(Protocol):
     """Decides about requests; it does nothing itself. Times are microseconds."""
 
-    def handle(self, event: face.Event, now: int) -> list[face.Action]:
+    def handle(self, event: decisions.Event, now: int) -> list[decisions.Action]:
         """Take an event in, and return what is to be done."""
 
-    def may_begin(self, request: face.RequestId, attempt: int, now: int) -> bool:
+    def may_begin(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
         """Whether an attempt whose connection is established may still be sent."""
 
-    def avoided(self, now: int) -> set[face.WorkerId]:
+    def avoided(self, now: int) -> set[decisions.WorkerId]:
         """Return the listed workers that get no requests now."""
--- a/hazelbend/routing/request_events.py
+++ b/hazelbend/routing/request_events.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 from hazelbend.routing.ports import AttemptResult, ProgressReport
 
 
@@ -37,10 +37,10 @@
 
 
 RequestEvent: TypeAlias = (
-    face.Send
-    | face.Refuse
-    | face.Fail
-    | face.Cancel
+    decisions.Send
+    | decisions.Refuse
+    | decisions.Fail
+    | decisions.Cancel
     | AttemptFinished
     | AttemptProgressed
     | ClientDisconnected
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from typing import Any
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 from hazelbend.decisions.interface import ListKind, Outcome
 from hazelbend.routing.attempt_runner import AttemptRunner
 from hazelbend.routing.clock import Clock
@@ -73,10 +73,10 @@
         self._attempts = AttemptRunner(module, clock, table, self.counters)
         # By type, as a table costs no more for the last case than for the first.
         self._event_handlers: Mapping[type, Callable[[RequestContext, Any], None]] = {
-            face.Send: self._attempts.start,
-            face.Cancel: self._cancel_attempt,
-            face.Refuse: self._reject,
-            face.Fail: self._fail,
+            decisions.Send: self._attempts.start,
+            decisions.Cancel: self._cancel_attempt,
+            decisions.Refuse: self._reject,
+            decisions.Fail: self._fail,
             AttemptProgressed: self._on_attempt_progressed,
             AttemptFinished: self._on_attempt_finished,
             ClientDisconnected: self._on_client_disconnected,
@@ -147,7 +147,7 @@
         self._notify(self.table.register(entry, client))
         self.on_registered_changed(entry)
 
-    def change_registered(self, host: str, state: face.WorkerState) -> None:
+    def change_registered(self, host: str, state: decisions.WorkerState) -> None:
         """A backend that connected by itself drains, is back, or is gone."""
         backend = self.table.by_host(host)
         self._notify(self.table.change_registered(host, state))
@@ -163,9 +163,9 @@
 
     # --- lifecycle ---
 
-    def apply_settings(self, settings: face.Settings) -> None:
+    def apply_settings(self, settings: decisions.Settings) -> None:
         """Use new settings for new requests; open ones keep those that they came under."""
-        self._notify(face.SettingsChanged(settings))
+        self._notify(decisions.SettingsChanged(settings))
 
     def set_final_deadline(self, deadline: int | None) -> None:
         """New requests must be over by then: the program ends, or drains its clients."""
@@ -190,7 +190,7 @@
             job.patience / 1e6 + DECISION_GRACE_S, request.inbox.put_nowait, DeadlinePassed()
         )
         try:
-            arrival = face.RequestArrived(
+            arrival = decisions.RequestArrived(
                 request.number,
                 job.patience,
                 job.class_index,
@@ -239,12 +239,14 @@
 
     def _forget_attempts(self, request: RequestContext) -> None:
         """After an error, let the module end the attempts that it counts as load on their backends."""
-        events: list[face.Event] = [face.ClientGone(request.number)]
+        events: list[decisions.Event] = [decisions.ClientGone(request.number)]
         for number, attempt in enumerate(request.attempts):
             if attempt.is_over:
                 continue
             outcome = Outcome.CANCELLED
-            events.append(face.AttemptEnded(request.number, attempt.worker_id, number, outcome, closed=True))
+            events.append(
+                decisions.AttemptEnded(request.number, attempt.worker_id, number, outcome, closed=True)
+            )
             if attempt.backend is not None and attempt.task is not None:
                 attempt.backend.in_flight -= 1
         for event in events:
@@ -255,17 +257,17 @@
 
     # --- handlers of a request's events ---
 
-    def _cancel_attempt(self, request: RequestContext, cancel: face.Cancel) -> None:
+    def _cancel_attempt(self, request: RequestContext, cancel: decisions.Cancel) -> None:
         if cancel.attempt >= len(request.attempts):
             return
         task = request.attempts[cancel.attempt].task
         if task is not None:
             task.cancel()
 
-    def _reject(self, request: RequestContext, refuse: face.Refuse) -> None:
+    def _reject(self, request: RequestContext, refuse: decisions.Refuse) -> None:
         self._answer(request, Answer(Verdict.REFUSED, retry_after=refuse.retry_after))
 
-    def _fail(self, request: RequestContext, fail: face.Fail) -> None:
+    def _fail(self, request: RequestContext, fail: decisions.Fail) -> None:
         is_expired = self.clock.now() >= request.deadline - EXPIRY_TOLERANCE_US
         self._answer(request, Answer(Verdict.FAILED, is_expired=is_expired))
 
@@ -273,9 +275,9 @@
         worker = request.attempts[event.number].worker_id
         fraction = event.report.fraction
         if fraction is None:
-            self._notify(face.JobStarted(request.number, worker, event.number), request)
+            self._notify(decisions.JobStarted(request.number, worker, event.number), request)
         else:
-            self._notify(face.JobProgress(request.number, worker, event.number, fraction), request)
+            self._notify(decisions.JobProgress(request.number, worker, event.number, fraction), request)
 
     def _on_attempt_finished(self, request: RequestContext, event: AttemptFinished) -> None:
         attempt = request.attempts[event.number]
@@ -291,7 +293,7 @@
         self.counters.outcomes[result.outcome] += 1
         if result.outcome is Outcome.SERVED:
             self._answer(request, Answer(Verdict.SERVED, result.result))
-        ended = face.AttemptEnded(
+        ended = decisions.AttemptEnded(
             request.number,
             attempt.worker_id,
             event.number,
@@ -309,18 +311,18 @@
         request.abandoned = True
         self.counters.abandoned += 1
         request.withdraw_attempts()
-        self._notify(face.ClientGone(request.number), request)
+        self._notify(decisions.ClientGone(request.number), request)
 
     def _on_deadline_passed(self, request: RequestContext, event: DeadlinePassed) -> None:
         if request.is_closed:
             return
         log.error("flow %s: no decision by its deadline; failed", request.job.id)
         self._answer(request, Answer(Verdict.FAILED, is_expired=True))
-        self._notify(face.ClientGone(request.number), request)
+        self._notify(decisions.ClientGone(request.number), request)
 
     # --- the decision module ---
 
-    def _notify(self, event: face.Event, request: RequestContext | None = None) -> None:
+    def _notify(self, event: decisions.Event, request: RequestContext | None = None) -> None:
         """Tell the module about an event, and do what it decides.
 
         An error over an event of a request is raised, and so ends that request.
@@ -334,23 +336,23 @@
                 raise
             log.exception("the decision module failed on %s", type(event).__name__)
             # The module's timers carry its upkeep and its subscriptions: one error must not end them.
-            if isinstance(event, face.TimerFired):
+            if isinstance(event, decisions.TimerFired):
                 self._notify_later(TIMER_RETRY_S, event)
             return
         for action in actions:
             match action:
-                case face.StartTimer(delay=delay, token=token):
-                    self._notify_later(delay / 1e6, face.TimerFired(token))
-                case face.Probe(worker=worker):
+                case decisions.StartTimer(delay=delay, token=token):
+                    self._notify_later(delay / 1e6, decisions.TimerFired(token))
+                case decisions.Probe(worker=worker):
                     self._spawn(self._probe(worker))
-                case face.Subscribe():
+                case decisions.Subscribe():
                     self._subscribe()
                 case _:
                     concerned = self.requests.get(action.request)
                     if concerned is not None:
                         concerned.inbox.put_nowait(action)
 
-    def _notify_later(self, delay_s: float, event: face.Event) -> None:
+    def _notify_later(self, delay_s: float, event: decisions.Event) -> None:
         asyncio.get_running_loop().call_later(delay_s, self._notify, event)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -368,7 +370,7 @@
             except Exception:
                 log.exception("probe of %s: fault in the client", backend.entry.host)
         elapsed = self.clock.now() - started_at
-        self._notify(face.ProbeEnded(worker, result.outcome, elapsed, result.load))
+        self._notify(decisions.ProbeEnded(worker, result.outcome, elapsed, result.load))
 
     def _subscribe(self) -> None:
         if self.discovery is not None:
