--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -40,7 +40,7 @@
 
 
 class RouterMonitor:
-    """Two watches, as `system.watch` keeps them."""
+    """Two watches, as `system.control_subscriptions` keeps them."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet = fleet
--- a/hazelbend/system/clock.py
+++ b/hazelbend/system/clock.py
@@ -1,9 +1,12 @@
-"""The time that the engines of control processes and routers are told."""
+"""The clock of control processes and routers, and units of time."""
 
 from __future__ import annotations
 
 import time
 
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
+
 
 def clock() -> int:
     """Microseconds of this process's monotonic clock."""
--- a/hazelbend/system/control_event_log.py
+++ b/hazelbend/system/control_event_log.py
@@ -7,11 +7,11 @@
 import picologging
 
 from hazelbend.control.engine import ControlEngine
+from hazelbend.system.clock import SECOND_US
 
 log = picologging.getLogger("hazelbend.control")
 
 QUORUM_LOST_AFTER_US = 1_500_000  # without a majority's confirmation
-SECOND_US = 1_000_000
 
 
 class ControlEventLog:
--- a/hazelbend/system/control_node.py
+++ b/hazelbend/system/control_node.py
@@ -15,7 +15,7 @@
 from hazelbend.control.outputs import CallOutcome, DurableOutput, ImmediateOutput
 from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
-from hazelbend.system.clock import clock
+from hazelbend.system.clock import SECOND_US, clock
 from hazelbend.system.control_event_log import ControlEventLog
 from hazelbend.system.state_persister import StateNotSavedError, StatePersister
 from hazelbend.transport.peer.frame_link import FrameLink
@@ -23,7 +23,6 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-SECOND_US = 1_000_000
 OUTCOME_TIMEOUT_S = 0.9  # for an API call that waits for the engine
 SAVE_RETRY_DELAY_S = 0.2  # after a write that the disk refused
 MIN_TICK_INTERVAL_S = 0.001
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -8,8 +8,7 @@
 import msgspec
 
 from hazelbend.control.engine import ControlEngine
-
-MILLISECOND_US = 1_000
+from hazelbend.system.clock import MILLISECOND_US
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -17,6 +17,7 @@
 
 from hazelbend.control import messages as m
 from hazelbend.control.load_table import LoadUpdate
+from hazelbend.system.clock import SECOND_US
 from hazelbend.transport.peer.frame_link import FrameLink
 
 log = picologging.getLogger("hazelbend.watch")
@@ -28,7 +29,6 @@
 SILENCE_TIMEOUT_S = 1.3  # without a message, after which a subscription is replaced
 UNCONFIRMED_TIMEOUT_S = 1.5  # without a majority's confirmation, after which a subscription is replaced
 CACHE_STATE_TTL_S = 5.0  # without an open subscription, after which all cache contents are requested anew
-MICROSECONDS = 1e6  # in a second
 
 
 class UpdateHandler(Protocol):
@@ -95,7 +95,7 @@
     def ping(self) -> None:
         """Ask for a sign of life, and for the age of the majority's confirmation."""
         self.last_ping_at = self._now()
-        self._link.send(m.encode(m.Ping(round(self.last_ping_at * MICROSECONDS))))
+        self._link.send(m.encode(m.Ping(round(self.last_ping_at * SECOND_US))))
 
     async def close(self) -> None:
         """End the connection for good."""
@@ -146,7 +146,7 @@
         if pong.confirmed_age is None:
             return
         # The pong was made after the ping was sent, so by this clock the confirmation is at least as new.
-        confirmed_at = (pong.sent_at - pong.confirmed_age) / MICROSECONDS
+        confirmed_at = (pong.sent_at - pong.confirmed_age) / SECOND_US
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
         self._handler.config_confirmed(pong.version, confirmed_at)
 
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -14,7 +14,7 @@
 from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.routes import Limits
-from hazelbend.system.clock import clock
+from hazelbend.system.clock import SECOND_US, clock
 from hazelbend.system.control_subscriptions import ControlSubscriptions
 from hazelbend.system.load_reporter import LoadReporter
 from hazelbend.system.router_update_handler import RouterUpdateHandler
@@ -31,7 +31,6 @@
 DRAIN_POLL_S = 0.02
 MAX_PROBE_BODY_BYTES = 64 * 1024
 MILLISECONDS = 1_000  # in a second
-SECOND_US = 1_000_000
 
 
 class RouterDaemon:
--- a/hazelbend/system/router_update_handler.py
+++ b/hazelbend/system/router_update_handler.py
@@ -13,13 +13,11 @@
 from hazelbend.control.workers import EXPIRY_HEARTBEATS
 from hazelbend.forwarding.fleet_state import FleetState
 from hazelbend.placement.routes import Limits, decode_route_table
-from hazelbend.system.clock import clock
+from hazelbend.system.clock import SECOND_US, clock
 from hazelbend.system.settings import Settings
 
 log = picologging.getLogger("hazelbend.router")
 
-SECOND_US = 1_000_000
-
 
 class RouterUpdateHandler:
     """Implements `control_subscriptions.UpdateHandler`.
--- a/hazelbend/system/settings.py
+++ b/hazelbend/system/settings.py
@@ -14,11 +14,10 @@
 from ruamel.yaml.error import YAMLError
 
 from hazelbend.control.configuration import Finding, schema_findings
+from hazelbend.system.clock import MILLISECOND_US, SECOND_US
 
 ENVIRONMENT = "HAZELBEND_CONFIG"  # the environment variable that names the settings file
 ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"  # IPv4 address and port
-MILLISECOND_US = 1_000
-SECOND_US = 1_000_000
 MAX_PORT = 65_535
 CONTROL_PORT_OFFSET = 0  # from the first port of `portRange`
 
