--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -1,6 +1,6 @@
-"""What goes into and comes out of the decision module: settings, events, actions, outcomes. No logic.
+"""The interface of the decision module: settings, events, actions, outcomes. No logic.
 
-All times and durations are whole microseconds. Workers and requests are known by opaque integers.
+All times and durations are whole microseconds. Workers and requests have opaque integer identifiers.
 """
 
 from __future__ import annotations
@@ -65,9 +65,9 @@
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """What the settings say of a class of requests."""
+    """The settings of a class of requests."""
 
-    objective: int = 1_000_000  # an answer within this (and the stretch) earns the full worth
+    objective: int = 1_000_000  # latency target: an answer within this (and the stretch) earns the full worth
     stretch: float = 0.0  # the objective grows by this many times the job's own work
     worth: float = 1.0  # of an answer in time: of each request, or of a unit of its work
     late_worth: float = 0.0  # part of the worth paid after the objective
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a dispatcher is told at start; every field has a default."""
+    """The settings of a dispatcher; every field has a default."""
 
     fleet_size: int = 1
     zone: int = 0
@@ -115,19 +115,22 @@
 
     @property
     def blind(self) -> bool:
-        """Whether no server tells what it holds."""
+        """Whether no worker reports its load."""
         asked = self.reports_by_probe and self.probes_allowed
         return not (asked or self.reports_inline or self.weights_fall_with_load)
 
     def warmth(self, started_at: int, now: int) -> float:
-        """The least part of its capacity that a worker has by now: evenly from its start on; 0: long ago."""
+        """Return the least part of its capacity that a worker has by now.
+
+        It grows linearly from the start of the worker's process; `started_at` 0: long ago.
+        """
         age = max(now - started_at, 0) / max(self.warm_after, 1) if started_at else 1.0
         return min(self.start_capacity + (1 - self.start_capacity) * age, 1.0)
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A worker's own word on its load; late, noisy, and about everybody's jobs. None: not reported."""
+    """A worker's load report: late, noisy, and about the jobs of all dispatchers. None: not reported."""
 
     in_flight: float | None = None  # running and waiting
     queued: float | None = None  # waiting
@@ -136,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerEntry:
-    """A line of the list of workers."""
+    """An entry of the membership list."""
 
     worker: WorkerId
     zone: int = 0
@@ -147,12 +150,12 @@
     started_at: int = 0  # 0: long past
 
 
-# --- events: what the dispatcher is told ---
+# --- events ---
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """A list has come, its changes, or word that a call for it failed."""
+    """The membership list, its changes, or the failure of a call for it."""
 
     kind: ListKind
     entries: tuple[WorkerEntry, ...] = ()
@@ -160,10 +163,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A request has come."""
+    """A request has arrived."""
 
     request: RequestId
-    patience: int  # time left until the client gives this try up
+    patience: int  # time until the client gives up
     job_class: int = 0
     tenant: int = 0
     slots: float = 1.0
@@ -173,7 +176,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The first part of an answer has come."""
+    """The first part of an answer has arrived."""
 
     request: RequestId
     worker: WorkerId
@@ -191,7 +194,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobProgress:
-    """An attempt has got on: `fraction` of it is done."""
+    """An attempt has made progress: `fraction` of it is done."""
 
     request: RequestId
     worker: WorkerId
@@ -201,7 +204,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over."""
+    """An attempt has ended."""
 
     request: RequestId
     worker: WorkerId
@@ -210,7 +213,7 @@
     closed: bool = False
     elapsed: int = 0
     load: LoadReport | None = None
-    stale: bool = False  # broke on a connection kept from before, ere a byte came: it may have died idle
+    stale: bool = False  # reset on a reused connection before the first byte: it may have died while idle
 
 
 @dataclass(slots=True, frozen=True)
@@ -222,21 +225,21 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that was started is over."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings for what comes from now on. Classes, zones and kinds keep their places."""
+    """New settings, in force from now on. Classes, zones and machine kinds keep their positions."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeEnded:
-    """A probe is over."""
+    """A probe has ended."""
 
     worker: WorkerId
     outcome: Outcome
@@ -258,7 +261,7 @@
 )
 
 
-# --- actions: what the dispatcher wants done, in this order ---
+# --- actions, to be done in their order ---
 
 
 @dataclass(slots=True, frozen=True)
@@ -272,7 +275,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer that promises that trying again does no harm."""
+    """Reject a request: the final answer promises that another try does no harm."""
 
     request: RequestId
     retry_after: int = 0
@@ -280,14 +283,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Fail a request: the final answer promises nothing."""
 
     request: RequestId
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Give up an attempt that is out."""
+    """Cancel an attempt that is in flight."""
 
     request: RequestId
     attempt: int
@@ -310,7 +313,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the worker list and its changes from now on."""
+    """Open a watch of the membership list."""
 
 
 Action: TypeAlias = Send | Refuse | Fail | Cancel | StartTimer | Probe | Subscribe
