--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -155,7 +155,7 @@
 
 
 def _lost_piece_is_not_sent_again() -> list[Patch]:
-    return [(replicator, "PIECE_PATIENCE", NEVER)]
+    return [(replicator, "CHUNK_RETRY_HEARTBEATS", NEVER)]
 
 
 def _number_alone() -> list[Patch]:
--- a/hazelbend/consensus/messages.py
+++ b/hazelbend/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the members of a fleet, by msgspec; see record.py for what each means.
+"""Messages between Raft nodes, encoded by msgspec.
 
-Every message can be lost, doubled, late, or out of order. Their tags are the names of earlier versions, with
-which they interoperate.
+Names follow figures 2 and 13 of the Raft paper (Ongaro and Ousterhout, 2014). Any message can be lost,
+duplicated, delayed or reordered. Tags and `name=` keep the names of earlier versions on the wire.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One fact of the record: a new list of voters, an operation of the machine, or, with neither,
-    nothing."""
+    """One entry of the log: a new list of voters, an operation of the state machine, or neither (a no-op)."""
 
     term: int
     voters: tuple[str, ...] | None = None
@@ -19,33 +18,36 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="Ask"):
-    """For a vote; `pre`: whether it would get one."""
+    """RequestVote. A pre-vote asks whether the vote would be granted and changes nothing at the receiver
+    (section 9.6 of Ongaro's thesis)."""
 
     is_pre_vote: bool = msgspec.field(name="pre")
     last_log_index: int = msgspec.field(name="last")
     last_log_term: int = msgspec.field(name="last_term")
-    is_leadership_transfer: bool = msgspec.field(
-        default=False, name="handed"
-    )  # the leader itself asked it to stand
+    is_leadership_transfer: bool = msgspec.field(default=False, name="handed")
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="Vote"):
+    """The answer to a `VoteRequest`."""
+
     granted: bool
     is_pre_vote: bool = msgspec.field(name="pre")
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
-    """A time of one process's clock, in microseconds, and the life of that process that it belongs to."""
+    """A time of one process's monotonic clock, in microseconds. It means nothing to another process, nor to
+    another incarnation of the same one."""
 
     incarnation: int
     time_us: int
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="Put"):
-    """Entries after one that both should hold; without any, a heartbeat.
+    """The entries after `prev_log_index`; without entries, a heartbeat.
 
-    `confirmed`: the newest stamp of the receiver after which a majority has confirmed the leader, so that all
-    that was committed at that time lies at or below `commit`.
+    `round`: the leader's heartbeat round. `confirmed_timestamp`: the newest timestamp of the receiver after
+    which a quorum has confirmed the leader: all that was committed at that time is at or below
+    `leader_commit`.
     """
 
     prev_log_index: int = msgspec.field(name="before")
@@ -57,7 +59,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag="Install"):
-    """The state after an entry, for who is too far behind for the entries."""
+    """A snapshot, for a replica whose next entry the leader has compacted away."""
 
     last_included_index: int = msgspec.field(name="base")
     last_included_term: int = msgspec.field(name="base_term")
@@ -67,8 +69,8 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, tag="Piece"):
-    """A part of an encoded `AppendEntries` or `InstallSnapshot` that is too large for one message. The
-    leader's `number` names the transfer within its term."""
+    """A chunk of an encoded `AppendEntries` or `InstallSnapshot` that is too large for one message.
+    `transfer_id` is unique within the leader's term."""
 
     transfer_id: int = msgspec.field(name="number")
     offset: int
@@ -78,7 +80,8 @@
 
 
 class ChunkResponse(msgspec.Struct, frozen=True, tag="PieceTaken"):
-    """Bytes of this transfer that the replica holds; 0 where it knows nothing of it, as after a restart."""
+    """How many bytes of a transfer the replica has: `offset`. 0 if it does not know the transfer, for example
+    after a restart."""
 
     transfer_id: int = msgspec.field(name="number")
     offset: int
@@ -86,8 +89,12 @@
 
 
 class AppendResponse(msgspec.Struct, frozen=True, tag="Taken"):
-    """`ok`: all up to this index is held as the leader holds it; else up to it may be. `stamp`: the sender's
-    time, which comes back in `AppendEntries.confirmed`."""
+    """The answer to `AppendEntries` and `InstallSnapshot`.
+
+    `index`: with `success`, the log matches the leader's up to here; without, it may match up to here, so the
+    leader goes on from there. `timestamp`: the sender's time, which the leader returns in
+    `AppendEntries.confirmed_timestamp`.
+    """
 
     success: bool = msgspec.field(name="ok")
     index: int
@@ -96,7 +103,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="TimeIsUp"):
-    """Stand for election at once: the leader hands over."""
+    """Campaign at once: the leader transfers its leadership (section 3.10 of the thesis)."""
 
 
 Body = (
@@ -112,6 +119,8 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
+    """A body with its envelope. `sender` and `to` are identities."""
+
     sender: str
     to: str
     epoch: int
@@ -120,18 +129,18 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_transferred = msgspec.msgpack.Decoder(AppendEntries | InstallSnapshot)
+_transfer_decoder = msgspec.msgpack.Decoder(AppendEntries | InstallSnapshot)
 
 
 def encode_transfer(body: AppendEntries | InstallSnapshot) -> bytes:
-    """What goes out in pieces."""
+    """The content of a transfer, which is sent in chunks."""
     return _encoder.encode(body)
 
 
 def decode_transfer(content: bytes) -> AppendEntries | InstallSnapshot:
-    """What has come in pieces.
+    """The message whose chunks were received.
 
     Raises:
-        msgspec.DecodeError: it is none.
+        msgspec.DecodeError: the content is not a message.
     """
-    return _transferred.decode(content)
+    return _transfer_decoder.decode(content)
--- a/hazelbend/consensus/persistent_state.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -1,7 +1,8 @@
-"""What a voter must not forget, and the numbers of epochs.
+"""The state that a voter must store before it answers, and the numbers of epochs.
 
-An epoch's last bit says who founded it: 0, the first start of a fleet; 1, an operator, whose word lets others
-drop what they hold for the new record.
+When a quorum's state is lost for good, an operator starts a new epoch, with an empty log. The lowest bit of
+its number says who started it: 0, the first start of a cluster; 1, an operator. Only an operator's epoch
+makes other nodes drop what they have stored.
 """
 
 from __future__ import annotations
@@ -11,33 +12,38 @@
 
 from hazelbend.consensus.messages import Entry
 
-EPOCH_BITS = 8  # of an epoch below the time at which it was started
-EPOCH_S = 16  # seconds that such a time is counted in, so that tokens have room for their count
-BY_OPERATOR = 1  # the last bit of an epoch that an operator has founded
+EPOCH_BITS = 8  # bits of an epoch below its start time
+EPOCH_TIME_UNIT_S = 16  # of that start time: leaves fencing tokens room for their own count
+OPERATOR_BIT = 1
 
 
-def next_epoch(known: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
-    """For a new epoch: above the known one, and above those that nobody remembers as far as the wall clock is
-    right; two that are founded at once get two numbers, but for one time in 128."""
-    after = max(int(unix_s) // EPOCH_S, (known >> EPOCH_BITS) + 1)
-    founder = zlib.crc32(identity.encode()) % (1 << EPOCH_BITS) & ~BY_OPERATOR
-    return (after << EPOCH_BITS) + founder + (BY_OPERATOR if by_operator else 0)
+def next_epoch(known_epoch: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
+    """The number of a new epoch.
+
+    It is above `known_epoch`, and, if the wall clock is right, above epochs that nobody remembers. Two that
+    are started in the same 16 seconds by different nodes differ with a probability of 127 in 128.
+    """
+    started_at = max(int(unix_s) // EPOCH_TIME_UNIT_S, (known_epoch >> EPOCH_BITS) + 1)
+    identity_bits = zlib.crc32(identity.encode()) % (1 << EPOCH_BITS) & ~OPERATOR_BIT
+    return (started_at << EPOCH_BITS) + identity_bits + (OPERATOR_BIT if by_operator else 0)
 
 
 def started_by_operator(epoch: int) -> bool:
-    """Whether an operator has founded this epoch, knowing that the record before it is given up."""
-    return bool(epoch & BY_OPERATOR)
+    """Whether an operator has started this epoch, knowing that the log before it is given up."""
+    return bool(epoch & OPERATOR_BIT)
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """All that a voter must not forget. `entries[0]` is the one after `base`."""
+    """The persistent state of figure 2 of the Raft paper, with the last snapshot. Messages that rest on a
+    change may be sent only after the change is stored. `entries[0]` has the index after
+    `last_included_index`."""
 
     identity: str
     epoch: int = 0
     current_term: int = 0
     voted_for: str = ""
-    last_included_index: int = 0
+    last_included_index: int = 0  # of the snapshot; 0: there is none
     last_included_term: int = 0
     snapshot_voters: tuple[str, ...] = ()
     snapshot_state: bytes = b""
@@ -45,20 +51,19 @@
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry."""
         return self.last_included_index + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
-        """None: not held any more, or not yet."""
+        """The term of the entry at this index. None: it is compacted, or not in the log yet."""
         if index == self.last_included_index:
             return self.last_included_term
-        return (
-            self.entries[index - self.last_included_index - 1].term
-            if self.last_included_index < index <= self.last_index
-            else None
-        )
+        if self.last_included_index < index <= self.last_index:
+            return self.entries[index - self.last_included_index - 1].term
+        return None
 
     def voters_at(self, index: int) -> tuple[str, ...]:
-        """The list in force there, committed or not."""
+        """The voters in force at this index, committed or not."""
         for entry in reversed(self.entries[: index - self.last_included_index]):
             if entry.voters is not None:
                 return entry.voters
@@ -66,5 +71,5 @@
 
     @property
     def has_operations(self) -> bool:
-        """Whether it holds anything that may have been acknowledged."""
+        """Whether the log holds anything that may have been acknowledged to a client."""
         return self.last_included_index > 0 or any(entry.operation for entry in self.entries)
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -42,6 +42,7 @@
 
 import msgspec
 
+from hazelbend.consensus.errors import StaleEpochError
 from hazelbend.consensus.messages import (
     AppendEntries,
     AppendResponse,
@@ -138,7 +139,7 @@
         """Start an epoch with this one voter. ValueError unless it is higher than what is known here. No
         number may ever be used twice: see `epoch_number`."""
         if epoch <= self.persistent.epoch:
-            raise ValueError(f"epoch {epoch} is not higher than {self.persistent.epoch}")
+            raise StaleEpochError(f"epoch {epoch} is not higher than {self.persistent.epoch}")
         self._begin_epoch(epoch, now)
         self.persistent.current_term, self.persistent.voted_for = 1, self.identity
         self.append(Entry(1, (self.identity,)))
@@ -157,7 +158,7 @@
         entries that are not committed."""
         if not self.is_leader or self.transfer_target:
             return None
-        if self.pending_bytes and self.pending_bytes + len(op) > self.timing.max_uncommitted_bytes:
+        if self.uncommitted_bytes and self.uncommitted_bytes + len(op) > self.timing.max_uncommitted_bytes:
             return None
         self.last_request_id += 1
         self.pending_proposals[self.persistent.last_index + 1] = self.last_request_id
@@ -383,20 +384,20 @@
             self.incoming_transfer = IncomingTransfer(key)
         assembly = self.incoming_transfer
         assembly.add(piece)
-        if assembly.answer is None and len(assembly.content) < piece.total_bytes:
+        if assembly.response is None and len(assembly.content) < piece.total_bytes:
             self._send_to(
                 message.sender, ChunkResponse(piece.transfer_id, len(assembly.content), piece.round)
             )
             return
-        if assembly.answer is None:
+        if assembly.response is None:
             body = decode_transfer(bytes(assembly.content))
             assembly.content.clear()
             whole = msgspec.structs.replace(message, body=body)
             if isinstance(body, AppendEntries):
-                assembly.answer = self._append_entries(whole, body, now)
+                assembly.response = self._append_entries(whole, body, now)
             else:
-                assembly.answer = self._install_snapshot(whole, body, now)
-        self._send_to(message.sender, assembly.answer)
+                assembly.response = self._install_snapshot(whole, body, now)
+        self._send_to(message.sender, assembly.response)
 
     def _piece_answered(self, message: Message, taken: ChunkResponse, now: int) -> None:
         peer = self.peers.get(message.sender)
--- a/hazelbend/consensus/replicated_log.py
+++ b/hazelbend/consensus/replicated_log.py
@@ -1,7 +1,6 @@
-"""The replicated log at one member: its memory, the machine that it drives, and how far it is committed.
+"""The replicated log of one node: its persistent state, its state machine and its commit index.
 
-Pure. What changes here is marked in `unsaved`, for the driver to store before anything that rests on it is
-sent.
+No I/O. `first_unsaved_index` says what the driver must store before it sends anything that rests on it.
 """
 
 from __future__ import annotations
@@ -15,141 +14,142 @@
 
 
 class StateMachine(Protocol):
-    """What the entries change: the same after the same entries, whatever the time and the process."""
+    """What the entries change. It must be deterministic: the same entries give the same state."""
 
     def begin(self, epoch: int) -> None:
-        """Start with nothing."""
+        """Reset to the empty state, in this epoch."""
 
     def apply(self, index: int, op: bytes) -> object:
-        """Take one committed operation; its result."""
+        """Apply one committed operation; its result."""
 
     def snapshot(self) -> bytes:
         """The whole state."""
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state by that of a snapshot."""
 
 
 @dataclass(slots=True, frozen=True)
-class Applied:
-    """An entry that was committed, and what the machine made of it (None for one without operation)."""
+class AppliedEntry:
+    """A committed entry and the result of its operation; None without an operation."""
 
     index: int
     result: object
 
 
 class ReplicatedLog:
-    """See the head of the file."""
-
-    def __init__(self, memory: PersistentState, machine: StateMachine) -> None:
-        self.persistent, self.state_machine = memory, machine
-        self.commit_index = memory.last_included_index  # all up to it is applied
-        self.voters = memory.voters_at(memory.last_index)  # the list in force, committed or not
-        self.first_unsaved_index: int | None = (
-            None  # entries from this index on, and what is under them, are to be saved
-        )
-        machine.begin(memory.epoch)
-        if memory.last_included_index:
-            machine.restore(memory.snapshot_state)
+    """The log, without any messages. See the head of the file."""
+
+    def __init__(self, persistent: PersistentState, state_machine: StateMachine) -> None:
+        self.persistent = persistent
+        self.state_machine = state_machine
+        self.commit_index = persistent.last_included_index  # all entries up to it are applied
+        self.voters = persistent.voters_at(persistent.last_index)  # in force, committed or not
+        # Entries from this index on, and the snapshot if it is at this index or above, are not stored yet.
+        self.first_unsaved_index: int | None = None
+        state_machine.begin(persistent.epoch)
+        if persistent.last_included_index:
+            state_machine.restore(persistent.snapshot_state)
 
     @property
-    def pending_bytes(self) -> int:
+    def uncommitted_bytes(self) -> int:
         """Bytes of entries that are not known to be committed."""
         return size_of(self.persistent.entries[self.commit_index - self.persistent.last_included_index :])
 
     def append(self, entry: Entry) -> None:
-        """One more at the end."""
+        """Add one entry at the end."""
         self._mark_unsaved(self.persistent.last_index + 1)
         self.persistent.entries.append(entry)
         if entry.voters is not None:
             self.voters = entry.voters
 
     def merge(self, append: AppendEntries) -> None:
-        """Take a leader's entries; those that differ give way. The one before them must be the same here."""
-        memory = self.persistent
+        """Take a leader's entries. Entries that conflict with them are deleted, with all after them. The
+        entry at `prev_log_index` must match."""
+        persistent = self.persistent
         for index, entry in enumerate(append.entries, append.prev_log_index + 1):
-            if index <= memory.last_included_index or memory.term_at(index) == entry.term:
+            if index <= persistent.last_included_index or persistent.term_at(index) == entry.term:
                 continue
-            if index <= memory.last_index:
-                assert index > self.commit_index, "what is committed is never taken back"
-                del memory.entries[index - memory.last_included_index - 1 :]
-                self.voters = memory.voters_at(memory.last_index)
+            if index <= persistent.last_index:
+                assert index > self.commit_index, "committed entries are never deleted"
+                del persistent.entries[index - persistent.last_included_index - 1 :]
+                self.voters = persistent.voters_at(persistent.last_index)
             self.append(entry)
 
     def conflict_hint(self, append: AppendEntries) -> int | None:
-        """None where the entry before these is the same here; else up to which index it may be. It need not
-        be tried one by one: all of a term that differs is passed over."""
-        memory = self.persistent
-        before = (
-            memory.term_at(append.prev_log_index)
-            if append.prev_log_index >= memory.last_included_index
-            else append.prev_log_term
-        )
-        if before == append.prev_log_term:
+        """None if the log matches at `prev_log_index`. Otherwise the highest index at which it may match: a
+        whole term that conflicts is skipped at once, as at the end of section 5.3 of the paper."""
+        persistent = self.persistent
+        prev_term: int | None = append.prev_log_term
+        if append.prev_log_index >= persistent.last_included_index:
+            prev_term = persistent.term_at(append.prev_log_index)
+        if prev_term == append.prev_log_term:
             return None
-        hint = min(append.prev_log_index, memory.last_index + 1)
-        while hint > self.commit_index + 1 and memory.term_at(hint - 1) == before and before is not None:
+        hint = min(append.prev_log_index, persistent.last_index + 1)
+        while (
+            hint > self.commit_index + 1
+            and prev_term is not None
+            and persistent.term_at(hint - 1) == prev_term
+        ):
             hint -= 1
         return max(hint - 1, self.commit_index)
 
-    def apply_to(self, index: int) -> list[Applied]:
-        """All up to this index is committed: what the machine made of it."""
-        first, self.commit_index = self.commit_index + 1, max(self.commit_index, index)
+    def apply_to(self, index: int) -> list[AppliedEntry]:
+        """Commit and apply all entries up to this index."""
+        first = self.commit_index + 1
+        self.commit_index = max(self.commit_index, index)
         applied = []
-        for at in range(first, self.commit_index + 1):
-            entry = self.persistent.entries[at - self.persistent.last_included_index - 1]
-            applied.append(
-                Applied(at, self.state_machine.apply(at, entry.operation) if entry.operation else None)
-            )
+        for position in range(first, self.commit_index + 1):
+            entry = self.persistent.entries[position - self.persistent.last_included_index - 1]
+            result = self.state_machine.apply(position, entry.operation) if entry.operation else None
+            applied.append(AppliedEntry(position, result))
         return applied
 
-    def compact(self, most_entries: int, most_bytes: int) -> None:
-        """Let a snapshot take the place of what is applied, once that is more than so much."""
-        memory, base = self.persistent, self.commit_index
-        applied = memory.entries[: base - memory.last_included_index]
-        if len(applied) < most_entries and size_of(applied) <= most_bytes:
+    def compact(self, after_entries: int, after_bytes: int) -> None:
+        """Replace the applied entries by a snapshot, if there are so many or they exceed these bytes."""
+        persistent = self.persistent
+        new_index = self.commit_index
+        applied = persistent.entries[: new_index - persistent.last_included_index]
+        if len(applied) < after_entries and size_of(applied) <= after_bytes:
             return
-        term = memory.term_at(base)
+        term = persistent.term_at(new_index)
         assert term is not None
-        state, voters = self.state_machine.snapshot(), memory.voters_at(base)
-        # A snapshot is of what is applied; entries before it go at once, and who is behind gets the snapshot.
-        del memory.entries[: base - memory.last_included_index]
-        (
-            memory.last_included_index,
-            memory.last_included_term,
-            memory.snapshot_voters,
-            memory.snapshot_state,
-        ) = base, term, voters, state
-        self._mark_unsaved(base)
+        state = self.state_machine.snapshot()
+        voters = persistent.voters_at(new_index)
+        # No applied entry is retained: a replica that is behind is sent the snapshot.
+        del persistent.entries[: new_index - persistent.last_included_index]
+        persistent.last_included_index = new_index
+        persistent.last_included_term = term
+        persistent.snapshot_voters = voters
+        persistent.snapshot_state = state
+        self._mark_unsaved(new_index)
 
     def install(self, snapshot: InstallSnapshot) -> bool:
-        """Replace what is applied by a snapshot of later state. False: it is not later."""
-        memory = self.persistent
+        """Replace the applied state by a later snapshot. False: the snapshot is not later."""
+        persistent = self.persistent
         if snapshot.last_included_index <= self.commit_index:
             return False
-        keeps = memory.term_at(snapshot.last_included_index) == snapshot.last_included_term
-        memory.entries = (
-            memory.entries[snapshot.last_included_index - memory.last_included_index :] if keeps else []
-        )
-        memory.last_included_index, memory.last_included_term = (
-            snapshot.last_included_index,
-            snapshot.last_included_term,
-        )
-        memory.snapshot_voters, memory.snapshot_state = snapshot.voters, snapshot.state
+        entries_match = persistent.term_at(snapshot.last_included_index) == snapshot.last_included_term
+        first_kept = snapshot.last_included_index - persistent.last_included_index
+        persistent.entries = persistent.entries[first_kept:] if entries_match else []
+        persistent.last_included_index = snapshot.last_included_index
+        persistent.last_included_term = snapshot.last_included_term
+        persistent.snapshot_voters = snapshot.voters
+        persistent.snapshot_state = snapshot.state
         self.commit_index = snapshot.last_included_index
-        self.voters = memory.voters_at(memory.last_index)
+        self.voters = persistent.voters_at(persistent.last_index)
         self._mark_unsaved(snapshot.last_included_index)
         self.state_machine.restore(snapshot.state)
         return True
 
     def clear(self, epoch: int) -> None:
-        """Begin another epoch, with nothing."""
+        """Start another epoch with an empty log."""
         self.persistent = PersistentState(self.persistent.identity, epoch)
-        self.commit_index, self.voters = 0, ()
+        self.commit_index = 0
+        self.voters = ()
         self._mark_unsaved(1)
         self.state_machine.begin(epoch)
 
     def _mark_unsaved(self, index: int) -> None:
-        self.first_unsaved_index = (
-            index if self.first_unsaved_index is None else min(self.first_unsaved_index, index)
-        )
+        unsaved = self.first_unsaved_index
+        self.first_unsaved_index = index if unsaved is None else min(unsaved, index)
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -1,8 +1,8 @@
-"""What a leader knows of each replica, and messages in pieces. Pure.
+"""Replication to one replica: its progress as the leader knows it, and chunked transfers. No I/O.
 
-Bytes bound what is under way to one replica: a message holds entries of at most `BATCH_BYTES`, and what is
-larger, a snapshot or a single large entry, goes out as a transfer: one piece at a time, the next one when the
-one before was answered. Heartbeats pass between two pieces, so a slow link holds up nothing else.
+A byte limit bounds what is in flight to one replica: a message has entries of at most `BATCH_BYTES`. A
+snapshot or a single larger entry is sent as a transfer: one chunk at a time, the next one after the answer to
+the one before. Heartbeats are sent between two chunks, so a slow link delays nothing else.
 """
 
 from __future__ import annotations
@@ -21,69 +21,69 @@
 )
 
 BATCH_BYTES = 64 * 1024  # of entries in one message
-PIECE_BYTES = 64 * 1024  # of a transfer in one message
+CHUNK_BYTES = 64 * 1024  # of a transfer in one message
 
 
 @dataclass(slots=True)
 class OutgoingTransfer:
-    """A message that goes to a replica in pieces, one at a time."""
+    """A message that is sent to a replica in chunks, one at a time."""
 
     transfer_id: int
     content: bytes
-    round: int  # the leader's round when it began: an older refusal does not concern it
-    offset: int = 0  # bytes that the replica holds
-    sent_at: int = 0
+    round: int  # the leader's round at its start: an older rejection does not concern it
+    offset: int = 0  # bytes that the replica has
+    sent_at: int = 0  # of the last chunk
 
-    def piece(self, round_number: int) -> Chunk:
-        """The next one; the last one again where its answer was lost."""
+    def next_chunk(self, round_number: int) -> Chunk:
+        """The chunk at `offset`: the last one again, if its answer was lost."""
         first = self.offset
         return Chunk(
             self.transfer_id,
             first,
             len(self.content),
-            self.content[first : first + PIECE_BYTES],
+            self.content[first : first + CHUNK_BYTES],
             round_number,
         )
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far one replica is, as its leader knows."""
+    """What a leader knows of one replica."""
 
-    next_index: int  # index of the entry to send next
-    match_index: int = 0  # all up to it is held
+    next_index: int  # of the entry to send next
+    match_index: int = 0  # the log matches the leader's up to here
     last_contact_at: int = 0
-    answered_round: int = 0  # the last of the leader's rounds that it has answered
+    answered_round: int = 0  # the leader's last heartbeat round that it has answered
     transfer: OutgoingTransfer | None = None
-    pending_timestamp: Timestamp | None = None  # to be confirmed by a round that begins after it has come
+    pending_timestamp: Timestamp | None = None  # a round that starts after its arrival confirms it
     pending_timestamp_round: int = 0
     confirmed_timestamp: Timestamp | None = None
 
 
 @dataclass(slots=True)
 class IncomingTransfer:
-    """A message that comes in pieces, at the replica."""
+    """A message that a replica receives in chunks."""
 
-    key: tuple[str, int, int] = ("", 0, 0)  # sender, term, number
+    key: tuple[str, int, int] = ("", 0, 0)  # sender, term, transfer id
     content: bytearray = field(default_factory=bytearray)
-    answer: AppendResponse | None = None  # once it is whole
+    response: AppendResponse | None = None  # once the message is complete
 
-    def add(self, piece: Chunk) -> None:
-        """Take the piece if it is the next one."""
-        if piece.offset == len(self.content):
-            self.content += piece.data
+    def add(self, chunk: Chunk) -> None:
+        """Append the chunk if it is the next one."""
+        if chunk.offset == len(self.content):
+            self.content += chunk.data
 
 
 def size_of(entries: Sequence[Entry]) -> int:
-    """Bytes of their operations."""
+    """Bytes of the operations of these entries."""
     return sum(len(entry.operation) for entry in entries)
 
 
-def batch(entries: Sequence[Entry], most: int) -> tuple[Entry, ...]:
-    """The first entries: one at least, then so many as fit into `BATCH_BYTES`, and at most `most`."""
+def first_batch(entries: Sequence[Entry], max_entries: int) -> tuple[Entry, ...]:
+    """The entries for one message: at least one, then as many as fit `BATCH_BYTES` and `max_entries`."""
     chosen: list[Entry] = []
     size = 0
-    for entry in entries[:most]:
+    for entry in entries[:max_entries]:
         size += len(entry.operation)
         if chosen and size > BATCH_BYTES:
             break
@@ -92,11 +92,11 @@
 
 
 def needs_transfer(body: AppendEntries | InstallSnapshot) -> bool:
-    """Whether it is too large for one message. A snapshot always goes as a transfer, so that it is not sent
-    again with each heartbeat."""
+    """Whether the message is too large to be sent at once. A snapshot always is a transfer, so that it is not
+    sent again with each heartbeat."""
     return isinstance(body, InstallSnapshot) or size_of(body.entries) > BATCH_BYTES
 
 
 def begin_transfer(number: int, body: AppendEntries | InstallSnapshot, now: int) -> OutgoingTransfer:
-    """A transfer of this message, of which nothing is sent yet."""
+    """A transfer of this message, with nothing sent yet."""
     return OutgoingTransfer(number, encode_transfer(body), body.round, sent_at=now)
--- a/hazelbend/consensus/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -27,13 +27,13 @@
     BATCH_BYTES,
     IncomingTransfer,
     Progress,
-    batch,
     begin_transfer,
+    first_batch,
     needs_transfer,
     size_of,
 )
 
-PIECE_PATIENCE = 10  # heartbeats without an answer to a piece, after which it is sent again
+CHUNK_RETRY_HEARTBEATS = 10  # heartbeats without an answer to a piece, after which it is sent again
 LIFE_BITS = 53
 
 
@@ -124,7 +124,7 @@
         memory, peer = self.persistent, self.peers[name]
         if peer.transfer is not None:
             self._send_to(name, self._heartbeat(peer, 0, 0))  # entries go on once the transfer is over
-            if now - peer.transfer.sent_at >= PIECE_PATIENCE * self.timing.heartbeat_us:
+            if now - peer.transfer.sent_at >= CHUNK_RETRY_HEARTBEATS * self.timing.heartbeat_us:
                 self._send_piece(name, now)
             return
         before = memory.term_at(peer.next_index - 1)
@@ -144,7 +144,7 @@
             - memory.last_included_index
         ]
         if size_of(unanswered) <= BATCH_BYTES:
-            entries = batch(
+            entries = first_batch(
                 memory.entries[peer.next_index - 1 - memory.last_included_index :],
                 self.timing.max_batch_entries,
             )
@@ -167,7 +167,7 @@
         transfer = self.peers[name].transfer
         assert transfer is not None
         transfer.sent_at = now
-        self._send_to(name, transfer.piece(self.round))
+        self._send_to(name, transfer.next_chunk(self.round))
 
     def _send_to(self, to: str, body: Body, term: int | None = None) -> None:
         memory = self.persistent
--- a/hazelbend/consensus/state_codec.py
+++ b/hazelbend/consensus/state_codec.py
@@ -1,19 +1,19 @@
-"""What a voter must not forget, as frames of a file: pure, bytes in and out. The file itself:
-transport/fleet_store.py.
+"""The stored form of a node's persistent state: records, and frames of a file. No I/O; the files themselves:
+transport/storage.
 
     file   = MAGIC, frames
-    frame  = length of the body, CRC-32 of the body, CRC-32 of these two (4 bytes each, little-endian), body
+    frame  = header, body
+    header = length of the body, CRC-32 of the body, CRC-32 of these two (4 bytes each, little-endian)
     body   = HardState | LogEntries | Snapshot, in msgpack
 
-Frames are added, and take effect in their order: a HardState replaces the one before, LogEntries
-replace all from their first index on, a Snapshot takes the place of all up to its index.
+Records take effect in their order: a `HardState` replaces the one before, `LogEntries` replace all entries
+from their first index on, a `Snapshot` replaces all entries up to its index.
 
-Reading, in doubt a voter is somebody new (see record.py), so nothing is ever guessed:
-    - a last frame that is shorter than it says was being written when the process died. It was never
-      confirmed, so nobody was told anything that rests on it: it is dropped;
-    - a checksum that differs, an index that leaves a gap, another format: `DamagedError`. The head has a
-      checksum of its own, as a changed length would look like a last frame that is short, and promises
-      after it be dropped.
+A node whose stored state is in doubt must start as a new one (see raft.py), so a reader never guesses:
+    - a last frame that is shorter than its length was being written when the process died. Nothing that rests
+      on it was sent, so it is dropped;
+    - a wrong checksum, a gap in the log or an unknown format raises `CorruptStateError`. The header has a
+      checksum of its own: with a changed length a frame, and all after it, would look like a short last one.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 import msgspec
 
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode
 
 MAGIC = b"hazelbend-fleet 1\n"
-NUMBER = 4  # bytes of a number in a head
-HEAD = 3 * NUMBER
-
-
-class CorruptStateError(Exception):
-    """This is no memory that can be gone on with."""
+INTEGER_BYTES = 4
+HEADER_BYTES = 3 * INTEGER_BYTES
 
 
+# Tags and `name=` keep the stored names of earlier versions.
 class HardState(msgspec.Struct, frozen=True, tag="Promise"):
+    """Identity, epoch, term and vote."""
+
     identity: str
     epoch: int
     current_term: int = msgspec.field(name="term")
@@ -43,114 +43,150 @@
 
 
 class LogEntries(msgspec.Struct, frozen=True, tag="Entries"):
+    """The entries from `first_index` to the end of the log."""
+
     first_index: int = msgspec.field(name="first")
     entries: tuple[Entry, ...]
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="Base"):
+    """The state machine and the voters after `last_included_index`."""
+
     last_included_index: int = msgspec.field(name="index")
     last_included_term: int = msgspec.field(name="term")
     voters: tuple[str, ...]
     state: bytes
 
 
+StateRecord = HardState | LogEntries | Snapshot
+
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(HardState | LogEntries | Snapshot)
+_decoder = msgspec.msgpack.Decoder(StateRecord)
 
 
-def encode_frame(body: HardState | LogEntries | Snapshot) -> bytes:
-    text = _encoder.encode(body)
-    head = _number(len(text)) + _number(zlib.crc32(text))
-    return head + _number(zlib.crc32(head)) + text
+def encode_frame(record: StateRecord) -> bytes:
+    """One record with its header."""
+    body = _encoder.encode(record)
+    header = _encode_integer(len(body)) + _encode_integer(zlib.crc32(body))
+    return header + _encode_integer(zlib.crc32(header)) + body
 
 
-def _number(value: int) -> bytes:
-    return value.to_bytes(NUMBER, "little")
+def _encode_integer(value: int) -> bytes:
+    return value.to_bytes(INTEGER_BYTES, "little")
 
 
-def encode_state(memory: PersistentState) -> bytes:
-    """A new file's content."""
-    return MAGIC + b"".join(map(encode_frame, state_records(memory)))
+def encode_state(state: PersistentState) -> bytes:
+    """The content of a new file."""
+    return MAGIC + b"".join(map(encode_frame, state_records(state)))
 
 
-def state_records(memory: PersistentState) -> list[HardState | LogEntries | Snapshot]:
-    """All of a memory, to be taken in this order."""
-    return [_promise(memory), _base(memory), _entries(memory, memory.last_included_index + 1)]
+def state_records(state: PersistentState) -> list[StateRecord]:
+    """Records of the whole state."""
+    return [_hard_state(state), _snapshot(state), _log_entries(state, state.last_included_index + 1)]
 
 
-def encode_changes(record: RaftNode) -> bytes:
-    """The frames to be added for what has changed since the last call."""
-    return b"".join(map(encode_frame, take_changed_records(record)))
+def encode_changes(raft: RaftNode) -> bytes:
+    """The frames to append for all changes since the last call."""
+    return b"".join(map(encode_frame, take_changed_records(raft)))
 
 
-def take_changed_records(record: RaftNode) -> list[HardState | LogEntries | Snapshot]:
-    """What has changed since the last call, to be taken in this order; the record's marks are taken off."""
-    memory, first = record.persistent, record.first_unsaved_index
-    parts: list[HardState | LogEntries | Snapshot] = []
-    if record.hard_state_changed:
-        parts.append(_promise(memory))
-    if first is not None:
-        if first <= memory.last_included_index:
-            parts.append(_base(memory))
-        parts.append(_entries(memory, max(first, memory.last_included_index + 1)))
-    record.first_unsaved_index, record.hard_state_changed = None, False
-    return parts
+def take_changed_records(raft: RaftNode) -> list[StateRecord]:
+    """Records of all changes since the last call: from now on they count as saved."""
+    state = raft.persistent
+    first_index = raft.first_unsaved_index
+    records: list[StateRecord] = []
+    if raft.hard_state_changed:
+        records.append(_hard_state(state))
+    if first_index is not None:
+        if first_index <= state.last_included_index:
+            records.append(_snapshot(state))
+        records.append(_log_entries(state, max(first_index, state.last_included_index + 1)))
+    raft.first_unsaved_index = None
+    raft.hard_state_changed = False
+    return records
 
 
-def _promise(memory: PersistentState) -> HardState:
-    return HardState(memory.identity, memory.epoch, memory.current_term, memory.voted_for)
+def _hard_state(state: PersistentState) -> HardState:
+    return HardState(state.identity, state.epoch, state.current_term, state.voted_for)
 
 
-def _base(memory: PersistentState) -> Snapshot:
+def _snapshot(state: PersistentState) -> Snapshot:
     return Snapshot(
-        memory.last_included_index, memory.last_included_term, memory.snapshot_voters, memory.snapshot_state
+        state.last_included_index, state.last_included_term, state.snapshot_voters, state.snapshot_state
     )
 
 
-def _entries(memory: PersistentState, first: int) -> LogEntries:
-    return LogEntries(first, tuple(memory.entries[first - memory.last_included_index - 1 :]))
+def _log_entries(state: PersistentState, first_index: int) -> LogEntries:
+    return LogEntries(first_index, tuple(state.entries[first_index - state.last_included_index - 1 :]))
 
 
 def decode_state(content: bytes) -> tuple[PersistentState, int]:
-    """The memory, and how many bytes of the content are good. DamagedError if it is of no use."""
+    """The state, and the length of the content without a torn last frame.
+
+    Raises:
+        CorruptStateError: see the head of the file.
+    """
     if not content.startswith(MAGIC):
-        raise CorruptStateError("not a fleet's memory, or of another version")
-    memory, at = PersistentState(""), len(MAGIC)
-    while at + HEAD <= len(content):
-        numbers = [content[at + n : at + n + NUMBER] for n in range(0, HEAD, NUMBER)]
-        length, check, head_check = (int.from_bytes(each, "little") for each in numbers)
-        body = content[at + HEAD : at + HEAD + length]
-        whole_head = zlib.crc32(numbers[0] + numbers[1]) == head_check
-        if not whole_head or (len(body) == length and zlib.crc32(body) != check):
-            raise CorruptStateError(f"another checksum at {at}")
-        if len(body) < length:
+        raise CorruptStateError("unknown format or version")
+    state = PersistentState("")
+    offset = len(MAGIC)
+    while offset + HEADER_BYTES <= len(content):
+        body = _read_body(content, offset)
+        if body is None:
             break
         try:
-            apply_record(memory, _decoder.decode(body))
+            apply_record(state, _decoder.decode(body))
         except msgspec.DecodeError as error:
-            raise CorruptStateError(f"at {at}: {error}") from None
-        at += HEAD + length
-    if not memory.identity:
-        raise CorruptStateError("it names nobody")
-    return memory, at
-
-
-def apply_record(memory: PersistentState, body: HardState | LogEntries | Snapshot) -> None:
-    """Let a stored part take effect. DamagedError if it cannot stand here."""
-    if isinstance(body, HardState):
-        if body.epoch != memory.epoch:  # another epoch begins with nothing
-            memory.entries, memory.last_included_index, memory.last_included_term = [], 0, 0
-            memory.snapshot_voters, memory.snapshot_state = (), b""
-        memory.identity, memory.epoch = body.identity, body.epoch
-        memory.current_term, memory.voted_for = body.current_term, body.voted_for
-    elif isinstance(body, Snapshot):
-        memory.entries = memory.entries[max(body.last_included_index - memory.last_included_index, 0) :]
-        memory.last_included_index, memory.last_included_term = (
-            body.last_included_index,
-            body.last_included_term,
-        )
-        memory.snapshot_voters, memory.snapshot_state = body.voters, body.state
+            raise CorruptStateError(f"at byte {offset}: {error}") from None
+        offset += HEADER_BYTES + len(body)
+    if not state.identity:
+        raise CorruptStateError("no identity")
+    return state, offset
+
+
+def _read_body(content: bytes, offset: int) -> bytes | None:
+    """The body of the frame at this offset. None: the frame is torn."""
+    header = content[offset : offset + HEADER_BYTES]
+    length = int.from_bytes(header[:INTEGER_BYTES], "little")
+    body_checksum = int.from_bytes(header[INTEGER_BYTES : 2 * INTEGER_BYTES], "little")
+    header_checksum = int.from_bytes(header[2 * INTEGER_BYTES :], "little")
+    body = content[offset + HEADER_BYTES : offset + HEADER_BYTES + length]
+    header_is_valid = zlib.crc32(header[: 2 * INTEGER_BYTES]) == header_checksum
+    if not header_is_valid or (len(body) == length and zlib.crc32(body) != body_checksum):
+        raise CorruptStateError(f"wrong checksum at byte {offset}")
+    return body if len(body) == length else None
+
+
+def apply_record(state: PersistentState, record: StateRecord) -> None:
+    """Let a stored record take effect.
+
+    Raises:
+        CorruptStateError: entries that leave a gap, or that the snapshot already holds.
+    """
+    if isinstance(record, HardState):
+        _apply_hard_state(state, record)
+    elif isinstance(record, Snapshot):
+        state.entries = state.entries[max(record.last_included_index - state.last_included_index, 0) :]
+        state.last_included_index = record.last_included_index
+        state.last_included_term = record.last_included_term
+        state.snapshot_voters = record.voters
+        state.snapshot_state = record.state
     else:
-        if body.first_index > memory.last_index + 1 or body.first_index <= memory.last_included_index:
-            raise CorruptStateError(f"entries from {body.first_index} on after {memory.last_index}")
-        memory.entries = [*memory.entries[: body.first_index - memory.last_included_index - 1], *body.entries]
+        first_index = record.first_index
+        if first_index > state.last_index + 1 or first_index <= state.last_included_index:
+            raise CorruptStateError(f"entries from {first_index} on after {state.last_index}")
+        kept = state.entries[: first_index - state.last_included_index - 1]
+        state.entries = [*kept, *record.entries]
+
+
+def _apply_hard_state(state: PersistentState, record: HardState) -> None:
+    if record.epoch != state.epoch:  # another epoch starts with an empty log
+        state.entries = []
+        state.last_included_index = 0
+        state.last_included_term = 0
+        state.snapshot_voters = ()
+        state.snapshot_state = b""
+    state.identity = record.identity
+    state.epoch = record.epoch
+    state.current_term = record.current_term
+    state.voted_for = record.voted_for
--- a/hazelbend/consensus/voters.py
+++ b/hazelbend/consensus/voters.py
@@ -1,8 +1,8 @@
-"""Who votes: a few of the fleet, replaced one at a time by the record itself.
+"""Who votes: the leader replaces voters that are lost, one change of the configuration at a time.
 
-The leader asks `next_voters` now and then. A voter that is gone for good, or long enough, is replaced: first
-one more, then one less, so that at no time fewer are left to vote than before. An identity is one memory (see
-record.py), so one that started again is another member and is taken in as any other.
+A lost voter is replaced by adding a voter first and removing the lost one after that, so that the number of
+healthy voters never falls. An identity stands for one stored state (see raft.py): a node that has lost its
+state comes back under a new identity and is added like any other.
 """
 
 from __future__ import annotations
@@ -21,30 +21,37 @@
     least: int = 3,
     erased: frozenset[str] = frozenset(),
 ) -> tuple[str, ...] | None:
-    """The list to agree on next, or None.
-
-    `members`: those well and known to be of this epoch, the longest there first; `lost`: those held to be
-    gone; `erased`: those of them whose memory is surely gone, which can never vote again. `wanted`: how many
-    are to vote; `least`: how many must be left that are well for one to be removed. The leader never removes
-    itself: it hands over first.
-
-    An erased voter is replaced in one step, by the one at its address if that is there. Of the old list only
-    the others can still vote, so two majorities of old and new meet among them.
+    """The next list of voters to commit. None: no change.
+
+    Args:
+        voters: the list in force.
+        me: the leader. It never removes itself: it transfers its leadership first.
+        members: healthy nodes of this epoch, those that joined first first.
+        lost: voters that are taken for gone.
+        wanted: the number of voters.
+        least: a voter is removed only if this many healthy ones are left.
+        erased: those of `lost` whose stored state is surely lost, so that they can never vote again. Such a
+            voter is replaced in one step, by the node at its address if there is one: as of the old list only
+            the others can still vote, a quorum of the old list and one of the new list meet among them.
     """
-    well = [each for each in voters if each not in lost]
-    fresh = [each for each in members if each not in voters and each not in lost]
-    replaced = next((each for each in voters if each in erased and each != me), None)
-    if replaced is not None and fresh:
-        successor = next((each for each in fresh if address_of(each) == address_of(replaced)), fresh[0])
-        return tuple(sorted({*voters, successor} - {replaced}))
-    if len(well) < wanted and fresh:
-        return tuple(sorted((*voters, fresh[0])))
-    gone = [each for each in voters if each in lost and each != me]
-    # Less only where enough are left, or nobody can take the place and the number is even, which gains
-    # nothing.
-    if gone and (len(well) >= min(wanted, least) or len(voters) % 2 == 0):
-        return tuple(each for each in voters if each != gone[0])
-    if len(well) > wanted:
-        last = next((each for each in reversed(voters) if each != me), None)
-        return tuple(each for each in voters if each != last)
+    healthy = [voter for voter in voters if voter not in lost]
+    candidates = [member for member in members if member not in voters and member not in lost]
+    replaced = next((voter for voter in voters if voter in erased and voter != me), None)
+    if replaced is not None and candidates:
+        return _replace(voters, replaced, candidates)
+    if len(healthy) < wanted and candidates:
+        return tuple(sorted((*voters, candidates[0])))
+    removable = [voter for voter in voters if voter in lost and voter != me]
+    # One of an even number of voters can go without a successor: it adds no tolerance of faults.
+    if removable and (len(healthy) >= min(wanted, least) or len(voters) % 2 == 0):
+        return tuple(voter for voter in voters if voter != removable[0])
+    if len(healthy) > wanted:
+        surplus = next((voter for voter in reversed(voters) if voter != me), None)
+        return tuple(voter for voter in voters if voter != surplus)
     return None
+
+
+def _replace(voters: Sequence[str], replaced: str, candidates: Sequence[str]) -> tuple[str, ...]:
+    same_address = (each for each in candidates if address_of(each) == address_of(replaced))
+    successor = next(same_address, candidates[0])
+    return tuple(sorted({*voters, successor} - {replaced}))
--- a/hazelbend/program/lease_node_driver.py
+++ b/hazelbend/program/lease_node_driver.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from hazelbend.consensus import state_codec
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.consensus.identity import address_of
-from hazelbend.consensus.state_codec import CorruptStateError
 from hazelbend.leases.lease_node import LeaseNode, NumberedReply, OutgoingMessage, PeerMessage, Reply
 from hazelbend.leases.operations import LeaseResponse, Operation
 from hazelbend.leases.settings import FleetSettings
@@ -72,7 +72,7 @@
             settings = self._settings.node_settings
             self.node = LeaseNode(persistent.identity, settings, self._seed, self._clock(), persistent)
         try:
-            await asyncio.to_thread(store.begin, state_codec.encode_state(self.node.raft.persistent))
+            await asyncio.to_thread(store.replace, state_codec.encode_state(self.node.raft.persistent))
         except OSError as error:
             self._lose_store(store, error)
         else:
@@ -199,10 +199,10 @@
             while node.has_output:
                 output = node.take_output()
                 frames = state_codec.encode_changes(node.raft)
-                file_is_large = bool(frames) and await asyncio.to_thread(store.add, frames)
+                file_is_large = bool(frames) and await asyncio.to_thread(store.append, frames)
                 if file_is_large:
                     # This has changes made meanwhile, which are added once more: frames are idempotent.
-                    await asyncio.to_thread(store.begin, state_codec.encode_state(node.raft.persistent))
+                    await asyncio.to_thread(store.replace, state_codec.encode_state(node.raft.persistent))
                 self._send(*output)
         except OSError as error:
             self._lose_store(store, error)
--- a/hazelbend/system/state_persister.py
+++ b/hazelbend/system/state_persister.py
@@ -13,7 +13,8 @@
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftNode
-from hazelbend.transport.storage.control_store import STORE_ERRORS, ControlStore, StateRecord
+from hazelbend.consensus.state_codec import StateRecord
+from hazelbend.transport.storage.control_store import STORE_ERRORS, ControlStore
 
 log = picologging.getLogger("hazelbend.control")
 
--- a/hazelbend/transport/storage/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -16,9 +16,10 @@
 import msgspec
 
 from hazelbend.consensus import state_codec
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.consensus.messages import Entry
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.consensus.state_codec import CorruptStateError, HardState, LogEntries, Snapshot
+from hazelbend.consensus.state_codec import HardState, LogEntries, Snapshot, StateRecord
 
 DATABASE_FILE = "control.db"
 DAMAGED_FILE = "control.damaged"  # a database that could not be read
@@ -32,7 +33,6 @@
 CREATE TABLE IF NOT EXISTS entry (position INTEGER PRIMARY KEY, content BLOB NOT NULL);
 """
 
-StateRecord = HardState | LogEntries | Snapshot
 T = TypeVar("T")
 STORE_ERRORS = (sqlite3.Error, OSError)  # what the methods of `ControlStore` raise where the disk refuses
 
--- a/hazelbend/transport/storage/fleet_store.py
+++ b/hazelbend/transport/storage/fleet_store.py
@@ -1,5 +1,7 @@
-"""The file in which a voter's memory lasts: locked, written and synced before anything that rests on it is
-said."""
+"""The file of a node's consensus state: locked, and synced before anything that rests on it is sent.
+
+Format: consensus/state_codec.py. All functions block on the disk: call them in a thread.
+"""
 
 from __future__ import annotations
 
@@ -9,80 +11,99 @@
 from pathlib import Path
 
 from hazelbend.consensus import state_codec
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.consensus.persistent_state import PersistentState
 
-NAME, NEW = "memory", "memory.new"
-LARGE = 4 * 1024 * 1024  # bytes, after which the file is written anew
+STATE_FILE = "memory"
+NEW_STATE_FILE = "memory.new"
+CORRUPT_STATE_FILE = "memory.damaged"
+LOCK_FILE = "lock"
+REWRITE_ABOVE_BYTES = 4 * 1024 * 1024
+CLOSED = -1  # in place of a file descriptor
 
 
 class FleetStore:
-    """One process's, from `open` to `close`. Each method blocks on the disk: call them in a thread."""
+    """The state file of one process, from `open` to `close`."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._lock = self._file = -1
-        self._size = 0
+        self._lock = CLOSED
+        self._file = CLOSED
+        self._size = 0  # bytes
+
+    def open(self, identity_suffix: str) -> PersistentState | None:
+        """Lock the folder and read the stored state. None: there is none, or its identity ends otherwise.
 
-    def open(self, identity_ends_with: str) -> PersistentState | None:
-        """The memory of the process before, if it is of this address. OSError if the folder cannot be used,
-        or another process does; state_codec.DamagedError: it is set aside, and whoever goes on is somebody
-        new."""
+        Raises:
+            OSError: the folder cannot be used, or another process has locked it.
+            CorruptStateError: the file is renamed to `memory.damaged`; the node must start as a new one.
+        """
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._lock = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self._lock = os.open(self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        path = self._folder / NAME
+        path = self._folder / STATE_FILE
         try:
             content = path.read_bytes()
         except FileNotFoundError:
             return None
         try:
-            memory, good = state_codec.decode_state(content)
-        except state_codec.CorruptStateError:
-            os.replace(path, self._folder / "memory.damaged")
+            state, valid_bytes = state_codec.decode_state(content)
+        except CorruptStateError:
+            os.replace(path, self._folder / CORRUPT_STATE_FILE)
             raise
-        if not memory.identity.endswith(identity_ends_with):
+        if not state.identity.endswith(identity_suffix):
             return None
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-        os.ftruncate(self._file, good)
+        os.ftruncate(self._file, valid_bytes)
         os.fsync(self._file)
-        self._size = good
-        return memory
+        self._size = valid_bytes
+        return state
 
-    def begin(self, content: bytes) -> None:
-        """A new file, in place of one that there is."""
-        fresh = os.open(self._folder / NEW, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+    def replace(self, content: bytes) -> None:
+        """Write a new file in place of the present one. OSError: the present one stays."""
+        new_file = os.open(
+            self._folder / NEW_STATE_FILE, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600
+        )
         try:
-            _write(fresh, content)
-            os.fsync(fresh)
-            os.replace(self._folder / NEW, self._folder / NAME)
-            folder = os.open(self._folder, os.O_RDONLY | os.O_CLOEXEC)
-            try:
-                os.fsync(folder)
-            finally:
-                os.close(folder)
+            _write_all(new_file, content)
+            os.fsync(new_file)
+            os.replace(self._folder / NEW_STATE_FILE, self._folder / STATE_FILE)
+            _sync_folder(self._folder)
         except OSError:
-            os.close(fresh)
+            os.close(new_file)
             raise
-        if self._file >= 0:
+        if self._file != CLOSED:
             os.close(self._file)
-        self._file, self._size = fresh, len(content)
+        self._file = new_file
+        self._size = len(content)
 
-    def add(self, frames: bytes) -> bool:
-        """On the disk when it returns. True: the file is large, and may be begun anew."""
-        _write(self._file, frames)
+    def append(self, frames: bytes) -> bool:
+        """Append frames; they are on the disk on return. True: the file is large and should be replaced."""
+        _write_all(self._file, frames)
         os.fdatasync(self._file)
         self._size += len(frames)
-        return self._size > LARGE
+        return self._size > REWRITE_ABOVE_BYTES
 
     def close(self) -> None:
-        for handle in (self._file, self._lock):
-            if handle >= 0:
+        """Close the file and release the lock."""
+        for descriptor in (self._file, self._lock):
+            if descriptor != CLOSED:
                 with contextlib.suppress(OSError):
-                    os.close(handle)
-        self._file = self._lock = -1
+                    os.close(descriptor)
+        self._file = CLOSED
+        self._lock = CLOSED
+
+
+def _sync_folder(folder: Path) -> None:
+    """Make a rename in this folder durable."""
+    descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
 
 
-def _write(handle: int, content: bytes) -> None:
-    view = memoryview(content)
-    while view:
-        view = view[os.write(handle, view) :]
+def _write_all(descriptor: int, content: bytes) -> None:
+    remaining = memoryview(content)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
--- a/tests/test_golden_data.py
+++ b/tests/test_golden_data.py
@@ -20,6 +20,7 @@
 import pytest
 
 from hazelbend.consensus import state_codec
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.control import config_state_machine, messages, workers
 from hazelbend.transport.peer import frame_link
 from hazelbend.transport.storage import control_store, fleet_store, soft_state_file
@@ -101,9 +102,9 @@
         assert memory is not None
         assert state_codec.encode_state(memory) == state_codec.encode_state(state_codec.decode_state(good)[0])
         assert (tmp_path / "memory").read_bytes() == good
-        store.add(state_codec.encode_frame(history_parts()[-1]))
+        store.append(state_codec.encode_frame(history_parts()[-1]))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory")
-        store.begin(bytes_of("memory.whole"))
+        store.replace(bytes_of("memory.whole"))
         assert (tmp_path / "memory").read_bytes() == bytes_of("memory.whole")
     finally:
         store.close()
@@ -112,11 +113,11 @@
 
 def test_a_damaged_memory_file_is_set_aside(tmp_path: Path) -> None:
     content = bytearray(bytes_of("memory"))
-    content[len(state_codec.MAGIC) + state_codec.HEAD] ^= 1
+    content[len(state_codec.MAGIC) + state_codec.HEADER_BYTES] ^= 1
     (tmp_path / "memory").write_bytes(content)
     store = fleet_store.FleetStore(tmp_path)
     try:
-        with pytest.raises(state_codec.CorruptStateError):
+        with pytest.raises(CorruptStateError):
             store.open("@127.0.0.1:9100")
     finally:
         store.close()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,6 +10,7 @@
 from benchmarks.fleet_search import Left, search
 from benchmarks.fleet_sim import simulate
 from hazelbend.consensus import state_codec
+from hazelbend.consensus.errors import CorruptStateError
 from hazelbend.consensus.messages import AppendEntries, AppendResponse, Entry, Message
 from hazelbend.consensus.persistent_state import PersistentState, next_epoch
 from hazelbend.consensus.raft import RaftConfig, RaftNode
@@ -399,7 +400,7 @@
     for place in range(len(content)):
         changed = bytearray(content)
         changed[place] ^= 0x10
-        with pytest.raises(state_codec.CorruptStateError):
+        with pytest.raises(CorruptStateError):
             state_codec.decode_state(bytes(changed))
 
 
@@ -409,14 +410,14 @@
     with pytest.raises(OSError):
         other.open("@h:1")
     other.close()
-    store.begin(state_codec.encode_state(PersistentState("n@h:1", 7, 3, "n@h:1")))
-    assert store.add(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 4, ""))) is False
+    store.replace(state_codec.encode_state(PersistentState("n@h:1", 7, 3, "n@h:1")))
+    assert store.append(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 4, ""))) is False
     store.close()
     with (tmp_path / "s" / "memory").open("ab") as file:
         file.write(b"\x07")
     again = FleetStore(tmp_path / "s")
     assert again.open("@h:1") == PersistentState("n@h:1", 7, 4, "")
-    again.add(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 5, "")))
+    again.append(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 5, "")))
     again.close()
     stored, _ = state_codec.decode_state((tmp_path / "s" / "memory").read_bytes())
     assert stored.current_term == 5, "the torn end is gone"
@@ -424,7 +425,7 @@
     assert moved.open("@h:2") is None
     moved.close()
     (tmp_path / "s" / "memory").write_bytes(b"another format")
-    with pytest.raises(state_codec.CorruptStateError):
+    with pytest.raises(CorruptStateError):
         moved.open("@h:1")
     moved.close()
     assert (tmp_path / "s" / "memory.damaged").read_bytes() == b"another format"
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -9,7 +9,7 @@
 from hazelbend.consensus.messages import AppendEntries, Chunk, InstallSnapshot, Message
 from hazelbend.consensus.persistent_state import PersistentState, next_epoch
 from hazelbend.consensus.raft import RaftConfig, RaftNode
-from hazelbend.consensus.replication import BATCH_BYTES, PIECE_BYTES
+from hazelbend.consensus.replication import BATCH_BYTES, CHUNK_BYTES
 
 MS, S = 1_000, 1_000_000
 CONFIG = RaftConfig(
@@ -128,7 +128,7 @@
         lambda: group.records[lost].commit_index == leader.commit_index, round(2 * needed) + 4 * S
     )
     assert (leader.is_leader, leader.persistent.current_term) == (True, term)
-    assert max(group.largest.values()) <= max(BATCH_BYTES, PIECE_BYTES)
+    assert max(group.largest.values()) <= max(BATCH_BYTES, CHUNK_BYTES)
     assert kept <= CONFIG.snapshot_after_bytes + size and InstallSnapshot not in group.largest
 
 
