--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -54,7 +54,7 @@
 
         command()
     else:
-        from hazelbend.program.app import main as program
+        from hazelbend.dispatcher.app import main as program
 
         sys.exit(program())
 
--- a/hazelbend/__main__.py
+++ b/hazelbend/__main__.py
@@ -12,6 +12,6 @@
 
     command()
 else:
-    from hazelbend.program.app import main
+    from hazelbend.dispatcher.app import main
 
     sys.exit(main())
--- a/hazelbend/cli/check.py
+++ b/hazelbend/cli/check.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from hazelbend.program import config
-from hazelbend.program.parts import table
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher.parts import table
 
 EXIT_OK = 0
 EXIT_DOUBTS = 1
--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -17,10 +17,10 @@
 from hazelbend.cli.leader_route import CALL_TIMEOUT_S, LeaderRoute
 from hazelbend.cli.lease_run import run_command
 from hazelbend.consensus.identity import address_of
+from hazelbend.dispatcher.config import ConfigError, fleet_settings
 from hazelbend.leases.operations import ForceRelease, Reason
 from hazelbend.leases.settings import FleetSettings
 from hazelbend.leases.views import FleetView, LeaseView
-from hazelbend.program.config import ConfigError, fleet_settings
 from hazelbend.transport.peer.peer_links import CALL_ERRORS, PeerLinks
 
 __all__ = ["ExitStatus", "force_release", "main", "run_command", "show_leases", "start", "status"]
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from hazelbend.dispatcher.config import DEPLOY_VARIABLE
+from hazelbend.dispatcher.parts import table
 from hazelbend.dns_discovery.answers import (
     ADDRESS_TYPES,
     MAX_CNAME_CHAIN,
@@ -29,8 +31,6 @@
 )
 from hazelbend.dns_discovery.resolver import Query
 from hazelbend.dns_discovery.settings import Nameserver
-from hazelbend.program.config import DEPLOY_VARIABLE
-from hazelbend.program.parts import table
 from hazelbend.transport.dns.dns_client import DnsClient
 
 EXIT_LISTED = 0  # a nameserver lists endpoints
--- a/hazelbend/console/client.py
+++ b/hazelbend/console/client.py
@@ -1,6 +1,6 @@
 """The operator's side of the console: an interactive prompt, or single commands for scripts.
 
-It speaks with `hazelbend.program.console_server` over a Unix socket: one JSON object a line, each way.
+It speaks with `hazelbend.dispatcher.console_server` over a Unix socket: one JSON object a line, each way.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import orjson
 
-from hazelbend.program.config import ConfigError, console_socket
+from hazelbend.dispatcher.config import ConfigError, console_socket
 
 TIMEOUT_S = 10.0
 EXIT_OK = 0
--- a/hazelbend/program/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -14,11 +14,11 @@
 
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.learned_state import export_state, import_state
-from hazelbend.program import config
-from hazelbend.program import parts as joining
-from hazelbend.program.console_server import ConsoleServer
-from hazelbend.program.drain import KEPT, Drain
-from hazelbend.program.log import RecentLines, Sparing, set_up
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher import parts as joining
+from hazelbend.dispatcher.console_server import ConsoleServer
+from hazelbend.dispatcher.drain import KEPT, Drain
+from hazelbend.dispatcher.log import RecentLines, Sparing, set_up
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.overview import Figures, Overview, take_figures, take_overview
--- a/hazelbend/program/config.py
+++ b/hazelbend/dispatcher/config.py
@@ -20,7 +20,7 @@
 
 from hazelbend.decisions.interface import Effect, Settings
 from hazelbend.decisions.settings import SettingsError, report_fields, settings_from
-from hazelbend.program.understanding import Noted, Understanding, understand
+from hazelbend.dispatcher.understanding import Noted, Understanding, understand
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.http_fields import Catalogue, RequestClass
 from hazelbend.protocol.worker_lines import LoadReportFields
--- a/hazelbend/program/console_server.py
+++ b/hazelbend/dispatcher/console_server.py
@@ -16,8 +16,8 @@
 
 import orjson
 
-from hazelbend.program.log import RecentLines
-from hazelbend.program.parts import CommandError, Ground, Part, Show, table
+from hazelbend.dispatcher.log import RecentLines
+from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
 from hazelbend.routing.overview import Overview
 
 LINE_LIMIT = 4_096
--- a/hazelbend/program/drain.py
+++ b/hazelbend/dispatcher/drain.py
@@ -6,7 +6,7 @@
 import logging
 from typing import Protocol
 
-from hazelbend.program.parts import Ground
+from hazelbend.dispatcher.parts import Ground
 
 log = logging.getLogger("hazelbend")
 
--- a/hazelbend/program/fleet.py
+++ b/hazelbend/dispatcher/fleet.py
@@ -6,11 +6,11 @@
 import logging
 import time
 
+from hazelbend.dispatcher.fleet_snapshot import SnapshotTask
+from hazelbend.dispatcher.lease_node_driver import LeaseNodeDriver
+from hazelbend.dispatcher.parts import Ground, Part, Show, table
 from hazelbend.leases.lease_node import LeaseNode
 from hazelbend.leases.settings import FleetSettings
-from hazelbend.program.fleet_snapshot import SnapshotTask
-from hazelbend.program.lease_node_driver import LeaseNodeDriver
-from hazelbend.program.parts import Ground, Part, Show, table
 from hazelbend.transport.peer.fleet_listener import FleetListener
 
 log = logging.getLogger("hazelbend.fleet")
--- a/hazelbend/program/parts.py
+++ b/hazelbend/dispatcher/parts.py
@@ -23,7 +23,7 @@
 from hazelbend.routing.ports import EndpointList
 
 if TYPE_CHECKING:
-    from hazelbend.program.config import Config
+    from hazelbend.dispatcher.config import Config
     from hazelbend.routing.router import Router
     from hazelbend.transport.http.client_listener import ClientListener
     from hazelbend.transport.stomp.stomp_listener import StompListener
@@ -32,9 +32,9 @@
 
 # By their settings' name in Config: module and class. They join in this order, and end in it.
 KINDS = {
-    "srv": ("hazelbend.program.sources", "Sources"),
-    "waiting": ("hazelbend.program.waiting", "Waiting"),
-    "fleet": ("hazelbend.program.fleet", "FleetPart"),
+    "srv": ("hazelbend.dispatcher.sources", "Sources"),
+    "waiting": ("hazelbend.dispatcher.waiting", "Waiting"),
+    "fleet": ("hazelbend.dispatcher.fleet", "FleetPart"),
 }
 
 
--- a/hazelbend/program/sources.py
+++ b/hazelbend/dispatcher/sources.py
@@ -13,6 +13,11 @@
 
 import msgspec
 
+from hazelbend.dispatcher.log import Sparing
+from hazelbend.dispatcher.parts import Ground, Part, Show
+from hazelbend.dispatcher.srv_priorities import SrvPriorities
+from hazelbend.dispatcher.srv_snapshots import SnapshotSaver
+from hazelbend.dispatcher.srv_status import FailingNamesLog, SrvStatus
 from hazelbend.dns_discovery import snapshot
 from hazelbend.dns_discovery.answers import EndpointKey, canonical_name
 from hazelbend.dns_discovery.resolver import Resolver
@@ -20,11 +25,6 @@
 from hazelbend.dns_discovery.snapshot import Snapshot, TombstoneRecord
 from hazelbend.endpoints.merger import EndpointMerger, Tombstone
 from hazelbend.endpoints.srv_claims import SrvClaim
-from hazelbend.program.log import Sparing
-from hazelbend.program.parts import Ground, Part, Show
-from hazelbend.program.srv_priorities import SrvPriorities
-from hazelbend.program.srv_snapshots import SnapshotSaver
-from hazelbend.program.srv_status import FailingNamesLog, SrvStatus
 from hazelbend.routing.ports import EndpointList
 from hazelbend.transport.dns.resolver_driver import ResolverDriver
 
--- a/hazelbend/program/srv_priorities.py
+++ b/hazelbend/dispatcher/srv_priorities.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Mapping
 
 from hazelbend.decisions.interface import WorkerId, WorkerState
+from hazelbend.dispatcher.log import Sparing
 from hazelbend.dns_discovery.answers import EndpointKey
 from hazelbend.endpoints.merger import EndpointMerger
 from hazelbend.endpoints.priority_pool import PriorityPool
 from hazelbend.endpoints.srv_claims import SrvClaim
 from hazelbend.endpoints.view import MergedEndpoint
-from hazelbend.program.log import Sparing
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 
--- a/hazelbend/program/srv_status.py
+++ b/hazelbend/dispatcher/srv_status.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from hazelbend.dispatcher.log import Sparing
+from hazelbend.dispatcher.parts import CommandError, table
+from hazelbend.dispatcher.srv_priorities import SrvPriorities
 from hazelbend.dns_discovery.answers import ADDRESS_TYPES, EndpointKey, Question
 from hazelbend.dns_discovery.nameservers import NameserverHealth
 from hazelbend.dns_discovery.resolver import Resolver
 from hazelbend.dns_discovery.tracked_names import TrackedName
 from hazelbend.endpoints.merger import EndpointMerger
 from hazelbend.endpoints.precedence import SrvReport, srv_report
-from hazelbend.program.log import Sparing
-from hazelbend.program.parts import CommandError, table
-from hazelbend.program.srv_priorities import SrvPriorities
 
 NOT_QUERIED = "not asked yet"
 
--- a/hazelbend/program/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -8,7 +8,7 @@
 
 from multidict import MultiMapping
 
-from hazelbend.program.parts import CommandError, Ground, Part, Show, table
+from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
 from hazelbend.protocol.http_fields import BadRequestError, timeout_us
 from hazelbend.protocol.stomp import Frame
 from hazelbend.protocol.stomp_jobs import request_id
--- a/tests/deployment_kit.py
+++ b/tests/deployment_kit.py
@@ -22,8 +22,8 @@
 from hypothesis import strategies as st
 from site_kit import ToyServer, host_entry, running, until
 
-from hazelbend.program import config
-from hazelbend.program.app import App
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher.app import App
 
 JOBS = 24
 SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
--- a/tests/golden_kit.py
+++ b/tests/golden_kit.py
@@ -30,13 +30,13 @@
 from hazelbend.consensus import messages as log_messages
 from hazelbend.consensus import persistent_state, state_codec
 from hazelbend.control import config_state_machine, messages, workers
+from hazelbend.dispatcher import fleet_snapshot
 from hazelbend.dns_discovery import snapshot
 from hazelbend.forwarding import prefill
 from hazelbend.gossip import messages as gossip_messages
 from hazelbend.leases import lease_node, lease_table, views
 from hazelbend.leases import operations as lease_operations
 from hazelbend.placement import routes
-from hazelbend.program import fleet_snapshot
 from hazelbend.protocol import control_calls, handover
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.quotas import ledger
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -35,10 +35,10 @@
 from hazelbend.console import client as console_client
 from hazelbend.control import configuration
 from hazelbend.decisions.interface import LoadReport, Outcome
+from hazelbend.dispatcher import config, console_server
+from hazelbend.dispatcher.log import RecentLines
 from hazelbend.placement import statistics
 from hazelbend.placement.reliability import AttemptOutcome
-from hazelbend.program import config, console_server
-from hazelbend.program.log import RecentLines
 from hazelbend.protocol import (
     discovery,
     handover,
--- a/tests/site_kit.py
+++ b/tests/site_kit.py
@@ -17,8 +17,8 @@
 
 import orjson
 
-from hazelbend.program import config
-from hazelbend.program.app import App
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher.app import App
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "example"))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,7 +10,7 @@
 from site_kit import SETTINGS, site, until
 from test_client_listener import open_kept, request
 
-from hazelbend.program import app as program
+from hazelbend.dispatcher import app as program
 from hazelbend.transport.http import client_connection, half_close, http_listener
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 import pytest
 from site_kit import DIGEST, ROOT, SETTINGS, STOMP, host_entry
 
-from hazelbend.program import config
+from hazelbend.dispatcher import config
 
 CONF = {
     "listen": "127.0.0.1:7070",
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,7 +7,7 @@
 from site_kit import site, until
 
 from hazelbend.console import client
-from hazelbend.program.console_server import LINE_LIMIT
+from hazelbend.dispatcher.console_server import LINE_LIMIT
 
 
 def on_site(folder, work):
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -12,7 +12,7 @@
 from test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
 from test_reload import changed
 
-from hazelbend.program import drain
+from hazelbend.dispatcher import drain
 from hazelbend.transport.http import client_connection, http_listener
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -158,7 +158,7 @@
 
 def test_an_upgrades_leave_takes_the_drains_bound_back(tmp_path, hurried, monkeypatch):
     """Guards jobs that come on kept connections after SIGTERM: a drain's end that has passed refused them."""
-    monkeypatch.setattr("hazelbend.program.app.FIRST_REQUESTS", 0.3)
+    monkeypatch.setattr("hazelbend.dispatcher.app.FIRST_REQUESTS", 0.3)
 
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -8,7 +8,7 @@
 from test_ops_door import OPS, asked
 
 from hazelbend.decisions.interface import Outcome
-from hazelbend.program.console_server import Commands
+from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import snmp_agent
 
 
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -16,10 +16,10 @@
 from benchmarks.fleet_faults import LEASES, FakeStore, FaultRun
 from benchmarks.fleet_rig import ACT_SCRIPT, Site, free_port, read_acts, wait_for
 from hazelbend.cli.main import Duration
+from hazelbend.dispatcher.console_server import CommandError, Commands
 from hazelbend.gossip.messages import FullState, Packet
 from hazelbend.leases.fencing import TOKEN_BITS
 from hazelbend.leases.operations import Acquire
-from hazelbend.program.console_server import CommandError, Commands
 from hazelbend.transport.peer.peer_links import PeerLinks
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -35,7 +35,7 @@
         "forwarding",
     },
     "system": {"consensus", "control", "placement", "forwarding", "protocol", "transport"},
-    "program": {
+    "dispatcher": {
         "decisions",
         "routing",
         "dns_discovery",
@@ -46,10 +46,10 @@
         "protocol",
         "transport",
     },
-    "console": {"program"},
+    "console": {"dispatcher"},
     "benchlink": {"decisions"},
     "fakes": set(),
-    "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "program", "fakes"},
+    "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "dispatcher", "fakes"},
 }
 WIRES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
 TEXT = {"orjson"}  # of the operators' configuration, which is the control layer's to check
@@ -103,7 +103,7 @@
 
 def test_what_is_not_enabled_is_not_imported():
     """The platform pays neither memory nor start-up time for what its `run` does not use."""
-    code = "import sys, hazelbend.program.app; print(*sys.modules)"
+    code = "import sys, hazelbend.dispatcher.app; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, cwd=PACKAGE.parent)
     loaded = done.stdout.decode().split()
     unused = {"pysnmp", "prompt_toolkit", "dns", "msgspec", "immutables", "click", "uvicorn", "marshmallow"}
@@ -125,18 +125,18 @@
         "hazelbend.leases",
         "hazelbend.quotas",
         "hazelbend.waiting",
-        "hazelbend.program.waiting",
-        "hazelbend.program.sources",
-        "hazelbend.program.srv_",
-        "hazelbend.program.fleet",
+        "hazelbend.dispatcher.waiting",
+        "hazelbend.dispatcher.sources",
+        "hazelbend.dispatcher.srv_",
+        "hazelbend.dispatcher.fleet",
     )
     assert not [each for each in loaded if each.startswith(off)]
 
 
 def test_parts_know_nothing_of_the_program_and_it_knows_none_by_name():
     """Guards against the circle that was there: App made each part, and each part held App."""
-    kinds = {"hazelbend.program.sources", "hazelbend.program.waiting", "hazelbend.program.fleet"}
-    for path in (PACKAGE / "program").glob("*.py"):
+    kinds = {"hazelbend.dispatcher.sources", "hazelbend.dispatcher.waiting", "hazelbend.dispatcher.fleet"}
+    for path in (PACKAGE / "dispatcher").glob("*.py"):
         named = imports(path)
-        assert "hazelbend.program.app" not in named, path
+        assert "hazelbend.dispatcher.app" not in named, path
         assert path.stem != "app" or not named & kinds, "one place joins them: parts.py"
--- a/tests/test_ops_door.py
+++ b/tests/test_ops_door.py
@@ -8,7 +8,7 @@
 from test_client_listener import request, talk
 from test_reload import changed
 
-from hazelbend.program import config
+from hazelbend.dispatcher import config
 from hazelbend.transport.http import admin_listener
 
 OPS = "127.0.0.1:0"
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,7 +12,7 @@
 
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.decisions.settings import SettingsError, settings_from
-from hazelbend.program.config import ConfigError, from_object
+from hazelbend.dispatcher.config import ConfigError, from_object
 from hazelbend.protocol import stomp, stomp_jobs
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 from test_client_listener import request, talk
 from test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
 
-from hazelbend.program import config
+from hazelbend.dispatcher import config
 from hazelbend.protocol.discovery import EndpointListCodec
 
 
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -19,9 +19,9 @@
 from test_reload import changed
 from test_upgrade import ready, run_beside
 
+from hazelbend.dispatcher.app import App
+from hazelbend.dispatcher.console_server import CommandError, Commands
 from hazelbend.fakes.dns_faults import Fault
-from hazelbend.program.app import App
-from hazelbend.program.console_server import CommandError, Commands
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
 
--- a/tests/test_understanding.py
+++ b/tests/test_understanding.py
@@ -15,8 +15,8 @@
 from test_reload import changed as reloaded
 
 from hazelbend.cli.main import main
-from hazelbend.program import config
-from hazelbend.program.understanding import Noted
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher.understanding import Noted
 
 LANE = {"name": "a", "semantics": "read_like", "deadline_us": 5_000_000, "objective_us": 1_000_000}
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,8 +13,8 @@
 from test_client_listener import request, talk
 from test_program import ask, free_port, start, wait_for  # noqa: F401
 
-from hazelbend.program import config
-from hazelbend.program.console_server import ConsoleServer
+from hazelbend.dispatcher import config
+from hazelbend.dispatcher.console_server import ConsoleServer
 from hazelbend.transport.http.http_listener import inherited_listener
 
 
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -13,7 +13,7 @@
 from test_reload import changed
 from test_upgrade import ready, run_beside
 
-from hazelbend.program.console_server import CommandError, Commands
+from hazelbend.dispatcher.console_server import CommandError, Commands
 from hazelbend.waiting.settings import read_settings
 
 SITE = ROOT / "example/toy_server.py"
