--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -126,7 +126,7 @@
         return read_terms(after, not_before, wanted, take_results, self._ground.router.clock.now())
 
     def _take(self, job: Job, client: str, own_id: str, terms: Terms, said: str | None) -> Held:
-        catalogue, wait = self._ground.conf.catalogue, job.patience
+        catalogue, wait = self._ground.conf.catalogue, job.timeout_us
         if terms.waits and said is not None:
             # A job that waits may do so for longer than its class may run.
             wait = timeout_us(said, round(self.settings.limits.longest_s * 1e3), catalogue.margin_us)
--- a/hazelbend/protocol/http_fields.py
+++ b/hazelbend/protocol/http_fields.py
@@ -154,7 +154,7 @@
         id=request_id,
         class_index=index,
         tenant=catalogue.tenant_index(_single_value(headers, "X-Tenant-Id")),
-        patience=timeout_us(
+        timeout_us=timeout_us(
             _single_value(headers, "X-Timeout-Ms"), request_class.deadline_ms, catalogue.margin_us
         ),
         key=affinity_key(segments[-1]) if len(segments) > 2 else 0,
--- a/hazelbend/protocol/stomp_jobs.py
+++ b/hazelbend/protocol/stomp_jobs.py
@@ -54,7 +54,7 @@
         id=job_id,
         class_index=index,
         tenant=catalogue.tenant_index(frame.get("tenant") or None),
-        patience=timeout_us(frame.headers.get("deadline"), request_class.deadline_ms, catalogue.margin_us),
+        timeout_us=timeout_us(frame.headers.get("deadline"), request_class.deadline_ms, catalogue.margin_us),
         key=affinity_key(quoted_key),
         slots=parse_slots(f"slots={frame.get('slots', '1')}"),
         target=f"{path}/{quoted_key}" if key else path,
--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -1,4 +1,4 @@
-"""The values that cross the core's border, and the Protocols that links, fronts and discovery implement."""
+"""The values that cross the core's border, and the Protocols that clients and discovery implement."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     id: str
     class_index: int
     tenant: int
-    patience: int  # microseconds until the client gives up
+    timeout_us: int  # microseconds until the client gives up
     key: int = 0
     slots: float = 1.0
     expected_work: int = 0
@@ -63,12 +63,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How a attempt ended, as its link saw it."""
+    """How an attempt ended, as its client saw it."""
 
     outcome: Outcome
     result: bytes = b""
     load: LoadReport | None = None
-    stale: bool = False  # reset on a connection kept from before, ere a byte came
+    stale: bool = False  # reset on a reused connection before a byte of the answer came
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,8 +84,8 @@
 
 
 BeforeFirstByte: TypeAlias = Callable[[], int | None]
-"""Asked in the turn of the loop in which an attempt can be written: the microseconds that are left for it,
-which its head tells, or None where it may no longer be sent and ends as `NOT_SENT`."""
+"""Called in the turn of the loop in which an attempt can be written. Returns the microseconds that remain
+for it, which go into its head, or None where it may no longer be sent and ends as `NOT_SENT`."""
 
 
 AttemptCallback: TypeAlias = Callable[[ProgressReport | AttemptWritten], None]
@@ -99,12 +99,12 @@
         self,
         job: Job,
         before_first_byte: BeforeFirstByte,
-        tell: AttemptCallback,
+        on_progress: AttemptCallback,
     ) -> AttemptResult:
         """Connect, call `before_first_byte`, write, and read the answer."""
 
-    async def probe(self, patience: int) -> AttemptResult:
-        """Ask for the load report, for so many microseconds at most."""
+    async def probe(self, timeout_us: int) -> AttemptResult:
+        """Ask for the load report; give up after `timeout_us`."""
 
     def close(self) -> None:
         """The backend is no longer listed."""
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One line of the list of real servers."""
+    """One entry of the list of backend servers."""
 
     host: str
     dial: str
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """A list, or the entries that changed; no entries and `failed` when a call gave nothing."""
+    """A complete list, or the entries that changed; no entries and `failed` when a call gave nothing."""
 
     entries: tuple[Endpoint, ...] = ()
     whole: bool = False
@@ -137,8 +137,8 @@
 class Discovery(Protocol):
     """Where lists come from. Each `subscribe` brings exactly one list, then its changes."""
 
-    def subscribe(self, tell: Callable[[EndpointList], None]) -> None:
-        """Tell one list, then its changes, until one is `failed`."""
+    def subscribe(self, on_list: Callable[[EndpointList], None]) -> None:
+        """Call `on_list` with one list, then with its changes, until one is `failed`."""
 
 
 @dataclass(slots=True)
--- a/hazelbend/routing/request_context.py
+++ b/hazelbend/routing/request_context.py
@@ -46,7 +46,7 @@
     @property
     def deadline(self) -> int:
         """When the client gives up."""
-        return self.arrived_at + self.job.patience
+        return self.arrived_at + self.job.timeout_us
 
     @property
     def is_closed(self) -> bool:
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -89,7 +89,7 @@
         """Accept a job: from here on it gets exactly one final answer."""
         now = self.clock.now()
         if self._final_deadline is not None:
-            job = replace(job, patience=min(job.patience, max(self._final_deadline - now, 1)))
+            job = replace(job, timeout_us=min(job.timeout_us, max(self._final_deadline - now, 1)))
         request = RequestContext(self._next_number, job, now)
         self._next_number += 1
         self.requests[request.number] = request
@@ -187,12 +187,12 @@
         """Announce the request to the module, and handle its inbox until it is over."""
         job = request.job
         deadline_timer = asyncio.get_running_loop().call_later(
-            job.patience / 1e6 + DECISION_GRACE_S, request.inbox.put_nowait, DeadlinePassed()
+            job.timeout_us / 1e6 + DECISION_GRACE_S, request.inbox.put_nowait, DeadlinePassed()
         )
         try:
             arrival = decisions.RequestArrived(
                 request.number,
-                job.patience,
+                job.timeout_us,
                 job.class_index,
                 job.tenant,
                 job.slots,
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -123,19 +123,19 @@
         self,
         job: Job,
         before_first_byte: BeforeFirstByte,
-        tell: AttemptCallback,
+        on_progress: AttemptCallback,
     ) -> AttemptResult:
         """See the Protocol. Where it is cancelled, its connection is closed."""
         with self._pool.reserve_connection() as is_free:
             if not is_free:
                 return AttemptResult(Outcome.NOT_SENT)
-            return await self._attempt(job, before_first_byte, tell)
+            return await self._attempt(job, before_first_byte, on_progress)
 
     async def _attempt(
         self,
         job: Job,
         before_first_byte: BeforeFirstByte,
-        tell: AttemptCallback,
+        on_progress: AttemptCallback,
     ) -> AttemptResult:
         headers = {"X-Request-ID": job.id}
         if job.idempotency_key is not None:
@@ -144,7 +144,7 @@
             before_first_byte,
             TIMEOUT_HEADER,
             has_body=bool(job.body),
-            on_written=partial(tell, AttemptWritten()),
+            on_written=partial(on_progress, AttemptWritten()),
         )
         try:
             url = raw_url(self._base_url, job.target)
@@ -157,7 +157,7 @@
             outcome = Outcome.RESET if progress.is_written else Outcome.CONNECT_FAILED
             return AttemptResult(outcome, stale=progress.reused_connection)
         try:
-            return await self._read_result(response, job, tell)
+            return await self._read_result(response, job, on_progress)
         except (aiohttp.ClientError, OSError):
             return AttemptResult(Outcome.RESET)
         except (ValueError, aiohttp.http_exceptions.HttpProcessingError) as error:
@@ -171,7 +171,7 @@
         self,
         response: aiohttp.ClientResponse,
         job: Job,
-        tell: AttemptCallback,
+        on_progress: AttemptCallback,
     ) -> AttemptResult:
         """Read lines of progress up to the one with the result."""
         if response.status != 200:
@@ -187,18 +187,18 @@
                 continue
             message = read_line(line, job.id, self._pool.settings.fields)
             if isinstance(message, ProgressReport):
-                tell(message)
+                on_progress(message)
             elif message is not None:
                 await _drain(response)
                 return message
         return AttemptResult(Outcome.RESET)
 
-    async def probe(self, patience: int) -> AttemptResult:
+    async def probe(self, timeout_us: int) -> AttemptResult:
         """See the Protocol."""
         url = URL(self._base_url + "/load", encoded=True)
         try:
             async with (
-                asyncio.timeout(patience / 1e6),
+                asyncio.timeout(timeout_us / 1e6),
                 self._pool.session.get(url, allow_redirects=False) as response,
             ):
                 text = (await response.content.read(MAX_LINE_BYTES)).decode("utf-8", "replace")
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -91,7 +91,7 @@
         try:
             job = read_job(request.raw_path, request.headers, body, self.catalogue)
             if queueing_time_s > MIN_QUEUEING_TIME_S:
-                job = replace(job, patience=max(job.patience - round(queueing_time_s * 1e6), 1))
+                job = replace(job, timeout_us=max(job.timeout_us - round(queueing_time_s * 1e6), 1))
             if self._router.is_open(job.id):
                 raise JobRejectedError(409, "a request of this id is open")
             return self._router.accept(job) if self.gate is None else self.gate(job, request.headers)
--- a/hazelbend/transport/http/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -47,13 +47,13 @@
         self._on_list: Callable[[EndpointList], None] | None = None
         self._task: asyncio.Task[None] | None = None
 
-    def subscribe(self, tell: Callable[[EndpointList], None]) -> None:
+    def subscribe(self, on_list: Callable[[EndpointList], None]) -> None:
         """See the Protocol.
 
         A watch in progress goes on, for the new subscriber: it may have been opened at a new address since
         the failure that this subscription follows.
         """
-        self._on_list = tell
+        self._on_list = on_list
         if self._task is None or self._task.done():
             self._open()
 
--- a/hazelbend/transport/stomp/stomp_workers.py
+++ b/hazelbend/transport/stomp/stomp_workers.py
@@ -42,7 +42,7 @@
 @dataclass(slots=True)
 class _Work:
     job: Job
-    tell: AttemptCallback
+    on_progress: AttemptCallback
     ending: asyncio.Future[AttemptResult]
     started: bool = False
 
@@ -69,7 +69,7 @@
         self,
         job: Job,
         before_first_byte: BeforeFirstByte,
-        tell: AttemptCallback,
+        on_progress: AttemptCallback,
     ) -> AttemptResult:
         if self._lost:
             return AttemptResult(Outcome.CONNECT_FAILED)
@@ -86,8 +86,8 @@
         )
         if not self.outlet.send(frame):
             return AttemptResult(Outcome.CONNECT_FAILED)  # not a byte of it went out
-        tell(AttemptWritten())
-        work = self._work[message_id] = _Work(job, tell, asyncio.get_running_loop().create_future())
+        on_progress(AttemptWritten())
+        work = self._work[message_id] = _Work(job, on_progress, asyncio.get_running_loop().create_future())
         try:
             return await work.ending
         except asyncio.CancelledError:
@@ -96,7 +96,7 @@
         finally:
             del self._work[message_id]
 
-    async def probe(self, patience: int) -> AttemptResult:
+    async def probe(self, timeout_us: int) -> AttemptResult:
         """The connection is the probe: heart-beats watch over it."""
         return AttemptResult(Outcome.CONNECT_FAILED if self._lost else Outcome.SERVED)
 
@@ -115,7 +115,7 @@
             said = AttemptResult(Outcome.ERROR)
         if isinstance(said, ProgressReport):
             work.started = True
-            work.tell(said)
+            work.on_progress(said)
         elif said is not None:
             work.ending.set_result(said)
 
--- a/hazelbend/waiting/gate.py
+++ b/hazelbend/waiting/gate.py
@@ -209,7 +209,7 @@
 
     def _run(self, held: Held, release: Release) -> None:
         left = held.deadline - self.router.clock.now()
-        job = replace(held.job, patience=max(min(left, held.job.patience), 1))
+        job = replace(held.job, timeout_us=max(min(left, held.job.timeout_us), 1))
         if release.results:
             job = replace(job, body=with_results(job.body, release.results))
         flow = held.flow = self.router.accept(job)
--- a/tests/test_crossing_states.py
+++ b/tests/test_crossing_states.py
@@ -51,7 +51,7 @@
     backend: int
     connected: asyncio.Event = field(default_factory=asyncio.Event)
     ending: asyncio.Future[AttemptResult] | None = None
-    tell: object = None
+    on_progress: object = None
     begun_at: int | None = None
     over: Outcome | None = None
 
@@ -64,8 +64,8 @@
     def __init__(self, machine: CrossingMachine, entry: Endpoint) -> None:
         self.machine, self.backend = machine, int(entry.host)
 
-    async def attempt(self, job, before_first_byte, tell):
-        held = Held(job, self.backend, tell=tell)
+    async def attempt(self, job, before_first_byte, on_progress):
+        held = Held(job, self.backend, on_progress=on_progress)
         self.machine.attempts.append(held)
         self.machine.running += 1
         try:
@@ -78,7 +78,7 @@
                 self.machine.first_byte(held, left)
             except AssertionError as broken:  # the core would take it for the link's fault
                 self.machine.broken.append(str(broken))
-            tell(AttemptWritten())
+            on_progress(AttemptWritten())
             held.ending = asyncio.get_running_loop().create_future()
             ending = await held.ending
             held.over = ending.outcome
@@ -90,7 +90,7 @@
         finally:
             self.machine.running -= 1
 
-    async def probe(self, patience):
+    async def probe(self, timeout_us):
         return AttemptResult(Outcome.CONNECT_FAILED)
 
     def close(self):
@@ -264,7 +264,7 @@
     @rule(data=st.data(), fraction=st.sampled_from([None, 0.5]))
     def speak(self, data, fraction):
         held = data.draw(st.sampled_from(self.out()))
-        self.do(lambda: held.tell(ProgressReport(fraction)))
+        self.do(lambda: held.on_progress(ProgressReport(fraction)))
 
     @rule(
         backend=st.integers(0, BACKENDS - 1), state=st.sampled_from([WorkerState.READY, WorkerState.DRAINING])
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -132,7 +132,10 @@
     """Guards discovery, which works through a fleet's calls one after another, a line at a time: of 40
     dispatchers that asked for 60 lines each nobody got an answer in time, again and again."""
     told, asked, _ = watch(answer(43, False, "b"), answer(44, False), held=41)
-    assert [(news.seq, news.whole, len(news.entries)) for news in told] == [(43, False, 1), (44, False, 0)]
+    assert [(news.seq, news.whole, len(news.entries)) for news in told] == [
+        (43, False, 1),
+        (44, False, 0),
+    ]
     assert asked[0] == f"/v1/servers?from=41&hold_ms={discovery_retry.FIRST_HOLD_US // 1_000}"
     assert [path.split("&")[0] for path in asked[1:]] == ["/v1/servers?from=43", "/v1/servers?from=44"]
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -14,7 +14,7 @@
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
 from hazelbend.routing.ports import Verdict
 
-LONG = replace(JOB, patience=20_000_000)
+LONG = replace(JOB, timeout_us=20_000_000)
 
 
 def refuse(event):
@@ -130,7 +130,7 @@
 
     _, site, flow = hold_and(wait, Module(RequestArrived=send))
     told = [int(each.field("X-Timeout-Ms")) for each in site.backend.requests]
-    assert told[0] <= (flow.job.patience - 300_000) // 1_000 < told[1]
+    assert told[0] <= (flow.job.timeout_us - 300_000) // 1_000 < told[1]
 
 
 def test_an_attempt_of_which_nothing_was_written_is_no_time_out():
@@ -141,7 +141,7 @@
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held():
-                flow = site.router.accept(replace(JOB, patience=100_000))
+                flow = site.router.accept(replace(JOB, timeout_us=100_000))
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
         return decider, flow
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -223,7 +223,7 @@
         9,
         "/nearby/17?x=%20",
     )
-    assert 0 < job.patience < 480_000, "some of the client's time is kept for the way back"
+    assert 0 < job.timeout_us < 480_000, "some of the client's time is kept for the way back"
     assert job.key == read_http(HEAD.replace(b"?x=%20", b"")).key, (
         "the key is the path's last part, not the query"
     )
@@ -232,8 +232,8 @@
 
 def test_a_client_waits_no_longer_than_its_class_allows():
     """Guards a planned end, which waits for every flow: none may ask for an hour."""
-    assert read_http(HEAD.replace(b":480", b":999999999")).patience <= 5_000_000
-    assert read_http(HEAD.replace(b"X-Timeout-Ms:480\n", b"")).patience <= 5_000_000
+    assert read_http(HEAD.replace(b":480", b":999999999")).timeout_us <= 5_000_000
+    assert read_http(HEAD.replace(b"X-Timeout-Ms:480\n", b"")).timeout_us <= 5_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -49,13 +49,13 @@
     def __init__(self, ending=None, news=()):
         self.ending, self.news, self.calls = ending, news, 0
 
-    async def attempt(self, job, before_first_byte, tell):
+    async def attempt(self, job, before_first_byte, on_progress):
         if before_first_byte() is None:
             return AttemptResult(Outcome.NOT_SENT)
         self.calls += 1
-        tell(AttemptWritten())
+        on_progress(AttemptWritten())
         for each in self.news:
-            tell(each)
+            on_progress(each)
         if self.ending is None:
             await asyncio.Event().wait()
         if isinstance(self.ending, Exception):
@@ -198,8 +198,8 @@
     answered = asyncio.Event()
 
     class LateLink(FakeLink):
-        async def attempt(self, job, before_first_byte, tell):
-            ending = await super().attempt(job, before_first_byte, tell)
+        async def attempt(self, job, before_first_byte, on_progress):
+            ending = await super().attempt(job, before_first_byte, on_progress)
             await answered.wait()
             return ending
 
@@ -332,7 +332,7 @@
         await router.accept(JOB).answered
         router.set_final_deadline(router.clock.now() + 200_000)
         for patience in (100_000, 500_000):
-            await router.accept(replace(JOB, patience=patience)).answered
+            await router.accept(replace(JOB, timeout_us=patience)).answered
         router.set_final_deadline(router.clock.now() - 1)
         await router.accept(JOB).answered
 
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -181,7 +181,7 @@
             assert peer.answers() == {"late": ["failed"]}
             assert peer.of("MESSAGE")[0].headers["reason"] == "deadline"
             [flow] = taken
-            assert flow.job.patience < 300_000, "some of the client's time is kept for the way back"
+            assert flow.job.timeout_us < 300_000, "some of the client's time is kept for the way back"
 
     asyncio.run(run())
 
