--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -22,8 +22,8 @@
 from typing import Any
 
 from benchmarks import cpu_per_job
-from hazelbend.waiting.engine import Engine
-from hazelbend.waiting.terms import After, Bounds, End, Request, Terms
+from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.terms import After, Bounds, End, Request, Terms
 
 
 def resident_mb() -> float:
--- a/hazelbend/dispatcher/config.py
+++ b/hazelbend/dispatcher/config.py
@@ -31,8 +31,8 @@
 
 if TYPE_CHECKING:
     from hazelbend.dns_discovery.settings import SrvSettings
+    from hazelbend.job_queue.settings import WaitingSettings
     from hazelbend.leases.settings import FleetSettings
-    from hazelbend.waiting.settings import WaitingSettings
 
 PASSED_SOCKET = "RELAY_PASSED_SOCKET"
 DEPLOY_VARIABLE = "HAZELBEND_DEPLOY"  # another folder in place of deploy/
@@ -294,7 +294,7 @@
 
 def _waiting(keys: Keys, catalogue: Catalogue) -> WaitingSettings:
     with _named(keys, "requirements-waiting.txt"):
-        from hazelbend.waiting.settings import read_settings
+        from hazelbend.job_queue.settings import read_settings
 
         return read_settings(keys.table, tuple(row.name for row in catalogue.classes), catalogue.tenants)
 
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -9,14 +9,14 @@
 from multidict import MultiMapping
 
 from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
+from hazelbend.job_queue.gate import Gate, Held, wall_now
+from hazelbend.job_queue.settings import WaitingSettings
+from hazelbend.job_queue.terms import Bounds, Terms, TermsError
 from hazelbend.protocol.http_fields import BadRequestError, timeout_us
 from hazelbend.protocol.stomp import Frame
 from hazelbend.protocol.stomp_jobs import request_id
 from hazelbend.protocol.waiting_terms import read_terms
 from hazelbend.routing.ports import Job
-from hazelbend.waiting.gate import Gate, Held, wall_now
-from hazelbend.waiting.settings import WaitingSettings
-from hazelbend.waiting.terms import Bounds, Terms, TermsError
 
 ENDS = "the dispatcher ends"
 MOST_ROWS = 200  # of waiting jobs that are shown
--- a/hazelbend/waiting/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -50,7 +50,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hazelbend.waiting.terms import (
+from hazelbend.job_queue.terms import (
     Bounds,
     Edge,
     Effect,
--- a/hazelbend/waiting/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from hazelbend.job_queue.engine import Engine, Node, State
+from hazelbend.job_queue.terms import Bounds, Effect, End, Key, Refusal, Release, Request, Terms, TermsError
 from hazelbend.routing.ports import Answer, Job, Verdict
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import Router
-from hazelbend.waiting.engine import Engine, Node, State
-from hazelbend.waiting.terms import Bounds, Effect, End, Key, Refusal, Release, Request, Terms, TermsError
 
 LONGEST_SLEEP = 1.0  # seconds between looks at the wall's clock, which may step
 ENDS = {Verdict.SERVED: End.SERVED, Verdict.REFUSED: End.REFUSED, Verdict.FAILED: End.FAILED}
--- a/hazelbend/waiting/settings.py
+++ b/hazelbend/job_queue/settings.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
+from hazelbend.job_queue.terms import Bounds
 from hazelbend.schema import convert
-from hazelbend.waiting.terms import Bounds
 
 Count = Annotated[int, Meta(ge=1, le=10_000_000)]
 Seconds = Annotated[float, Meta(gt=0, le=31_536_000)]
--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -10,8 +10,8 @@
 
 from __future__ import annotations
 
+from hazelbend.job_queue.terms import After, Edge, Terms
 from hazelbend.protocol.http_fields import BadRequestError
-from hazelbend.waiting.terms import After, Edge, Terms
 
 MAX_AFTER_LENGTH = 16_384  # characters
 MAX_ID_LENGTH = 128
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -36,6 +36,8 @@
 from hazelbend.decisions import learned_state
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.gossip.messages import Packet
+from hazelbend.job_queue import terms
+from hazelbend.job_queue.engine import Engine
 from hazelbend.leases import lease_table
 from hazelbend.leases import operations as lease_operations
 from hazelbend.leases.lease_node import LeaseNode, LeaseNodeSettings
@@ -45,8 +47,6 @@
 from hazelbend.placement.routes import decode_route_table
 from hazelbend.quotas import operations as quota_operations
 from hazelbend.system.control_status import control_status
-from hazelbend.waiting import terms
-from hazelbend.waiting.engine import Engine
 
 RUNS = kit.GOLDEN / "runs.json"
 MS, S = 1_000, 1_000_000
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -37,6 +37,7 @@
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.dispatcher import config, console_server
 from hazelbend.dispatcher.log import RecentLines
+from hazelbend.job_queue import gate
 from hazelbend.placement import statistics
 from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.protocol import (
@@ -55,7 +56,6 @@
 from hazelbend.system import settings as system_settings
 from hazelbend.transport.http import admin_listener
 from hazelbend.transport.snmp import snmp_agent
-from hazelbend.waiting import gate
 
 SHOWN = kit.GOLDEN / "shown"
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelbend.waiting.engine import Engine, State
-from hazelbend.waiting.terms import (
+from hazelbend.job_queue.engine import Engine, State
+from hazelbend.job_queue.terms import (
     After,
     Bounds,
     Edge,
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -14,7 +14,7 @@
 from test_upgrade import ready, run_beside
 
 from hazelbend.dispatcher.console_server import CommandError, Commands
-from hazelbend.waiting.settings import read_settings
+from hazelbend.job_queue.settings import read_settings
 
 SITE = ROOT / "example/toy_server.py"
 WAITING = "enabled = true\nhttp_headers = true\n"
