--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -113,10 +113,12 @@
         return self.client_listener.accepts_clients
 
     def figures(self) -> Figures:
-        return replace(take_figures(self.router, self._class_names), further=self._further())
+        return replace(
+            take_figures(self.router, self._class_names), component_figures=self._component_figures()
+        )
 
-    def _further(self) -> dict[str, int]:
-        """Figures of the parts that are not always on."""
+    def _component_figures(self) -> dict[str, int]:
+        """The figures of the optional components."""
         return {name: count for part in self.parts.values() for name, count in part.counts().items()}
 
     def drain(self) -> None:
@@ -146,7 +148,7 @@
         }
         state = "leaving" if self.leaving else "draining" if self._drain.is_on else "serving"
         view = take_overview(self.router, self.conf.name, state, self._class_names, fronts)
-        return replace(view, figures=replace(view.figures, further=self._further()))
+        return replace(view, figures=replace(view.figures, component_figures=self._component_figures()))
 
     @property
     def _class_names(self) -> list[str]:
--- a/hazelbend/dispatcher/console_server.py
+++ b/hazelbend/dispatcher/console_server.py
@@ -116,9 +116,9 @@
         rows = [
             ("name", view.name),
             ("state", view.state),
-            ("up for", f"{view.uptime / 1e6:.0f} s"),
+            ("up for", f"{view.uptime_us / 1e6:.0f} s"),
             ("flows open", view.figures.outstanding),
-            ("flows taken", view.taken),
+            ("flows taken", view.received),
             *((f"  {verdict.value}", count) for verdict, count in view.verdicts.items()),
             ("  client left", view.abandoned),
             ("attempts", sum(view.outcomes.values())),
@@ -132,7 +132,8 @@
     def _servers(self, view: Overview) -> str:
         head = ("SERVER", "ADDRESS", "STATE", "OUT", "SERVED", "FAILED")
         rows = [
-            (row.host, row.dial or "-", row.state, row.out, row.served, row.failed) for row in view.servers
+            (row.host, row.dial or "-", row.state, row.in_flight, row.served, row.failed)
+            for row in view.servers
         ]
         return table([head, *rows])
 
@@ -143,8 +144,8 @@
             (
                 row.id,
                 classes[row.class_index].name,
-                f"{row.age / 1e6:.2f} s",
-                f"{row.left / 1e6:.2f} s",
+                f"{row.age_us / 1e6:.2f} s",
+                f"{row.remaining_us / 1e6:.2f} s",
                 ", ".join(row.servers) or "held",
             )
             for row in view.flows
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -1,4 +1,7 @@
-"""The program's state at a moment, as plain values: what the console shows and SNMP tells."""
+"""A snapshot of the dispatcher's state for the console, the operators' HTTP address and SNMP.
+
+Counts run from the start of the process; all other values are as of the snapshot.
+"""
 
 from __future__ import annotations
 
@@ -7,154 +10,165 @@
 
 from hazelbend.decisions.interface import Outcome, WorkerState
 from hazelbend.routing.ports import Verdict
+from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend
 
+MANUALLY_DRAINED = "held back"
+STATE_WORDS = {WorkerState.READY: "ready", WorkerState.DRAINING: "draining", WorkerState.GONE: "gone"}
+
 
 @dataclass(slots=True, frozen=True)
 class ServerRow:
-    """What operators see of a backend."""
+    """A backend server."""
 
-    index: int  # from 1, in order of first appearance; a server that comes back has its own again
+    index: int  # from 1, in order of first appearance; a server that comes back keeps its index
     host: str
     dial: str
     zone: int
     kind: int
-    state: str
-    out: int
+    state: str  # a word of `state_word`
+    in_flight: int  # attempts
     served: int
     failed: int
 
 
 @dataclass(slots=True, frozen=True)
 class FlowRow:
-    """What operators see of an open request."""
+    """An open request."""
 
     id: str
     class_index: int
-    age: int  # microseconds
-    left: int
-    servers: tuple[str, ...]  # of its attempts under way
+    age_us: int
+    remaining_us: int  # until the client gives up; 0 where that has passed
+    servers: tuple[str, ...]  # hosts of its attempts in flight
 
 
 @dataclass(slots=True, frozen=True)
 class ClassFigures:
-    """Counts of one class."""
+    """Final answers of one request class."""
 
     name: str
-    succeeded: int
-    declined: int
-    aborted: int
+    succeeded: int  # `Verdict.SERVED`
+    declined: int  # `Verdict.REFUSED`
+    aborted: int  # `Verdict.FAILED`
 
 
 @dataclass(slots=True, frozen=True)
 class Figures:
-    """What operators watch. Counts run from the start; the rest is as of now."""
+    """The figures that operators monitor."""
 
     classes: tuple[ClassFigures, ...]
-    forwards: int  # attempts written whole to servers
-    outstanding: int  # jobs taken and not yet answered
-    discovered: int  # servers on the list
-    ejected: int  # of those, the ones that are avoided now: shut out by the module, or drained by hand
-    further: Mapping[str, int] = field(default_factory=dict)  # of parts that are not always on
+    forwards: int  # attempts written completely to servers
+    outstanding: int  # jobs received and not yet answered
+    discovered: int  # servers on the endpoint list
+    ejected: int  # of those, the ones avoided now: ejected by the decision module, or drained by hand
+    component_figures: Mapping[str, int] = field(default_factory=dict)  # of optional components, by name
 
     def named(self) -> dict[str, int]:
-        """Each by the name that the operators know it by."""
-        found = {}
-        for each in self.classes:
-            found[f"succeeded.{each.name}"] = each.succeeded
-            found[f"declined.{each.name}"] = each.declined
-            found[f"aborted.{each.name}"] = each.aborted
-        for name in ("forwards", "outstanding", "discovered", "ejected"):
-            found[name] = getattr(self, name)
-        return {**found, **self.further}
+        """Return all figures by the names under which they are published."""
+        figures = {}
+        for row in self.classes:
+            figures[f"succeeded.{row.name}"] = row.succeeded
+            figures[f"declined.{row.name}"] = row.declined
+            figures[f"aborted.{row.name}"] = row.aborted
+        figures["forwards"] = self.forwards
+        figures["outstanding"] = self.outstanding
+        figures["discovered"] = self.discovered
+        figures["ejected"] = self.ejected
+        return {**figures, **self.component_figures}
 
 
 @dataclass(slots=True, frozen=True)
 class Overview:
-    """The whole view of one moment."""
+    """The complete snapshot."""
 
     name: str
-    uptime: int  # microseconds
+    uptime_us: int
     state: str  # serving, draining or leaving
-    taken: int
-    abandoned: int
+    received: int  # jobs
+    abandoned: int  # jobs whose client left before the answer
     verdicts: dict[Verdict, int]
     figures: Figures
-    outcomes: dict[Outcome, int]
+    outcomes: dict[Outcome, int]  # of attempts
     flows: tuple[FlowRow, ...]
     servers: tuple[ServerRow, ...]
-    fronts: dict[str, int] = field(default_factory=dict)  # open connections by front
+    fronts: dict[str, int] = field(default_factory=dict)  # open connections, by listener
 
 
 def state_word(server: Backend) -> str:
-    """The state of a backend, in one word."""
+    """Return the state of a backend as operators read it."""
     if server.is_manually_drained:
-        return "held back"
-    return {WorkerState.READY: "ready", WorkerState.DRAINING: "draining", WorkerState.GONE: "gone"}[
-        server.entry.state
-    ]
+        return MANUALLY_DRAINED
+    return STATE_WORDS[server.entry.state]
 
 
 def take_figures(router: Router, classes: Iterable[str]) -> Figures:
-    """The counts of this moment."""
-    answers, servers = router.counters.answers, router.table.servers
+    """Take the figures of a router, without those of optional components. `classes`: names by index."""
+    answers = router.counters.answers
+    servers = router.table.servers
     avoided = router.module.avoided(router.clock.now())
     return Figures(
         classes=tuple(
             ClassFigures(
                 name,
-                answers[index, Verdict.SERVED],
-                answers[index, Verdict.REFUSED],
-                answers[index, Verdict.FAILED],
+                succeeded=answers[index, Verdict.SERVED],
+                declined=answers[index, Verdict.REFUSED],
+                aborted=answers[index, Verdict.FAILED],
             )
             for index, name in enumerate(classes)
         ),
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(each.is_manually_drained or number in avoided for number, each in servers.items()),
+        ejected=sum(server.is_manually_drained or number in avoided for number, server in servers.items()),
     )
 
 
 def take_overview(
     router: Router, name: str, state: str, classes: Iterable[str], fronts: dict[str, int]
 ) -> Overview:
-    """The view of this moment."""
+    """Take a snapshot of a router. `name`, `state` and `fronts` go into it as they are."""
     now = router.clock.now()
     servers = sorted(router.table.servers.values(), key=lambda server: server.index)
     return Overview(
         name=name,
-        uptime=now - router.started_at,
+        uptime_us=now - router.started_at,
         state=state,
-        taken=router.counters.received,
+        received=router.counters.received,
         abandoned=router.counters.abandoned,
         verdicts=router.counters.verdicts,
         figures=take_figures(router, classes),
         outcomes=dict(router.counters.outcomes),
-        flows=tuple(
-            FlowRow(
-                flow.job.id,
-                flow.job.class_index,
-                now - flow.arrived_at,
-                max(flow.deadline - now, 0),
-                tuple(each.backend.entry.host for each in flow.attempts if each.backend and not each.is_over),
-            )
-            for flow in router.requests.values()
-        ),
+        flows=tuple(_flow_row(request, now) for request in router.requests.values()),
+        servers=tuple(_server_row(server) for server in servers),
+        fronts=fronts,
+    )
+
+
+def _flow_row(request: RequestContext, now: int) -> FlowRow:
+    return FlowRow(
+        id=request.job.id,
+        class_index=request.job.class_index,
+        age_us=now - request.arrived_at,
+        remaining_us=max(request.deadline - now, 0),
         servers=tuple(
-            ServerRow(
-                each.index,
-                each.entry.host,
-                each.entry.dial,
-                each.entry.zone,
-                each.entry.kind,
-                state_word(each),
-                each.in_flight,
-                each.served,
-                each.failed,
-            )
-            for each in servers
+            attempt.backend.entry.host
+            for attempt in request.attempts
+            if attempt.backend and not attempt.is_over
         ),
-        fronts=fronts,
+    )
+
+
+def _server_row(server: Backend) -> ServerRow:
+    return ServerRow(
+        index=server.index,
+        host=server.entry.host,
+        dial=server.entry.dial,
+        zone=server.entry.zone,
+        kind=server.entry.kind,
+        state=state_word(server),
+        in_flight=server.in_flight,
+        served=server.served,
+        failed=server.failed,
     )
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -64,16 +64,19 @@
     groups = [
         [
             text(view.name),
-            rfc1902.TimeTicks(view.uptime // 10_000 % 2**32),
+            rfc1902.TimeTicks(view.uptime_us // 10_000 % 2**32),
             rfc1902.Integer32(PROGRAM_STATES[view.state]),
         ],
         [
-            counter(view.taken),
+            counter(view.received),
             *(counter(view.verdicts[each]) for each in _VERDICTS),
             counter(view.abandoned),
             gauge(figures.outstanding),
         ],
-        [*(counter(view.outcomes[each]) for each in _OUTCOMES), gauge(sum(row.out for row in view.servers))],
+        [
+            *(counter(view.outcomes[each]) for each in _OUTCOMES),
+            gauge(sum(row.in_flight for row in view.servers)),
+        ],
         [gauge(view.fronts.get(name, 0)) for name in ("edge", "stomp", "boxes")],
     ]
     # Groups 5 and 6 are the tables.
@@ -83,7 +86,7 @@
         for group, members in enumerate(groups, 1)
         for place, value in enumerate(members, 1)
     }
-    further = figures.further
+    further = figures.component_figures
     names = [gauge(further.get(f"names.{each}", 0)) for each in NAMES]
     names += [counter(further.get(f"names.{each}", 0)) for each in ("queries", "failures")]
     waiting = [gauge(further.get("waiting.jobs", 0))]
@@ -116,7 +119,7 @@
         rfc1902.OctetString(row.host),
         rfc1902.OctetString(row.dial),
         rfc1902.Integer32(STATES[row.state]),
-        rfc1902.Gauge32(row.out),
+        rfc1902.Gauge32(row.in_flight),
         rfc1902.Counter64(row.served),
         rfc1902.Counter64(row.failed),
     ]
