--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -130,7 +130,7 @@
         for holds in (None, *reached) if self.left.late and self.held is None else (None,):
             after = self._copy(stands=1)
             record = after.records[slot]
-            record._campaign(0, pre=False, handed=True)
+            record._campaign(0, pre_vote=False, is_transfer=True)
             asked = {message.to: message for message in record.outbox}
             record.outbox.clear()
             for other in reached:
--- /dev/null
+++ b/hazelbend/consensus/config.py
@@ -0,0 +1,27 @@
+"""The role of a Raft node, and its timing and limits."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class Role(Enum):
+    """What a node is in its term. The values are shown to people."""
+
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "asking"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+
+
+@dataclass(slots=True, frozen=True)
+class RaftConfig:
+    """Timing and limits. An election time-out is drawn between `election_timeout_us` and twice that."""
+
+    heartbeat_us: int = 200_000
+    election_timeout_us: int = 1_000_000
+    max_batch_entries: int = 64  # in one message
+    snapshot_after_entries: int = 512  # applied entries, after which a snapshot replaces them
+    snapshot_after_bytes: int = 4 * 1024 * 1024  # the same by their size
+    max_uncommitted_bytes: int = 12 * 1024 * 1024  # more proposals are rejected
--- a/hazelbend/consensus/messages.py
+++ b/hazelbend/consensus/messages.py
@@ -19,7 +19,8 @@
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="Ask"):
     """RequestVote. A pre-vote asks whether the vote would be granted and changes nothing at the receiver
-    (section 9.6 of Ongaro's thesis)."""
+    (section 9.6 of Ongaro's thesis).
+    """
 
     is_pre_vote: bool = msgspec.field(name="pre")
     last_log_index: int = msgspec.field(name="last")
@@ -36,7 +37,8 @@
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
     """A time of one process's monotonic clock, in microseconds. It means nothing to another process, nor to
-    another incarnation of the same one."""
+    another incarnation of the same one.
+    """
 
     incarnation: int
     time_us: int
@@ -70,7 +72,8 @@
 
 class Chunk(msgspec.Struct, frozen=True, tag="Piece"):
     """A chunk of an encoded `AppendEntries` or `InstallSnapshot` that is too large for one message.
-    `transfer_id` is unique within the leader's term."""
+    `transfer_id` is unique within the leader's term.
+    """
 
     transfer_id: int = msgspec.field(name="number")
     offset: int
@@ -81,7 +84,8 @@
 
 class ChunkResponse(msgspec.Struct, frozen=True, tag="PieceTaken"):
     """How many bytes of a transfer the replica has: `offset`. 0 if it does not know the transfer, for example
-    after a restart."""
+    after a restart.
+    """
 
     transfer_id: int = msgspec.field(name="number")
     offset: int
--- a/hazelbend/consensus/persistent_state.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -37,7 +37,8 @@
 class PersistentState:
     """The persistent state of figure 2 of the Raft paper, with the last snapshot. Messages that rest on a
     change may be sent only after the change is stored. `entries[0]` has the index after
-    `last_included_index`."""
+    `last_included_index`.
+    """
 
     identity: str
     epoch: int = 0
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -1,47 +1,40 @@
-"""The record: an ordered log of small facts that a majority of its voters has taken. Raft, as in Ongaro and
-Ousterhout (2014) and chapters 3, 4, 6 and 9.6 of Ongaro's thesis, told the time and without I/O.
-
-State table (`Role`):
-
-    FOLLOWER      --no leader for an election's time, own vote in the voters--> PRE_CANDIDATE
-    PRE_CANDIDATE --a majority would vote (pre-vote)-->                         CANDIDATE, term + 1
-    CANDIDATE     --a majority voted-->                                         LEADER, adds an empty entry
-    any           --a message of a higher term-->                               FOLLOWER of that term
-    LEADER        --no majority heard for two election times (check-quorum)-->  FOLLOWER
-    LEADER        --an entry without itself among the voters is committed-->    FOLLOWER
-
-Who votes. An identity is one memory: a process that starts without its memory takes a new identity, which no
-voter's name is, so it never votes, or counts, as what it was. It comes back by the record: it is added as a
-new voter and the old name is removed, one voter at a time, each only when the one before is committed and an
-entry of the leader's own term is (Ongaro's correction of 2015), and while a majority of the list in force
-confirms the leader. One whose memory is known to be erased is replaced in one step, as of the old list only
-the others can still vote. With a store, the memory is written before
-any message that rests on it leaves: the driver saves what `unsaved` and `promise_changed` name, then sends
-`out`.
-
-Epochs. When a majority's memory is lost at once nothing can be committed any more. `found` starts a new epoch
-with one voter. Whoever hears of a higher epoch forgets the lower one's record if it holds no operation, or if
-an operator has founded the higher one; else it keeps its own and notes `foreign_epoch`.
-
-Invariants, checked by the tests after every step:
-    election      at most one leader in a term of an epoch
-    matching      entries of one index and term are the same, and so are all before them
-    completeness  what is committed stands in the log of every later leader
-    machine       no two members apply different entries at one index
-    single        of two voter lists in a row in a log, one has at most one more, or one less, than the other,
-                  or one in place of an erased one
-
-Times are microseconds of this process's monotonic clock; nobody compares two processes' times.
+"""The Raft consensus algorithm, as in Ongaro and Ousterhout (2014) and chapters 3, 4, 6 and 9.6 of Ongaro's
+thesis. No I/O; the caller passes the time. Elections: election.py; replication: replicator.py.
+
+Identities. An identity stands for one stored state: a process that starts without its state takes a new
+identity, so it never votes or counts as what it was. It comes back by a change of the configuration: the new
+voter is added and the old one removed, one at a time, each only when the change before it and an entry of the
+leader's own term are committed (Ongaro's correction of 2015), and while a quorum of the list in force
+confirms the leader. A voter whose state is known to be lost is replaced in one step, as of the old list only
+the others can still vote.
+
+Storage. The driver stores what `hard_state_changed` and `first_unsaved_index` name, and sends `outbox` only
+then.
+
+Epochs. When a quorum's state is lost at once, nothing can be committed any more: `force_new_cluster` starts a
+new epoch with one voter. A node that hears of a higher epoch drops its log if the log holds no operation, or
+if an operator has started the higher epoch. Otherwise it keeps its log and sets `conflicting_epoch`.
+
+Invariants, which the tests check after each step:
+    election safety      at most one leader in a term of an epoch
+    log matching         entries of one index and term are equal, and so are all entries before them
+    leader completeness  a committed entry is in the log of each later leader
+    state machine safety no two nodes apply different entries at one index
+    single change        two consecutive lists of voters in a log differ by one voter that is added, removed,
+                         or in place of one whose state is lost
+
+Times are microseconds of this process's monotonic clock. Times of two processes are never compared.
 """
 
 from __future__ import annotations
 
-import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
 import msgspec
 
+from hazelbend.consensus.config import RaftConfig, Role
+from hazelbend.consensus.election import Elector
 from hazelbend.consensus.errors import StaleEpochError
 from hazelbend.consensus.messages import (
     AppendEntries,
@@ -59,24 +52,16 @@
 )
 from hazelbend.consensus.persistent_state import PersistentState, started_by_operator
 from hazelbend.consensus.replicated_log import StateMachine
-from hazelbend.consensus.replication import IncomingTransfer
-from hazelbend.consensus.replicator import RaftConfig, Replicator, Role
+from hazelbend.consensus.replication import IncomingTransfer, Progress
 
-__all__ = ["ProposalOutcome", "RaftConfig", "RaftNode", "ReadIndexOutcome", "Role"]
-
-
-@dataclass(slots=True)
-class PendingRead:
-    """A read, which ends once a majority has answered this round."""
-
-    read_id: int
-    round: int
+__all__ = ["Outcome", "ProposalOutcome", "RaftConfig", "RaftNode", "ReadIndexOutcome", "Role"]
 
 
 @dataclass(slots=True, frozen=True)
 class ProposalOutcome:
-    """How a proposal ended. `result` is what the state machine returned. One that is not `committed` may
-    still be committed by the next leader: nobody can say."""
+    """How a proposal ended. `result` is the state machine's. A proposal that is not `committed` may still be
+    committed by the next leader: nobody can say.
+    """
 
     proposal_id: int
     committed: bool
@@ -94,373 +79,320 @@
 Outcome = ProposalOutcome | ReadIndexOutcome
 
 
-class RaftNode(Replicator):
-    """The log of one member, and its part in elections and replication: see the head of the file."""
+@dataclass(slots=True, frozen=True)
+class PendingRead:
+    """A read that waits until a quorum has answered this round."""
+
+    read_id: int
+    round: int
+
+
+class RaftNode(Elector):
+    """One Raft node. See the head of the file."""
 
     def __init__(
-        self, memory: PersistentState, machine: StateMachine, timing: RaftConfig, seed: int, now: int
+        self,
+        persistent: PersistentState,
+        state_machine: StateMachine,
+        config: RaftConfig,
+        seed: int,
+        now: int,
     ) -> None:
-        super().__init__(memory, machine, timing, seed)
-        self.random = random.Random(seed)
-        self.leader = ""
+        super().__init__(persistent, state_machine, config, seed, now)
         self.outcomes: list[Outcome] = []
-        self.hard_state_changed = False  # epoch, term or vote are to be saved
-        # Called after entries were applied, or all was replaced.
+        # Called with the time after entries were applied, or the state was replaced.
         self.on_applied: Callable[[int], None] = lambda now: None
-        self.last_contact_at = now - 2 * timing.election_timeout_us  # of a leader; not yet
-        self.election_deadline = 0
-        self.votes: set[str] = set()
-        self.conflicting_epoch = (
-            0  # a later one that was not followed, as something may be acknowledged in this
-        )
+        # A higher epoch that is not followed, because this one may hold acknowledged operations. 0: none.
+        self.conflicting_epoch = 0
         self.pending_reads: list[PendingRead] = []
-        self.pending_proposals: dict[int, int] = {}  # by index, of the own term
+        self.pending_proposals: dict[int, int] = {}  # proposal id by index, in the own term
         self.last_request_id = 0
-        self.transfer_target, self.transfer_deadline = "", 0
-        self._reset_election_timer(now)
 
-    # --- what its owner asks ---
-
-    @property
-    def is_voter(self) -> bool:
-        return self.identity in self.voters
+    # --- requests ---
 
     @property
     def next_tick_at(self) -> int:
-        """When `tick` has something to do."""
+        """When to call `tick` next."""
         return self.next_heartbeat_at if self.is_leader else self.election_deadline
 
     @property
     def has_unsaved_changes(self) -> bool:
-        """Whether something is to be stored before `outbox` may be sent."""
+        """Whether something must be stored before `outbox` may be sent."""
         return self.hard_state_changed or self.first_unsaved_index is not None
 
     def force_new_cluster(self, epoch: int, now: int) -> None:
-        """Start an epoch with this one voter. ValueError unless it is higher than what is known here. No
-        number may ever be used twice: see `epoch_number`."""
+        """Start an epoch with this node as its only voter. No number may ever be used twice: see
+        `next_epoch`.
+
+        Raises:
+            StaleEpochError: the epoch is not higher than the known one.
+        """
         if epoch <= self.persistent.epoch:
             raise StaleEpochError(f"epoch {epoch} is not higher than {self.persistent.epoch}")
         self._begin_epoch(epoch, now)
-        self.persistent.current_term, self.persistent.voted_for = 1, self.identity
+        self.persistent.current_term = 1
+        self.persistent.voted_for = self.identity
         self.append(Entry(1, (self.identity,)))
         self._become_leader(now)
 
     def restore_commit_index(self, index: int, now: int) -> None:
-        """After a start: all up to this index of the recalled memory was known to be committed."""
+        """After a restart: all stored entries up to this index were known to be committed."""
         self._apply_committed(min(index, self.persistent.last_index), now)
 
-    def schedule_campaign(self, at: int) -> None:
-        """Stand for election at this time, where no leader is heard before. Others that hear one refuse."""
-        self.election_deadline = min(self.election_deadline, at)
-
-    def propose(self, op: bytes, now: int) -> int | None:
-        """A ticket that `done` will name; None: it does not lead, is handing over, or has too many bytes of
-        entries that are not committed."""
+    def propose(self, operation: bytes, now: int) -> int | None:
+        """Propose an operation. A `ProposalOutcome` with the returned id follows. None: this node does not
+        lead, transfers its leadership, or has too many bytes that are not committed.
+        """
         if not self.is_leader or self.transfer_target:
             return None
-        if self.uncommitted_bytes and self.uncommitted_bytes + len(op) > self.timing.max_uncommitted_bytes:
+        uncommitted = self.uncommitted_bytes
+        if uncommitted and uncommitted + len(operation) > self.config.max_uncommitted_bytes:
             return None
         self.last_request_id += 1
-        self.pending_proposals[self.persistent.last_index + 1] = self.last_request_id
-        self._append_and_replicate(Entry(self.persistent.current_term, None, op), now)
-        return self.last_request_id
+        proposal_id = self.last_request_id
+        self.pending_proposals[self.persistent.last_index + 1] = proposal_id
+        self._append_and_replicate(Entry(self.persistent.current_term, None, operation), now)
+        return proposal_id
 
     def request_read(self, now: int) -> int | None:
-        """A ticket: once `done` names it, the machine holds all that was committed when this was called."""
+        """Ask for a linearizable read: ReadIndex, section 6.4 of the thesis. A `ReadIndexOutcome` with the
+        returned id follows. None: this node does not lead, or has not committed in its term yet.
+        """
         if not self.has_committed_in_term:
             return None
         self.last_request_id += 1
+        read_id = self.last_request_id
         self._begin_round(now)
-        self.pending_reads.append(PendingRead(self.last_request_id, self.round))
+        self.pending_reads.append(PendingRead(read_id, self.round))
         self._broadcast(now)
         self._advance_commit_index(now)
-        return self.last_request_id
+        return read_id
 
     def change_voters(self, voters: tuple[str, ...], now: int, erased: frozenset[str] = frozenset()) -> bool:
-        """One more or one less, or one in place of another whose memory is known to be `erased`. False: not
-        now (see the head of the file); a new one must have caught up, and a majority of the list in force
-        must have confirmed the leader within the last two heartbeats."""
-        more, less = set(voters) - set(self.voters), set(self.voters) - set(voters)
-        pending = self.persistent.voters_at(self.commit_index) != self.voters
-        one_step = len(more) + len(less) == 1 or (len(more) == len(less) == 1 and less <= erased)
-        if not self.has_committed_in_term or self.transfer_target or pending or not one_step or not voters:
+        """Add or remove one voter, or replace one whose state is known to be lost (`erased`).
+
+        False: not now. See the head of the file; besides, a new voter must have caught up, and a quorum of
+        the list in force must have confirmed the leader within the last two heartbeats.
+        """
+        added = set(voters) - set(self.voters)
+        removed = set(self.voters) - set(voters)
+        is_pending = self.persistent.voters_at(self.commit_index) != self.voters
+        is_replacement = len(added) == len(removed) == 1 and removed <= erased
+        is_single_change = len(added) + len(removed) == 1 or is_replacement
+        if not self.has_committed_in_term or self.transfer_target or is_pending:
+            return False
+        if not is_single_change or not voters:
             return False
         age = self.confirmed_age(now)
-        if age is None or age > 2 * self.timing.heartbeat_us:
+        if age is None or age > 2 * self.config.heartbeat_us:
             return False
-        if more and not self._caught_up(next(iter(more))):
+        if added and not self._is_caught_up(next(iter(added))):
             return False
         self._append_and_replicate(Entry(self.persistent.current_term, tuple(sorted(voters))), now)
         return True
 
     def set_learners(self, learners: set[str], now: int) -> None:
-        """Send the record to these too, which do not vote: so that they can be made voters."""
+        """Replicate to these nodes too. They do not vote, but can be made voters once they have caught up."""
         self.learners = set(learners)
         if self.is_leader:
             self._update_peers(now)
 
     def transfer_leadership(self, to: str, now: int) -> bool:
-        """Make this voter the leader: it is brought up to date, then told to stand at once."""
+        """Make this voter the leader: once its log is complete it is told to campaign. False: not now."""
         if not self.is_leader or to not in self.voters or to == self.identity:
             return False
-        self.transfer_target, self.transfer_deadline = to, now + self.timing.election_timeout_us
+        self.transfer_target = to
+        self.transfer_deadline = now + self.config.election_timeout_us
         self._send_entries(to, now)
-        self._finish_hand_over()
+        self._finish_leadership_transfer()
         return True
 
-    # --- what happens ---
+    # --- events ---
 
     def tick(self, now: int) -> None:
-        if self.is_leader:
-            if self.transfer_target and now >= self.transfer_deadline:
-                self.transfer_target = ""
-            if not self._quorum_is_active(now):
-                self._become_follower(
-                    self.persistent.current_term, "", now
-                )  # check-quorum: somebody else may lead
-            elif now >= self.next_heartbeat_at:
-                self._begin_round(now)
-                self._broadcast(now)
-                self._confirm_rounds()
-        elif now >= self.election_deadline:
-            self._campaign(now, pre=True)
+        """Do what is due."""
+        if not self.is_leader:
+            if now >= self.election_deadline:
+                self._campaign(now, pre_vote=True)
+            return
+        if self.transfer_target and now >= self.transfer_deadline:
+            self.transfer_target = ""
+        if not self._quorum_is_active(now):
+            self._become_follower(self.persistent.current_term, "", now)
+        elif now >= self.next_heartbeat_at:
+            self._begin_round(now)
+            self._broadcast(now)
+            self._confirm_rounds()
 
     def receive(self, message: Message, now: int) -> None:
-        """Of whatever age, as often as it comes, in whatever order."""
-        if message.epoch != self.persistent.epoch:
-            if message.epoch < self.persistent.epoch:  # the sender is told of the epoch by any answer
-                if not isinstance(message.body, (VoteResponse, AppendResponse, ChunkResponse)):
-                    self._send_to(message.sender, VoteResponse(granted=False, is_pre_vote=True))
-                return
-            if not started_by_operator(message.epoch) and self.persistent.has_operations:
-                self.conflicting_epoch = message.epoch
-                return  # two fleets were founded; which one goes on is an operator's word
-            self._begin_epoch(message.epoch, now)
-        body, term = message.body, message.term
+        """Take a message; it may be late, duplicated or reordered."""
+        if message.epoch != self.persistent.epoch and not self._adopt_epoch(message, now):
+            return
+        body = message.body
         if isinstance(body, VoteRequest):
-            self._vote_requested(message, body, now)
+            self._handle_vote_request(message, body, now)
             return
-        if term > self.persistent.current_term and not (
-            isinstance(body, VoteResponse) and body.is_pre_vote and body.granted
-        ):
-            self._become_follower(term, "", now)
+        if message.term > self.persistent.current_term:
+            # A granted pre-vote has the term of a campaign that has not started yet.
+            is_granted_pre_vote = isinstance(body, VoteResponse) and body.is_pre_vote and body.granted
+            if not is_granted_pre_vote:
+                self._become_follower(message.term, "", now)
         if isinstance(body, VoteResponse):
-            self._vote_answered(message, body, now)
+            self._handle_vote_response(message, body, now)
         elif isinstance(body, AppendResponse):
-            self._append_answered(message, body, now)
+            self._handle_append_response(message, body, now)
         elif isinstance(body, ChunkResponse):
-            self._piece_answered(message, body, now)
-        elif term < self.persistent.current_term:
+            self._handle_chunk_response(message, body, now)
+        else:
+            self._receive_from_leader(message, body, now)
+
+    def _receive_from_leader(
+        self, message: Message, body: AppendEntries | InstallSnapshot | Chunk | TimeoutNow, now: int
+    ) -> None:
+        if message.term < self.persistent.current_term:
             self._send_to(message.sender, AppendResponse(success=False, index=0, round=0))
         elif isinstance(body, AppendEntries):
             self._send_to(message.sender, self._append_entries(message, body, now))
         elif isinstance(body, InstallSnapshot):
             self._send_to(message.sender, self._install_snapshot(message, body, now))
         elif isinstance(body, Chunk):
-            self._receive_piece(message, body, now)
-        elif isinstance(body, TimeoutNow) and self.is_voter:
-            self._campaign(now, pre=False, handed=True)
-
-    # --- elections ---
-
-    def _reset_election_timer(self, now: int) -> None:
-        self.election_deadline = now + self.random.randint(
-            self.timing.election_timeout_us, 2 * self.timing.election_timeout_us
-        )
-
-    def _become_follower(self, term: int, leader: str, now: int) -> None:
-        was_leading = self.is_leader
-        if term > self.persistent.current_term:
-            self.persistent.current_term, self.persistent.voted_for = term, ""
-            self.hard_state_changed = True
-        self.role, self.leader, self.transfer_target = Role.FOLLOWER, leader, ""
-        self.votes, self.peers = set(), {}
-        if was_leading:  # whether they were taken is for the next leader to know
-            self.outcomes += [
-                ProposalOutcome(proposal_id, False) for proposal_id in self.pending_proposals.values()
-            ]
-            self.outcomes += [ReadIndexOutcome(read.read_id, False) for read in self.pending_reads]
-            self.pending_proposals, self.pending_reads = {}, []
-        if leader:
-            self.last_contact_at = now
-        self._reset_election_timer(now)
-
-    def _campaign(self, now: int, pre: bool, handed: bool = False) -> None:
-        self._reset_election_timer(now)
-        if not self.is_voter:
-            return
-        memory = self.persistent
-        self.role, self.leader, self.votes = (
-            (Role.PRE_CANDIDATE if pre else Role.CANDIDATE),
-            "",
-            {self.identity},
-        )
-        if not pre:
-            memory.current_term, memory.voted_for = memory.current_term + 1, self.identity
-            self.hard_state_changed = True
-        last_term = memory.term_at(memory.last_index)
-        assert last_term is not None
-        for other in self.voters:
-            if other != self.identity:
-                term = memory.current_term + 1 if pre else memory.current_term
-                self._send_to(other, VoteRequest(pre, memory.last_index, last_term, handed), term)
-        self._count_votes(now)
-
-    def _vote_requested(self, message: Message, ask: VoteRequest, now: int) -> None:
-        memory, term = self.persistent, message.term
-        led = self.is_leader or now < self.last_contact_at + self.timing.election_timeout_us
-        if led and not ask.is_leadership_transfer and term > memory.current_term:
-            return  # its leader is well; who was cut off, or is no voter any more, does not disturb it
-        if not ask.is_pre_vote and term > memory.current_term:
-            self._become_follower(term, "", now)
-        last_term = memory.term_at(memory.last_index)
-        assert last_term is not None
-        fresh = (ask.last_log_term, ask.last_log_index) >= (last_term, memory.last_index)
-        if ask.is_pre_vote:
-            granted = fresh and term > memory.current_term
-            # Its term comes back to it, so that it knows which of its questions this answers.
-            self._send_to(
-                message.sender, VoteResponse(granted, True), term if granted else memory.current_term
-            )
-            return
-        granted = fresh and term == memory.current_term and memory.voted_for in ("", message.sender)
-        if granted and not memory.voted_for:
-            memory.voted_for, self.hard_state_changed = message.sender, True
-            self._reset_election_timer(now)
-        self._send_to(message.sender, VoteResponse(granted, False))
-
-    def _vote_answered(self, message: Message, vote: VoteResponse, now: int) -> None:
-        wanted = Role.PRE_CANDIDATE if vote.is_pre_vote else Role.CANDIDATE
-        term = self.persistent.current_term + 1 if vote.is_pre_vote else self.persistent.current_term
-        if vote.granted and self.role is wanted and message.term == term:
-            self.votes.add(message.sender)
-            self._count_votes(now)
-
-    def _count_votes(self, now: int) -> None:
-        if not self._has_quorum(self.votes):
-            return
-        if self.role is Role.PRE_CANDIDATE:
-            self._campaign(now, pre=False)
-        elif self.role is Role.CANDIDATE:
-            self.append(Entry(self.persistent.current_term))
-            self._become_leader(now)
-
-    def _become_leader(self, now: int) -> None:
-        self.role, self.leader, self.peers = Role.LEADER, self.identity, {}
-        self.learners &= set(self.voters)
-        self._update_peers(now)
-        self._unconfirmed_rounds.clear()
-        self._begin_round(now)
-        self._broadcast(now)
-        self._advance_commit_index(now)
-
-    def _quorum_is_active(self, now: int) -> bool:
-        since = now - 2 * self.timing.election_timeout_us
-        heard = {name for name, peer in self.peers.items() if peer.last_contact_at > since}
-        return self._has_quorum(heard | {self.identity})
-
-    # --- the log ---
-
-    def _append_and_replicate(self, entry: Entry, now: int) -> None:
-        """The leader's own."""
-        self.append(entry)
-        self._update_peers(now)
-        self._broadcast(now)
-        self._advance_commit_index(now)
+            self._receive_chunk(message, body, now)
+        elif self.is_voter:
+            self._campaign(now, pre_vote=False, is_transfer=True)
+
+    # --- epochs ---
+
+    def _adopt_epoch(self, message: Message, now: int) -> bool:
+        """Whether the message is of this node's epoch by now."""
+        if message.epoch < self.persistent.epoch:
+            # Any answer tells the sender of the epoch.
+            if not isinstance(message.body, (VoteResponse, AppendResponse, ChunkResponse)):
+                self._send_to(message.sender, VoteResponse(granted=False, is_pre_vote=True))
+            return False
+        if not started_by_operator(message.epoch) and self.persistent.has_operations:
+            # Two clusters were started; an operator must decide which one goes on.
+            self.conflicting_epoch = message.epoch
+            return False
+        self._begin_epoch(message.epoch, now)
+        return True
 
     def _begin_epoch(self, epoch: int, now: int) -> None:
-        """Begin another epoch, with nothing."""
         self._become_follower(self.persistent.current_term, "", now)
         self.clear(epoch)
         self.hard_state_changed = True
-        self.confirmed_at, self._to_confirm, self.conflicting_epoch = None, None, 0
+        self.confirmed_at = None
+        self._pending_confirmation = None
+        self.conflicting_epoch = 0
         self.on_applied(now)
 
-    def _receive_piece(self, message: Message, piece: Chunk, now: int) -> None:
-        """A part of a message from the leader of this term."""
-        self._become_follower(message.term, message.sender, now)
-        key = (message.sender, message.term, piece.transfer_id)
-        if self.incoming_transfer.key != key:
-            self.incoming_transfer = IncomingTransfer(key)
-        assembly = self.incoming_transfer
-        assembly.add(piece)
-        if assembly.response is None and len(assembly.content) < piece.total_bytes:
-            self._send_to(
-                message.sender, ChunkResponse(piece.transfer_id, len(assembly.content), piece.round)
-            )
-            return
-        if assembly.response is None:
-            body = decode_transfer(bytes(assembly.content))
-            assembly.content.clear()
-            whole = msgspec.structs.replace(message, body=body)
-            if isinstance(body, AppendEntries):
-                assembly.response = self._append_entries(whole, body, now)
-            else:
-                assembly.response = self._install_snapshot(whole, body, now)
-        self._send_to(message.sender, assembly.response)
-
-    def _piece_answered(self, message: Message, taken: ChunkResponse, now: int) -> None:
-        peer = self.peers.get(message.sender)
-        if not self.is_leader or peer is None or message.term != self.persistent.current_term:
-            return
-        peer.last_contact_at, peer.answered_round = now, max(peer.answered_round, taken.round)
-        transfer = peer.transfer
-        if transfer is not None and transfer.transfer_id == taken.transfer_id:
-            # Each answer counts once; a replica that holds nothing of it has started again.
-            restarted = taken.offset == 0 and transfer.offset > 0
-            if taken.offset > transfer.offset or restarted:
-                transfer.offset = taken.offset
-                self._send_piece(message.sender, now)
-        self._advance_commit_index(now)
+    # --- at a follower ---
 
     def _append_entries(self, message: Message, append: AppendEntries, now: int) -> AppendResponse:
-        """Entries, or none, from the leader of this term."""
         self._become_follower(message.term, message.sender, now)
-        stamp = Timestamp(self.incarnation, now)
+        timestamp = Timestamp(self.incarnation, now)
         hint = self.conflict_hint(append)
         if hint is not None:
-            return AppendResponse(False, hint, append.round, stamp)
+            return AppendResponse(False, hint, append.round, timestamp)
         self.merge(append)
-        match = append.prev_log_index + len(append.entries)
-        self._apply_committed(min(append.leader_commit, match), now)
+        match_index = append.prev_log_index + len(append.entries)
+        self._apply_committed(min(append.leader_commit, match_index), now)
         self._note_confirmation(append)
-        return AppendResponse(True, match, append.round, stamp)
+        return AppendResponse(True, match_index, append.round, timestamp)
 
     def _install_snapshot(self, message: Message, snapshot: InstallSnapshot, now: int) -> AppendResponse:
         self._become_follower(message.term, message.sender, now)
         if self.install(snapshot):
             self.on_applied(now)
-        held = max(snapshot.last_included_index, self.commit_index)
-        return AppendResponse(True, held, snapshot.round, Timestamp(self.incarnation, now))
+        match_index = max(snapshot.last_included_index, self.commit_index)
+        return AppendResponse(True, match_index, snapshot.round, Timestamp(self.incarnation, now))
+
+    def _receive_chunk(self, message: Message, chunk: Chunk, now: int) -> None:
+        self._become_follower(message.term, message.sender, now)
+        key = (message.sender, message.term, chunk.transfer_id)
+        if self.incoming_transfer.key != key:
+            self.incoming_transfer = IncomingTransfer(key)
+        transfer = self.incoming_transfer
+        transfer.add(chunk)
+        if transfer.response is None:
+            if len(transfer.content) < chunk.total_bytes:
+                received = ChunkResponse(chunk.transfer_id, len(transfer.content), chunk.round)
+                self._send_to(message.sender, received)
+                return
+            transfer.response = self._complete_transfer(message, transfer, now)
+        self._send_to(message.sender, transfer.response)
+
+    def _complete_transfer(self, message: Message, transfer: IncomingTransfer, now: int) -> AppendResponse:
+        body = decode_transfer(bytes(transfer.content))
+        transfer.content.clear()
+        complete = msgspec.structs.replace(message, body=body)
+        if isinstance(body, AppendEntries):
+            return self._append_entries(complete, body, now)
+        return self._install_snapshot(complete, body, now)
 
-    def _append_answered(self, message: Message, taken: AppendResponse, now: int) -> None:
-        peer = self.peers.get(message.sender)
-        if not self.is_leader or peer is None or message.term != self.persistent.current_term:
+    # --- at the leader ---
+
+    def _append_and_replicate(self, entry: Entry, now: int) -> None:
+        self.append(entry)
+        self._update_peers(now)
+        self._broadcast(now)
+        self._advance_commit_index(now)
+
+    def _peer_of(self, message: Message) -> Progress | None:
+        """The replica that has answered, if this node leads in the term of the answer."""
+        if not self.is_leader or message.term != self.persistent.current_term:
+            return None
+        return self.peers.get(message.sender)
+
+    def _handle_chunk_response(self, message: Message, response: ChunkResponse, now: int) -> None:
+        peer = self._peer_of(message)
+        if peer is None:
             return
-        peer.last_contact_at, peer.answered_round = now, max(peer.answered_round, taken.round)
-        if taken.timestamp is not None and peer.pending_timestamp is None:
-            peer.pending_timestamp, peer.pending_timestamp_round = taken.timestamp, self.round + 1
-        if peer.transfer is not None and not self._ends_transfer(peer, taken):
-            peer.match_index = max(peer.match_index, taken.index) if taken.success else peer.match_index
+        peer.last_contact_at = now
+        peer.answered_round = max(peer.answered_round, response.round)
+        transfer = peer.transfer
+        if transfer is not None and transfer.transfer_id == response.transfer_id:
+            # A duplicate must not send a chunk twice; a replica that has nothing of it was restarted.
+            is_restarted = response.offset == 0 and transfer.offset > 0
+            if response.offset > transfer.offset or is_restarted:
+                transfer.offset = response.offset
+                self._send_chunk(message.sender, now)
+        self._advance_commit_index(now)
+
+    def _handle_append_response(self, message: Message, response: AppendResponse, now: int) -> None:
+        peer = self._peer_of(message)
+        if peer is None:
+            return
+        peer.last_contact_at = now
+        peer.answered_round = max(peer.answered_round, response.round)
+        if response.timestamp is not None and peer.pending_timestamp is None:
+            peer.pending_timestamp = response.timestamp
+            peer.pending_timestamp_round = self.round + 1
+        if peer.transfer is not None and not self._end_transfer(peer, response):
+            if response.success:
+                peer.match_index = max(peer.match_index, response.index)
             self._advance_commit_index(now)
-        elif not taken.success:
-            peer.next_index = max(min(taken.index, self.persistent.last_index) + 1, peer.match_index + 1)
-            if (
-                taken.index >= peer.match_index
-            ):  # else it is an old answer, or one that has forgotten: no hurry
-                self._send_entries(message.sender, now)
+        elif response.success:
+            self._handle_match(message.sender, peer, response, now)
         else:
-            peer.match_index = max(peer.match_index, taken.index)
-            peer.next_index = max(
-                peer.next_index, peer.match_index + 1
-            )  # what is lost shows at the next sign of life
-            self._advance_commit_index(now)
-            if peer.next_index <= self.persistent.last_index and message.sender in self.peers:
+            peer.next_index = max(min(response.index, self.persistent.last_index) + 1, peer.match_index + 1)
+            # Below `match_index` the answer is old, or the replica has lost its log: no hurry.
+            if response.index >= peer.match_index:
                 self._send_entries(message.sender, now)
-        self._finish_hand_over()
+        self._finish_leadership_transfer()
+
+    def _handle_match(self, name: str, peer: Progress, response: AppendResponse, now: int) -> None:
+        peer.match_index = max(peer.match_index, response.index)
+        # What was lost shows by the answer to the next heartbeat.
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
+        self._advance_commit_index(now)
+        # By committing it may have stepped down.
+        if peer.next_index <= self.persistent.last_index and name in self.peers:
+            self._send_entries(name, now)
 
     def _advance_commit_index(self, now: int) -> None:
-        """Commit what a majority has, of the own term; answer what may be read."""
+        """Commit what a quorum has, if it ends with an entry of the own term (section 5.4.2 of the paper),
+        and answer reads.
+        """
         index = self._quorum_match_index()
         if index > self.commit_index and self.persistent.term_at(index) == self.persistent.current_term:
             self._apply_committed(index, now)
@@ -469,26 +401,31 @@
         if not self.is_leader:
             return
         self._confirm_rounds()
-        answered = [read for read in self.pending_reads if self._round_taken(read.round)]
-        self.outcomes += [ReadIndexOutcome(read.read_id, True) for read in answered]
-        self.pending_reads = [read for read in self.pending_reads if read not in answered]
+        confirmed = [read for read in self.pending_reads if self._is_round_confirmed(read.round)]
+        self.outcomes += [ReadIndexOutcome(read.read_id, True) for read in confirmed]
+        self.pending_reads = [read for read in self.pending_reads if read not in confirmed]
 
     def _apply_committed(self, index: int, now: int) -> None:
         if index <= self.commit_index:
             return
         for applied in self.apply_to(index):
-            if proposal_id := self.pending_proposals.pop(applied.index, 0):
+            proposal_id = self.pending_proposals.pop(applied.index, None)
+            if proposal_id is not None:
                 self.outcomes.append(ProposalOutcome(proposal_id, True, applied.result))
         self.on_applied(now)
-        if (
-            self.is_leader
-            and not self.is_voter
-            and self.persistent.voters_at(self.commit_index) == self.voters
-        ):
-            self._become_follower(self.persistent.current_term, "", now)
-        self.compact(self.timing.snapshot_after_entries, self.timing.snapshot_after_bytes)
-
-    def _finish_hand_over(self) -> None:
+        if self.is_leader and not self.is_voter:
+            is_committed = self.persistent.voters_at(self.commit_index) == self.voters
+            if is_committed:
+                self._become_follower(self.persistent.current_term, "", now)
+        self.compact(self.config.snapshot_after_entries, self.config.snapshot_after_bytes)
+
+    def _fail_pending_requests(self) -> None:
+        self.outcomes += [ProposalOutcome(each, False) for each in self.pending_proposals.values()]
+        self.outcomes += [ReadIndexOutcome(read.read_id, False) for read in self.pending_reads]
+        self.pending_proposals = {}
+        self.pending_reads = []
+
+    def _finish_leadership_transfer(self) -> None:
         peer = self.peers.get(self.transfer_target) if self.is_leader else None
         if peer is not None and peer.match_index == self.persistent.last_index:
             self._send_to(self.transfer_target, TimeoutNow())
--- a/hazelbend/consensus/replicated_log.py
+++ b/hazelbend/consensus/replicated_log.py
@@ -65,7 +65,8 @@
 
     def merge(self, append: AppendEntries) -> None:
         """Take a leader's entries. Entries that conflict with them are deleted, with all after them. The
-        entry at `prev_log_index` must match."""
+        entry at `prev_log_index` must match.
+        """
         persistent = self.persistent
         for index, entry in enumerate(append.entries, append.prev_log_index + 1):
             if index <= persistent.last_included_index or persistent.term_at(index) == entry.term:
@@ -78,7 +79,8 @@
 
     def conflict_hint(self, append: AppendEntries) -> int | None:
         """None if the log matches at `prev_log_index`. Otherwise the highest index at which it may match: a
-        whole term that conflicts is skipped at once, as at the end of section 5.3 of the paper."""
+        whole term that conflicts is skipped at once, as at the end of section 5.3 of the paper.
+        """
         persistent = self.persistent
         prev_term: int | None = append.prev_log_term
         if append.prev_log_index >= persistent.last_included_index:
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -93,7 +93,8 @@
 
 def needs_transfer(body: AppendEntries | InstallSnapshot) -> bool:
     """Whether the message is too large to be sent at once. A snapshot always is a transfer, so that it is not
-    sent again with each heartbeat."""
+    sent again with each heartbeat.
+    """
     return isinstance(body, InstallSnapshot) or size_of(body.entries) > BATCH_BYTES
 
 
--- a/hazelbend/consensus/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -1,26 +1,19 @@
-"""What a leader sends to its replicas, and what a majority has answered.
+"""The leader's side of replication: what it sends to its replicas, and what a quorum has answered.
 
-Replication goes by rounds: each heartbeat begins one, and a majority's answers to a round say that nobody
-else led when it began. A replica's stamp that came before the round began is confirmed by it, and goes back
-with the next heartbeat: so each replica knows, by its own clock alone, how old its copy is at most.
+Each heartbeat starts a round. A quorum's answers to messages of a round prove that nobody else led when the
+round started. A replica's timestamp that arrived before the round is confirmed by it, and is returned with
+the next heartbeat: so each replica knows by its own clock how old its state is at most.
 """
 
 from __future__ import annotations
 
 import random
 from collections import deque
-from dataclasses import dataclass
-from enum import Enum
 
 import msgspec
 
-from hazelbend.consensus.messages import (
-    AppendEntries,
-    AppendResponse,
-    Body,
-    InstallSnapshot,
-    Message,
-)
+from hazelbend.consensus.config import RaftConfig, Role
+from hazelbend.consensus.messages import AppendEntries, AppendResponse, Body, InstallSnapshot, Message
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.replicated_log import ReplicatedLog, StateMachine
 from hazelbend.consensus.replication import (
@@ -33,156 +26,145 @@
     size_of,
 )
 
-CHUNK_RETRY_HEARTBEATS = 10  # heartbeats without an answer to a piece, after which it is sent again
-LIFE_BITS = 53
-
-
-class Role(Enum):
-    """What a member is in its term."""
-
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"
-    CANDIDATE = "candidate"
-    LEADER = "leader"
-
-
-@dataclass(slots=True, frozen=True)
-class RaftConfig:
-    """Microseconds. `election` is the least time without a leader after which one stands; the most is
-    twice."""
-
-    heartbeat_us: int = 200_000
-    election_timeout_us: int = 1_000_000
-    max_batch_entries: int = 64  # entries in a message
-    snapshot_after_entries: int = 512  # entries that are committed, after which a snapshot takes their place
-    snapshot_after_bytes: int = 4 * 1024 * 1024  # the same by their size
-    max_uncommitted_bytes: int = 12 * 1024 * 1024  # of entries that are not committed: no more are taken
+CHUNK_RETRY_HEARTBEATS = 10  # heartbeats without an answer, after which a chunk is sent again
+INCARNATION_BITS = 53
 
 
 class Replicator(ReplicatedLog):
-    """See the head of the file. Who leads, and in which term, is for the subclass."""
+    """Replication and its confirmation. Who leads, and in which term, is decided by the subclasses."""
 
-    def __init__(self, memory: PersistentState, machine: StateMachine, timing: RaftConfig, seed: int) -> None:
-        super().__init__(memory, machine)
-        self.timing = timing
+    def __init__(
+        self, persistent: PersistentState, state_machine: StateMachine, config: RaftConfig, seed: int
+    ) -> None:
+        super().__init__(persistent, state_machine)
+        self.config = config
         self.role = Role.FOLLOWER
         self.outbox: list[Message] = []
-        self.peers: dict[str, Progress] = {}
+        self.peers: dict[str, Progress] = {}  # by identity; only of a leader
         self.learners: set[str] = set()
-        self.incarnation = random.Random(seed + 1).getrandbits(LIFE_BITS)  # names this start of the process
-        self.confirmed_at: int | None = None  # when what is committed here was surely all that was committed
+        # Names this start of the process: timestamps of another one mean nothing.
+        self.incarnation = random.Random(seed + 1).getrandbits(INCARNATION_BITS)
+        # When everything that was committed anywhere was surely committed here.
+        self.confirmed_at: int | None = None
         self.incoming_transfer = IncomingTransfer()
-        self.last_transfer = 0
+        self.last_transfer_id = 0
         self.round = 0
-        self._unconfirmed_rounds: deque[tuple[int, int]] = (
-            deque()
-        )  # rounds that are not confirmed, and when they began
-        self._to_confirm: tuple[int, int] | None = None  # a time, and the index that it is confirmed with
         self.next_heartbeat_at = 0
+        self._unconfirmed_rounds: deque[tuple[int, int]] = deque()  # round, start time
+        # A confirmed time of this process, and the commit index that it takes effect with.
+        self._pending_confirmation: tuple[int, int] | None = None
 
     @property
     def identity(self) -> str:
+        """This node's identity."""
         return self.persistent.identity
 
     @property
     def is_leader(self) -> bool:
+        """Whether it leads in its term."""
         return self.role is Role.LEADER
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and has committed in its own term: what it has applied is all that was
-        committed."""
+        """Whether it leads and has committed an entry of its own term. Only then has it surely applied all
+        that was committed before (section 6.4 of the thesis).
+        """
         return self.is_leader and self.persistent.term_at(self.commit_index) == self.persistent.current_term
 
     def confirmed_age(self, now: int) -> int | None:
-        """Microseconds since a time at which all that was committed anywhere was committed here too, as a
-        majority has confirmed since. None: no such time is known in this life."""
+        """Microseconds since `confirmed_at`. None: nothing is confirmed in this incarnation."""
         return None if self.confirmed_at is None else max(now - self.confirmed_at, 0)
 
-    # --- whom to send to ---
+    # --- replicas ---
 
     def _update_peers(self, now: int) -> None:
-        """Know those to send to."""
+        """Track the progress of all voters and learners, and of nobody else."""
         names = (set(self.voters) | self.learners) - {self.identity}
-        for gone in set(self.peers) - names:
-            del self.peers[gone]
+        for removed in set(self.peers) - names:
+            del self.peers[removed]
         for name in sorted(names - set(self.peers)):
             self.peers[name] = Progress(self.persistent.last_index + 1, last_contact_at=now)
 
-    def _caught_up(self, name: str) -> bool:
+    def _is_caught_up(self, name: str) -> bool:
         peer = self.peers.get(name)
         return peer is not None and peer.match_index >= self.commit_index
 
-    # --- what is sent ---
+    # --- sending ---
 
     def _broadcast(self, now: int) -> None:
-        self.next_heartbeat_at = now + self.timing.heartbeat_us
+        self.next_heartbeat_at = now + self.config.heartbeat_us
         for name in self.peers:
             self._send_entries(name, now)
 
     def _send_entries(self, name: str, now: int) -> None:
-        memory, peer = self.persistent, self.peers[name]
+        persistent = self.persistent
+        peer = self.peers[name]
         if peer.transfer is not None:
-            self._send_to(name, self._heartbeat(peer, 0, 0))  # entries go on once the transfer is over
-            if now - peer.transfer.sent_at >= CHUNK_RETRY_HEARTBEATS * self.timing.heartbeat_us:
-                self._send_piece(name, now)
+            # No entries until the transfer has ended.
+            self._send_to(name, self._heartbeat(peer, 0, 0))
+            if now - peer.transfer.sent_at >= CHUNK_RETRY_HEARTBEATS * self.config.heartbeat_us:
+                self._send_chunk(name, now)
             return
-        before = memory.term_at(peer.next_index - 1)
-        if before is None:
-            state = (
-                memory.last_included_index,
-                memory.last_included_term,
-                memory.snapshot_voters,
-                memory.snapshot_state,
-            )
-            self._transfer(name, InstallSnapshot(*state, self.round), now)
+        prev_index = peer.next_index - 1
+        prev_term = persistent.term_at(prev_index)
+        if prev_term is None:
+            self._start_transfer(name, self._snapshot_message(), now)
             return
-        put = self._heartbeat(peer, peer.next_index - 1, before)
-        unanswered = memory.entries[
-            max(peer.match_index - memory.last_included_index, 0) : peer.next_index
-            - 1
-            - memory.last_included_index
-        ]
-        if size_of(unanswered) <= BATCH_BYTES:
-            entries = first_batch(
-                memory.entries[peer.next_index - 1 - memory.last_included_index :],
-                self.timing.max_batch_entries,
-            )
-            put = msgspec.structs.replace(put, entries=entries)
-        if needs_transfer(put):
-            self._transfer(name, put, now)
+        append = self._heartbeat(peer, prev_index, prev_term)
+        base = persistent.last_included_index
+        in_flight = persistent.entries[max(peer.match_index - base, 0) : prev_index - base]
+        if size_of(in_flight) <= BATCH_BYTES:
+            entries = first_batch(persistent.entries[prev_index - base :], self.config.max_batch_entries)
+            append = msgspec.structs.replace(append, entries=entries)
+        if needs_transfer(append):
+            self._start_transfer(name, append, now)
             return
-        self._send_to(name, put)
-        peer.next_index += len(put.entries)  # what is lost on the way is sent again when the answer shows it
+        self._send_to(name, append)
+        # Optimistic: the answer shows what was lost, and it is sent again then.
+        peer.next_index += len(append.entries)
 
-    def _heartbeat(self, peer: Progress, before: int, before_term: int) -> AppendEntries:
-        return AppendEntries(before, before_term, (), self.commit_index, self.round, peer.confirmed_timestamp)
+    def _heartbeat(self, peer: Progress, prev_index: int, prev_term: int) -> AppendEntries:
+        return AppendEntries(
+            prev_index, prev_term, (), self.commit_index, self.round, peer.confirmed_timestamp
+        )
+
+    def _snapshot_message(self) -> InstallSnapshot:
+        persistent = self.persistent
+        return InstallSnapshot(
+            persistent.last_included_index,
+            persistent.last_included_term,
+            persistent.snapshot_voters,
+            persistent.snapshot_state,
+            self.round,
+        )
 
-    def _transfer(self, name: str, body: AppendEntries | InstallSnapshot, now: int) -> None:
-        self.last_transfer += 1
-        self.peers[name].transfer = begin_transfer(self.last_transfer, body, now)
-        self._send_piece(name, now)
+    def _start_transfer(self, name: str, body: AppendEntries | InstallSnapshot, now: int) -> None:
+        self.last_transfer_id += 1
+        self.peers[name].transfer = begin_transfer(self.last_transfer_id, body, now)
+        self._send_chunk(name, now)
 
-    def _send_piece(self, name: str, now: int) -> None:
+    def _send_chunk(self, name: str, now: int) -> None:
         transfer = self.peers[name].transfer
         assert transfer is not None
         transfer.sent_at = now
         self._send_to(name, transfer.next_chunk(self.round))
 
     def _send_to(self, to: str, body: Body, term: int | None = None) -> None:
-        memory = self.persistent
-        self.outbox.append(
-            Message(self.identity, to, memory.epoch, memory.current_term if term is None else term, body)
-        )
+        persistent = self.persistent
+        if term is None:
+            term = persistent.current_term
+        self.outbox.append(Message(self.identity, to, persistent.epoch, term, body))
 
-    # --- what was answered ---
+    # --- answers ---
 
-    def _ends_transfer(self, peer: Progress, taken: AppendResponse) -> bool:
-        """Whether this answers what went out in pieces, so that entries can go on. An answer to a heartbeat
-        beside it says nothing of it."""
+    def _end_transfer(self, peer: Progress, response: AppendResponse) -> bool:
+        """Whether this answers the transfer, which then ends. An answer to a heartbeat that was sent between
+        two chunks says nothing of it.
+        """
         assert peer.transfer is not None
-        refused = not taken.success and taken.round >= peer.transfer.round
-        if refused or (taken.success and taken.index > peer.match_index):
+        is_rejected = not response.success and response.round >= peer.transfer.round
+        is_installed = response.success and response.index > peer.match_index
+        if is_rejected or is_installed:
             peer.transfer = None
             return True
         return False
@@ -191,43 +173,45 @@
         return 2 * len(names & set(self.voters)) > len(self.voters)
 
     def _quorum_match_index(self) -> int:
-        """All up to this index."""
-        match = {name: peer.match_index for name, peer in self.peers.items()} | {
-            self.identity: self.persistent.last_index
-        }
-        held = sorted((match.get(name, 0) for name in self.voters), reverse=True)
-        return held[len(held) // 2]
+        """The highest index up to which a quorum of the voters has the log."""
+        match = {name: peer.match_index for name, peer in self.peers.items()}
+        match[self.identity] = self.persistent.last_index
+        indexes = sorted((match.get(name, 0) for name in self.voters), reverse=True)
+        return indexes[len(indexes) // 2]
 
     def _begin_round(self, now: int) -> None:
-        """A majority's answers to messages of this round say that nobody else led when it began."""
         self.round += 1
         self._unconfirmed_rounds.append((self.round, now))
 
     def _confirm_rounds(self) -> None:
-        """Note which rounds a majority has answered, and which stamps of replicas that confirms."""
+        """Take note of rounds that a quorum has answered, and of the timestamps that this confirms."""
         if not self.has_committed_in_term:
             return
-        while self._unconfirmed_rounds and self._round_taken(self._unconfirmed_rounds[0][0]):
-            began = self._unconfirmed_rounds.popleft()[1]
-            self.confirmed_at = max(self.confirmed_at or 0, began)
+        while self._unconfirmed_rounds and self._is_round_confirmed(self._unconfirmed_rounds[0][0]):
+            _, started_at = self._unconfirmed_rounds.popleft()
+            self.confirmed_at = max(self.confirmed_at or 0, started_at)
         for peer in self.peers.values():
-            if peer.pending_timestamp is not None and self._round_taken(peer.pending_timestamp_round):
-                peer.confirmed_timestamp, peer.pending_timestamp = peer.pending_timestamp, None
-
-    def _round_taken(self, number: int) -> bool:
-        return self._has_quorum(
-            {name for name, peer in self.peers.items() if peer.answered_round >= number} | {self.identity}
-        )
-
-    def _note_confirmation(self, put: AppendEntries) -> None:
-        """All that was committed at the stamp's time lies below `put.commit`: once that is committed here,
-        the time counts as confirmed."""
+            if peer.pending_timestamp is not None and self._is_round_confirmed(peer.pending_timestamp_round):
+                peer.confirmed_timestamp = peer.pending_timestamp
+                peer.pending_timestamp = None
+
+    def _is_round_confirmed(self, number: int) -> bool:
+        answered = {name for name, peer in self.peers.items() if peer.answered_round >= number}
+        return self._has_quorum(answered | {self.identity})
+
+    def _note_confirmation(self, append: AppendEntries) -> None:
+        """A replica's timestamp has come back. All that was committed at that time is at or below
+        `leader_commit`: the time counts once the replica has committed up to there.
+        """
+        timestamp = append.confirmed_timestamp
         if (
-            put.confirmed_timestamp is not None
-            and put.confirmed_timestamp.incarnation == self.incarnation
-            and self._to_confirm is None
+            timestamp is not None
+            and timestamp.incarnation == self.incarnation
+            and self._pending_confirmation is None
         ):
-            self._to_confirm = (put.confirmed_timestamp.time_us, put.leader_commit)
-        if self._to_confirm is not None and self.commit_index >= self._to_confirm[1]:
-            self.confirmed_at = max(self.confirmed_at or 0, self._to_confirm[0])
-            self._to_confirm = None
+            self._pending_confirmation = (timestamp.time_us, append.leader_commit)
+        if self._pending_confirmation is not None:
+            time_us, commit_index = self._pending_confirmation
+            if self.commit_index >= commit_index:
+                self.confirmed_at = max(self.confirmed_at or 0, time_us)
+                self._pending_confirmation = None
