--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -228,26 +228,29 @@
     toy, port, door = free_port(), free_port(), free_port()
     start(str(SITE), f"127.0.0.1:{toy}")
     known = {"seq": 1, "whole": True, "hosts": [host_entry("toy", f"127.0.0.1:{toy}")]}
-    conf = {"listen": f"127.0.0.1:{port}", "ops": f"127.0.0.1:{door}", "settings": SETTINGS, "known": known}
+    # The parent runs until it is let go and nothing expires meanwhile, however slowly the machine answers.
+    settings = SETTINGS | {"lanes": [lane | {"deadline_us": 120_000_000} for lane in SETTINGS["lanes"]]}
+    conf = {"listen": f"127.0.0.1:{port}", "ops": f"127.0.0.1:{door}", "settings": settings, "known": known}
     (tmp_path / "config.json").write_bytes(orjson.dumps(conf))
     (tmp_path / "deploy").mkdir()
-    (tmp_path / "deploy/waiting.toml").write_text(WAITING)
+    (tmp_path / "deploy/waiting.toml").write_text(WAITING + "[limits]\ncome_within_s = 120.0\n")
     variables = {"RELAY_CONFIG": str(tmp_path / "config.json"), "HAZELBEND_DEPLOY": str(tmp_path / "deploy")}
     program = start("-m", "hazelbend", **variables)
     wait_for(lambda: ready(door) and ask(port)[0] == 200)
 
     async def run():
         def send(job_id, body=b"5", **more):
-            return asyncio.create_task(talk(port, request(job_id, body, 4_500, headers(**more))))
+            return asyncio.create_task(talk(port, request(job_id, body, 120_000, headers(**more))))
 
-        far = send("far", Not_Before=int(time.time() * 1e3) + 60_000)
-        never, parent, child = send("never", After="x"), send("p", b"900"), send("c", After="p")
+        far = send("far", Not_Before=int(time.time() * 1e3) + 120_000)
+        never, parent, child = send("never", After="x"), send("p", b"held"), send("c", After="p")
         await asyncio.to_thread(wait_for, lambda: "waiting.jobs=3" in ask(door, "GET", "/ops/stats")[2])
         program.send_signal(signal.SIGTERM)
         at = time.monotonic()
         for each in (far, never):
             assert b"X-Reason: the dispatcher ends" in await each
         assert time.monotonic() - at < 0.5, "at once"
+        assert (await asyncio.to_thread(ask, toy, "POST", "/let-go"))[0] == 204
         assert status(await parent) == 200 and status(await child) == 200, "these could still run"
 
     asyncio.run(run())
