--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -63,7 +63,7 @@
     row["cancel_us"] = 1e6 * (time.perf_counter() - began) / sample
     released, began, sample = 0, time.perf_counter(), min(sample, count // 4)
     while released < sample:
-        wall = engine._clock[0][0]
+        wall = engine.timers.starts[0][0]
         for effect in engine.tick(1, wall):
             released += 1
             engine.ended(effect.key, End.SERVED, b"", 2)
--- a/hazelbend/job_queue/__init__.py
+++ b/hazelbend/job_queue/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait: on other jobs, on a clock, on admission. Pure, and told the time."""
+"""The job queue: jobs wait for other jobs, for a start time, and for a place in service."""
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -1,5 +1,8 @@
-"""Between the fronts and the core: every job comes here first where deploy/waiting.toml is enabled, waits by
-the engine's word, and goes on as a flow. A job that waits is one of the core's ids, and gets one answer."""
+"""The gate between the listeners and the router, when deploy/waiting.toml is enabled.
+
+Every job is submitted here first. It waits until the engine releases it, and is then accepted by the router.
+A waiting job holds its id in the router, and gets one answer.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +13,29 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from hazelbend.job_queue.engine import Engine, Node, State
+from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.job import JobState, QueuedJob
 from hazelbend.job_queue.terms import Bounds, Effect, End, Key, Refusal, Release, Request, Terms, TermsError
 from hazelbend.routing.ports import Answer, Job, Verdict
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import Router
 
-LONGEST_SLEEP = 1.0  # seconds between looks at the wall's clock, which may step
-ENDS = {Verdict.SERVED: End.SERVED, Verdict.REFUSED: End.REFUSED, Verdict.FAILED: End.FAILED}
+# The wall clock may step: it is looked at as often as this.
+MAX_SLEEP_S = 1.0
+SHOWN_PARENTS = 3  # in the text of what a job waits for
+US_PER_S = 1e6
+US_PER_MS = 1_000
+OUTCOMES = {Verdict.SERVED: End.SERVED, Verdict.REFUSED: End.REFUSED, Verdict.FAILED: End.FAILED}
 
 
 def wall_now() -> int:
+    """Unix time in microseconds."""
     return time.time_ns() // 1_000
 
 
 @dataclass(slots=True, eq=False)
 class Held:
-    """A job between its coming and its answer; to a front it is as a flow is."""
+    """A job from its submission to its answer. Listeners use it as they use a `RequestContext`."""
 
     key: Key
     job: Job
@@ -39,11 +48,11 @@
     left: bool = False
 
     def reply(self) -> asyncio.Future[Answer]:
-        """The final answer in a future that the caller may cancel; `answered` stays whole."""
+        """The final answer in a future that the caller may cancel; `answered` is not cancelled with it."""
         return asyncio.shield(self.answered)
 
     def leave(self) -> None:
-        """The client has gone: what waits is cancelled, what runs is given up."""
+        """The client has left: cancel a waiting job, abandon a running one."""
         self.left = True
         if self.flow is not None:
             self.flow.leave()
@@ -53,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingRow:
-    """What operators see of a waiting job."""
+    """A waiting job as the console shows it."""
 
     client: str
     id: str
@@ -65,6 +74,8 @@
 
 
 class Gate:
+    """Carries out what the engine says: starts jobs in the router, rejects them, keeps the timer."""
+
     def __init__(
         self,
         router: Router,
@@ -74,18 +85,26 @@
         objective: Callable[[int], int],
         wall: Callable[[], int] = wall_now,
     ) -> None:
-        self.router, self.engine, self.ordinary = router, Engine(bounds), ordinary
-        self._late_worth, self._objective, self._wall = late_worth, objective, wall
+        self.router = router
+        self.engine = Engine(bounds)
+        self.ordinary = ordinary
+        self._late_worth = late_worth
+        self._objective = objective
+        self._wall = wall
         self.held: dict[Key, Held] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._leaving: tuple[str, int] | None = None
         self._idle = asyncio.Event()
         self._idle.set()
 
-    # --- what fronts call ---
+    # --- called by listeners ---
 
     def take(self, job: Job, key: Key, terms: Terms, patience: int) -> Held:
-        """A job has come. TermsError if its terms cannot be; else it gets its one final answer."""
+        """Submit a job; `patience` is how long its client waits, in microseconds.
+
+        Raises:
+            TermsError: its terms cannot be met, or its id is open.
+        """
         now = self.router.clock.now()
         if key in self.held:
             raise TermsError("a job of this id is open")
@@ -116,7 +135,7 @@
         return held
 
     def cancel(self, key: Key, end: End = End.CANCELLED) -> bool:
-        """False if no such job waits; one that runs goes on."""
+        """Cancel a waiting job. False if no such job waits; a running one goes on."""
         held = self.held.get(key)
         if held is None or held.flow is not None:
             return False
@@ -124,38 +143,41 @@
         self._wake()
         return True
 
-    # --- life ---
+    # --- reload and end ---
 
     def change(self, bounds: Bounds, ordinary: bool) -> None:
+        """Apply reloaded settings."""
         self.ordinary = ordinary
         self._carry_out(self.engine.change(bounds, self.router.clock.now()))
         self._wake()
 
     def leave(self, reason: str, unless_by: int) -> None:
-        """The program ends: what cannot run until then (wall clock) is refused at once, also what comes."""
+        """The process ends: reject at once what cannot start by then (wall clock), also of jobs to come."""
         self._leaving = reason, unless_by
         self._carry_out(self.engine.refuse_all(reason, self.router.clock.now(), unless_by))
 
     def refuse_rest(self, reason: str) -> None:
-        """Nothing that waits will run here any more."""
+        """Reject every waiting job."""
         self._carry_out(self.engine.refuse_all(reason, self.router.clock.now()))
 
     async def drained(self) -> None:
-        """Until nothing waits or runs."""
+        """Return when no job waits or runs."""
         await self._idle.wait()
 
     def close(self) -> None:
+        """Stop the timer and reject every waiting job."""
         if self._timer is not None:
             self._timer.cancel()
         self.refuse_rest("the dispatcher ends")
 
-    # --- what operators see ---
+    # --- shown to operators ---
 
     def rows(self) -> list[WaitingRow]:
+        """The waiting jobs, the oldest first."""
         now = self.router.clock.now()
         rows = []
         for node in self.engine.nodes.values():
-            if node.request is not None and node.state in (State.BLOCKED, State.QUEUED):
+            if node.request is not None and node.is_waiting:
                 request = node.request
                 rows.append(
                     WaitingRow(
@@ -170,6 +192,7 @@
         return sorted(rows, key=lambda row: -row.age)
 
     def counts(self, classes: list[str]) -> dict[str, int]:
+        """The `waiting.*` figures; `classes` are the names by class index."""
         totals = self.engine.totals
         found = {
             "waiting.jobs": self.engine.waiting,
@@ -181,23 +204,23 @@
             "waiting.cancelled": totals.refused[End.CANCELLED] + totals.refused[End.LEFT],
         }
         for index, name in enumerate(classes):
-            found[f"waiting.longest_ms.{name}"] = totals.longest.get(index, 0) // 1_000
+            found[f"waiting.longest_ms.{name}"] = totals.longest.get(index, 0) // US_PER_MS
         return found
 
-    def _why(self, node: Node) -> str:
-        if node.state is State.QUEUED:
+    def _why(self, node: QueuedJob) -> str:
+        if node.state is JobState.QUEUED:
             return "a place" + (", late or over its share" if node.aged else "")
-        why = [f"the end of {key[1]}" for key in list(node.parents)[:3]]
-        if len(node.parents) > 3:
-            why.append(f"{len(node.parents) - 3} more")
-        if node.clock is not None:
-            why.append(f"its time, in {max(node.clock - self._wall(), 0) / 1e6:.1f} s")
+        why = [f"the end of {key[1]}" for key in list(node.parents)[:SHOWN_PARENTS]]
+        if len(node.parents) > SHOWN_PARENTS:
+            why.append(f"{len(node.parents) - SHOWN_PARENTS} more")
+        if node.not_before is not None:
+            why.append(f"its time, in {max(node.not_before - self._wall(), 0) / US_PER_S:.1f} s")
         return ", ".join(why)
 
-    # --- the engine's word ---
+    # --- effects of the engine ---
 
     def _carry_out(self, effects: list[Effect]) -> None:
-        # What is released may end at once, and release others: a list, not recursion, is worked off.
+        # A released job may end at once and release others.
         for effect in effects:
             held = self.held.get(effect.key)
             if held is None:
@@ -217,7 +240,7 @@
 
     def _ended(self, held: Held, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
-        end = End.LEFT if held.left else ENDS[answer.verdict]
+        end = End.LEFT if held.left else OUTCOMES[answer.verdict]
         self._forget(held, answer)
         self._carry_out(self.engine.ended(held.key, end, answer.result, self.router.clock.now()))
         self._wake()
@@ -239,13 +262,13 @@
             self._idle.set()
 
     def _wake(self) -> None:
-        """Come back when the engine may have something."""
+        """Set the timer for when the engine may have something."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         now = self.router.clock.now()
         if (at := self.engine.next_at(now, self._wall())) is not None:
-            wait = min(max(at - now, 0) / 1e6, LONGEST_SLEEP)
+            wait = min(max(at - now, 0) / US_PER_S, MAX_SLEEP_S)
             self._timer = asyncio.get_running_loop().call_later(wait, self._tick)
 
     def _tick(self) -> None:
@@ -256,8 +279,10 @@
 
 
 def with_results(body: bytes, results: tuple[tuple[str, bytes], ...]) -> bytes:
-    """A JSON object: the job's own `body`, and `results` by the ids of the jobs that it waited for. What is
-    not UTF-8 stands there as {"base64": ...}."""
+    """A JSON object of the job's own `body` and its parents' `results` by id.
+
+    What is not UTF-8 is {"base64": ...}.
+    """
 
     def shown(data: bytes) -> object:
         try:
--- a/hazelbend/job_queue/settings.py
+++ b/hazelbend/job_queue/settings.py
@@ -1,4 +1,4 @@
-"""`deploy/waiting.toml`: its schema, by msgspec. A fault is a ValueError that names the key."""
+"""The schema of `deploy/waiting.toml`, by msgspec. A fault is a ValueError that names the key."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from hazelbend.job_queue.terms import Bounds
 from hazelbend.schema import convert
 
+US_PER_S = 1e6
+
 Count = Annotated[int, Meta(ge=1, le=10_000_000)]
 Seconds = Annotated[float, Meta(gt=0, le=31_536_000)]
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Of what waits."""
+    """Bounds on the jobs that wait. Times in seconds, sizes in bytes."""
 
     jobs: Count = 10_000
     bytes: Annotated[int, Meta(ge=1_024, le=1 << 40)] = 64 * 1024 * 1024
@@ -31,16 +33,22 @@
 
 
 class ClassPlaces(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How many jobs of a class run at once."""
+
     name: str
     in_service: Count
 
 
 class TenantShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The part of the places that a tenant uses before its jobs age."""
+
     name: str
     share: Annotated[float, Meta(gt=0, le=1)]
 
 
 class Admission(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Admission: how many jobs run at once, and how many of them may be late or over a share."""
+
     in_service: Count
     aged: Annotated[int, Meta(ge=0, le=10_000_000)] = 1
     ordinary: bool = False  # whether jobs without terms go by it too
@@ -49,6 +57,8 @@
 
 
 class WaitingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The whole file."""
+
     enabled: bool = True
     http_headers: bool = False  # whether X-After and its like are read
     limits: Limits = Limits()
@@ -56,10 +66,15 @@
 
     @property
     def ordinary(self) -> bool:
+        """Whether jobs without terms go by admission too."""
         return self.admission is not None and self.admission.ordinary
 
     def bounds(self, classes: tuple[str, ...], tenants: tuple[str, ...]) -> Bounds:
-        limits, admission = self.limits, self.admission
+        """The bounds of the engine; classes and tenants by their index in these names."""
+        limits = self.limits
+        admission = self.admission
+        by_class = admission.job_class if admission else ()
+        shares = admission.tenant if admission else ()
         return Bounds(
             waiting=limits.jobs,
             waiting_bytes=limits.bytes,
@@ -67,18 +82,13 @@
             parents=limits.parents,
             children=limits.children,
             depth=limits.depth,
-            come_within=round(limits.come_within_s * 1e6),
+            come_within=round(limits.come_within_s * US_PER_S),
             remember=limits.remembered,
-            remember_for=round(limits.remember_s * 1e6),
+            remember_for=round(limits.remember_s * US_PER_S),
             result_bytes=limits.result_bytes,
             in_service=admission.in_service if admission else 0,
-            by_class=tuple(
-                (classes.index(each.name), each.in_service)
-                for each in (admission.job_class if admission else ())
-            ),
-            shares=tuple(
-                (tenants.index(each.name), each.share) for each in (admission.tenant if admission else ())
-            ),
+            by_class=tuple((classes.index(row.name), row.in_service) for row in by_class),
+            shares=tuple((tenants.index(row.name), row.share) for row in shares),
             aged=admission.aged if admission else 0,
         )
 
@@ -86,19 +96,25 @@
 def read_settings(
     table: dict[str, Any], classes: tuple[str, ...], tenants: tuple[str, ...]
 ) -> WaitingSettings:
-    """A decoded TOML table; classes and tenants are the names that the site's settings have."""
+    """The settings in a decoded TOML table; classes and tenants are the names of the site's settings.
+
+    Raises:
+        ValueError: a value does not fit; the text names its key.
+    """
     settings = convert(table, WaitingSettings)
-    if (admission := settings.admission) is not None:
-        for key, named, names in (
-            ("class", [each.name for each in admission.job_class], classes),
-            ("tenant", [each.name for each in admission.tenant], tenants),
-        ):
-            for index, name in enumerate(named):
-                where = f"admission.{key}[{index}].name: {name!r}"
-                if name not in names:
-                    raise ValueError(f"{where} is none of {', '.join(names)}")
-                if name in named[:index]:
-                    raise ValueError(f"{where} stands there twice")
+    admission = settings.admission
+    if admission is not None:
+        _check_names("class", [row.name for row in admission.job_class], classes)
+        _check_names("tenant", [row.name for row in admission.tenant], tenants)
         if admission.aged >= admission.in_service > 1:
             raise ValueError("admission.aged: leaves no place for jobs in time")
     return settings
+
+
+def _check_names(key: str, named: list[str], known: tuple[str, ...]) -> None:
+    for index, name in enumerate(named):
+        path = f"admission.{key}[{index}].name: {name!r}"
+        if name not in known:
+            raise ValueError(f"{path} is none of {', '.join(known)}")
+        if name in named[:index]:
+            raise ValueError(f"{path} stands there twice")
--- a/hazelbend/job_queue/terms.py
+++ b/hazelbend/job_queue/terms.py
@@ -1,7 +1,7 @@
-"""What a client may ask of a waiting job, what bounds it, and what the engine says. No logic.
+"""The types of the job queue: what a client asks for a job, the bounds, and the engine's effects. No logic.
 
-Times are whole microseconds: on the core's monotonic clock, but for `not_before`, which is Unix time by the
-wall clock, as a reservation for six o'clock is for six by the clock on the wall.
+Times are whole microseconds of the router's monotonic clock. Only `not_before` is Unix time by the wall
+clock: a reservation for six o'clock is for six by that clock.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class Edge(Enum):
-    """What a job needs of one that it waits for."""
+    """Which end of its parent a job needs."""
 
     SERVED = "served"
-    ENDED = "ended"  # however
+    ENDED = "ended"  # in any way
 
 
 class End(Enum):
@@ -34,21 +34,25 @@
 
 @dataclass(slots=True, frozen=True)
 class After:
+    """A job of the same client that this one waits for."""
+
     id: str
     edge: Edge = Edge.SERVED
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
+    """What a client asks for a job."""
+
     after: tuple[After, ...] = ()
     not_before: int | None = None  # wall clock
-    wanted_by: int = (
-        0  # an answer by then earns the full worth; 0: its class's objective from when it is ready
-    )
-    takes_results: bool = False  # its parents' results go with it
+    # An answer by then has its full value; 0: by its class's objective, from when the job is ready.
+    wanted_by: int = 0
+    takes_results: bool = False  # its parents' results are added to its body
 
     @property
     def waits(self) -> bool:
+        """Whether the job may wait for more than a place."""
         return bool(self.after) or self.not_before is not None
 
 
@@ -63,19 +67,21 @@
     size: int = 0  # bytes that it holds while it waits
     terms: Terms = Terms()
     objective: int = 0  # of its class; 0: none but the deadline
-    late_worth: float = 0.0  # part of the worth that a late answer earns
-    passes: bool = False  # it takes no place: it is here for others to wait for
+    late_worth: float = 0.0  # part of the value that a late answer has
+    passes: bool = False  # bypasses admission: only here so that others can wait for it
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
+    """Bounds on the queue and on what is in service. They are described in `deploy/waiting.toml`."""
+
     waiting: int = 10_000  # jobs that wait, on whatever
     waiting_bytes: int = 64 * 1024 * 1024
     by_client: int = 1_000
     parents: int = 64  # of one job
     children: int = 1_000
     depth: int = 100  # of a chain of jobs that wait on each other
-    come_within: int = 5_000_000  # how long an id that is not known yet may take to come
+    come_within: int = 5_000_000  # how long others may wait for an id that was not submitted
     remember: int = 10_000  # jobs that ended, for those that come later and name them
     remember_for: int = 60_000_000
     result_bytes: int = 65_536  # handed to one child
@@ -87,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """It may run now; with its parents' results, where it asked for them."""
+    """The job may run now, with its parents' results if it asked for them."""
 
     key: Key
     results: tuple[tuple[str, bytes], ...] = ()
@@ -95,12 +101,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """Its one final answer. It has not run, so that trying again does no harm."""
+    """The final answer of a job that has not run, so that a retry is harmless."""
 
     key: Key
     end: End
     reason: str
-    retry_after: int = 0
+    retry_after: int = 0  # microseconds; 0: not known
 
 
 Effect: TypeAlias = Release | Refusal
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,7 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelbend.job_queue.engine import Engine, State
+from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.invariants import check_invariants
+from hazelbend.job_queue.job import JobState
 from hazelbend.job_queue.terms import (
     After,
     Bounds,
@@ -46,7 +48,7 @@
                 self.answers[job] += 1
                 self.refused[job] = each
         if self.checked:
-            self.engine.check(self.wall)
+            check_invariants(self.engine)
         return self
 
     def submit(
@@ -248,7 +250,7 @@
 
 def test_a_child_is_wanted_by_its_classs_objective_from_when_it_is_ready():
     engine = Engine(Bounds(in_service=1, aged=0))
-    engine.runs = {0: 10.0, 1: 10.0}
+    engine.admission.runs = {0: 10.0, 1: 10.0}
     for job, cls, objective, after in (("p", 0, 0, ()), ("c", 1, 50, (After("p"),)), ("x", 0, 200, ())):
         engine.submit(Request(("c", job), cls, 0, 10**9, 1, Terms(after), objective), 0, WALL)
     assert [each.key[1] for each in engine.ended(("c", "p"), End.SERVED, b"", 100)] == ["c"], "150, not 200"
@@ -277,7 +279,7 @@
     places, aged, run_ms = 20, 2, 30
     run = Run(checked=False, in_service=places, aged=aged, by_client=10**6, waiting=10**6)
     ends, wanted, late_waits, pushed = [], {}, [], 0
-    run.engine.runs = {0: run_ms * MS, 1: run_ms * MS}
+    run.engine.admission.runs = {0: run_ms * MS, 1: run_ms * MS}
     arrived, number = {}, 0
 
     def play(until):
@@ -462,7 +464,7 @@
         run.end(running.pop())
         settle()
     assert {job: count for job, count in run.answers.items() if count} == dict.fromkeys(taken, 1)
-    assert not [each for each in run.engine.nodes.values() if each.state is not State.EXPECTED]
+    assert not [each for each in run.engine.nodes.values() if each.state is not JobState.EXPECTED]
 
 
 class Model:
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -188,7 +188,7 @@
     async def run():
         text = WAITING + "[admission]\nin_service = 2\naged = 0\nordinary = true\n"
         async with waiting_site(tmp_path, text) as (app, [toy]):
-            app.parts["waiting"].gate.engine.runs[0] = 100_000.0
+            app.parts["waiting"].gate.engine.admission.runs[0] = 100_000.0
             jobs = [post(app, f"j{number}", b"100") for number in range(8)]
             await until(lambda: toy.holds == 2)
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
