--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -32,7 +32,7 @@
 from hazelbend.transport.http.http_listener import inherited_listener
 from hazelbend.transport.peer.handover import Handover
 from hazelbend.transport.stomp.stomp_listener import StompListener
-from hazelbend.transport.stomp.stomp_workers import Boxes
+from hazelbend.transport.stomp.stomp_worker_registry import WorkerRegistry
 
 log = logging.getLogger("hazelbend")
 
@@ -75,10 +75,10 @@
         self._closing: set[asyncio.Task[None]] = set()
         self._server_lines = Sparing(log, 200)
         self.client_listener = ClientListener(self.router, conf.catalogue, _half(conf))
-        self.boxes = Boxes(self.router, conf.catalogue, conf.load_fields)
+        self.stomp_workers = WorkerRegistry(self.router, conf.catalogue, conf.load_fields)
         self.stomp: StompListener | None = None
         if conf.stomp is not None:
-            self.stomp = StompListener(conf.stomp, self.router, self.boxes, conf.catalogue)
+            self.stomp = StompListener(conf.stomp, self.router, self.stomp_workers, conf.catalogue)
         self.parts: dict[str, joining.Part] = {}  # by their name in Config
         self.console: ConsoleServer | None = None
         if conf.console is not None:
@@ -144,7 +144,7 @@
         fronts = {
             "edge": self.client_listener.connections,
             "stomp": self.stomp.connections if self.stomp is not None else 0,
-            "boxes": self.boxes.connected,
+            "boxes": self.stomp_workers.connected,
         }
         state = "leaving" if self.leaving else "draining" if self._drain.is_on else "serving"
         view = take_overview(self.router, self.conf.name, state, self._class_names, fronts)
@@ -332,7 +332,7 @@
         self.client_listener.catalogue = conf.catalogue
         self._share_descriptors()
         if (conf.catalogue, conf.load_fields) != (old.catalogue, old.load_fields):
-            self.boxes.change(conf.catalogue, conf.load_fields)
+            self.stomp_workers.change(conf.catalogue, conf.load_fields)
             if self.stomp is not None:
                 self.stomp.change(conf.catalogue)
         if conf.settings != old.settings:
--- a/hazelbend/dispatcher/config.py
+++ b/hazelbend/dispatcher/config.py
@@ -25,9 +25,12 @@
 from hazelbend.protocol.http_fields import Catalogue, RequestClass
 from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.ports import EndpointList
-from hazelbend.transport.stomp.stomp_clients import Bounds
-from hazelbend.transport.stomp.stomp_listener import ClientAccount, StompSettings
-from hazelbend.transport.stomp.stomp_workers import BoxAccount
+from hazelbend.transport.stomp.stomp_settings import (
+    ClientAccount,
+    MailboxLimits,
+    StompSettings,
+    WorkerAccount,
+)
 
 if TYPE_CHECKING:
     from hazelbend.dns_discovery.settings import SrvSettings
@@ -339,8 +342,8 @@
 
 def _stomp(keys: Keys, zones: tuple[str, ...], kinds: tuple[str, ...], catalogue: Catalogue) -> StompSettings:
     host, port = keys.address("listen")
-    bounds = Bounds()
-    clients, boxes, logins = [], [], set[str]()
+    mailbox_limits = MailboxLimits()
+    clients, workers, logins = [], [], set[str]()
 
     def login(row: Keys) -> tuple[str, str]:
         name, digest = row.get("login", str), row.get("passcode_sha256", str).lower()
@@ -364,27 +367,27 @@
         cell, weight = row.number("cell", 0, 0, 65_535), row.get("weight", float, 1.0)
         if not 0 < weight < 1e6:
             raise row.fault("weight", "not a positive number")
-        boxes.append(
-            BoxAccount(name, digest, row.place("zone", zones), row.place("kind", kinds), cell, weight)
+        workers.append(
+            WorkerAccount(name, digest, row.place("zone", zones), row.place("kind", kinds), cell, weight)
         )
         row.done()
     settings = StompSettings(
         host=host,
         port=port,
         clients=tuple(clients),
-        boxes=tuple(boxes),
+        workers=tuple(workers),
         heart_beat_ms=(
             keys.number("heart_beat_out_ms", 10_000, 0, 600_000),
             keys.number("heart_beat_in_ms", 10_000, 0, 600_000),
         ),
         connections=keys.number("connections", 64, 1, 100_000),
         write_limit=keys.number("write_limit", 1_048_576, 65_536, 1 << 30),
-        bounds=Bounds(
-            waiting=keys.number("waiting", bounds.waiting, 1, 1_000_000),
-            waiting_bytes=keys.number("waiting_bytes", bounds.waiting_bytes, 65_536, 1 << 30),
-            remembered=keys.number("remembered", bounds.remembered, 0, 10_000_000),
-            total_bytes=keys.number("total_bytes", bounds.total_bytes, 65_536, 1 << 40),
-            keep_s=float(keys.number("keep_s", int(bounds.keep_s), 1, 86_400)),
+        mailbox_limits=MailboxLimits(
+            waiting=keys.number("waiting", mailbox_limits.waiting, 1, 1_000_000),
+            waiting_bytes=keys.number("waiting_bytes", mailbox_limits.waiting_bytes, 65_536, 1 << 30),
+            remembered=keys.number("remembered", mailbox_limits.remembered, 0, 10_000_000),
+            total_bytes=keys.number("total_bytes", mailbox_limits.total_bytes, 65_536, 1 << 40),
+            keep_s=float(keys.number("keep_s", int(mailbox_limits.keep_s), 1, 86_400)),
         ),
     )
     keys.done()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -128,7 +128,7 @@
 
 
 def test_stomp_clients_are_sent_away_when_they_have_their_answers(tmp_path, hurried, monkeypatch):
-    monkeypatch.setattr("hazelbend.transport.stomp.stomp_listener.YOUNG", 0.01)
+    monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 0.01)
 
     async def run():
         async with site(tmp_path, ops=OPS) as (app, _):
@@ -145,7 +145,7 @@
             assert busy.answers() == {"b": ["served"]} and not box.closed
             await asyncio.sleep(drain.OVER)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
-            monkeypatch.setattr("hazelbend.transport.stomp.stomp_listener.YOUNG", 2.0)
+            monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 2.0)
             late = await FakeStompClient.connect(app.stomp.port, client_id="late")
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -92,7 +92,7 @@
             found = await stats(app)
             assert (found["forwards"], found["outstanding"]) == (1, 1)
             assert (found["discovered"], found["ejected"]) == (2, 1), "drained by hand: avoided"
-            app.stomp.settings.bounds.waiting = 1
+            app.stomp.settings.mailbox_limits.waiting = 1
             peer.job("too many", b"1")
             await until(lambda: peer.answers() == {"too many": ["refused"]})
             assert (await stats(app))["declined.nearby"] == 1
--- a/tests/test_stomp_front.py
+++ b/tests/test_stomp_front.py
@@ -9,7 +9,7 @@
 from parser_kit import garbage, pieces
 from site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, until, write_frame
 
-from hazelbend.transport.stomp import stomp_listener
+from hazelbend.transport.stomp import stomp_session
 
 ANSWERS = {"id": "a", "destination": "/hazelbend/answers"}
 WORK = {"id": "w", "destination": "/hazelbend/work"}
@@ -44,7 +44,7 @@
     async with site(folder, toys=0) as (app, _):
         box = await FakeStompWorker.connect(app.stomp.port, "box-1")
         box.send("SUBSCRIBE", **WORK)
-        await until(lambda: app.boxes.connected == 1)
+        await until(lambda: app.stomp_workers.connected == 1)
         yield app, box, await client(app.stomp.port)
 
 
@@ -61,7 +61,7 @@
             port = app.stomp.port
             box = await FakeStompWorker.connect(port, "box-1")
             box.send("SUBSCRIBE", **WORK)
-            await until(lambda: app.boxes.connected == 1)
+            await until(lambda: app.stomp_workers.connected == 1)
             peer = await client(port)
             leaving = await client(port, "partner")
             leaving.job("gone", b"500", "reserve", tenant="toros-sarj")
@@ -232,7 +232,7 @@
             # The first was reset; its repeat may go to a server of the same zone, which is what it did.
             assert peer.answers() == {"one": ["failed"], "two": ["served"]}
             assert box.ran[0] in again.ran and len(again.ran) == 2
-            assert app.boxes.connected == 1
+            assert app.stomp_workers.connected == 1
 
     asyncio.run(run())
 
@@ -430,8 +430,8 @@
 
 
 def test_a_connection_has_little_time_to_say_who_it_is(tmp_path, monkeypatch):
-    assert stomp_listener.FIRST_FRAME < 3.0
-    monkeypatch.setattr(stomp_listener, "FIRST_FRAME", 0.05)
+    assert stomp_session.CONNECT_TIMEOUT_S < 3.0
+    monkeypatch.setattr(stomp_session, "CONNECT_TIMEOUT_S", 0.05)
 
     async def run():
         async with site(tmp_path) as (app, _):
