--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -55,7 +55,7 @@
 from hazelbend.system import metrics
 from hazelbend.system import settings as system_settings
 from hazelbend.transport.http import admin_listener
-from hazelbend.transport.snmp import snmp_agent
+from hazelbend.transport.snmp import hazelbend_mib
 
 SHOWN = kit.GOLDEN / "shown"
 
@@ -144,7 +144,7 @@
     return as_lines(
         {
             ".".join(map(str, oid)): [type(value).__name__, value.prettyPrint()]
-            for oid, value in sorted(snmp_agent.values(view()).items())
+            for oid, value in sorted(hazelbend_mib.object_values(view()).items())
         }
     )
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -9,7 +9,7 @@
 
 from hazelbend.decisions.interface import Outcome
 from hazelbend.dispatcher.console_server import Commands
-from hazelbend.transport.snmp import snmp_agent
+from hazelbend.transport.snmp import hazelbend_mib
 
 
 async def stats(app) -> dict[str, int]:
@@ -121,15 +121,15 @@
             found = await stats(app)
             shown = Commands(app).run("show figures")
             assert {row.split()[0]: int(row.split()[1]) for row in shown.splitlines()} == found
-            told = snmp_agent.values(app.overview())
-            names = {index: str(told[(*snmp_agent.CLASS_ENTRY, 2, index)]) for index in (1, 2)}
+            told = hazelbend_mib.object_values(app.overview())
+            names = {index: str(told[(*hazelbend_mib.CLASS_ENTRY, 2, index)]) for index in (1, 2)}
             for column, word in ((3, "succeeded"), (4, "declined"), (5, "aborted")):
                 for index, name in names.items():
-                    assert int(told[(*snmp_agent.CLASS_ENTRY, column, index)]) == found[f"{word}.{name}"]
-            rest = [int(told[(*snmp_agent.OBJECTS, 7, place, 0)]) for place in (1, 2, 3)]
+                    assert int(told[(*hazelbend_mib.CLASS_ENTRY, column, index)]) == found[f"{word}.{name}"]
+            rest = [int(told[(*hazelbend_mib.OBJECTS, 7, place, 0)]) for place in (1, 2, 3)]
             assert rest == [found[name] for name in ("forwards", "discovered", "ejected")]
-            assert not isinstance(told[(*snmp_agent.OBJECTS, 2, 6, 0)], OctetString)
-            assert int(told[(*snmp_agent.OBJECTS, 2, 6, 0)]) == found["outstanding"] == 0
+            assert not isinstance(told[(*hazelbend_mib.OBJECTS, 2, 6, 0)], OctetString)
+            assert int(told[(*hazelbend_mib.OBJECTS, 2, 6, 0)]) == found["outstanding"] == 0
             assert app.router.counters.outcomes[Outcome.SERVED] == 3
 
     asyncio.run(run())
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -27,7 +27,7 @@
 from pysnmp.smi.compiler import add_mib_compiler
 from site_kit import ROOT, site, until
 
-from hazelbend.transport.snmp import snmp_agent
+from hazelbend.transport.snmp import hazelbend_mib
 
 COMMUNITY = "reading-room"
 
@@ -70,7 +70,7 @@
     return asker
 
 
-async def walk(port, community=COMMUNITY, oid=snmp_agent.BASE):
+async def walk(port, community=COMMUNITY, oid=hazelbend_mib.BASE):
     asker, found = new_asker(), {}
     target = await UdpTransportTarget.create(("127.0.0.1", port), timeout=0.5, retries=0)
     start = ObjectType(ObjectIdentity(oid))
@@ -100,11 +100,11 @@
         for oid, value in found.items():
             [syntax] = [each.syntax for name, each in readable.items() if oid[: len(name)] == name]
             assert syntax.tagSet == value.tagSet, oid
-        names = {str(value) for oid, value in found.items() if oid[:-1] == (*snmp_agent.SERVER_ENTRY, 2)}
+        names = {str(value) for oid, value in found.items() if oid[:-1] == (*hazelbend_mib.SERVER_ENTRY, 2)}
         assert names == {"toy-0", "toy-1"}
         assert list(found) == sorted(found)
-        system = await walk(app.agent.port, oid=snmp_agent.SYSTEM)
-        assert any(oid[:-1] == (*snmp_agent.SYSTEM, 3) for oid in system), "sysUpTime"
+        system = await walk(app.agent.port, oid=hazelbend_mib.SYSTEM)
+        assert any(oid[:-1] == (*hazelbend_mib.SYSTEM, 3) for oid in system), "sysUpTime"
 
     on_site(tmp_path, work)
 
@@ -125,7 +125,7 @@
     view = Overview("n", 5_000_000, "leaving", 100, 7, verdicts, figures, outcomes, (), (), fronts)
     found = {
         oid: int(value)
-        for oid, value in snmp_agent.values(view).items()
+        for oid, value in hazelbend_mib.object_values(view).items()
         if not isinstance(value, OctetString)
     }
     want = {
@@ -147,10 +147,10 @@
 def test_a_stranger_gets_nothing_and_nobody_may_write(tmp_path):
     async def work(app):
         assert "error" in await walk(app.agent.port, "public")
-        assert "error" in await walk(app.agent.port, "public", snmp_agent.SYSTEM)
+        assert "error" in await walk(app.agent.port, "public", hazelbend_mib.SYSTEM)
         asker = new_asker()
         target = await UdpTransportTarget.create(("127.0.0.1", app.agent.port), timeout=0.5, retries=0)
-        name = ObjectType(ObjectIdentity((*snmp_agent.OBJECTS, 1, 1, 0)), OctetString("x"))
+        name = ObjectType(ObjectIdentity((*hazelbend_mib.OBJECTS, 1, 1, 0)), OctetString("x"))
         error, status, *_ = await set_cmd(asker, CommunityData(COMMUNITY), target, ContextData(), name)
         assert error or status
         asker.close_dispatcher()
