--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """What a client asks for. The core decides by the numbers; the rest goes on as it came."""
+    """What a client requests. Routing goes by the numbers; the rest is forwarded unchanged."""
 
     id: str
     class_index: int
     tenant: int
-    timeout_us: int  # microseconds until the client gives up
+    timeout_us: int  # until the client gives up
     key: int = 0
     slots: float = 1.0
     expected_work: int = 0
@@ -29,7 +29,7 @@
 
 
 class Verdict(Enum):
-    """What becomes of a request."""
+    """How a request ends."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -89,11 +89,11 @@
 
 
 AttemptCallback: TypeAlias = Callable[[ProgressReport | AttemptWritten], None]
-"""Gets `AttemptWritten` once, and the reports that follow it."""
+"""Called with `AttemptWritten` once, then with the progress reports."""
 
 
 class BackendClient(Protocol):
-    """The way to one backend. A cancelled call gives the attempt up, so that the backend stops it."""
+    """The client of one backend. To cancel a call aborts the attempt, so that the backend stops it."""
 
     async def attempt(
         self,
@@ -143,17 +143,18 @@
 
 @dataclass(slots=True)
 class RequestCounters:
-    """Counts since the start: the one place, whoever shows them."""
+    """Counts since the start of the process; all that shows counts reads them here."""
 
     received: int = 0
     abandoned: int = 0  # the client left before the answer
     answers: Counter[tuple[int, Verdict]] = field(default_factory=Counter)  # by class
-    forwards: int = 0  # attempts written whole
+    forwards: int = 0  # attempts written completely
     outcomes: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
 
     @property
     def verdicts(self) -> dict[Verdict, int]:
         """Answers of all classes, by verdict."""
         return {
-            each: sum(n for (_, verdict), n in self.answers.items() if verdict is each) for each in Verdict
+            verdict: sum(count for (_, answered), count in self.answers.items() if answered is verdict)
+            for verdict in Verdict
         }
