--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -22,8 +22,8 @@
 from typing import Any
 
 from benchmarks import cpu_per_job
-from hazelbend.job_queue.engine import Engine
-from hazelbend.job_queue.terms import After, Bounds, End, Request, Terms
+from hazelbend.job_queue.engine import JobQueueEngine
+from hazelbend.job_queue.terms import Bounds, Dependency, JobOutcome, JobRequest, JobTerms
 
 
 def resident_mb() -> float:
@@ -33,14 +33,16 @@
 def measure(count: int) -> dict[str, float]:
     """So many jobs wait for the clock or a parent; then events among them."""
     drawn, large = random.Random(1), 10**9
-    engine = Engine(Bounds(waiting=large, waiting_bytes=1 << 50, by_client=large, remember=10_000))
+    engine = JobQueueEngine(Bounds(waiting=large, waiting_bytes=1 << 50, by_client=large, remember=10_000))
     before, wall = resident_mb(), 10**15
 
     def submit(number: int) -> None:
-        after = (After(str(number - 1)),) if number % 10 in (1, 2) else ()
+        after = (Dependency(str(number - 1)),) if number % 10 in (1, 2) else ()
         at = wall + drawn.randrange(1, 10**9) if not after else None
-        terms = Terms(after, at)
-        engine.submit(Request((f"c{number % 100}", str(number)), number % 3, 0, 10**12, 100, terms), 0, wall)
+        terms = JobTerms(after, at)
+        engine.submit(
+            JobRequest((f"c{number % 100}", str(number)), number % 3, 0, 10**12, 100, terms), 0, wall
+        )
 
     began = time.perf_counter()
     for number in range(count):
@@ -56,17 +58,17 @@
     for number in range(count, count + sample):
         submit(number)
     row["one_more_us"] = 1e6 * (time.perf_counter() - began) / sample
-    keys = drawn.sample(list(engine.nodes), sample)
+    keys = drawn.sample(list(engine.jobs), sample)
     began = time.perf_counter()
     for key in keys:
-        engine.cancel(key, End.CANCELLED, 1)
+        engine.cancel(key, JobOutcome.CANCELLED, 1)
     row["cancel_us"] = 1e6 * (time.perf_counter() - began) / sample
     released, began, sample = 0, time.perf_counter(), min(sample, count // 4)
     while released < sample:
         wall = engine.timers.starts[0][0]
         for effect in engine.tick(1, wall):
             released += 1
-            engine.ended(effect.key, End.SERVED, b"", 2)
+            engine.ended(effect.key, JobOutcome.SERVED, b"", 2)
     row["due_run_end_us"] = 1e6 * (time.perf_counter() - began) / released
     return {key: round(value, 1) for key, value in row.items()}
 
@@ -116,7 +118,7 @@
 
         async def post(name: str, job_id: str, body: bytes, more: str = "") -> int:
             began = loop.time()
-            reader, writer = await asyncio.open_connection("127.0.0.1", app.edge.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", app.condition.port)
             head = (
                 f"POST /{name}/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: {job_id}\r\nX-Tenant-Id: ege-volt\r\n"
                 f"Idempotency-Key: {job_id}\r\n{more}Connection: close\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -158,15 +160,15 @@
         async with asyncio.timeout(20):
             while len(peer.answers()) < sent:
                 await asyncio.sleep(0.05)
-        engine = app.waiting.gate.engine
-        names, longest = [row["name"] for row in lanes], engine.totals.longest
+        engine = app.parts["waiting"].gate.engine
+        names, longest = [row["name"] for row in lanes], engine.totals.longest_wait_us
         return {
             "rule": rule,
             "jobs": sum(count for (what, _), count in counts.items() if what == "asked") + sent,
             "without_an_answer": sum(count for (what, _), count in counts.items() if what == "none"),
             "longest_wait_ms": {names[index]: each // 1_000 for index, each in longest.items()},
             "missed": engine.totals.missed,
-            "refused_by_the_engine": engine.totals.refused[End.REFUSED],
+            "refused_by_the_engine": engine.totals.rejected[JobOutcome.REFUSED],
             "longest_answer_ms": {name: round(1e3 * max(each)) for name, each in waits.items()},
             "served": {name: round(counts[200, name] / counts["asked", name], 3) for name in waits},
             "in_time": {
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -9,29 +9,31 @@
 from multidict import MultiMapping
 
 from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
-from hazelbend.job_queue.gate import Gate, Held, wall_now
+from hazelbend.job_queue.gate import JobGate, PendingJob, wall_now
 from hazelbend.job_queue.settings import WaitingSettings
-from hazelbend.job_queue.terms import Bounds, Terms, TermsError
+from hazelbend.job_queue.terms import Bounds, JobTerms, TermsError
 from hazelbend.protocol.http_fields import BadRequestError, timeout_us
 from hazelbend.protocol.stomp import Frame
 from hazelbend.protocol.stomp_jobs import request_id
 from hazelbend.protocol.waiting_terms import read_terms
 from hazelbend.routing.ports import Job
 
-ENDS = "the dispatcher ends"
-MOST_ROWS = 200  # of waiting jobs that are shown
+ENDING_REASON = "the dispatcher ends"
+MAX_ROWS = 200  # waiting jobs shown on the console
+US_PER_S = 1e6
+MS_PER_S = 1e3
 
 
 class Waiting(Part):
-    def __init__(self, ground: Ground) -> None:
-        self._ground = ground
+    def __init__(self, context: Ground) -> None:
+        self._ground = context
         self.settings = self._wanted()
-        self.gate = Gate(
-            ground.router,
+        self.gate = JobGate(
+            context.router,
             self._bounds(),
             self.settings.ordinary,
-            lambda index: ground.conf.settings.classes[index].late_worth,
-            lambda index: ground.conf.settings.classes[index].objective,
+            lambda index: context.conf.settings.classes[index].late_worth,
+            lambda index: context.conf.settings.classes[index].objective,
         )
         self._join()
 
@@ -60,18 +62,18 @@
         self._ground.client_listener.gate = None
         if self._ground.stomp is not None:
             self._ground.stomp.gate = self._ground.stomp.cancel = None
-        self.gate.refuse_rest("jobs do not wait here any more")
+        self.gate.reject_waiting("jobs do not wait here any more")
         self.gate.close()
 
     async def leave(self, seconds: float) -> None:
-        self.gate.leave(ENDS, wall_now() + round(seconds * 1e6))
+        self.gate.leave(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
 
     async def finish(self, seconds: float) -> None:
         """What can still run does; the rest is refused in time for its clients to hear of it."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self.gate.drained()
-        self.gate.refuse_rest(ENDS)
+        self.gate.reject_waiting(ENDING_REASON)
 
     def end(self) -> None:
         self.gate.close()
@@ -88,13 +90,16 @@
         return {"cancel": self._cancel}
 
     def _show(self) -> str:
-        catalogue, rows = self._ground.conf.catalogue, self.gate.rows()
+        catalogue = self._ground.conf.catalogue
+        rows = self.gate.rows()
         counts = Counter(catalogue.classes[row.class_index].name for row in rows)
         lines: list[tuple[object, ...]] = [("CLIENT", "ID", "CLASS", "TENANT", "WAITS", "LEFT", "FOR")]
-        for row in rows[:MOST_ROWS]:
+        for row in rows[:MAX_ROWS]:
             tenant = catalogue.tenants[row.tenant] if catalogue.tenants else "-"
-            name, age = catalogue.classes[row.class_index].name, f"{row.age / 1e6:.1f} s"
-            lines.append((row.client or "-", row.id, name, tenant, age, f"{row.left / 1e6:.1f} s", row.why))
+            name = catalogue.classes[row.class_index].name
+            age = f"{row.age_us / US_PER_S:.1f} s"
+            remaining = f"{row.remaining_us / US_PER_S:.1f} s"
+            lines.append((row.client or "-", row.id, name, tenant, age, remaining, row.waits_for))
         more = f"{len(rows)} wait" + "".join(f", {name} {count}" for name, count in counts.most_common())
         return "\n".join([table(lines), more])
 
@@ -105,9 +110,9 @@
 
     # --- what the fronts call ---
 
-    def _http(self, job: Job, headers: MultiMapping[str]) -> Held:
+    def _http(self, job: Job, headers: MultiMapping[str]) -> PendingJob:
         if not self.settings.http_headers:
-            return self._take(job, "", job.id, Terms(), None)
+            return self._submit(job, "", job.id, JobTerms(), None)
         names = ("X-After", "X-Not-Before", "X-Wanted-Ms", "X-Take-Results")
         for name in names:
             if len(headers.getall(name, [])) > 1:
@@ -115,22 +120,27 @@
         tenants = self._ground.conf.catalogue.tenants
         terms = self._terms(*(headers.get(name, "") for name in names))
         client = tenants[job.tenant] if tenants else ""
-        return self._take(job, client, job.id, terms, headers.get("X-Timeout-Ms"))
+        return self._submit(job, client, job.id, terms, headers.get("X-Timeout-Ms"))
 
-    def _stomp(self, job: Job, client: str, frame: Frame) -> Held:
+    def _stomp(self, job: Job, client: str, frame: Frame) -> PendingJob:
         names = ("after", "not-before", "wanted", "take-results")
         terms = self._terms(*(frame.get(name) for name in names))
-        return self._take(job, client, request_id(frame), terms, frame.headers.get("deadline"))
+        return self._submit(job, client, request_id(frame), terms, frame.headers.get("deadline"))
 
-    def _terms(self, after: str, not_before: str, wanted: str, take_results: str) -> Terms:
+    def _terms(self, after: str, not_before: str, wanted: str, take_results: str) -> JobTerms:
         return read_terms(after, not_before, wanted, take_results, self._ground.router.clock.now())
 
-    def _take(self, job: Job, client: str, own_id: str, terms: Terms, said: str | None) -> Held:
-        catalogue, wait = self._ground.conf.catalogue, job.timeout_us
-        if terms.waits and said is not None:
+    def _submit(
+        self, job: Job, client: str, own_id: str, terms: JobTerms, timeout_text: str | None
+    ) -> PendingJob:
+        catalogue = self._ground.conf.catalogue
+        wait = job.timeout_us
+        if terms.waits and timeout_text is not None:
             # A job that waits may do so for longer than its class may run.
-            wait = timeout_us(said, round(self.settings.limits.longest_s * 1e3), catalogue.margin_us)
+            wait = timeout_us(
+                timeout_text, round(self.settings.limits.longest_s * MS_PER_S), catalogue.margin_us
+            )
         try:
-            return self.gate.take(job, (client, own_id), terms, wait)
+            return self.gate.submit(job, (client, own_id), terms, wait)
         except TermsError as error:
             raise BadRequestError(str(error)) from None
--- a/hazelbend/job_queue/admission.py
+++ b/hazelbend/job_queue/admission.py
@@ -12,24 +12,24 @@
 from typing import TypeAlias
 
 from hazelbend.job_queue.job import JobState, QueuedJob
-from hazelbend.job_queue.terms import Bounds, Key
+from hazelbend.job_queue.terms import Bounds, JobKey
 
 FIRST_RUN_US = 500_000.0  # expected run of a class before one has been seen
 MEAN_RUN_WINDOW = 50.0  # runs that a class's mean rests on
 
-QueueEntry: TypeAlias = tuple[int, int, Key]  # microseconds to order by, number of the entry, job
+QueueEntry: TypeAlias = tuple[int, int, JobKey]  # microseconds to order by, number of the entry, job
 Queues: TypeAlias = dict[int, list[QueueEntry]]  # heaps by class
 
 
 class AdmissionQueue:
     """The jobs that are ready and wait for a place, and the counts of those that have one."""
 
-    def __init__(self, bounds: Bounds, jobs: dict[Key, QueuedJob]) -> None:
+    def __init__(self, bounds: Bounds, jobs: dict[JobKey, QueuedJob]) -> None:
         self.bounds = bounds
         self.running: Counter[int] = Counter()  # by class
         self.running_by_tenant: Counter[int] = Counter()
         self.running_aged = 0
-        self.runs: dict[int, float] = {}  # by class: mean run in microseconds
+        self.mean_run_us: dict[int, float] = {}  # by class: mean run in microseconds
         self.queued_in_time: Counter[int] = Counter()  # by class
         self._jobs = jobs
         self._in_time: Queues = {}
@@ -40,12 +40,12 @@
 
     def expected_run(self, class_index: int) -> float:
         """Mean run of the class in microseconds."""
-        return self.runs.get(class_index, FIRST_RUN_US)
+        return self.mean_run_us.get(class_index, FIRST_RUN_US)
 
     def observe_run(self, class_index: int, run: int) -> None:
         """Take a run, in microseconds, into its class's moving mean."""
-        mean = self.runs.get(class_index, float(run))
-        self.runs[class_index] = mean + (run - mean) / MEAN_RUN_WINDOW
+        mean = self.mean_run_us.get(class_index, float(run))
+        self.mean_run_us[class_index] = mean + (run - mean) / MEAN_RUN_WINDOW
 
     def expected_wait(self, class_index: int) -> float:
         """About how long, in microseconds, the jobs in time take on the places that ageing does not use."""
--- a/hazelbend/job_queue/dependency_graph.py
+++ b/hazelbend/job_queue/dependency_graph.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 
 from hazelbend.job_queue.job import JobState, QueuedJob
-from hazelbend.job_queue.terms import Bounds, Edge, End, Key, Request, TermsError
+from hazelbend.job_queue.terms import Bounds, DependencyCondition, JobKey, JobOutcome, JobRequest, TermsError
 
 
 @dataclass(slots=True, frozen=True)
 class EndedJob:
     """The outcome of a job, retained for children that come later."""
 
-    outcome: End
+    outcome: JobOutcome
     result: bytes
     ended_at: int
 
@@ -26,12 +26,12 @@
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.jobs: dict[Key, QueuedJob] = {}
-        self.ended_jobs: OrderedDict[Key, EndedJob] = OrderedDict()
+        self.jobs: dict[JobKey, QueuedJob] = {}
+        self.ended_jobs: OrderedDict[JobKey, EndedJob] = OrderedDict()
 
     # --- checks before a job is added ---
 
-    def parents_of(self, request: Request, known: QueuedJob | None) -> dict[Key, Edge]:
+    def parents_of(self, request: JobRequest, known: QueuedJob | None) -> dict[JobKey, DependencyCondition]:
         """The parents that a request names, by key. Changes nothing.
 
         `known`: the job of this id that others wait for already.
@@ -52,19 +52,19 @@
         return found
 
     @staticmethod
-    def _named_parents(request: Request) -> dict[Key, Edge]:
+    def _named_parents(request: JobRequest) -> dict[JobKey, DependencyCondition]:
         client, own_id = request.key
-        found: dict[Key, Edge] = {}
+        found: dict[JobKey, DependencyCondition] = {}
         for dependency in request.terms.after:
             if dependency.id == own_id:
                 raise TermsError("it waits for itself")
             # If a parent is named twice, the stricter edge counts.
             key = client, dependency.id
-            strict = Edge.SERVED in (dependency.edge, found.get(key))
-            found[key] = Edge.SERVED if strict else dependency.edge
+            strict = DependencyCondition.SERVED in (dependency.condition, found.get(key))
+            found[key] = DependencyCondition.SERVED if strict else dependency.condition
         return found
 
-    def _check_parents(self, parents: dict[Key, Edge]) -> None:
+    def _check_parents(self, parents: dict[JobKey, DependencyCondition]) -> None:
         if len(parents) > self.bounds.parents:
             raise TermsError(f"it waits for {len(parents)} jobs; at most {self.bounds.parents} may be named")
         for key in parents:
@@ -72,12 +72,12 @@
             if parent is not None and len(parent.children) >= self.bounds.children:
                 raise TermsError(f"{self.bounds.children} jobs wait for {key[1]!r} already")
 
-    def depth_of(self, key: Key) -> int:
+    def depth_of(self, key: JobKey) -> int:
         """The length of the chain above a job; 0 if it is not known."""
         job = self.jobs.get(key)
         return job.depth if job is not None else 0
 
-    def reaches(self, starts: dict[Key, Edge], wanted: Key) -> bool:
+    def reaches(self, starts: dict[JobKey, DependencyCondition], wanted: JobKey) -> bool:
         """Whether one of `starts` waits, directly or through other jobs, for `wanted`."""
         seen = set(starts)
         ahead = list(starts)
@@ -108,7 +108,7 @@
         """Set a job's depth, and raise that of the jobs below it where they are deeper by it."""
         level = {job.key: depth}
         while level:
-            below: dict[Key, int] = {}
+            below: dict[JobKey, int] = {}
             for key, least in level.items():
                 reached = self.jobs[key]
                 if reached is job or reached.depth < least:
@@ -116,7 +116,7 @@
                     below.update(dict.fromkeys(reached.children, least + 1))
             level = below
 
-    def add_edge(self, parent: QueuedJob, child: QueuedJob, edge: Edge) -> None:
+    def add_edge(self, parent: QueuedJob, child: QueuedJob, edge: DependencyCondition) -> None:
         """Let `child` wait for `parent`."""
         parent.children[child.key] = None
         child.parents[parent.key] = edge
@@ -132,14 +132,14 @@
         job.parents = {}
         del self.jobs[job.key]
 
-    def hand_result(self, child: QueuedJob, parent: Key, outcome: End, result: bytes) -> None:
+    def hand_result(self, child: QueuedJob, parent: JobKey, outcome: JobOutcome, result: bytes) -> None:
         """Keep a parent's result for a child that asked for it, within the bound on bytes."""
-        if child.request is None or not child.request.terms.takes_results or outcome is not End.SERVED:
+        if child.request is None or not child.request.terms.takes_results or outcome is not JobOutcome.SERVED:
             return
         if sum(map(len, child.results.values())) + len(result) <= self.bounds.result_bytes:
             child.results[parent[1]] = result
 
-    def remember(self, key: Key, outcome: End, result: bytes, now: int) -> None:
+    def remember(self, key: JobKey, outcome: JobOutcome, result: bytes, now: int) -> None:
         """Retain the outcome of a job that ended; the oldest is dropped beyond the bound."""
         retained = result if len(result) <= self.bounds.result_bytes else b""
         self.ended_jobs.pop(key, None)
@@ -156,8 +156,8 @@
             self.ended_jobs.popitem(last=False)
 
 
-def fails_child(outcome: End, edge: Edge) -> bool:
+def fails_child(outcome: JobOutcome, edge: DependencyCondition) -> bool:
     """Whether a parent's outcome means that the child on this edge cannot run."""
-    if outcome is End.SERVED:
+    if outcome is JobOutcome.SERVED:
         return False
-    return edge is Edge.SERVED or outcome is End.NEVER_CAME
+    return edge is DependencyCondition.SERVED or outcome is JobOutcome.NEVER_CAME
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -11,7 +11,7 @@
     RUNNING   its answer, which the router gives     `ended`
     (ended)   remembered for a while, for children   time, or the bound on their number
 
-From BLOCKED and QUEUED it may also end at once, by `Refusal`: it has not run, so that a retry is harmless.
+From BLOCKED and QUEUED it may also end at once, by `Rejection`: it has not run, so that a retry is harmless.
 What a parent's end means for its children:
 
     parent's end                        edge SERVED             edge ENDED
@@ -54,13 +54,13 @@
 from hazelbend.job_queue.job import JobState, QueuedJob, Totals
 from hazelbend.job_queue.terms import (
     Bounds,
-    Edge,
+    DependencyCondition,
     Effect,
-    End,
-    Key,
-    Refusal,
+    JobKey,
+    JobOutcome,
+    JobRequest,
+    Rejection,
     Release,
-    Request,
     TermsError,
 )
 from hazelbend.job_queue.timers import JobTimers
@@ -71,7 +71,7 @@
 CLIENT_QUEUE_FULL = "too many jobs of this client wait"
 
 
-class Engine:
+class JobQueueEngine:
     """Takes events with their time, and returns what the caller must do: release or refuse jobs.
 
     `now` is always the monotonic clock, `wall` Unix time by the wall clock, both in microseconds.
@@ -80,8 +80,8 @@
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.graph = DependencyGraph(bounds)
-        self.nodes: dict[Key, QueuedJob] = self.graph.jobs
-        self.admission = AdmissionQueue(bounds, self.nodes)
+        self.jobs: dict[JobKey, QueuedJob] = self.graph.jobs
+        self.admission = AdmissionQueue(bounds, self.jobs)
         self.timers = JobTimers()
         self.totals = Totals()
         self.waiting = 0
@@ -90,77 +90,77 @@
         self._effects: list[Effect] = []
 
     @property
-    def ended_jobs(self) -> OrderedDict[Key, EndedJob]:
+    def ended_jobs(self) -> OrderedDict[JobKey, EndedJob]:
         """Outcomes of the last jobs that ended, the oldest first."""
         return self.graph.ended_jobs
 
     # --- events ---
 
-    def submit(self, request: Request, now: int, wall: int) -> list[Effect]:
+    def submit(self, request: JobRequest, now: int, wall: int) -> list[Effect]:
         """A job has come.
 
         Raises:
             TermsError: its terms cannot be met; nothing has changed.
         """
         self._effects = []
-        known = self.nodes.get(request.key)
+        known = self.jobs.get(request.key)
         if known is not None and known.state is not JobState.EXPECTED:
             raise TermsError("a job of this id is open")
         parents = self.graph.parents_of(request, known)
-        if self._needs_room(request) and (refusal := self._refusal_if_full(request)) is not None:
-            self._refuse_unknown(request.key, known, refusal, now)
+        if self._needs_room(request) and (rejection := self._rejection_if_full(request)) is not None:
+            self._reject_unknown(request.key, known, rejection, now)
             return self._effects
         job = known or QueuedJob(request.key, JobState.BLOCKED)
         job.state = JobState.BLOCKED
         job.request = request
         job.arrived_at = now
-        self.nodes[request.key] = job
+        self.jobs[request.key] = job
         self._count(job, 1)
         self.graph.set_depth(job, max((self.graph.depth_of(key) + 1 for key in parents), default=0))
-        failed: tuple[Key, End] | None = None
+        failed: tuple[JobKey, JobOutcome] | None = None
         for key, edge in parents.items():
             failed = failed or self._add_parent(job, key, edge, now)
         if failed is not None:
-            self._refuse(job, End.REFUSED, _parent_reason(*failed), now)
+            self._reject(job, JobOutcome.REFUSED, _parent_reason(*failed), now)
             return self._effects
         self._start_or_block(job, request, now, wall)
         self._admit(now)
         return self._effects
 
-    def ended(self, key: Key, end: End, result: bytes, now: int) -> list[Effect]:
+    def ended(self, key: JobKey, end: JobOutcome, result: bytes, now: int) -> list[Effect]:
         """A released job has its final answer."""
         self._effects = []
-        job = self.nodes.get(key)
+        job = self.jobs.get(key)
         if job is None or job.state is not JobState.RUNNING:
             return self._effects
-        if end is End.SERVED and job.request is not None:
+        if end is JobOutcome.SERVED and job.request is not None:
             self.admission.observe_run(job.request.class_index, max(now - job.started_at, 1))
         self._finish(job, end, result, now)
         self._admit(now)
         return self._effects
 
-    def cancel(self, key: Key, end: End, now: int, reason: str = "") -> list[Effect]:
+    def cancel(self, key: JobKey, end: JobOutcome, now: int, reason: str = "") -> list[Effect]:
         """End a waiting job, as its client asks or has left. A running one is the router's to end."""
         self._effects = []
-        job = self.nodes.get(key)
+        job = self.jobs.get(key)
         if job is not None and job.is_waiting:
-            self._refuse(job, end, reason or end.value, now)
+            self._reject(job, end, reason or end.value, now)
             self._admit(now)
         return self._effects
 
-    def refuse_all(self, reason: str, now: int, unless_by: int | None = None) -> list[Effect]:
+    def reject_all(self, reason: str, now: int, unless_by: int | None = None) -> list[Effect]:
         """Refuse what cannot run any more when the process ends.
 
         That is a job that waits for a time after `unless_by` (wall clock) or for a parent that has not come,
         and the jobs that wait for it. Without `unless_by`: every waiting job.
         """
         self._effects = []
-        for job in list(self.nodes.values()):
+        for job in list(self.jobs.values()):
             # A refusal may have ended jobs that are still ahead in this list.
-            if self.nodes.get(job.key) is not job or not job.is_waiting:
+            if self.jobs.get(job.key) is not job or not job.is_waiting:
                 continue
             if unless_by is None or self._cannot_start_by(job, unless_by):
-                self._refuse(job, End.REFUSED, reason, now)
+                self._reject(job, JobOutcome.REFUSED, reason, now)
         if unless_by is not None:
             self._admit(now)
         return self._effects
@@ -169,13 +169,13 @@
         """Handle the times that have come."""
         self._effects = []
         while (key := self.timers.pop_start(wall)) is not None:
-            job = self.nodes.get(key)
+            job = self.jobs.get(key)
             if job is not None and job.not_before is not None and job.not_before <= wall:
                 job.not_before = None
                 if not job.parents:
                     self._queue(job, now)
         while (key := self.timers.pop_deadline(now)) is not None:
-            job = self.nodes.get(key)
+            job = self.jobs.get(key)
             if job is not None:
                 self._check_deadline(job, now)
         self.graph.forget_old(now)
@@ -199,31 +199,35 @@
 
     # --- steps of a submission ---
 
-    def _needs_room(self, request: Request) -> bool:
-        crowded = 0 < self.bounds.in_service <= self.admission.busy and not request.passes
+    def _needs_room(self, request: JobRequest) -> bool:
+        crowded = 0 < self.bounds.in_service <= self.admission.busy and not request.bypasses_admission
         return request.terms.waits or crowded
 
-    def _refusal_if_full(self, request: Request) -> Refusal | None:
+    def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
         bounds = self.bounds
-        full = self.waiting >= bounds.waiting or self.waiting_bytes + request.size > bounds.waiting_bytes
+        full = (
+            self.waiting >= bounds.waiting or self.waiting_bytes + request.size_bytes > bounds.waiting_bytes
+        )
         if not full and self.by_client[request.key[0]] < bounds.by_client:
             return None
-        self.totals.refused[End.REFUSED] += 1
+        self.totals.rejected[JobOutcome.REFUSED] += 1
         reason = QUEUE_FULL if full else CLIENT_QUEUE_FULL
-        return Refusal(request.key, End.REFUSED, reason, round(FIRST_RUN_US))
+        return Rejection(request.key, JobOutcome.REFUSED, reason, round(FIRST_RUN_US))
 
-    def _refuse_unknown(self, key: Key, known: QueuedJob | None, refusal: Refusal, now: int) -> None:
+    def _reject_unknown(self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int) -> None:
         """Refuse a job that there is no room for, and tell those that expected it."""
-        self._effects.append(refusal)
-        self.graph.remember(key, End.REFUSED, b"", now)
+        self._effects.append(rejection)
+        self.graph.remember(key, JobOutcome.REFUSED, b"", now)
         if known is not None:
-            self._end_parent(known, End.REFUSED, b"", now)
-            del self.nodes[key]
+            self._end_parent(known, JobOutcome.REFUSED, b"", now)
+            del self.jobs[key]
 
-    def _add_parent(self, job: QueuedJob, key: Key, edge: Edge, now: int) -> tuple[Key, End] | None:
+    def _add_parent(
+        self, job: QueuedJob, key: JobKey, edge: DependencyCondition, now: int
+    ) -> tuple[JobKey, JobOutcome] | None:
         """Wait for a parent; its key and outcome if it has ended in a way that fails the child."""
         past = self.graph.ended_jobs.get(key)
-        parent = self.nodes.get(key)
+        parent = self.jobs.get(key)
         if past is not None and parent is None:
             if fails_child(past.outcome, edge):
                 return key, past.outcome
@@ -231,19 +235,19 @@
             return None
         if parent is None:
             parent = QueuedJob(key, JobState.EXPECTED, expected_until=now + self.bounds.come_within)
-            self.nodes[key] = parent
+            self.jobs[key] = parent
             self.timers.add_deadline(parent.expected_until, key)
         self.graph.add_edge(parent, job, edge)
         return None
 
-    def _start_or_block(self, job: QueuedJob, request: Request, now: int, wall: int) -> None:
+    def _start_or_block(self, job: QueuedJob, request: JobRequest, now: int, wall: int) -> None:
         if request.terms.not_before is not None and request.terms.not_before > wall:
             job.not_before = request.terms.not_before
             self.timers.add_start(job.not_before, request.key)
         self.timers.add_deadline(request.deadline, request.key)
         if job.parents or job.not_before is not None:
             self.totals.waited += 1
-        elif request.passes:
+        elif request.bypasses_admission:
             self._count(job, -1)
             job.state = JobState.RUNNING
             job.started_at = now
@@ -254,34 +258,34 @@
     # --- steps of the other events ---
 
     def _cannot_start_by(self, job: QueuedJob, wall: int) -> bool:
-        if any(self.nodes[key].state is JobState.EXPECTED for key in job.parents):
+        if any(self.jobs[key].state is JobState.EXPECTED for key in job.parents):
             return True
         return job.not_before is not None and job.not_before > wall
 
     def _check_deadline(self, job: QueuedJob, now: int) -> None:
         if job.state is JobState.EXPECTED and job.expected_until <= now:
-            self.graph.remember(job.key, End.NEVER_CAME, b"", now)
-            self._end_parent(job, End.NEVER_CAME, b"", now)
-            del self.nodes[job.key]
+            self.graph.remember(job.key, JobOutcome.NEVER_CAME, b"", now)
+            self._end_parent(job, JobOutcome.NEVER_CAME, b"", now)
+            del self.jobs[job.key]
         elif job.is_waiting and job.request and job.request.deadline <= now:
-            self._refuse(job, End.EXPIRED, DEADLINE_PASSED, now)
+            self._reject(job, JobOutcome.EXPIRED, DEADLINE_PASSED, now)
 
-    def _end_parent(self, parent: QueuedJob, outcome: End, result: bytes, now: int) -> None:
+    def _end_parent(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
         """Let the children know of their parent's end, and theirs in turn.
 
         A list and no recursion: a chain may be longer than the stack.
         """
-        ends: list[tuple[QueuedJob, End, bytes]] = [(parent, outcome, result)]
+        ends: list[tuple[QueuedJob, JobOutcome, bytes]] = [(parent, outcome, result)]
         while ends:
             ended, how, result = ends.pop()
             for key in ended.children:
-                child = self.nodes.get(key)
+                child = self.jobs.get(key)
                 if child is None or ended.key not in child.parents:
                     continue
-                edge = child.parents.pop(ended.key)
-                if fails_child(how, edge):
-                    self._take_out(child, End.REFUSED, _parent_reason(ended.key, how), now)
-                    ends.append((child, End.REFUSED, b""))
+                condition = child.parents.pop(ended.key)
+                if fails_child(how, condition):
+                    self._take_out(child, JobOutcome.REFUSED, _parent_reason(ended.key, how), now)
+                    ends.append((child, JobOutcome.REFUSED, b""))
                     continue
                 self.graph.hand_result(child, ended.key, how, result)
                 if not child.parents and child.not_before is None:
@@ -302,8 +306,8 @@
         if self.bounds.in_service:
             wait = self.admission.expected_wait(request.class_index)
             late = now + wait + run > wanted_by and not self.admission.fits(job)
-            if late and not request.late_worth:
-                self._refuse(job, End.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
+            if late and not request.late_value:
+                self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
                 return
             # In time it would delay jobs that were admitted as such.
             job.aged = late or self.admission.is_over_share(request.tenant)
@@ -319,7 +323,9 @@
             self.admission.occupy(job)
             self.totals.released += 1
             index = job.request.class_index
-            self.totals.longest[index] = max(self.totals.longest.get(index, 0), now - job.arrived_at)
+            self.totals.longest_wait_us[index] = max(
+                self.totals.longest_wait_us.get(index, 0), now - job.arrived_at
+            )
             self._effects.append(Release(job.key, tuple(job.results.items())))
             job.results = {}
 
@@ -332,32 +338,32 @@
         """Let a job that missed its latest start age, or refuse it if a late answer earns nothing."""
         assert job.request is not None
         self.totals.missed += 1
-        if not job.request.late_worth and self.bounds.in_service:
+        if not job.request.late_value and self.bounds.in_service:
             wait = round(self.admission.expected_wait(job.request.class_index))
-            self._refuse(job, End.REFUSED, WOULD_BE_LATE, now, wait or 1)
+            self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait or 1)
         else:
             self.admission.enqueue(job, latest_start)
 
     # --- ends ---
 
-    def _refuse(self, job: QueuedJob, end: End, reason: str, now: int, retry_after: int = 0) -> None:
+    def _reject(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
         self._take_out(job, end, reason, now, retry_after)
         self._end_parent(job, end, b"", now)
 
-    def _take_out(self, job: QueuedJob, end: End, reason: str, now: int, retry_after: int = 0) -> None:
+    def _take_out(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
         """Refuse a job that has not run. The caller lets its children know."""
         self.admission.discard(job)
         self.graph.remove(job)
         self._count(job, -1)
-        self.totals.refused[end] += 1
+        self.totals.rejected[end] += 1
         self.graph.remember(job.key, end, b"", now)
-        self._effects.append(Refusal(job.key, end, reason, retry_after))
+        self._effects.append(Rejection(job.key, end, reason, retry_after))
 
-    def _finish(self, job: QueuedJob, end: End, result: bytes, now: int) -> None:
+    def _finish(self, job: QueuedJob, end: JobOutcome, result: bytes, now: int) -> None:
         assert job.request is not None
-        if not job.request.passes:
+        if not job.request.bypasses_admission:
             self.admission.vacate(job)
-        del self.nodes[job.key]
+        del self.jobs[job.key]
         self.graph.remember(job.key, end, result, now)
         self._end_parent(job, end, result, now)
 
@@ -366,11 +372,11 @@
         assert job.request is not None
         client = job.key[0]
         self.waiting += by
-        self.waiting_bytes += by * job.request.size
+        self.waiting_bytes += by * job.request.size_bytes
         self.by_client[client] += by
         if not self.by_client[client]:
             del self.by_client[client]
 
 
-def _parent_reason(key: Key, end: End) -> str:
+def _parent_reason(key: JobKey, end: JobOutcome) -> str:
     return f"{key[1]}, for which it waited: {end.value}"
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -13,9 +13,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.engine import JobQueueEngine
 from hazelbend.job_queue.job import JobState, QueuedJob
-from hazelbend.job_queue.terms import Bounds, Effect, End, Key, Refusal, Release, Request, Terms, TermsError
+from hazelbend.job_queue.terms import (
+    Bounds,
+    Effect,
+    JobKey,
+    JobOutcome,
+    JobRequest,
+    JobTerms,
+    Rejection,
+    Release,
+    TermsError,
+)
 from hazelbend.routing.ports import Answer, Job, Verdict
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import Router
@@ -25,7 +35,11 @@
 SHOWN_PARENTS = 3  # in the text of what a job waits for
 US_PER_S = 1e6
 US_PER_MS = 1_000
-OUTCOMES = {Verdict.SERVED: End.SERVED, Verdict.REFUSED: End.REFUSED, Verdict.FAILED: End.FAILED}
+OUTCOMES = {
+    Verdict.SERVED: JobOutcome.SERVED,
+    Verdict.REFUSED: JobOutcome.REFUSED,
+    Verdict.FAILED: JobOutcome.FAILED,
+}
 
 
 def wall_now() -> int:
@@ -34,18 +48,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingJob:
     """A job from its submission to its answer. Listeners use it as they use a `RequestContext`."""
 
-    key: Key
+    key: JobKey
     job: Job
     deadline: int
-    gate: Gate
+    gate: JobGate
     answered: asyncio.Future[Answer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    flow: RequestContext | None = None
-    left: bool = False
+    context: RequestContext | None = None
+    client_left: bool = False
 
     def reply(self) -> asyncio.Future[Answer]:
         """The final answer in a future that the caller may cancel; `answered` is not cancelled with it."""
@@ -53,27 +67,27 @@
 
     def leave(self) -> None:
         """The client has left: cancel a waiting job, abandon a running one."""
-        self.left = True
-        if self.flow is not None:
-            self.flow.leave()
+        self.client_left = True
+        if self.context is not None:
+            self.context.leave()
         else:
-            self.gate.cancel(self.key, End.LEFT)
+            self.gate.cancel(self.key, JobOutcome.LEFT)
 
 
 @dataclass(slots=True, frozen=True)
-class WaitingRow:
+class WaitingJob:
     """A waiting job as the console shows it."""
 
     client: str
     id: str
     class_index: int
     tenant: int
-    age: int  # microseconds
-    left: int  # until its deadline
-    why: str
+    age_us: int
+    remaining_us: int  # until its deadline
+    waits_for: str
 
 
-class Gate:
+class JobGate:
     """Carries out what the engine says: starts jobs in the router, rejects them, keeps the timer."""
 
     def __init__(
@@ -86,12 +100,12 @@
         wall: Callable[[], int] = wall_now,
     ) -> None:
         self.router = router
-        self.engine = Engine(bounds)
+        self.engine = JobQueueEngine(bounds)
         self.ordinary = ordinary
         self._late_worth = late_worth
         self._objective = objective
         self._wall = wall
-        self.held: dict[Key, Held] = {}
+        self.pending: dict[JobKey, PendingJob] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._leaving: tuple[str, int] | None = None
         self._idle = asyncio.Event()
@@ -99,32 +113,32 @@
 
     # --- called by listeners ---
 
-    def take(self, job: Job, key: Key, terms: Terms, patience: int) -> Held:
-        """Submit a job; `patience` is how long its client waits, in microseconds.
+    def submit(self, job: Job, key: JobKey, terms: JobTerms, timeout_us: int) -> PendingJob:
+        """Submit a job; `timeout_us` is how long its client waits.
 
         Raises:
             TermsError: its terms cannot be met, or its id is open.
         """
         now = self.router.clock.now()
-        if key in self.held:
+        if key in self.pending:
             raise TermsError("a job of this id is open")
-        request = Request(
+        request = JobRequest(
             key,
             job.class_index,
             job.tenant,
-            now + patience,
+            now + timeout_us,
             len(job.body),
             terms,
             self._objective(job.class_index),
             self._late_worth(job.class_index),
-            passes=not terms.waits and not self.ordinary,
+            bypasses_admission=not terms.waits and not self.ordinary,
         )
-        held = Held(key, job, now + patience, self)
-        self.held[key] = held
+        pending = PendingJob(key, job, now + timeout_us, self)
+        self.pending[key] = pending
         try:
             effects = self.engine.submit(request, now, self._wall())
         except TermsError:
-            del self.held[key]
+            del self.pending[key]
             raise
         self._idle.clear()
         self.router.reserve_id(job.id)
@@ -132,12 +146,12 @@
         if self._leaving is not None:
             self.leave(*self._leaving)
         self._wake()
-        return held
+        return pending
 
-    def cancel(self, key: Key, end: End = End.CANCELLED) -> bool:
+    def cancel(self, key: JobKey, end: JobOutcome = JobOutcome.CANCELLED) -> bool:
         """Cancel a waiting job. False if no such job waits; a running one goes on."""
-        held = self.held.get(key)
-        if held is None or held.flow is not None:
+        pending = self.pending.get(key)
+        if pending is None or pending.context is not None:
             return False
         self._carry_out(self.engine.cancel(key, end, self.router.clock.now()))
         self._wake()
@@ -154,11 +168,11 @@
     def leave(self, reason: str, unless_by: int) -> None:
         """The process ends: reject at once what cannot start by then (wall clock), also of jobs to come."""
         self._leaving = reason, unless_by
-        self._carry_out(self.engine.refuse_all(reason, self.router.clock.now(), unless_by))
+        self._carry_out(self.engine.reject_all(reason, self.router.clock.now(), unless_by))
 
-    def refuse_rest(self, reason: str) -> None:
+    def reject_waiting(self, reason: str) -> None:
         """Reject every waiting job."""
-        self._carry_out(self.engine.refuse_all(reason, self.router.clock.now()))
+        self._carry_out(self.engine.reject_all(reason, self.router.clock.now()))
 
     async def drained(self) -> None:
         """Return when no job waits or runs."""
@@ -168,28 +182,28 @@
         """Stop the timer and reject every waiting job."""
         if self._timer is not None:
             self._timer.cancel()
-        self.refuse_rest("the dispatcher ends")
+        self.reject_waiting("the dispatcher ends")
 
     # --- shown to operators ---
 
-    def rows(self) -> list[WaitingRow]:
+    def rows(self) -> list[WaitingJob]:
         """The waiting jobs, the oldest first."""
         now = self.router.clock.now()
         rows = []
-        for node in self.engine.nodes.values():
-            if node.request is not None and node.is_waiting:
-                request = node.request
+        for job in self.engine.jobs.values():
+            if job.request is not None and job.is_waiting:
+                request = job.request
                 rows.append(
-                    WaitingRow(
-                        *node.key,
+                    WaitingJob(
+                        *job.key,
                         request.class_index,
                         request.tenant,
-                        now - node.arrived_at,
+                        now - job.arrived_at,
                         max(request.deadline - now, 0),
-                        self._why(node),
+                        self._waits_for(job),
                     )
                 )
-        return sorted(rows, key=lambda row: -row.age)
+        return sorted(rows, key=lambda row: -row.age_us)
 
     def counts(self, classes: list[str]) -> dict[str, int]:
         """The `waiting.*` figures; `classes` are the names by class index."""
@@ -199,66 +213,67 @@
             "waiting.bytes": self.engine.waiting_bytes,
             "waiting.released": totals.released,
             "waiting.missed": totals.missed,
-            "waiting.refused": totals.refused[End.REFUSED],
-            "waiting.expired": totals.refused[End.EXPIRED],
-            "waiting.cancelled": totals.refused[End.CANCELLED] + totals.refused[End.LEFT],
+            "waiting.refused": totals.rejected[JobOutcome.REFUSED],
+            "waiting.expired": totals.rejected[JobOutcome.EXPIRED],
+            "waiting.cancelled": totals.rejected[JobOutcome.CANCELLED] + totals.rejected[JobOutcome.LEFT],
         }
         for index, name in enumerate(classes):
-            found[f"waiting.longest_ms.{name}"] = totals.longest.get(index, 0) // US_PER_MS
+            found[f"waiting.longest_ms.{name}"] = totals.longest_wait_us.get(index, 0) // US_PER_MS
         return found
 
-    def _why(self, node: QueuedJob) -> str:
-        if node.state is JobState.QUEUED:
-            return "a place" + (", late or over its share" if node.aged else "")
-        why = [f"the end of {key[1]}" for key in list(node.parents)[:SHOWN_PARENTS]]
-        if len(node.parents) > SHOWN_PARENTS:
-            why.append(f"{len(node.parents) - SHOWN_PARENTS} more")
-        if node.not_before is not None:
-            why.append(f"its time, in {max(node.not_before - self._wall(), 0) / US_PER_S:.1f} s")
-        return ", ".join(why)
+    def _waits_for(self, job: QueuedJob) -> str:
+        if job.state is JobState.QUEUED:
+            return "a place" + (", late or over its share" if job.aged else "")
+        waits_for = [f"the end of {key[1]}" for key in list(job.parents)[:SHOWN_PARENTS]]
+        if len(job.parents) > SHOWN_PARENTS:
+            waits_for.append(f"{len(job.parents) - SHOWN_PARENTS} more")
+        if job.not_before is not None:
+            waits_for.append(f"its time, in {max(job.not_before - self._wall(), 0) / US_PER_S:.1f} s")
+        return ", ".join(waits_for)
 
     # --- effects of the engine ---
 
     def _carry_out(self, effects: list[Effect]) -> None:
         # A released job may end at once and release others.
         for effect in effects:
-            held = self.held.get(effect.key)
-            if held is None:
+            pending = self.pending.get(effect.key)
+            if pending is None:
                 continue
             if isinstance(effect, Release):
-                self._run(held, effect)
+                self._start(pending, effect)
             else:
-                self._refuse(held, effect)
+                self._reject(pending, effect)
 
-    def _run(self, held: Held, release: Release) -> None:
-        left = held.deadline - self.router.clock.now()
-        job = replace(held.job, timeout_us=max(min(left, held.job.timeout_us), 1))
+    def _start(self, pending: PendingJob, release: Release) -> None:
+        remaining_us = pending.deadline - self.router.clock.now()
+        job = replace(pending.job, timeout_us=max(min(remaining_us, pending.job.timeout_us), 1))
         if release.results:
             job = replace(job, body=with_results(job.body, release.results))
-        flow = held.flow = self.router.accept(job)
-        flow.answered.add_done_callback(lambda done: self._ended(held, done))
+        context = self.router.accept(job)
+        pending.context = context
+        context.answered.add_done_callback(lambda done: self._ended(pending, done))
 
-    def _ended(self, held: Held, done: asyncio.Future[Answer]) -> None:
+    def _ended(self, pending: PendingJob, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
-        end = End.LEFT if held.left else OUTCOMES[answer.verdict]
-        self._forget(held, answer)
-        self._carry_out(self.engine.ended(held.key, end, answer.result, self.router.clock.now()))
+        end = JobOutcome.LEFT if pending.client_left else OUTCOMES[answer.verdict]
+        self._forget(pending, answer)
+        self._carry_out(self.engine.ended(pending.key, end, answer.result, self.router.clock.now()))
         self._wake()
 
-    def _refuse(self, held: Held, refusal: Refusal) -> None:
-        self.router.release_id(held.job.id)
-        if held.left:
+    def _reject(self, pending: PendingJob, rejection: Rejection) -> None:
+        self.router.release_id(pending.job.id)
+        if pending.client_left:
             self.router.count_abandoned()
             answer = Answer(Verdict.REFUSED)
         else:
-            answer = self.router.reject(held.job, refusal.retry_after, refusal.reason)
-        self._forget(held, answer)
-
-    def _forget(self, held: Held, answer: Answer) -> None:
-        self.held.pop(held.key, None)
-        if not held.answered.done():
-            held.answered.set_result(answer)
-        if not self.held:
+            answer = self.router.reject(pending.job, rejection.retry_after, rejection.reason)
+        self._forget(pending, answer)
+
+    def _forget(self, pending: PendingJob, answer: Answer) -> None:
+        self.pending.pop(pending.key, None)
+        if not pending.answered.done():
+            pending.answered.set_result(answer)
+        if not self.pending:
             self._idle.set()
 
     def _wake(self) -> None:
--- a/hazelbend/job_queue/job.py
+++ b/hazelbend/job_queue/job.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hazelbend.job_queue.terms import Edge, End, Key, Request
+from hazelbend.job_queue.terms import DependencyCondition, JobKey, JobOutcome, JobRequest
 
 
 class JobState(Enum):
@@ -22,14 +22,14 @@
 class QueuedJob:
     """A job from its submission to its final answer, or an id that others wait for. Times in microseconds."""
 
-    key: Key
+    key: JobKey
     state: JobState
-    request: Request | None = None  # None: EXPECTED
+    request: JobRequest | None = None  # None: EXPECTED
     arrived_at: int = 0
     queued_at: int = 0
     started_at: int = 0
-    parents: dict[Key, Edge] = field(default_factory=dict)  # that have not ended
-    children: dict[Key, None] = field(default_factory=dict)
+    parents: dict[JobKey, DependencyCondition] = field(default_factory=dict)  # that have not ended
+    children: dict[JobKey, None] = field(default_factory=dict)
     results: dict[str, bytes] = field(default_factory=dict)
     depth: int = 0  # length of the chain of parents above it
     not_before: int | None = None  # wall time that has not come
@@ -50,5 +50,5 @@
     waited: int = 0
     released: int = 0
     missed: int = 0  # were in time when they were queued, and no longer when they would have started
-    refused: Counter[End] = field(default_factory=Counter)
-    longest: dict[int, int] = field(default_factory=dict)  # by class: longest wait of a released job, us
+    rejected: Counter[JobOutcome] = field(default_factory=Counter)
+    longest_wait_us: dict[int, int] = field(default_factory=dict)  # by class, of released jobs
--- a/hazelbend/job_queue/terms.py
+++ b/hazelbend/job_queue/terms.py
@@ -10,17 +10,17 @@
 from enum import Enum
 from typing import TypeAlias
 
-Key: TypeAlias = tuple[str, str]  # a client, and its own id of the job
+JobKey: TypeAlias = tuple[str, str]  # a client, and its own id of the job
 
 
-class Edge(Enum):
+class DependencyCondition(Enum):
     """Which end of its parent a job needs."""
 
     SERVED = "served"
     ENDED = "ended"  # in any way
 
 
-class End(Enum):
+class JobOutcome(Enum):
     """How a job ended."""
 
     SERVED = "served"
@@ -33,18 +33,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class After:
+class Dependency:
     """A job of the same client that this one waits for."""
 
     id: str
-    edge: Edge = Edge.SERVED
+    condition: DependencyCondition = DependencyCondition.SERVED
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class JobTerms:
     """What a client asks for a job."""
 
-    after: tuple[After, ...] = ()
+    after: tuple[Dependency, ...] = ()
     not_before: int | None = None  # wall clock
     # An answer by then has its full value; 0: by its class's objective, from when the job is ready.
     wanted_by: int = 0
@@ -57,18 +57,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Request:
+class JobRequest:
     """A job as the engine sees it."""
 
-    key: Key
+    key: JobKey
     class_index: int
     tenant: int
     deadline: int  # when its client gives up
-    size: int = 0  # bytes that it holds while it waits
-    terms: Terms = Terms()
+    size_bytes: int = 0  # bytes that it holds while it waits
+    terms: JobTerms = JobTerms()
     objective: int = 0  # of its class; 0: none but the deadline
-    late_worth: float = 0.0  # part of the value that a late answer has
-    passes: bool = False  # bypasses admission: only here so that others can wait for it
+    late_value: float = 0.0  # part of the value that a late answer has
+    bypasses_admission: bool = False  # takes no place; submitted so that others can wait for it
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,21 +95,21 @@
 class Release:
     """The job may run now, with its parents' results if it asked for them."""
 
-    key: Key
+    key: JobKey
     results: tuple[tuple[str, bytes], ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
+class Rejection:
     """The final answer of a job that has not run, so that a retry is harmless."""
 
-    key: Key
-    end: End
+    key: JobKey
+    end: JobOutcome
     reason: str
     retry_after: int = 0  # microseconds; 0: not known
 
 
-Effect: TypeAlias = Release | Refusal
+Effect: TypeAlias = Release | Rejection
 
 
 class TermsError(ValueError):
--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from hazelbend.job_queue.terms import After, Edge, Terms
+from hazelbend.job_queue.terms import Dependency, DependencyCondition, JobTerms
 from hazelbend.protocol.http_fields import BadRequestError
 
 MAX_AFTER_LENGTH = 16_384  # characters
@@ -21,7 +21,7 @@
 US_PER_MS = 1_000
 
 
-def read_terms(after: str, not_before: str, wanted: str, take_results: str, now: int) -> Terms:
+def read_terms(after: str, not_before: str, wanted: str, take_results: str, now: int) -> JobTerms:
     """The terms in these texts; an empty text is a term that is not given.
 
     `now`: microseconds of the monotonic clock.
@@ -35,21 +35,23 @@
     wanted_by = 0
     if wanted:
         wanted_by = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
-    return Terms(_after(after), starts_at, wanted_by, _flag(take_results))
+    return JobTerms(_after(after), starts_at, wanted_by, _flag(take_results))
 
 
-def _after(text: str) -> tuple[After, ...]:
+def _after(text: str) -> tuple[Dependency, ...]:
     if len(text) > MAX_AFTER_LENGTH:
         raise BadRequestError("after is too long")
     found = []
     for dependency in text.split(",") if text else ():
-        name, _, edge = (part.strip() for part in dependency.partition(";"))
+        name, _, condition = (part.strip() for part in dependency.partition(";"))
         if not name or len(name) > MAX_ID_LENGTH or not name.isprintable():
             raise BadRequestError("after: an id is missing or unusable")
         try:
-            found.append(After(name, Edge(edge) if edge else Edge.SERVED))
+            found.append(Dependency(name, DependencyCondition(condition or "served")))
         except ValueError:
-            raise BadRequestError(f"after: {edge[:SHOWN_LENGTH]!r} is neither served nor ended") from None
+            raise BadRequestError(
+                f"after: {condition[:SHOWN_LENGTH]!r} is neither served nor ended"
+            ) from None
     return tuple(found)
 
 
--- a/tests/golden_runs.py
+++ b/tests/golden_runs.py
@@ -37,7 +37,7 @@
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.gossip.messages import Packet
 from hazelbend.job_queue import terms
-from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.engine import JobQueueEngine
 from hazelbend.leases import lease_table
 from hazelbend.leases import operations as lease_operations
 from hazelbend.leases.lease_node import LeaseNode, LeaseNodeSettings
@@ -477,7 +477,7 @@
     bounds = terms.Bounds(
         in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, come_within=400 * MS
     )
-    engine = Engine(bounds)
+    engine = JobQueueEngine(bounds)
     running: list[Any] = []
     for step in range(1_500):
         passed = chance.randrange(1, 20 * MS)
@@ -485,10 +485,12 @@
         drawn = chance.random()
         effects: list[Any] = []
         if drawn < 0.5:
-            after = [terms.After(str(chance.randrange(max(step - 30, 0), step + 3)), chance.choice(EDGES))]
+            after = [
+                terms.Dependency(str(chance.randrange(max(step - 30, 0), step + 3)), chance.choice(EDGES))
+            ]
             at = wall + chance.randrange(300 * MS) if drawn < 0.1 else None
-            wish = terms.Terms(tuple(after if drawn < 0.25 else ()), at, 0, drawn < 0.2)
-            request = terms.Request(
+            wish = terms.JobTerms(tuple(after if drawn < 0.25 else ()), at, 0, drawn < 0.2)
+            request = terms.JobRequest(
                 ("c", str(step)), step % 3, step % 2, now + chance.randrange(1 * S), 10, wish, 200 * MS, 0.5
             )
             try:
@@ -497,19 +499,19 @@
                 trace.add(str(error))
         elif drawn < 0.8 and running:
             key = running.pop(chance.randrange(len(running)))
-            end = chance.choice([terms.End.SERVED, terms.End.SERVED, terms.End.FAILED])
+            end = chance.choice([terms.JobOutcome.SERVED, terms.JobOutcome.SERVED, terms.JobOutcome.FAILED])
             effects = engine.ended(key, end, b"result", now)
         elif drawn < 0.85:
-            effects = engine.cancel(("c", str(chance.randrange(step + 1))), terms.End.CANCELLED, now)
+            effects = engine.cancel(("c", str(chance.randrange(step + 1))), terms.JobOutcome.CANCELLED, now)
         else:
             effects = engine.tick(now, wall)
         trace.add(effects, engine.next_at(now, wall), engine.waiting)
         running += [each.key for each in effects if isinstance(each, terms.Release)]
-    trace.add(engine.refuse_all("over", now))
+    trace.add(engine.reject_all("over", now))
     return trace
 
 
-EDGES = tuple(terms.Edge)
+EDGES = tuple(terms.DependencyCondition)
 ALL: dict[str, Callable[[], Trace]] = {
     "control": control_run,
     "quotas": quota_run,
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -7,31 +7,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hazelbend.job_queue.engine import Engine
+from hazelbend.job_queue.engine import JobQueueEngine
 from hazelbend.job_queue.invariants import check_invariants
 from hazelbend.job_queue.job import JobState
 from hazelbend.job_queue.terms import (
-    After,
     Bounds,
-    Edge,
-    End,
-    Refusal,
+    Dependency,
+    DependencyCondition,
+    JobOutcome,
+    JobRequest,
+    JobTerms,
+    Rejection,
     Release,
-    Request,
-    Terms,
     TermsError,
 )
 
 MS = 1_000
 WALL = 10**15
-RAN = (End.SERVED, End.REFUSED, End.FAILED, End.CANCELLED, End.LEFT)
+RAN = (JobOutcome.SERVED, JobOutcome.REFUSED, JobOutcome.FAILED, JobOutcome.CANCELLED, JobOutcome.LEFT)
 
 
 class Run:
     """An engine, the time, and what became of each job; the invariants are evaluated after every event."""
 
     def __init__(self, checked=True, **bounds):
-        self.engine, self.now, self.checked = Engine(Bounds(**bounds)), 0, checked
+        self.engine, self.now, self.checked = JobQueueEngine(Bounds(**bounds)), 0, checked
         self.released, self.refused = [], {}
         self.answers = Counter()
         self.wall = WALL
@@ -44,7 +44,7 @@
                 self.released.append(job)
                 self.results = dict(each.results)
             else:
-                assert isinstance(each, Refusal)
+                assert isinstance(each, Rejection)
                 self.answers[job] += 1
                 self.refused[job] = each
         if self.checked:
@@ -54,16 +54,16 @@
     def submit(
         self, job, *after, at=None, wanted=0, deadline=10**9, cls=0, tenant=0, late=0.0, size=1, **more
     ):
-        edges = tuple(each if isinstance(each, After) else After(each) for each in after)
-        terms = Terms(edges, at, wanted, **more)
-        request = Request(("c", job), cls, tenant, self.now + deadline, size, terms, 0, late)
+        edges = tuple(each if isinstance(each, Dependency) else Dependency(each) for each in after)
+        terms = JobTerms(edges, at, wanted, **more)
+        request = JobRequest(("c", job), cls, tenant, self.now + deadline, size, terms, 0, late)
         return self.took(self.engine.submit(request, self.now, self.wall))
 
-    def end(self, job, end=End.SERVED, result=b""):
+    def end(self, job, end=JobOutcome.SERVED, result=b""):
         self.answers[job] += 1
         return self.took(self.engine.ended(("c", job), end, result, self.now))
 
-    def cancel(self, job, end=End.CANCELLED):
+    def cancel(self, job, end=JobOutcome.CANCELLED):
         return self.took(self.engine.cancel(("c", job), end, self.now))
 
     def wait(self, by):
@@ -76,17 +76,17 @@
 
 
 @pytest.mark.parametrize("before", [True, False])
-@pytest.mark.parametrize("edge", Edge)
+@pytest.mark.parametrize("edge", DependencyCondition)
 @pytest.mark.parametrize("end", RAN)
 def test_what_a_parents_end_means_cell_by_cell(end, edge, before):
     """Whether the child comes before its parent's end or after it."""
     run = Run().submit("p")
     if before:
-        run.submit("c", After("p", edge))
+        run.submit("c", Dependency("p", edge))
     run.end("p", end)
     if not before:
-        run.submit("c", After("p", edge))
-    if end is End.SERVED or edge is Edge.ENDED:
+        run.submit("c", Dependency("p", edge))
+    if end is JobOutcome.SERVED or edge is DependencyCondition.ENDED:
         assert run.released == ["p", "c"] and not run.refused
     else:
         assert (
@@ -94,12 +94,12 @@
         )
 
 
-@pytest.mark.parametrize("edge", Edge)
+@pytest.mark.parametrize("edge", DependencyCondition)
 def test_a_parent_that_never_comes(edge):
-    run = Run(come_within=50 * MS).submit("c", After("p", edge)).wait(49 * MS)
+    run = Run(come_within=50 * MS).submit("c", Dependency("p", edge)).wait(49 * MS)
     assert not run.refused
     run.wait(1 * MS)
-    assert "never came" in run.refused["c"].reason and not run.engine.nodes
+    assert "never came" in run.refused["c"].reason and not run.engine.jobs
 
 
 def test_a_parent_that_comes_later():
@@ -107,19 +107,21 @@
     assert run.released == ["p", "c"]
 
 
-@pytest.mark.parametrize("edge", Edge)
+@pytest.mark.parametrize("edge", DependencyCondition)
 @pytest.mark.parametrize("how", ["cancelled", "left", "expired", "refused for its own parent"])
 def test_a_parent_that_ends_while_it_waits(how, edge):
-    run = Run(come_within=50 * MS).submit("p", "g", deadline=20 * MS).submit("c", After("p", edge))
+    run = Run(come_within=50 * MS).submit("p", "g", deadline=20 * MS).submit("c", Dependency("p", edge))
     match how:
         case "cancelled" | "left":
-            run.cancel("p", End.CANCELLED if how == "cancelled" else End.LEFT)
+            run.cancel("p", JobOutcome.CANCELLED if how == "cancelled" else JobOutcome.LEFT)
         case "expired":
             run.wait(20 * MS)
         case _:
-            run.submit("g").end("g", End.FAILED)
+            run.submit("g").end("g", JobOutcome.FAILED)
     assert "p" in run.refused
-    assert ("c" in run.refused) is (edge is Edge.SERVED) and ("c" in run.released) is (edge is Edge.ENDED)
+    assert ("c" in run.refused) is (edge is DependencyCondition.SERVED) and ("c" in run.released) is (
+        edge is DependencyCondition.ENDED
+    )
 
 
 def test_results_are_handed_on_within_their_bound():
@@ -137,10 +139,10 @@
         ("s", ["s"], "itself"), ("x", ["a"], "waits for it"), ("a", [], "is open"),
         ("m", ["1", "2", "3", "4"], "at most 3"),
     ):  # fmt: skip
-        before = set(run.engine.nodes)
+        before = set(run.engine.jobs)
         with pytest.raises(TermsError, match=why):
             run.submit(job, *after)
-        assert set(run.engine.nodes) == before
+        assert set(run.engine.jobs) == before
     run.submit("k1", "x")
     with pytest.raises(TermsError, match="wait for 'x' already"):
         run.submit("k2", "x")
@@ -161,30 +163,32 @@
     assert run.released == ["top", "l", "r", "low"]
 
 
-@pytest.mark.parametrize("end", [End.SERVED, End.FAILED])
+@pytest.mark.parametrize("end", [JobOutcome.SERVED, JobOutcome.FAILED])
 def test_a_chain_of_a_thousand(end):
     run = Run(checked=False, depth=1_000, by_client=2_000)
     run.submit("0")
     for number in range(1, 1_000):
         run.submit(str(number), str(number - 1))
-    if end is End.FAILED:
+    if end is JobOutcome.FAILED:
         run.end("0", end)
         assert len(run.refused) == 999
     else:
         for number in range(1_000):
             run.end(str(number))
         assert len(run.released) == 1_000
-    assert set(run.answers.values()) == {1} and not run.engine.nodes
+    assert set(run.answers.values()) == {1} and not run.engine.jobs
 
 
-@pytest.mark.parametrize("end", [End.SERVED, End.FAILED])
+@pytest.mark.parametrize("end", [JobOutcome.SERVED, JobOutcome.FAILED])
 def test_a_fan_of_ten_thousand(end):
     run = Run(checked=False, children=10_000, by_client=20_000, waiting=20_000)
     run.submit("p")
     for number in range(10_000):
         run.submit(str(number), "p")
     run.end("p", end)
-    assert len(run.released if end is End.SERVED else run.refused) == 10_000 + (end is End.SERVED)
+    assert len(run.released if end is JobOutcome.SERVED else run.refused) == 10_000 + (
+        end is JobOutcome.SERVED
+    )
 
 
 # --- the clock ---
@@ -207,7 +211,7 @@
     run.wait(10)
     assert not run.released, "it is not six yet, by the wall"
     run.wait(hour - 10)
-    assert run.refused["soon"].end is End.EXPIRED
+    assert run.refused["soon"].end is JobOutcome.EXPIRED
     run.wall += hour
     run.wait(1)
     assert run.released == ["six"]
@@ -243,17 +247,19 @@
     run.end("a").submit("a2")
     run.submit("q1", wanted=run.now + 10_000 * MS).submit("q2", wanted=run.now + 10_000 * MS)
     run.submit("tight", wanted=run.now + 150 * MS)
-    assert run.refused["tight"].retry_after > 0 and run.refused["tight"].end is End.REFUSED
+    assert run.refused["tight"].retry_after > 0 and run.refused["tight"].end is JobOutcome.REFUSED
     run.submit("late", wanted=run.now + 150 * MS, late=0.3)
     assert "late" not in run.refused, "a late answer of it earns something: it waits"
 
 
 def test_a_child_is_wanted_by_its_classs_objective_from_when_it_is_ready():
-    engine = Engine(Bounds(in_service=1, aged=0))
-    engine.admission.runs = {0: 10.0, 1: 10.0}
-    for job, cls, objective, after in (("p", 0, 0, ()), ("c", 1, 50, (After("p"),)), ("x", 0, 200, ())):
-        engine.submit(Request(("c", job), cls, 0, 10**9, 1, Terms(after), objective), 0, WALL)
-    assert [each.key[1] for each in engine.ended(("c", "p"), End.SERVED, b"", 100)] == ["c"], "150, not 200"
+    engine = JobQueueEngine(Bounds(in_service=1, aged=0))
+    engine.admission.mean_run_us = {0: 10.0, 1: 10.0}
+    for job, cls, objective, after in (("p", 0, 0, ()), ("c", 1, 50, (Dependency("p"),)), ("x", 0, 200, ())):
+        engine.submit(JobRequest(("c", job), cls, 0, 10**9, 1, JobTerms(after), objective), 0, WALL)
+    assert [each.key[1] for each in engine.ended(("c", "p"), JobOutcome.SERVED, b"", 100)] == ["c"], (
+        "150, not 200"
+    )
 
 
 def test_a_tenants_excess_goes_behind():
@@ -279,7 +285,7 @@
     places, aged, run_ms = 20, 2, 30
     run = Run(checked=False, in_service=places, aged=aged, by_client=10**6, waiting=10**6)
     ends, wanted, late_waits, pushed = [], {}, [], 0
-    run.engine.admission.runs = {0: run_ms * MS, 1: run_ms * MS}
+    run.engine.admission.mean_run_us = {0: run_ms * MS, 1: run_ms * MS}
     arrived, number = {}, 0
 
     def play(until):
@@ -316,13 +322,13 @@
     play(11_000 * MS)
     assert pushed == 0 and run.engine.totals.missed == 0 and len(late_waits) == 100
     assert max(late_waits) <= 100 / aged * run_ms * MS
-    assert run.engine.totals.refused[End.REFUSED] < number / 10
+    assert run.engine.totals.rejected[JobOutcome.REFUSED] < number / 10
 
 
 def test_the_end_refuses_what_cannot_run_any_more():
     run = Run().submit("p").submit("c", "p").submit("never", "x").submit("far", at=WALL + 10**9)
     run.submit("near", at=WALL + 5).submit("below", "far")
-    run.took(run.engine.refuse_all("the dispatcher ends", run.now, WALL + 10))
+    run.took(run.engine.reject_all("the dispatcher ends", run.now, WALL + 10))
     assert set(run.refused) == {"never", "far", "below"}
     run.end("p").wait(5)
     assert run.released == ["p", "c", "near"]
@@ -331,8 +337,8 @@
 def test_at_the_very_end_nothing_is_released_and_each_has_its_answer():
     """Guards jobs that a refusal of others would have let in, when nobody runs them any more."""
     run = Run(in_service=1, checked=False).submit("a").submit("q1", wanted=10**8).submit("q2", wanted=10**8)
-    run.submit("b", "q1").submit("e", After("q1", Edge.ENDED))
-    run.took(run.engine.refuse_all("the end", run.now))
+    run.submit("b", "q1").submit("e", Dependency("q1", DependencyCondition.ENDED))
+    run.took(run.engine.reject_all("the end", run.now))
     assert run.released == ["a"] and set(run.refused) == {"q1", "q2", "b", "e"}
 
 
@@ -343,7 +349,7 @@
     run.took(run.engine.change(Bounds(in_service=3), run.now))
     assert run.released == ["a", "b", "c"]
     run.end("a").end("b").end("c")
-    assert not run.engine.nodes
+    assert not run.engine.jobs
 
 
 # --- every order of events ---
@@ -359,7 +365,7 @@
 
 
 @pytest.mark.parametrize("places", [0, 1, 2])
-@pytest.mark.parametrize("edge", Edge)
+@pytest.mark.parametrize("edge", DependencyCondition)
 @pytest.mark.parametrize("graph", GRAPHS)
 def test_every_order_of_events_of_small_graphs_gives_each_job_one_end(graph, edge, places):
     """Model checking: every order in which jobs come, end, fail, and are cancelled, to the end of each."""
@@ -369,11 +375,11 @@
         run = Run(come_within=10**12, in_service=places, aged=1)
         for what, job in path:
             if what == "come":
-                run.submit(job, *(After(each, edge) for each in jobs[job]), wanted=10**9)
+                run.submit(job, *(Dependency(each, edge) for each in jobs[job]), wanted=10**9)
             elif what == "cancel":
                 run.cancel(job)
             else:
-                run.end(job, End.SERVED if what == "serve" else End.FAILED)
+                run.end(job, JobOutcome.SERVED if what == "serve" else JobOutcome.FAILED)
         return run
 
     ahead = [()]
@@ -393,7 +399,7 @@
         assert all(count == 1 for count in run.answers.values())
         if came == set(jobs) and ended == came:
             complete += 1
-            assert not run.engine.nodes and not run.engine.waiting
+            assert not run.engine.jobs and not run.engine.waiting
             continue
         options = [("come", job) for job in jobs if job not in came]
         options += [(what, job) for job in run.released if job not in ended for what in ("serve", "fail")]
@@ -404,7 +410,7 @@
     assert complete
 
 
-edges = st.lists(st.tuples(st.integers(0, 9), st.sampled_from(Edge)), max_size=3)
+edges = st.lists(st.tuples(st.integers(0, 9), st.sampled_from(DependencyCondition)), max_size=3)
 clocks, worths = st.sampled_from([None, -5, 5, 40]), st.sampled_from([0.0, 0.5])
 events = st.one_of(
     st.tuples(
@@ -436,7 +442,7 @@
                 if job in taken and run.answers[job]:
                     names[number] = None  # it has ended: the client uses another id
                 job = names[number] = names.get(number) or f"{number}.{next(numbers)}"
-                parents = [After(names.get(each) or f"x{each}", edge) for each, edge in after]
+                parents = [Dependency(names.get(each) or f"x{each}", edge) for each, edge in after]
                 try:
                     more = {"at": None if at is None else run.wall + at, "wanted": run.now + deadline // 2}
                     run.submit(job, *parents, deadline=deadline, cls=cls, tenant=cls % 2, late=late, **more)
@@ -464,7 +470,7 @@
         run.end(running.pop())
         settle()
     assert {job: count for job, count in run.answers.items() if count} == dict.fromkeys(taken, 1)
-    assert not [each for each in run.engine.nodes.values() if each.state is not JobState.EXPECTED]
+    assert not [each for each in run.engine.jobs.values() if each.state is not JobState.EXPECTED]
 
 
 class Model:
@@ -481,9 +487,12 @@
                 if job in self.released or job in self.refused:
                     continue
                 ends = [(self.ends.get(parent), edge) for parent, edge in parents]
-                if any(end not in (None, End.SERVED) and edge is Edge.SERVED for end, edge in ends):
+                if any(
+                    end not in (None, JobOutcome.SERVED) and edge is DependencyCondition.SERVED
+                    for end, edge in ends
+                ):
                     self.refused.add(job)
-                    self.ends[job] = End.REFUSED
+                    self.ends[job] = JobOutcome.REFUSED
                     changed = True
                 elif all(end is not None for end, _ in ends) and (at is None or at <= self.wall):
                     self.released.add(job)
@@ -508,10 +517,14 @@
         match what, rest:
             case "come", [number, after, at] if str(number) not in model.jobs:
                 parents = {str(each): edge for each, edge in after}
-                parents |= {str(each): Edge.SERVED for each, edge in after if edge is Edge.SERVED}
+                parents |= {
+                    str(each): DependencyCondition.SERVED
+                    for each, edge in after
+                    if edge is DependencyCondition.SERVED
+                }
                 at = None if at is None else run.wall + at
                 try:
-                    run.submit(str(number), *(After(*each) for each in parents.items()), at=at)
+                    run.submit(str(number), *(Dependency(*each) for each in parents.items()), at=at)
                 except TermsError:
                     continue  # a circle
                 model.jobs[str(number)] = (list(parents.items()), at)
@@ -521,7 +534,7 @@
             case "cancel", [number] if str(number) in model.jobs.keys() - model.released - model.refused:
                 run.cancel(str(number))
                 model.refused.add(str(number))
-                model.ends[str(number)] = End.CANCELLED
+                model.ends[str(number)] = JobOutcome.CANCELLED
             case "wait", [by]:
                 run.wait(by)
                 model.wall += by
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -65,7 +65,7 @@
             await until(lambda: peer.answers().get("c") == ["served"])
             assert (
                 app.router.counters.received == 6
-                and not app.parts["waiting"].gate.held
+                and not app.parts["waiting"].gate.pending
                 and not app.router.open_ids
             )
 
@@ -112,7 +112,7 @@
             peer.job("a", b"5", **names)
             await until(lambda: peer.closed)
             assert words in peer.of("ERROR")[0].headers["message"]
-            assert not app.parts["waiting"].gate.held and not app.router.open_ids
+            assert not app.parts["waiting"].gate.pending and not app.router.open_ids
             assert status(await post(app, "a")) == 200, "the id is free, and the front serves on"
 
     asyncio.run(run())
@@ -188,7 +188,7 @@
     async def run():
         text = WAITING + "[admission]\nin_service = 2\naged = 0\nordinary = true\n"
         async with waiting_site(tmp_path, text) as (app, [toy]):
-            app.parts["waiting"].gate.engine.admission.runs[0] = 100_000.0
+            app.parts["waiting"].gate.engine.admission.mean_run_us[0] = 100_000.0
             jobs = [post(app, f"j{number}", b"100") for number in range(8)]
             await until(lambda: toy.holds == 2)
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
