--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -508,12 +508,12 @@
 @contextmanager
 def nobody_is_asked():
     """A leader's read ends before a majority has answered."""
-    usual = RaftNode._round_taken
-    RaftNode._round_taken = lambda self, number: True
+    usual = RaftNode._is_round_confirmed
+    RaftNode._is_round_confirmed = lambda self, number: True
     try:
         yield
     finally:
-        RaftNode._round_taken = usual
+        RaftNode._is_round_confirmed = usual
 
 
 # Seeds at which a planted defect is found, with machines and losses to be borne.
