--- a/hazelbend/cli/check.py
+++ b/hazelbend/cli/check.py
@@ -10,7 +10,7 @@
 import orjson
 
 from hazelbend.dispatcher import config
-from hazelbend.dispatcher.parts import table
+from hazelbend.dispatcher.text_table import format_table
 
 EXIT_OK = 0
 EXIT_DOUBTS = 1
@@ -55,10 +55,10 @@
     settings = dict(report["goes_by"])
     classes = settings.pop("classes")
     yield "It goes by:"
-    yield table([("SETTING", "TAKEN AS"), *_rows(settings)])
+    yield format_table([("SETTING", "TAKEN AS"), *_rows(settings)])
     columns = tuple(next(iter(classes.values())))
     head = ("CLASS", *(column.upper().replace("_", " ") for column in columns))
-    yield "\n" + table([head, *((name, *map(_text, row.values())) for name, row in classes.items())])
+    yield "\n" + format_table([head, *((name, *map(_text, row.values())) for name, row in classes.items())])
     known = report["servers_known"]
     discovery = report["discovery"] or "none"
     yield f"\nServers known from the start: {known}. Discovery: {discovery}."
@@ -66,7 +66,9 @@
     yield f"\nNot used: {_text(report['not_used'])}."
     if report["doubts"]:
         yield "\nHardly meant so:"
-        yield table([("KEY", "READ AS"), *((doubt["key"], doubt["text"]) for doubt in report["doubts"])])
+        yield format_table(
+            [("KEY", "READ AS"), *((doubt["key"], doubt["text"]) for doubt in report["doubts"])]
+        )
 
 
 def _rows(values: dict[str, Any], prefix: str = "") -> Iterator[tuple[str, str]]:
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from hazelbend.dispatcher.config import DEPLOY_VARIABLE
-from hazelbend.dispatcher.parts import table
+from hazelbend.dispatcher.text_table import format_table
 from hazelbend.dns_discovery.answers import (
     ADDRESS_TYPES,
     MAX_CNAME_CHAIN,
@@ -169,7 +169,7 @@
     for report in reports:
         ttl = "-" if report.ttl_s is None else f"{report.ttl_s} s"
         rows.append((report.nameserver, report.answer, len(report.endpoints), ttl))
-    print(table(rows))
+    print(format_table(rows))
     printed: list[list[EndpointReport]] = []
     for report in reports:
         if not report.endpoints or report.endpoints in printed:
@@ -185,4 +185,4 @@
     for endpoint in endpoints:
         addresses = " ".join(endpoint.addresses) or "-"
         rows.append((endpoint.target, endpoint.port, endpoint.priority, endpoint.weight, addresses))
-    print(table(rows))
+    print(format_table(rows))
--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -15,10 +15,10 @@
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.dispatcher import config
-from hazelbend.dispatcher import parts as joining
 from hazelbend.dispatcher.console_server import ConsoleServer
-from hazelbend.dispatcher.drain import KEPT, Drain
-from hazelbend.dispatcher.log import RecentLines, Sparing, set_up
+from hazelbend.dispatcher.drain import DEADLINE_REASON, IDLE_GRACE_S, Drain
+from hazelbend.dispatcher.extensions import EXTENSION_CLASSES, Extension, load_extension
+from hazelbend.dispatcher.log import RateLimitedLog, RecentLines, set_up
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.overview import Figures, Overview, take_figures, take_overview
@@ -73,13 +73,13 @@
         )
         self.router.discovery = self
         self._closing: set[asyncio.Task[None]] = set()
-        self._server_lines = Sparing(log, 200)
+        self._server_lines = RateLimitedLog(log, 200)
         self.client_listener = ClientListener(self.router, conf.catalogue, _half(conf))
         self.stomp_workers = WorkerRegistry(self.router, conf.catalogue, conf.load_fields)
         self.stomp: StompListener | None = None
         if conf.stomp is not None:
             self.stomp = StompListener(conf.stomp, self.router, self.stomp_workers, conf.catalogue)
-        self.parts: dict[str, joining.Part] = {}  # by their name in Config
+        self.extensions: dict[str, Extension] = {}  # by their name in Config
         self.console: ConsoleServer | None = None
         if conf.console is not None:
             self.console = ConsoleServer(conf.console, self)
@@ -90,11 +90,11 @@
             snmp = conf.snmp
             self.agent = SnmpAgent(snmp.host, snmp.port, snmp.community, snmp.notify, self.overview)
         table.watcher = self._server_changed
-        for name in joining.KINDS:
+        for name in EXTENSION_CLASSES:
             if getattr(conf, name) is not None:
-                self.parts[name] = joining.join(name, self)
+                self.extensions[name] = load_extension(name, self)
         self._drain = Drain(self)
-        self._ends: dict[str, int] = {}  # by when what comes must be over, and why
+        self._final_deadlines: dict[str, int] = {}  # by reason, in microseconds of the router's clock
         self.door: AdminListener | None = None
         self._door_at: tuple[str, int] | None = None
         self._moving: asyncio.Task[None] | None = None
@@ -118,13 +118,17 @@
         )
 
     def _component_figures(self) -> dict[str, int]:
-        """The figures of the optional components."""
-        return {name: count for part in self.parts.values() for name, count in part.counts().items()}
+        """The figures of the extensions."""
+        return {
+            name: count
+            for extension in self.extensions.values()
+            for name, count in extension.counts().items()
+        }
 
     def drain(self) -> None:
         self._drain.start()
-        for part in self.parts.values():
-            part.drain()
+        for extension in self.extensions.values():
+            extension.drain()
 
     def undrain(self) -> bool:
         if self.leaving:
@@ -132,13 +136,16 @@
         self._drain.stop()
         return True
 
-    def end_by(self, why: str, end: int | None) -> None:
-        """Bound what is taken from now on, for this reason too; the earliest end holds."""
-        if end is None:
-            self._ends.pop(why, None)
+    def set_final_deadline(self, reason: str, deadline: int | None) -> None:
+        """Set or remove (None) the final deadline of requests, in microseconds of the router's clock.
+
+        Each reason has a deadline of its own, and the earliest is in force.
+        """
+        if deadline is None:
+            self._final_deadlines.pop(reason, None)
         else:
-            self._ends[why] = end
-        self.router.set_final_deadline(min(self._ends.values(), default=None))
+            self._final_deadlines[reason] = deadline
+        self.router.set_final_deadline(min(self._final_deadlines.values(), default=None))
 
     def overview(self) -> Overview:
         fronts = {
@@ -155,19 +162,19 @@
         return [row.name for row in self.conf.catalogue.classes]
 
     def subscribe(self, tell: Callable[[EndpointList], None]) -> None:
-        """Discovery, as the router asks it: the watch, and what parts make of its news."""
+        """Discovery, as the router asks it: the watch, and what extensions make of its news."""
 
         def hear(news: EndpointList) -> None:
-            for part in self.parts.values():
-                news = part.hear(news)
+            for extension in self.extensions.values():
+                news = extension.filter_update(news)
             tell(news)
 
         self.watch.subscribe(hear)
 
     def _server_changed(self, server: Backend, takes_work: bool) -> None:
         self._server_lines.info("server %s: %s", server.entry.host, "up" if takes_work else "down")
-        for part in self.parts.values():
-            part.servers_changed()
+        for extension in self.extensions.values():
+            extension.on_servers_changed()
         if self.agent is not None:
             self.agent.server_changed(server, takes_work)
 
@@ -183,8 +190,8 @@
             await self._open(self.console.listen)
         if self.agent is not None:
             await self._open(self.agent.start)
-        for part in self.parts.values():
-            await self._open(part.start)
+        for extension in self.extensions.values():
+            await self._open(extension.start)
         await self._move_door()
         settings = self.conf.settings
         if settings.list_is_pushed or (listener is not None and settings.list_must_be_asked):
@@ -212,8 +219,10 @@
         if known.whole and known.entries and self.conf.passed_socket is None and self.conf.srv is None:
             # An upgrade waits for the whole list, and where lists are merged it is what one of them says.
             self.watch.known_version = known.seq
-        for name, part in self.parts.items():
-            known = part.begin(known, state.component_states.get(name, {}) if state is not None else {})
+        for name, extension in self.extensions.items():
+            known = extension.initial_endpoints(
+                known, state.component_states.get(name, {}) if state is not None else {}
+            )
         self.router.start(known)
         if state is None:
             return
@@ -229,20 +238,20 @@
             log.info("going on from the process before: %d servers", len(state.endpoints.entries))
 
     def _rejoin(self, name: str) -> None:
-        """After a reload: this part's settings have come, gone or changed, or what they rest on has."""
-        wanted, part = getattr(self.conf, name) is not None, self.parts.get(name)
-        if part is None and wanted:
-            part = self.parts[name] = joining.join(name, self)
+        """After a reload: this extension's settings have come, gone or changed, or what they rest on has."""
+        wanted, extension = getattr(self.conf, name) is not None, self.extensions.get(name)
+        if extension is None and wanted:
+            extension = self.extensions[name] = load_extension(name, self)
             known = self.router.table.listed()
-            if (begun := part.begin(known, {})) is not known:
+            if (begun := extension.initial_endpoints(known, {})) is not known:
                 self.router.apply_list(begun)
-            self._later(part.start())
-        elif part is not None and wanted:
-            part.change()
-        elif part is not None:
-            del self.parts[name]
-            part.stop()
-            self._later(part.close())
+            self._later(extension.start())
+        elif extension is not None and wanted:
+            extension.change()
+        elif extension is not None:
+            del self.extensions[name]
+            extension.stop()
+            self._later(extension.close())
 
     def _later(self, what: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(what)
@@ -252,14 +261,22 @@
     def state(self) -> HandoverState:
         """Where this process stands, for the next one."""
         table, now = self.router.table, self.router.clock.now()
-        heard = [each for part in self.parts.values() if (each := part.listed()) is not None]
+        heard = [
+            each
+            for extension in self.extensions.values()
+            if (each := extension.discovered_endpoints()) is not None
+        ]
         return HandoverState(
             tuple(self._class_names),
             heard[0] if heard else table.listed(),
             table.manually_drained(),
             self.router.open_ids,
             export_state(self.module, now),
-            {name: state for name, part in self.parts.items() if (state := part.state())},
+            {
+                name: state
+                for name, extension in self.extensions.items()
+                if (state := extension.handover_state())
+            },
         )
 
     def siblings_changed(self, count: int) -> None:
@@ -344,7 +361,7 @@
             )
         if (conf.discovery, conf.reader) != (old.discovery, old.reader):
             self.watch.change_address(conf.discovery, conf.reader)
-        for name in joining.KINDS if conf != old else ():
+        for name in EXTENSION_CLASSES if conf != old else ():
             self._rejoin(name)
         if conf.ops != self._door_at:
             self._moving = asyncio.create_task(self._move_door_later())
@@ -360,14 +377,14 @@
         longest = max(row.deadline_ms for row in self.conf.catalogue.classes) / 1e3
         end = min(longest, LONGEST) + BEFORE_KILL
         ends_at = asyncio.get_running_loop().time() + end
-        parts = list(self.parts.values())
-        leaving = asyncio.gather(*(part.leave(end) for part in parts), return_exceptions=True)
+        extensions = list(self.extensions.values())
+        leaving = asyncio.gather(*(extension.leave(end) for extension in extensions), return_exceptions=True)
         if self.conf.passed_socket is not None:
             self._leave_the_listener(ends_at)
         await self._serve_on(end)
         self._close_doors()
-        for part in parts:
-            await part.finish(LAST_JOBS - LAST_WORD)
+        for extension in extensions:
+            await extension.finish(LAST_JOBS - LAST_WORD)
         await self._finish_requests(ends_at)
         await leaving
         await self.close()
@@ -376,16 +393,16 @@
     def _leave_the_listener(self, ends_at: float) -> None:
         """An upgrade: whoever is not accepted yet is the next process's, and clients go there from now on."""
         self._drain.close()
-        self.end_by("drain", None)  # the leave has its own bound
+        self.set_final_deadline(DEADLINE_REASON, None)  # the leave has its own bound
         self.client_listener.release_listener()
         if self.stomp is not None:
             self.stomp.stop_accepting()
-        self.client_listener.start_draining(asyncio.get_running_loop().time() + KEPT, ends_at)
+        self.client_listener.start_draining(asyncio.get_running_loop().time() + IDLE_GRACE_S, ends_at)
 
     async def _serve_on(self, end: float) -> None:
         """For as long as what comes can be finished within these seconds; bounded by them after the first."""
         await asyncio.sleep(FIRST_REQUESTS)
-        self.end_by("leave", self.router.clock.now() + round((end - FIRST_REQUESTS) * 1e6))
+        self.set_final_deadline("leave", self.router.clock.now() + round((end - FIRST_REQUESTS) * 1e6))
         await asyncio.sleep(max(NEW_CONNECTIONS, end - LAST_JOBS) - FIRST_REQUESTS)
 
     def _close_doors(self) -> None:
@@ -406,8 +423,8 @@
         self._drain.close()
         for task in (*self._opening, *filter(None, [self._moving])):
             task.cancel()
-        for part in self.parts.values():
-            part.end()
+        for extension in self.extensions.values():
+            extension.end()
         await self.client_listener.close()
         if self.door is not None:
             await self.door.close()
@@ -421,8 +438,8 @@
             await self.console.close()
         if self.agent is not None:
             await self.agent.close()
-        for part in self.parts.values():
-            await part.close()
+        for extension in self.extensions.values():
+            await extension.close()
         self.router.close()
         await self.pool.close()
 
--- a/hazelbend/dispatcher/console_server.py
+++ b/hazelbend/dispatcher/console_server.py
@@ -16,8 +16,9 @@
 
 import orjson
 
+from hazelbend.dispatcher.extensions import CommandError, ConsoleCommand, Extension, ExtensionContext
 from hazelbend.dispatcher.log import RecentLines
-from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
+from hazelbend.dispatcher.text_table import format_table
 from hazelbend.routing.overview import Overview
 
 LINE_LIMIT = 4_096
@@ -42,7 +43,7 @@
 help                   this list"""
 
 
-# What a part that is off would have shown or done, and the file that turns it on.
+# What an extension that is off would have shown or done, and the file that enables it.
 OFF = {
     "waiting": "jobs do not wait here; see deploy/waiting.toml",
     "cancel": "jobs do not wait here; see deploy/waiting.toml",
@@ -52,10 +53,10 @@
 }
 
 
-class Program(Ground, Protocol):
+class Program(ExtensionContext, Protocol):
     """What the commands need of the running program."""
 
-    parts: dict[str, Part]
+    extensions: dict[str, Extension]
     recent: RecentLines
     stopping: asyncio.Event
 
@@ -83,9 +84,13 @@
                 return self._log(*rest)
             case ["show", what] if what in self._shows:
                 return self._shows[what](self._program.overview())
-            case ["show", what, *words] if call := self._of_parts(lambda part: part.shows(), what, words):
+            case ["show", what, *words] if call := self._extension_command(
+                lambda extension: extension.shows(), what, words
+            ):
                 return call(*words)
-            case [verb, *words] if call := self._of_parts(lambda part: part.verbs(), verb, words):
+            case [verb, *words] if call := self._extension_command(
+                lambda extension: extension.verbs(), verb, words
+            ):
                 return call(*words)
             case ["show", "sources"]:
                 return self._sources()
@@ -100,9 +105,11 @@
                 return f"leaving; {len(self._program.router.requests)} flows to finish"
         raise CommandError(f"unknown command {line[:60]!r}; see: help")
 
-    def _of_parts(self, of: Callable[[Part], dict[str, Show]], name: str, words: list[str]) -> Show | None:
-        """What a part does by this name, if it takes so many words."""
-        every = (of(part).get(name) for part in self._program.parts.values())
+    def _extension_command(
+        self, of: Callable[[Extension], dict[str, ConsoleCommand]], name: str, words: list[str]
+    ) -> ConsoleCommand | None:
+        """The command of this name of an extension, if it takes so many words."""
+        every = (of(extension).get(name) for extension in self._program.extensions.values())
         found = next((call for call in every if call is not None), None)
         if found is None:
             return None
@@ -124,10 +131,10 @@
             ("attempts", sum(view.outcomes.values())),
             *((f"  {outcome.name.lower().replace('_', ' ')}", n) for outcome, n in view.outcomes.items()),
         ]
-        return table(rows)
+        return format_table(rows)
 
     def _figures(self, view: Overview) -> str:
-        return table(list(view.figures.named().items()))
+        return format_table(list(view.figures.named().items()))
 
     def _servers(self, view: Overview) -> str:
         head = ("SERVER", "ADDRESS", "STATE", "OUT", "SERVED", "FAILED")
@@ -135,7 +142,7 @@
             (row.host, row.dial or "-", row.state, row.in_flight, row.served, row.failed)
             for row in view.servers
         ]
-        return table([head, *rows])
+        return format_table([head, *rows])
 
     def _flows(self, view: Overview) -> str:
         classes = self._program.conf.catalogue.classes
@@ -150,15 +157,15 @@
             )
             for row in view.flows
         ]
-        return table([head, *rows])
+        return format_table([head, *rows])
 
     def _fronts(self, view: Overview) -> str:
-        return table([("FRONT", "CONNECTIONS"), *view.fronts.items()])
+        return format_table([("FRONT", "CONNECTIONS"), *view.fronts.items()])
 
     def _sources(self) -> str:
         heard = "heard" if self._program.router.list_received.is_set() else "as known"
         servers = len(self._program.overview().servers)
-        return table([("SOURCE", "STATE", "BOXES"), ("box list", heard, servers)])
+        return format_table([("SOURCE", "STATE", "BOXES"), ("box list", heard, servers)])
 
     def _log(self, count: str = "20") -> str:
         if not count.isascii() or not count.isdecimal() or int(count) < 1:
--- a/hazelbend/dispatcher/drain.py
+++ b/hazelbend/dispatcher/drain.py
@@ -1,4 +1,12 @@
-"""Emptying the dispatcher of its clients while it runs on, until it is told to take them again."""
+"""Drain: the dispatcher sends its clients away while it continues to run, until an operator stops the drain.
+
+The steps, by their time since the start:
+
+    0                    client connections are told to close; what they send is served
+    IDLE_GRACE_S         idle connections are closed, on HTTP and on STOMP
+    DEADLINE_FROM_S      new requests get REQUESTS_END_S as their final deadline
+    WINDOW_END_S         the deadline is removed: late clients are served as usual, with `Connection: close`
+"""
 
 from __future__ import annotations
 
@@ -6,69 +14,82 @@
 import logging
 from typing import Protocol
 
-from hazelbend.dispatcher.parts import Ground
+from hazelbend.dispatcher.extensions import ExtensionContext
 
 log = logging.getLogger("hazelbend")
 
-# Seconds from the start of a drain. The front asks every 0.1 s and sends new connections for 0.2 s after its
-# first no. At 4 s no connection may be idle, nor carry a job that came in the last 2 s.
-KEPT = 0.8  # connections that are idle are kept until then: the next request may be on its way
-LATE = 1.7  # what comes from then on
-LAST = 3.6  # must be over by then
-OVER = 4.4  # when that need not be seen to any more: who comes yet is served as usual
-ROUND = 0.2  # between looks at the STOMP front's idle clients
+# Seconds from the start of a drain. The load balancer checks every 0.1 s and sends new connections for 0.2 s
+# after its first failed check. At 4 s no connection may be idle, nor carry a request of the last 2 s.
+IDLE_GRACE_S = 0.8  # idle connections stay open until then: the next request may be on its way
+DEADLINE_FROM_S = 1.7  # requests that arrive from then on have a final deadline
+REQUESTS_END_S = 3.6  # this deadline
+WINDOW_END_S = 4.4  # nobody checks the connections any more
+STOMP_SWEEP_PERIOD_S = 0.2  # between sweeps of the idle STOMP clients
+
+DEADLINE_REASON = "drain"
 
 
-class Program(Ground, Protocol):
-    def end_by(self, why: str, end: int | None) -> None: ...
+class DrainTarget(ExtensionContext, Protocol):
+    """What a drain needs of the dispatcher process."""
+
+    def set_final_deadline(self, reason: str, deadline: int | None) -> None:
+        """Set or remove (None) the final deadline, in microseconds of the router's clock, for this reason."""
+        ...
 
 
 class Drain:
-    def __init__(self, program: Program) -> None:
-        self._program = program
+    """One drain at a time, on (`is_on`) or off."""
+
+    def __init__(self, target: DrainTarget) -> None:
+        self._target = target
         self._task: asyncio.Task[None] | None = None
 
     @property
     def is_on(self) -> bool:
+        """Whether a drain was started and not stopped, also after its window."""
         return self._task is not None
 
     def start(self) -> None:
-        """From now on clients are sent away. One that runs goes on as it began."""
-        if self._task is None:
-            log.info("draining: %d flows open", len(self._program.router.requests))
-            now = asyncio.get_running_loop().time()
-            self._program.client_listener.start_draining(now + KEPT, now + LAST)
-            self._task = asyncio.create_task(self._run())
+        """Start to send clients away. A drain that is on continues unchanged."""
+        if self._task is not None:
+            return
+        log.info("draining: %d flows open", len(self._target.router.requests))
+        now = asyncio.get_running_loop().time()
+        self._target.client_listener.start_draining(now + IDLE_GRACE_S, now + REQUESTS_END_S)
+        self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Take clients again."""
-        if self._task is not None:
-            log.info("drain over")
-            self.close()
-            self._program.client_listener.stop_draining()
-            self._program.end_by("drain", None)
+        """Accept clients again."""
+        if self._task is None:
+            return
+        log.info("drain over")
+        self.close()
+        self._target.client_listener.stop_draining()
+        self._target.set_final_deadline(DEADLINE_REASON, None)
 
     def close(self) -> None:
+        """Cancel the task. The listeners and the deadline stay as they are."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def _run(self) -> None:
-        began_at = self._program.router.clock.now()
-        await asyncio.sleep(KEPT)
-        sending = asyncio.create_task(self._send_stomp_clients_away())
+        started_at = self._target.router.clock.now()
+        await asyncio.sleep(IDLE_GRACE_S)
+        stomp_sweeps = asyncio.create_task(self._sweep_stomp_clients())
         try:
-            await asyncio.sleep(LATE - KEPT)
-            self._program.end_by("drain", began_at + round(LAST * 1e6))
-            await asyncio.sleep(OVER - LATE)
-            self._program.end_by("drain", None)
-            self._program.client_listener.restore_request_timeout()
-            await sending
+            await asyncio.sleep(DEADLINE_FROM_S - IDLE_GRACE_S)
+            deadline = started_at + round(REQUESTS_END_S * 1e6)
+            self._target.set_final_deadline(DEADLINE_REASON, deadline)
+            await asyncio.sleep(WINDOW_END_S - DEADLINE_FROM_S)
+            self._target.set_final_deadline(DEADLINE_REASON, None)
+            self._target.client_listener.restore_request_timeout()
+            await stomp_sweeps
         finally:
-            sending.cancel()
+            stomp_sweeps.cancel()
 
-    async def _send_stomp_clients_away(self) -> None:
+    async def _sweep_stomp_clients(self) -> None:
         while True:
-            if self._program.stomp is not None:
-                self._program.stomp.close_idle_clients()
-            await asyncio.sleep(ROUND)
+            if self._target.stomp is not None:
+                self._target.stomp.close_idle_clients()
+            await asyncio.sleep(STOMP_SWEEP_PERIOD_S)
--- a/hazelbend/dispatcher/fleet.py
+++ b/hazelbend/dispatcher/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's part of the program: gossip, leases and the snapshot, with what the console shows of them."""
+"""The fleet extension: gossip, leases and the snapshot, with what the console shows of them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 import logging
 import time
 
+from hazelbend.dispatcher.extensions import ConsoleCommand, Extension, ExtensionContext
 from hazelbend.dispatcher.fleet_snapshot import SnapshotTask
 from hazelbend.dispatcher.lease_node_driver import LeaseNodeDriver
-from hazelbend.dispatcher.parts import Ground, Part, Show, table
+from hazelbend.dispatcher.text_table import format_table
 from hazelbend.leases.lease_node import LeaseNode
 from hazelbend.leases.settings import FleetSettings
 from hazelbend.transport.peer.fleet_listener import FleetListener
@@ -19,14 +20,14 @@
 TRANSFER_POLL_S = 0.02
 
 
-class FleetPart(Part):
+class FleetPart(Extension):
     """One dispatcher in the fleet. The engine decides; a fault here does not reach routing."""
 
-    def __init__(self, ground: Ground) -> None:
-        conf = ground.conf
+    def __init__(self, context: ExtensionContext) -> None:
+        conf = context.conf
         assert conf.fleet is not None
         self.settings: FleetSettings = conf.fleet
-        self._clock = ground.router.clock.now
+        self._clock = context.router.clock.now
         self.driver = LeaseNodeDriver(conf.name, conf.fleet, conf.seed, self._clock)
         self.listener = FleetListener(
             self.driver.receive, self.driver.submit, self.driver.found_epoch, self.driver.view
@@ -95,7 +96,7 @@
             "fleet_requests_lost": self.driver.links.requests_lost,
         }
 
-    def shows(self) -> dict[str, Show]:
+    def shows(self) -> dict[str, ConsoleCommand]:
         """The console's `show fleet` and `show leases`."""
         return {"fleet": self._show_fleet, "leases": self._show_leases}
 
@@ -113,7 +114,7 @@
             rows.append((address, f"of fleet {fleet}", "-", "-", "-"))
         state = f"{view.uncommitted} entries not agreed on yet" if view.leader else "nobody leads"
         rows.append((f"epoch {view.epoch}", f"term {view.term}", "-", "-", state))
-        return table(rows)
+        return format_table(rows)
 
     def _show_leases(self) -> str:
         rows: list[tuple[object, ...]] = [("LEASE", "HOLDER", "TOKEN", "TTL", "RENEWED", "WAITING")]
@@ -121,4 +122,4 @@
             renewed = "-" if lease.renewed_s_ago is None else f"{lease.renewed_s_ago:.1f} s ago"
             ttl = f"{lease.ttl_s:g} s"
             rows.append((lease.name, lease.holder, lease.token, ttl, renewed, len(lease.waiters)))
-        return table(rows)
+        return format_table(rows)
--- a/hazelbend/dispatcher/lease_node_driver.py
+++ b/hazelbend/dispatcher/lease_node_driver.py
@@ -57,7 +57,8 @@
 
     async def open_store(self) -> None:
         """Continue as the identity that the store has, if its file is complete; else as a new member, with
-        the store or, if it fails, without."""
+        the store or, if it fails, without.
+        """
         store = FleetStore(Path(self._settings.store))
         try:
             persistent = await asyncio.to_thread(store.open, f"@{self._settings.advertised_address}")
--- a/hazelbend/dispatcher/log.py
+++ b/hazelbend/dispatcher/log.py
@@ -1,4 +1,4 @@
-"""The log: lines on standard error, and the last of them for the console."""
+"""Logging: lines on standard error, the recent ones in memory for the console, and a rate limit."""
 
 from __future__ import annotations
 
@@ -7,61 +7,75 @@
 import time
 from collections import deque
 
-KEPT = 500
+RECENT_LINES_LIMIT = 500
+RATE_LIMIT_LINES = 50
+RATE_LIMIT_PERIOD_S = 10.0
+LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
+# These libraries log single connections at INFO, which operators do not need.
+QUIET_LOGGERS = ("aiohttp", "asyncio", "pysnmp")
 
 
 class RecentLines(logging.Handler):
-    """Keeps the last lines."""
+    """A log handler that retains the most recent lines in memory."""
 
-    def __init__(self, kept: int = KEPT) -> None:
+    def __init__(self, limit: int = RECENT_LINES_LIMIT) -> None:
         super().__init__()
-        self.lines: deque[str] = deque(maxlen=kept)
+        self.lines: deque[str] = deque(maxlen=limit)
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Append the formatted record; the oldest line is dropped at the limit."""
         self.lines.append(self.format(record))
 
 
-class Sparing:
-    """A log in which what repeats by hundreds is bounded: so many lines in so many seconds, then a count of
-    those that were left out."""
+class RateLimitedLog:
+    """A logger with a rate limit, for events that can repeat by the hundred.
 
-    def __init__(self, log: logging.Logger, lines: int = 50, seconds: float = 10.0) -> None:
-        self._log, self._lines, self._seconds = log, lines, seconds
-        self._written = self._left_out = 0
-        self._until = 0.0
+    In each period it writes up to `lines` lines. The rest are counted, and `flush` logs the count.
+    """
+
+    def __init__(
+        self, log: logging.Logger, lines: int = RATE_LIMIT_LINES, seconds: float = RATE_LIMIT_PERIOD_S
+    ) -> None:
+        self._log = log
+        self._lines_limit = lines
+        self._period_s = seconds
+        self._written = 0
+        self._suppressed = 0
+        self._period_ends_at = 0.0  # in seconds of time.monotonic
 
     def info(self, text: str, *values: object) -> None:
+        """Log at INFO, within the limit."""
         self._write(logging.INFO, text, values)
 
     def warning(self, text: str, *values: object) -> None:
+        """Log at WARNING, within the limit."""
         self._write(logging.WARNING, text, values)
 
     def flush(self) -> None:
-        """To be called now and then: tells what was left out once the time is over."""
-        if time.monotonic() >= self._until:
-            left_out, self._left_out, self._written = self._left_out, 0, 0
-            if left_out:
-                self._log.info("and %d lines more of this kind", left_out)
+        """Log the count of suppressed lines if the period is over. Call this regularly."""
+        if time.monotonic() < self._period_ends_at:
+            return
+        suppressed = self._suppressed
+        self._suppressed = 0
+        self._written = 0
+        if suppressed:
+            self._log.info("and %d lines more of this kind", suppressed)
 
     def _write(self, level: int, text: str, values: tuple[object, ...]) -> None:
         self.flush()
         if not self._written:
-            self._until = time.monotonic() + self._seconds
-        if self._written < self._lines:
+            self._period_ends_at = time.monotonic() + self._period_s
+        if self._written < self._lines_limit:
             self._written += 1
             self._log.log(level, text, *values)
         else:
-            self._left_out += 1
+            self._suppressed += 1
 
 
 def set_up(level: int = logging.INFO) -> RecentLines:
+    """Configure the root logger. Returns the handler that retains the recent lines."""
     recent = RecentLines()
-    logging.basicConfig(
-        level=level,
-        format="%(asctime)s %(levelname)s %(name)s: %(message)s",
-        handlers=[logging.StreamHandler(sys.stderr), recent],
-    )
-    # Their lines on single connections are not for operators.
-    for name in ("aiohttp", "asyncio", "pysnmp"):
+    logging.basicConfig(level=level, format=LINE_FORMAT, handlers=[logging.StreamHandler(sys.stderr), recent])
+    for name in QUIET_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
     return recent
--- a/hazelbend/dispatcher/sources.py
+++ b/hazelbend/dispatcher/sources.py
@@ -1,7 +1,7 @@
 """Where servers come from while `deploy/srv.toml` is enabled: the endpoint list and SRV names, merged.
 
 Imported only then. It stands between the subscription to discovery and the router: updates of the endpoint
-list pass through `hear`, and changes of SRV names go to the router as changes of the list.
+list pass through `filter_update`, and changes of SRV names go to the router as changes of the list.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from hazelbend.dispatcher.log import Sparing
-from hazelbend.dispatcher.parts import Ground, Part, Show
+from hazelbend.dispatcher.extensions import ConsoleCommand, Extension, ExtensionContext
+from hazelbend.dispatcher.log import RateLimitedLog
 from hazelbend.dispatcher.srv_priorities import SrvPriorities
 from hazelbend.dispatcher.srv_snapshots import SnapshotSaver
 from hazelbend.dispatcher.srv_status import FailingNamesLog, SrvStatus
@@ -34,19 +34,19 @@
 MIN_SRV_WEIGHT = 0.1  # an SRV weight of 0 is "a very small chance of being selected" (RFC 2782), not none
 
 
-class Sources(Part):
+class Sources(Extension):
     """The resolver, the merger and the router, wired together."""
 
-    def __init__(self, ground: Ground) -> None:
-        self._context = ground
-        self._reader = ground.conf.reader
-        self._router = ground.router
-        self._clock = ground.router.clock
+    def __init__(self, context: ExtensionContext) -> None:
+        self._context = context
+        self._reader = context.conf.reader
+        self._router = context.router
+        self._clock = context.router.clock
         self.settings = self._configured()
         self._names = _names_by_canonical(self.settings)
-        self._log = Sparing(log)
+        self._log = RateLimitedLog(log)
         self.merger = EndpointMerger(_tombstone_us(self.settings))
-        self.resolver = Resolver(self.settings, ground.conf.name)
+        self.resolver = Resolver(self.settings, context.conf.name)
         self._driver = ResolverDriver(self.resolver, self._clock.now, self._names_changed)
         self._priorities = SrvPriorities(self.merger, self._router, self._send, self._log)
         self._snapshots = SnapshotSaver(self.settings.snapshot, self._capture)
@@ -67,9 +67,9 @@
         """How many DNS queries have no result yet."""
         return self._driver.queries_in_flight
 
-    # --- life of the part ---
+    # --- life cycle ---
 
-    def begin(self, known: EndpointList, handed_over: dict[str, Any]) -> EndpointList:
+    def initial_endpoints(self, known: EndpointList, handed_over: dict[str, Any]) -> EndpointList:
         """The list to begin with: the known list, and the last known records of the SRV names."""
         now = self._clock.now()
         self._router.on_registered_changed = self.merger.apply_connected
@@ -127,25 +127,25 @@
         await self._driver.close()
         await self._snapshots.save_last()
 
-    def state(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """The snapshot, for the next process of an upgrade."""
         return dict(msgspec.to_builtins(self._capture()))
 
     # --- updates ---
 
-    def listed(self) -> EndpointList:
+    def discovered_endpoints(self) -> EndpointList:
         """The endpoint list, without what SRV names list."""
         return EndpointList(self.merger.listed(), whole=True)
 
-    def hear(self, news: EndpointList) -> EndpointList:
+    def filter_update(self, update: EndpointList) -> EndpointList:
         """An update of the endpoint list. Returns the update for the router."""
-        changes = self.merger.apply_list(news, self._clock.now())
+        changes = self.merger.apply_list(update, self._clock.now())
         self._carry_over_drains()
         self._snapshots.save_later()
         self._check_soon()  # once the router has the changes
         return changes
 
-    def servers_changed(self) -> None:
+    def on_servers_changed(self) -> None:
         """A server has become available or unavailable: another priority may have to open."""
         self._check_soon()
 
@@ -236,7 +236,7 @@
 
     # --- what operators see ---
 
-    def shows(self) -> dict[str, Show]:
+    def shows(self) -> dict[str, ConsoleCommand]:
         """`show sources` and `show names` of the console."""
         return {"sources": self._show_sources, "names": self.status.show_names}
 
@@ -250,7 +250,7 @@
         )
 
     def _configured(self) -> SrvSettings:
-        # This part is made, and is told of changes, only while the configuration has its settings.
+        # This extension is created, and notified of changes, only while the configuration has its settings.
         assert self._context.conf.srv is not None
         return self._context.conf.srv
 
--- a/hazelbend/dispatcher/srv_priorities.py
+++ b/hazelbend/dispatcher/srv_priorities.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from hazelbend.decisions.interface import WorkerId, WorkerState
-from hazelbend.dispatcher.log import Sparing
+from hazelbend.dispatcher.log import RateLimitedLog
 from hazelbend.dns_discovery.answers import EndpointKey
 from hazelbend.endpoints.merger import EndpointMerger
 from hazelbend.endpoints.priority_pool import PriorityPool
@@ -19,7 +19,11 @@
     """The priority pools of all SRV names. `send` takes changes to the router."""
 
     def __init__(
-        self, merger: EndpointMerger, router: Router, send: Callable[[EndpointList], None], log: Sparing
+        self,
+        merger: EndpointMerger,
+        router: Router,
+        send: Callable[[EndpointList], None],
+        log: RateLimitedLog,
     ) -> None:
         self._merger = merger
         self._router = router
--- a/hazelbend/dispatcher/srv_status.py
+++ b/hazelbend/dispatcher/srv_status.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hazelbend.dispatcher.log import Sparing
-from hazelbend.dispatcher.parts import CommandError, table
+from hazelbend.dispatcher.extensions import CommandError
+from hazelbend.dispatcher.log import RateLimitedLog
 from hazelbend.dispatcher.srv_priorities import SrvPriorities
+from hazelbend.dispatcher.text_table import format_table
 from hazelbend.dns_discovery.answers import ADDRESS_TYPES, EndpointKey, Question
 from hazelbend.dns_discovery.nameservers import NameserverHealth
 from hazelbend.dns_discovery.resolver import Resolver
@@ -112,7 +113,7 @@
         footer = f"version {view.version} of the view"
         if snapshot_error:
             footer += f"; snapshot: {snapshot_error}"
-        return "\n".join([table(sources), "", self._nameserver_table(), "", footer])
+        return "\n".join([format_table(sources), "", self._nameserver_table(), "", footer])
 
     def show_names(self, name: str = "") -> str:
         """Text of `show names`, or of `show names NAME`.
@@ -128,7 +129,7 @@
         nameservers = self._resolver.settings.nameservers
         for nameserver, health in zip(nameservers, self._resolver.nameservers.health, strict=True):
             rows.append((nameserver.address, *_health_columns(health, now)))
-        return table(rows)
+        return format_table(rows)
 
     def _name_table(self) -> str:
         rows: list[tuple[object, ...]] = [
@@ -141,7 +142,7 @@
             error = status.last_error or "-"
             counts = (status.endpoints, status.open)
             rows.append((status.name, status.state, *counts, level, ttl, failing, error))
-        return table(rows)
+        return format_table(rows)
 
     def _record_table(self, name: str) -> str:
         if name not in self._resolver.names.roots:
@@ -154,7 +155,7 @@
             rows.append(
                 (record.key.target, record.key.port, *preference, record.addresses, record.list_report)
             )
-        return table(rows)
+        return format_table(rows)
 
     # --- one name ---
 
@@ -188,7 +189,7 @@
 class FailingNamesLog:
     """Logs once when the queries for an SRV name begin to fail, and when they are answered again."""
 
-    def __init__(self, resolver: Resolver, log: Sparing) -> None:
+    def __init__(self, resolver: Resolver, log: RateLimitedLog) -> None:
         self._resolver = resolver
         self._log = log
         self._failing: set[str] = set()
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -8,7 +8,8 @@
 
 from multidict import MultiMapping
 
-from hazelbend.dispatcher.parts import CommandError, Ground, Part, Show, table
+from hazelbend.dispatcher.extensions import CommandError, ConsoleCommand, Extension, ExtensionContext
+from hazelbend.dispatcher.text_table import format_table
 from hazelbend.job_queue.gate import JobGate, PendingJob, wall_now
 from hazelbend.job_queue.settings import WaitingSettings
 from hazelbend.job_queue.terms import Bounds, JobTerms, TermsError
@@ -24,9 +25,9 @@
 MS_PER_S = 1e3
 
 
-class Waiting(Part):
-    def __init__(self, context: Ground) -> None:
-        self._ground = context
+class Waiting(Extension):
+    def __init__(self, context: ExtensionContext) -> None:
+        self._context = context
         self.settings = self._wanted()
         self.gate = JobGate(
             context.router,
@@ -38,19 +39,19 @@
         self._join()
 
     def _wanted(self) -> WaitingSettings:
-        assert self._ground.conf.waiting is not None
-        return self._ground.conf.waiting
+        assert self._context.conf.waiting is not None
+        return self._context.conf.waiting
 
     def _bounds(self) -> Bounds:
-        catalogue = self._ground.conf.catalogue
+        catalogue = self._context.conf.catalogue
         return self.settings.bounds(tuple(row.name for row in catalogue.classes), catalogue.tenants)
 
     def _join(self) -> None:
         reads = self.settings.http_headers or self.settings.ordinary
-        self._ground.client_listener.gate = self._http if reads else None
-        if self._ground.stomp is not None:
-            self._ground.stomp.gate = self._stomp
-            self._ground.stomp.cancel = lambda client, own_id: self.gate.cancel((client, own_id))
+        self._context.client_listener.gate = self._http if reads else None
+        if self._context.stomp is not None:
+            self._context.stomp.gate = self._stomp
+            self._context.stomp.cancel = lambda client, own_id: self.gate.cancel((client, own_id))
 
     def change(self) -> None:
         self.settings = self._wanted()
@@ -59,9 +60,9 @@
 
     def stop(self) -> None:
         """Turned off: what waits is refused, what runs goes on."""
-        self._ground.client_listener.gate = None
-        if self._ground.stomp is not None:
-            self._ground.stomp.gate = self._ground.stomp.cancel = None
+        self._context.client_listener.gate = None
+        if self._context.stomp is not None:
+            self._context.stomp.gate = self._context.stomp.cancel = None
         self.gate.reject_waiting("jobs do not wait here any more")
         self.gate.close()
 
@@ -81,16 +82,16 @@
     # --- what operators see and do ---
 
     def counts(self) -> dict[str, int]:
-        return self.gate.counts([row.name for row in self._ground.conf.catalogue.classes])
+        return self.gate.counts([row.name for row in self._context.conf.catalogue.classes])
 
-    def shows(self) -> dict[str, Show]:
+    def shows(self) -> dict[str, ConsoleCommand]:
         return {"waiting": self._show}
 
-    def verbs(self) -> dict[str, Show]:
+    def verbs(self) -> dict[str, ConsoleCommand]:
         return {"cancel": self._cancel}
 
     def _show(self) -> str:
-        catalogue = self._ground.conf.catalogue
+        catalogue = self._context.conf.catalogue
         rows = self.gate.rows()
         counts = Counter(catalogue.classes[row.class_index].name for row in rows)
         lines: list[tuple[object, ...]] = [("CLIENT", "ID", "CLASS", "TENANT", "WAITS", "LEFT", "FOR")]
@@ -101,7 +102,7 @@
             remaining = f"{row.remaining_us / US_PER_S:.1f} s"
             lines.append((row.client or "-", row.id, name, tenant, age, remaining, row.waits_for))
         more = f"{len(rows)} wait" + "".join(f", {name} {count}" for name, count in counts.most_common())
-        return "\n".join([table(lines), more])
+        return "\n".join([format_table(lines), more])
 
     def _cancel(self, client: str, own_id: str) -> str:
         if not self.gate.cancel(("" if client == "-" else client, own_id)):
@@ -117,7 +118,7 @@
         for name in names:
             if len(headers.getall(name, [])) > 1:
                 raise BadRequestError(f"{name} stands there more than once")
-        tenants = self._ground.conf.catalogue.tenants
+        tenants = self._context.conf.catalogue.tenants
         terms = self._terms(*(headers.get(name, "") for name in names))
         client = tenants[job.tenant] if tenants else ""
         return self._submit(job, client, job.id, terms, headers.get("X-Timeout-Ms"))
@@ -128,12 +129,12 @@
         return self._submit(job, client, request_id(frame), terms, frame.headers.get("deadline"))
 
     def _terms(self, after: str, not_before: str, wanted: str, take_results: str) -> JobTerms:
-        return read_terms(after, not_before, wanted, take_results, self._ground.router.clock.now())
+        return read_terms(after, not_before, wanted, take_results, self._context.router.clock.now())
 
     def _submit(
         self, job: Job, client: str, own_id: str, terms: JobTerms, timeout_text: str | None
     ) -> PendingJob:
-        catalogue = self._ground.conf.catalogue
+        catalogue = self._context.conf.catalogue
         wait = job.timeout_us
         if terms.waits and timeout_text is not None:
             # A job that waits may do so for longer than its class may run.
--- a/tests/golden_shown.py
+++ b/tests/golden_shown.py
@@ -166,7 +166,7 @@
     )
     program = SimpleNamespace(
         overview=view,
-        parts={},
+        extensions={},
         recent=recent,
         router=router,
         stopping=asyncio.Event(),
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -23,11 +23,11 @@
     """A drain at half of its time, so that a busy machine has room in it."""
     assert (
         client_connection.REQUEST_TIMEOUT_S + 0.4 + 3 * http_listener.SWEEP_PERIOD_S
-        < drain.LAST
+        < drain.REQUESTS_END_S
         < 4.0 - 2 * 0.1
     )
-    assert drain.LATE < 2.0 and drain.KEPT > 0.3 and drain.OVER > 4.0
-    for name in ("KEPT", "LATE", "LAST", "OVER", "ROUND"):
+    assert drain.DEADLINE_FROM_S < 2.0 and drain.IDLE_GRACE_S > 0.3 and drain.WINDOW_END_S > 4.0
+    for name in ("IDLE_GRACE_S", "DEADLINE_FROM_S", "REQUESTS_END_S", "WINDOW_END_S", "STOMP_SWEEP_PERIOD_S"):
         monkeypatch.setattr(drain, name, getattr(drain, name) / 2)
     monkeypatch.setattr(http_listener, "SWEEP_PERIOD_S", 0.02)
 
@@ -69,14 +69,16 @@
             loop = asyncio.get_running_loop()
             app.drain()
             began = loop.time()
-            await until(lambda: "drain" in app._ends)  # what comes from now on is bounded
+            await until(lambda: "drain" in app._final_deadlines)  # what comes from now on is bounded
             half, slow = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             slow.write(request("half")[:40])
             answer = await talk(app.client_listener.port, request("late", b"hang"))
             assert answer.startswith(b"HTTP/1.1 50") and loop.time() - began < 3.0, "not its own 4 s"
             assert b" 408 " in await half.read()
             # Its end is told by the program: on a busy machine it is later than the clock says.
-            await until(lambda: loop.time() - began > drain.OVER and "drain" not in app._ends)
+            await until(
+                lambda: loop.time() - began > drain.WINDOW_END_S and "drain" not in app._final_deadlines
+            )
             after = asyncio.create_task(talk(app.client_listener.port, request("after", b"100")))
             assert b" 200 " in await after, "who comes even then is served"
 
@@ -90,8 +92,8 @@
     async def run():
         async with site(tmp_path, stomp="", ops=OPS) as (app, _):
             app.drain()
-            await until(lambda: "drain" in app._ends)
-            await until(lambda: "drain" not in app._ends)
+            await until(lambda: "drain" in app._final_deadlines)
+            await until(lambda: "drain" not in app._final_deadlines)
             silent, later = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             parted, sending = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             sending.write(request("in parts")[:40])
@@ -116,12 +118,12 @@
             assert not app.accepts_clients, "a reload ends no drain"
             app.undrain()
             reader, writer = await open_kept(app.client_listener.port)
-            await asyncio.sleep(drain.OVER)
+            await asyncio.sleep(drain.WINDOW_END_S)
             writer.write(request("on"))
             async with asyncio.timeout(30):  # a refusal would not hold these words
                 answer = await reader.readuntil(b"did on")
             assert b" 200 " in answer, "nothing of the drains is left"
-            assert app._ends == {} and app.accepts_clients
+            assert app._final_deadlines == {} and app.accepts_clients
             writer.close()
 
     asyncio.run(run())
@@ -143,7 +145,7 @@
             assert "emptied" in idle.of("ERROR")[0].headers["message"] and not busy.closed
             await until(lambda: busy.closed)
             assert busy.answers() == {"b": ["served"]} and not box.closed
-            await asyncio.sleep(drain.OVER)  # what comes at its end is cut short, on this front too
+            await asyncio.sleep(drain.WINDOW_END_S)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
             monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 2.0)
             late = await FakeStompClient.connect(app.stomp.port, client_id="late")
@@ -166,10 +168,10 @@
             _, first = await open_kept(app.client_listener.port, "first")
             _reader, writer = await open_kept(app.client_listener.port)
             app.drain()
-            await until(lambda: app._ends)
+            await until(lambda: app._final_deadlines)
             leaving = asyncio.create_task(app.leave())
             await until(lambda: app.leaving)
-            assert "drain" not in app._ends
+            assert "drain" not in app._final_deadlines
             leaving.cancel()
             await asyncio.gather(leaving, return_exceptions=True)
             first.close()
--- a/tests/test_fleet_site.py
+++ b/tests/test_fleet_site.py
@@ -180,7 +180,7 @@
             f'enabled = true\nid = "f"\nlisten = "127.0.0.1:{port}"\n[leases]\nlongest_s = 1.0\n'
         )
         async with site(tmp_path, stomp="") as (app, _):
-            [part] = app.parts.values()
+            [part] = app.extensions.values()
             assert "nobody leads" in Commands(app).run("show fleet")
             links = PeerLinks("127.0.0.1")
             await links.found_epoch(f"127.0.0.1:{port}", force=False, timeout_s=5.0)
@@ -244,7 +244,7 @@
             "every_s = 0.1\nttl_s = 2.0\ntimeout_s = 1.0\n"
         )
         async with site(tmp_path, stomp="") as (app, _):
-            [part] = app.parts.values()
+            [part] = app.extensions.values()
             task, leases = part.snapshot, part.node.leases
             part.driver.found_epoch(False)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -133,10 +133,10 @@
     assert not [each for each in loaded if each.startswith(off)]
 
 
-def test_parts_know_nothing_of_the_program_and_it_knows_none_by_name():
-    """Guards against the circle that was there: App made each part, and each part held App."""
+def test_extensions_know_nothing_of_app_and_it_knows_none_by_name():
+    """Guards against the circle that was there: App made each extension, and each extension held App."""
     kinds = {"hazelbend.dispatcher.sources", "hazelbend.dispatcher.waiting", "hazelbend.dispatcher.fleet"}
     for path in (PACKAGE / "dispatcher").glob("*.py"):
         named = imports(path)
         assert "hazelbend.dispatcher.app" not in named, path
-        assert path.stem != "app" or not named & kinds, "one place joins them: parts.py"
+        assert path.stem != "app" or not named & kinds, "one place names them: extensions.py"
--- a/tests/test_srv_site.py
+++ b/tests/test_srv_site.py
@@ -137,7 +137,7 @@
                         [(at, gone, up)] = learned
                         assert gone.entry.host == host and not up
                         assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
-                        assert server.zones and host in app.parts["srv"].merger.tombstones
+                        assert server.zones and host in app.extensions["srv"].merger.tombstones
                         await asyncio.sleep(0.01)
                         worst = max([worst, *(when - at for when, _ in toys[0].targets[had:])])
                         learned.clear()
@@ -145,7 +145,7 @@
                         await until(lambda: learned)
                 assert set(statuses) <= {200, 503} and statuses.count(200) > 500
                 assert worst < 0.3, worst
-                assert {name for name, _ in app.parts["srv"].resolver.names.endpoints(NAME).items()}, (
+                assert {name for name, _ in app.extensions["srv"].resolver.names.endpoints(NAME).items()}, (
                     "SRV lists it all along"
                 )
         listener.close()
@@ -165,14 +165,14 @@
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
-                    await until(lambda: app.parts["srv"].resolver.names.roots[NAME].failing_since)
+                    await until(lambda: app.extensions["srv"].resolver.names.roots[NAME].failing_since)
                     await until(lambda before=before: time.monotonic() > before + 1.3)
-                    assert app.parts["srv"].status.names()[0].state == "stale"
+                    assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
-                await until(lambda: not app.parts["srv"].resolver.names.roots[NAME].failing_since)
+                await until(lambda: not app.extensions["srv"].resolver.names.roots[NAME].failing_since)
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
@@ -330,7 +330,7 @@
         async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
             await until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
-            await until(lambda: app.parts["srv"].queries_in_flight)
+            await until(lambda: app.extensions["srv"].queries_in_flight)
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with load(app) as statuses:
@@ -355,7 +355,7 @@
                 app.drain()
                 assert app.undrain()
                 server.faults = [Fault("silent")]
-                await until(lambda: app.parts["srv"].queries_in_flight)
+                await until(lambda: app.extensions["srv"].queries_in_flight)
             assert set(statuses) == {200}
             with pytest.raises(Exception, match=r"srv.toml: name\[0\].zone: 'izmir'"):
                 (tmp_path / "srv.toml").write_text(toml.replace("konya-1", "izmir"))
@@ -394,7 +394,7 @@
             await until(lambda: len(app.router.table.servers) == 2 and path.exists())
             boxes, conf = await boxes_of(app), app.conf
             started = {each.entry.host: each.entry.started_at for each in app.router.table.servers.values()}
-            await app.parts["srv"].close()
+            await app.extensions["srv"].close()
             await server.stop()
             second = App(conf)
             await second.start()
@@ -407,7 +407,7 @@
             path.write_bytes(path.read_bytes()[:-9])
             third = App(conf)
             await third.start()
-            assert await boxes_of(third) == set() and "torn" in third.parts["srv"].snapshot_error
+            assert await boxes_of(third) == set() and "torn" in third.extensions["srv"].snapshot_error
             await third.close()
 
     asyncio.run(run())
--- a/tests/test_waiting_site.py
+++ b/tests/test_waiting_site.py
@@ -53,7 +53,7 @@
     async def run():
         async with waiting_site(tmp_path) as (app, [toy]):
             child = post(app, "plan", b"5", After="n1, n2", Take_Results="1")
-            await until(lambda: app.parts["waiting"].gate.rows())
+            await until(lambda: app.extensions["waiting"].gate.rows())
             assert app.router.is_open("plan") and not toy.ran
             parents = [post(app, each, b"20") for each in ("n1", "n2")]
             answers = await asyncio.gather(child, *parents)
@@ -65,7 +65,7 @@
             await until(lambda: peer.answers().get("c") == ["served"])
             assert (
                 app.router.counters.received == 6
-                and not app.parts["waiting"].gate.pending
+                and not app.extensions["waiting"].gate.pending
                 and not app.router.open_ids
             )
 
@@ -77,7 +77,7 @@
         async with waiting_site(tmp_path) as (app, _):
             child, other = post(app, "c", After="p"), post(app, "e", After="p;ended")
             below = post(app, "d", After="c")
-            await until(lambda: len(app.parts["waiting"].gate.rows()) == 3)
+            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 3)
             assert status(await post(app, "p", b"fail")) in (502, 503)
             answer = await child
             assert status(answer) == 503 and b"X-Reason: p, for which it waited: " in answer
@@ -112,7 +112,7 @@
             peer.job("a", b"5", **names)
             await until(lambda: peer.closed)
             assert words in peer.of("ERROR")[0].headers["message"]
-            assert not app.parts["waiting"].gate.pending and not app.router.open_ids
+            assert not app.extensions["waiting"].gate.pending and not app.router.open_ids
             assert status(await post(app, "a")) == 200, "the id is free, and the front serves on"
 
     asyncio.run(run())
@@ -132,7 +132,7 @@
         async with waiting_site(tmp_path, toys=4) as (app, toys):
             at = int(time.time() * 1e3) + 400
             jobs = [post(app, f"t{number}", Not_Before=at) for number in range(4)]
-            await until(lambda: len(app.parts["waiting"].gate.rows()) == 4)
+            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
             past = post(app, "past", Not_Before=at - 10**6)
             assert status(await past) == 200 and [job for toy in toys for job in toy.ran] == ["past"]
             assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
@@ -147,13 +147,13 @@
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("gone", more=headers(After="p")))
             child = post(app, "below", After="gone;ended")
-            await until(lambda: len(app.parts["waiting"].gate.rows()) == 2)
+            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             writer.close()
             assert status(await child) == 200, "of one that left, it needed no more than its end"
             assert app.router.counters.abandoned == 1 and "gone" not in toy.ran
             peer = await stomp_client(app)
             peer.job("s", b"5", after="p2")
-            await until(lambda: app.parts["waiting"].gate.rows())
+            await until(lambda: app.extensions["waiting"].gate.rows())
             peer.writer.close()
             await until(lambda: app.stomp.connections == 0)
             again = await stomp_client(app)
@@ -169,7 +169,7 @@
             commands, peer = Commands(app), await stomp_client(app)
             peer.job("one", after="never")
             peer.job("two", after="never")
-            await until(lambda: len(app.parts["waiting"].gate.rows()) == 2)
+            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             assert "the end of never" in commands.run("show waiting")
             peer.send("SEND", destination="/hazelbend/cancel", request_id="one")
             await until(lambda: peer.answers().get("one") == ["refused"])
@@ -188,7 +188,7 @@
     async def run():
         text = WAITING + "[admission]\nin_service = 2\naged = 0\nordinary = true\n"
         async with waiting_site(tmp_path, text) as (app, [toy]):
-            app.parts["waiting"].gate.engine.admission.mean_run_us[0] = 100_000.0
+            app.extensions["waiting"].gate.engine.admission.mean_run_us[0] = 100_000.0
             jobs = [post(app, f"j{number}", b"100") for number in range(8)]
             await until(lambda: toy.holds == 2)
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
@@ -209,16 +209,16 @@
         text = WAITING + "[admission]\nin_service = 1\naged = 0\nordinary = true\n"
         async with waiting_site(tmp_path, text, stomp=STOMP) as (app, [toy]):
             jobs = [post(app, f"j{number}", b"150") for number in range(4)]
-            await until(lambda: toy.holds == 1 and len(app.parts["waiting"].gate.rows()) == 3)
+            await until(lambda: toy.holds == 1 and len(app.extensions["waiting"].gate.rows()) == 3)
             (tmp_path / "waiting.toml").write_text(text.replace("in_service = 1", "in_service = 4"))
             app.apply(changed(app, tmp_path))
             await until(lambda: toy.holds == 4)
             assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
             waits = post(app, "waits", After="never")
-            await until(lambda: app.parts["waiting"].gate.rows())
+            await until(lambda: app.extensions["waiting"].gate.rows())
             (tmp_path / "waiting.toml").write_text("enabled = false\n")
             app.apply(changed(app, tmp_path))
-            assert status(await waits) == 503 and "waiting" not in app.parts
+            assert status(await waits) == 503 and "waiting" not in app.extensions
             assert status(await post(app, "plain", After="never")) == 200
 
     asyncio.run(run())
