--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -118,7 +118,7 @@
 
         async def post(name: str, job_id: str, body: bytes, more: str = "") -> int:
             began = loop.time()
-            reader, writer = await asyncio.open_connection("127.0.0.1", app.condition.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             head = (
                 f"POST /{name}/1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: {job_id}\r\nX-Tenant-Id: ege-volt\r\n"
                 f"Idempotency-Key: {job_id}\r\n{more}Connection: close\r\nContent-Length: {len(body)}\r\n\r\n"
