--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,6 +1,6 @@
 """Deployments of every sort, as many as there is time for: `python -m benchmarks.deployments --examples 500`.
 
-tests/test_deployments.py plays a few dozen, the same ones each time. Here they are drawn anew from a seed;
+test_deployments.py plays a few dozen, the same ones each time. Here they are drawn anew from a seed;
 the first that breaks a rule is printed with what it takes to play it again, and the run ends with status 1.
 """
 
@@ -12,13 +12,10 @@
 import sys
 import time
 from collections import Counter
-from pathlib import Path
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-
-from deployment_kit import deployments, play, summary
+from tests.support.deployment_kit import deployments, play, summary
 
 
 def main() -> int:
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -93,10 +93,8 @@
 
 async def play(seconds: float, rule: str, folder: Path) -> dict[str, object]:
     """A flood over HTTP, plans over both fronts. Wanted times as the classes have them."""
-    import sys
 
-    sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-    from site_kit import STOMP, FakeStompClient, site
+    from tests.support.site_kit import STOMP, FakeStompClient, site
 
     lanes: list[dict[str, Any]] = [
         {"name": "station-detail", "deadline_us": 3_000_000, "objective_us": 300_000,
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -13,7 +13,7 @@
 Each method takes the report of one source and returns the changes of the view, in time proportional to the
 endpoints of the report, not to all endpoints (a whole list reports all endpoints).
 
-Invariants after each method, which tests/test_endpoints.py checks:
+Invariants after each method, which tests/endpoints/test_endpoints.py checks:
     1. An endpoint that the list drains or has removed is not ready, whatever SRV reports.
     2. The serving endpoints of the list are in the view as it reports them.
     3. Any other endpoint is in the view if, and only if, an SRV name lists it; none is in it twice.
--- a/hazelbend/transport/http/aiohttp_client.py
+++ b/hazelbend/transport/http/aiohttp_client.py
@@ -2,7 +2,7 @@
 
 aiohttp sends an idempotent request again by itself when a kept connection turns out to be closed. Here each
 request is written once: `CheckedRequest` finds connections that are not fit before the first byte, and asks
-the caller whether the request may still be sent. aiohttp's version is pinned; `tests/test_backend_client.py`
+the caller whether the request may still be sent. aiohttp's version is pinned; `test_backend_client.py`
 fails where a new one behaves differently.
 """
 
--- a/hazelbend/transport/http/client_connection.py
+++ b/hazelbend/transport/http/client_connection.py
@@ -9,7 +9,7 @@
     response being written          RESPONSE_TIMEOUT_S
     idle, kept alive                none
 
-Private parts of aiohttp are used here only, and `tests/test_client_listener.py` holds them: its version is
+Private parts of aiohttp are used here only, and `test_client_listener.py` holds them: its version is
 pinned. `_waiter` is set and not done while nothing is being served; `_request_count` counts the requests
 parsed so far.
 """
--- a/tests/test_console.py
+++ b/tests/console/test_console.py
@@ -4,10 +4,10 @@
 import stat
 
 import pytest
-from site_kit import site, until
 
 from hazelbend.console import client
 from hazelbend.dispatcher.console_server import LINE_LIMIT
+from tests.support.site_kit import site, until
 
 
 def on_site(folder, work):
--- a/tests/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -7,13 +7,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from model import Model
 
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.job_count import MAX_JOB_COUNT, drained, expected_jobs
 from hazelbend.decisions.request import Attempt, Request
 from hazelbend.decisions.worker import Worker
+from tests.support.model import Model
 
 
 def poisson(d: int, load: float) -> float:
--- a/tests/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -5,10 +5,10 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from model import Model
 
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.reliability import FADE_TIME_US, HEALTHY_ERROR_RATE, PRIOR_FAILING, FailureEstimate
+from tests.support.model import Model
 
 ONCE = dy.JobClass(effect=dy.Effect.UNSAFE, objective=2_000_000)
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=2_000_000)
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -7,7 +7,6 @@
 import random
 
 import pytest
-from model import Model
 
 from hazelbend.decisions import discovery_retry
 from hazelbend.decisions import interface as dy
@@ -21,6 +20,7 @@
 from hazelbend.decisions.worker import Worker
 from hazelbend.transport.http import discovery_watch
 from hazelbend.transport.http.discovery_watch import HOLD_GRACE_S
+from tests.support.model import Model
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
--- a/tests/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from model import Model
 
 from hazelbend.decisions import interface as dy
 from hazelbend.decisions.health import suspect
+from tests.support.model import Model
 
 SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
 EMPTY = dy.LoadReport(0.0, 0.0, 4.0)
--- a/tests/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -2,9 +2,8 @@
 
 from collections import Counter
 
-from model import Model
-
 from hazelbend.decisions import interface as dy
+from tests.support.model import Model
 
 
 def serve_all(model: Model, fetch: int) -> None:
--- a/tests/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -1,9 +1,9 @@
 """In overload each job takes another's place: whose it takes goes by what a unit of their work is worth."""
 
 import pytest
-from model import Model
 
 from hazelbend.decisions import interface as dy
+from tests.support.model import Model
 
 RUN = 100_000  # of a mean job of either class, before anything is learnt: the objective
 CHEAP, DEAR = 0, 1
--- a/tests/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -1,8 +1,7 @@
 """A refusal says when to come back: guards against ones that invite an instant retry into a full fleet."""
 
-from model import Model
-
 from hazelbend.decisions import interface as dy
+from tests.support.model import Model
 
 
 def refusal(queued: int) -> dy.Refuse:
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -5,9 +5,9 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from model import Model
 
 from hazelbend.decisions import interface as dy
+from tests.support.model import Model
 
 CLASSES = (
     dy.JobClass(effect=dy.Effect.SAFE, objective=400_000),
--- a/tests/test_config.py
+++ b/tests/dispatcher/test_config.py
@@ -5,9 +5,9 @@
 
 import orjson
 import pytest
-from site_kit import DIGEST, ROOT, SETTINGS, STOMP, host_entry
 
 from hazelbend.dispatcher import config
+from tests.support.site_kit import DIGEST, ROOT, SETTINGS, STOMP, host_entry
 
 CONF = {
     "listen": "127.0.0.1:7070",
--- a/tests/test_cost.py
+++ b/tests/dispatcher/test_cost.py
@@ -2,9 +2,8 @@
 
 import json
 
-from site_kit import ROOT
-
 from benchmarks import counts_per_job
+from tests.support.site_kit import ROOT
 
 LOOKS = 3
 
--- a/tests/test_deployments.py
+++ b/tests/dispatcher/test_deployments.py
@@ -5,11 +5,12 @@
 from collections import Counter
 from pathlib import Path
 
-from deployment_kit import deployments, play, summary
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-PACKAGE = Path(__file__).parent.parent / "hazelbend"
+from tests.support.deployment_kit import deployments, play, summary
+
+PACKAGE = Path(__file__).parents[2] / "hazelbend"
 EXAMPLES = 25
 
 
--- a/tests/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -6,14 +6,14 @@
 from dataclasses import replace
 
 import pytest
-from site_kit import FakeStompClient, site, until
-from test_client_listener import open_kept, request, talk
-from test_ops_door import OPS, asked
-from test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
-from test_reload import changed
 
 from hazelbend.dispatcher import drain
 from hazelbend.transport.http import client_connection, http_listener
+from tests.dispatcher.test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
+from tests.dispatcher.test_reload import changed
+from tests.support.site_kit import FakeStompClient, site, until
+from tests.transport.test_client_listener import open_kept, request, talk
+from tests.transport.test_ops_door import OPS, asked
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
--- a/tests/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from pysnmp.proto.rfc1902 import OctetString
-from site_kit import FakeStompClient, site, until
-from test_client_listener import request, talk
-from test_ops_door import OPS, asked
 
 from hazelbend.decisions.interface import Outcome
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
+from tests.support.site_kit import FakeStompClient, site, until
+from tests.transport.test_client_listener import request, talk
+from tests.transport.test_ops_door import OPS, asked
 
 
 async def stats(app) -> dict[str, int]:
--- a/tests/test_fleet_site.py
+++ b/tests/dispatcher/test_fleet_site.py
@@ -11,7 +11,6 @@
 
 import click
 import pytest
-from site_kit import site
 
 from benchmarks.fleet_faults import LEASES, FakeStore, FaultRun
 from benchmarks.fleet_rig import ACT_SCRIPT, Site, free_port, read_acts, wait_for
@@ -21,6 +20,7 @@
 from hazelbend.leases.fencing import TOKEN_BITS
 from hazelbend.leases.operations import Acquire
 from hazelbend.transport.peer.peer_links import PeerLinks
+from tests.support.site_kit import site
 
 
 @pytest.fixture
--- a/tests/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -14,9 +14,9 @@
 
 import orjson
 import pytest
-from site_kit import ROOT, SETTINGS, host_entry
 
 from benchmarks.fleet_rig import free_port, wait_for
+from tests.support.site_kit import ROOT, SETTINGS, host_entry
 
 
 def answers(port: int) -> bool:
--- a/tests/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -7,12 +7,12 @@
 from contextlib import asynccontextmanager
 
 import orjson
-from site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
-from test_client_listener import request, talk
-from test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
 
 from hazelbend.dispatcher import config
 from hazelbend.protocol.discovery import EndpointListCodec
+from tests.dispatcher.test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
+from tests.support.site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
+from tests.transport.test_client_listener import request, talk
 
 
 class Service:
--- a/tests/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -11,17 +11,17 @@
 
 import orjson
 import pytest
-from pace import pace
-from site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
-from srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
-from test_client_listener import request, talk
-from test_program import ask, free_port, start, wait_for  # noqa: F401
-from test_reload import changed
-from test_upgrade import ready, run_beside
 
 from hazelbend.dispatcher.app import App
 from hazelbend.dispatcher.console_server import CommandError, Commands
 from hazelbend.fakes.dns_faults import Fault
+from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
+from tests.dispatcher.test_reload import changed
+from tests.dispatcher.test_upgrade import ready, run_beside
+from tests.support.pace import pace
+from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
+from tests.support.srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
+from tests.transport.test_client_listener import request, talk
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
 
--- a/tests/test_understanding.py
+++ b/tests/dispatcher/test_understanding.py
@@ -8,15 +8,15 @@
 import orjson
 import pytest
 from click.testing import CliRunner
-from deployment_kit import deployments
 from hypothesis import given
-from site_kit import SETTINGS, site
-from test_config import changed as other
-from test_reload import changed as reloaded
 
 from hazelbend.cli.main import main
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.understanding import Noted
+from tests.dispatcher.test_config import changed as other
+from tests.dispatcher.test_reload import changed as reloaded
+from tests.support.deployment_kit import deployments
+from tests.support.site_kit import SETTINGS, site
 
 LANE = {"name": "a", "semantics": "read_like", "deadline_us": 5_000_000, "objective_us": 1_000_000}
 
--- a/tests/test_upgrade.py
+++ b/tests/dispatcher/test_upgrade.py
@@ -9,13 +9,13 @@
 
 import orjson
 import pytest
-from site_kit import ROOT, SETTINGS, STOMP, host_entry, site
-from test_client_listener import request, talk
-from test_program import ask, free_port, start, wait_for  # noqa: F401
 
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.console_server import ConsoleServer
 from hazelbend.transport.http.http_listener import inherited_listener
+from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
+from tests.support.site_kit import ROOT, SETTINGS, STOMP, host_entry, site
+from tests.transport.test_client_listener import request, talk
 
 
 def run_beside(begin, tmp_path, listener, name, **more):
--- a/tests/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -7,14 +7,14 @@
 
 import orjson
 import pytest
-from site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, until
-from test_client_listener import request, talk
-from test_program import ask, free_port, start, wait_for  # noqa: F401
-from test_reload import changed
-from test_upgrade import ready, run_beside
 
 from hazelbend.dispatcher.console_server import CommandError, Commands
 from hazelbend.job_queue.settings import read_settings
+from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
+from tests.dispatcher.test_reload import changed
+from tests.dispatcher.test_upgrade import ready, run_beside
+from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, until
+from tests.transport.test_client_listener import request, talk
 
 SITE = ROOT / "example/toy_server.py"
 WAITING = "enabled = true\nhttp_headers = true\n"
--- a/tests/test_dns_discovery.py
+++ b/tests/dns_discovery/test_dns_discovery.py
@@ -6,7 +6,6 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from srv_kit import NAME, SECOND, settings
 
 from hazelbend.dns_discovery import snapshot
 from hazelbend.dns_discovery.answers import (
@@ -25,6 +24,7 @@
 from hazelbend.dns_discovery.quorum import AnswerQuorum
 from hazelbend.dns_discovery.resolver import Resolver
 from hazelbend.dns_discovery.settings import read_settings
+from tests.support.srv_kit import NAME, SECOND, settings
 
 A, B, C = (EndpointKey(f"{each}.konya-1.example.org", 7101) for each in "abc")
 ROOT = Question(NAME, RecordType.SRV)
--- a/tests/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -24,7 +24,7 @@
 from hazelbend.placement.engine import PlacementEngine
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.routes import decode_route_table
-from tests.virtual_loop import VirtualLoop
+from tests.support.virtual_loop import VirtualLoop
 
 S = 1_000_000
 ENGINE = {"capacity": 64, "kvCapacity": 400_000, "kvTokenBytes": 18_000, "bandwidthMbps": 370_000.0}
--- a/tests/test_reliability.py
+++ b/tests/forwarding/test_reliability.py
@@ -17,7 +17,7 @@
 from hazelbend.placement.retry_budget import RetryBudget
 from hazelbend.placement.statistics import RatioHistogram
 from hazelbend.system import metrics
-from tests.test_forwarding import EVENTS, FULL, PROMPT, READ, Answer, Site, extras, model_site
+from tests.forwarding.test_forwarding import EVENTS, FULL, PROMPT, READ, Answer, Site, extras, model_site
 
 S = 1_000_000
 IDEMPOTENT = FailureCosts(failure=300_000, rejection=30_000)
--- a/tests/golden_kit.py
+++ b/tests/golden/golden_kit.py
@@ -5,7 +5,7 @@
 What the program writes after reading a sample is the golden data. To write the files again, with the code of
 the directory that PYTHONPATH names:
 
-    PYTHONPATH=DIRECTORY_OF_COMMIT python tests/golden_kit.py
+    PYTHONPATH=DIRECTORY_OF_COMMIT python tests/golden/golden_kit.py
 
 The files in `tests/data/golden` stay as they are: other processes of a fleet and files on disks hold the same
 bytes. A form may get more samples; a sample that is there does not change.
@@ -46,7 +46,7 @@
 from hazelbend.transport.storage.control_store import ControlStore
 from hazelbend.transport.storage.soft_state_file import write_soft_state
 
-GOLDEN = Path(__file__).parent / "data" / "golden"
+GOLDEN = Path(__file__).parents[1] / "data" / "golden"
 
 N1, N2, N3 = "n1#5f3a@127.0.0.1:9100", "n2#77aa@127.0.0.2:9100", "n3#0c1d@127.0.0.3:9100"
 
--- a/tests/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -5,7 +5,7 @@
 `checkpoints` tell after how many steps a run went another way. The file was written by the program of commit
 a71086c:
 
-    PYTHONPATH=DIRECTORY_OF_COMMIT:tests PYTHONHASHSEED=0 python tests/golden_runs.py --write
+    PYTHONPATH=DIRECTORY_OF_COMMIT:tests PYTHONHASHSEED=0 python tests/golden/golden_runs.py --write
 """
 
 from __future__ import annotations
@@ -19,9 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-import golden_kit as kit
 import msgspec
-from golden_shown import values_of
 
 import hazelbend
 from benchmarks import quota_sim
@@ -47,6 +45,8 @@
 from hazelbend.placement.routes import decode_route_table
 from hazelbend.quotas import operations as quota_operations
 from hazelbend.system.control_status import control_status
+from tests.golden import golden_kit as kit
+from tests.golden.golden_shown import values_of
 
 RUNS = kit.GOLDEN / "runs.json"
 MS, S = 1_000, 1_000_000
--- a/tests/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -3,7 +3,7 @@
 Each text is made from plain values alone, given by their places, so it does not hang on the name of a class
 or a field in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
 
-    PYTHONPATH=DIRECTORY_OF_COMMIT:. python tests/golden_shown.py
+    PYTHONPATH=DIRECTORY_OF_COMMIT:. python tests/golden/golden_shown.py
 """
 
 from __future__ import annotations
@@ -25,10 +25,8 @@
 from typing import Any
 
 import click
-import golden_kit as kit
 import msgspec
 from click.testing import CliRunner
-from site_kit import DIGEST, SETTINGS, host_entry
 
 import hazelbend
 from hazelbend.cli.main import main as command_line
@@ -56,6 +54,8 @@
 from hazelbend.system import settings as system_settings
 from hazelbend.transport.http import admin_listener
 from hazelbend.transport.snmp import hazelbend_mib
+from tests.golden import golden_kit as kit
+from tests.support.site_kit import DIGEST, SETTINGS, host_entry
 
 SHOWN = kit.GOLDEN / "shown"
 
--- a/tests/test_golden_data.py
+++ b/tests/golden/test_golden_data.py
@@ -15,7 +15,6 @@
 from pathlib import Path
 from typing import Any
 
-import golden_kit as kit
 import msgspec
 import pytest
 
@@ -24,6 +23,7 @@
 from hazelbend.control import config_state_machine, messages, workers
 from hazelbend.transport.peer import frame_link
 from hazelbend.transport.storage import control_store, fleet_store, soft_state_file
+from tests.golden import golden_kit as kit
 
 SAMPLES = [(form, name) for form in kit.FORMS for name in kit.load_json(form)]
 
--- a/tests/test_golden_runs.py
+++ b/tests/golden/test_golden_runs.py
@@ -12,13 +12,13 @@
 import sys
 from typing import Any
 
-import golden_runs
 import pytest
-from site_kit import ROOT
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions import learned_state
 from hazelbend.decisions.dispatcher import Dispatcher
+from tests.golden import golden_runs
+from tests.support.site_kit import ROOT
 
 GOLDEN = json.loads(golden_runs.RUNS.read_text())
 
@@ -28,7 +28,7 @@
     """In a process of its own, where sets of texts have the same order each time."""
     path = os.pathsep.join(map(str, (ROOT, ROOT / "tests")))
     done = subprocess.run(
-        [sys.executable, ROOT / "tests" / "golden_runs.py"],
+        [sys.executable, ROOT / "tests" / "golden" / "golden_runs.py"],
         env=os.environ | {"PYTHONHASHSEED": "0", "PYTHONPATH": path},
         capture_output=True,
         check=False,
--- a/tests/test_golden_shown.py
+++ b/tests/golden/test_golden_shown.py
@@ -8,10 +8,10 @@
 
 import json
 
-import golden_kit
-import golden_shown
 import pytest
 
+from tests.golden import golden_kit, golden_shown
+
 
 @pytest.mark.parametrize("name", golden_shown.TEXTS)
 def test_a_text_is_the_same_word_for_word(name: str) -> None:
--- a/tests/test_dns_wire.py
+++ b/tests/protocol/test_dns_wire.py
@@ -8,8 +8,6 @@
 import dns.rrset
 from hypothesis import given
 from hypothesis import strategies as st
-from parser_kit import SEEDS, garbage
-from srv_kit import NAME
 
 from hazelbend.dns_discovery.answers import (
     NegativeAnswer,
@@ -20,6 +18,8 @@
     TruncatedAnswer,
 )
 from hazelbend.protocol.dns import MismatchError, decode_answer, encode_query
+from tests.support.parser_kit import SEEDS, garbage
+from tests.support.srv_kit import NAME
 
 QUESTION = Question(NAME, RecordType.SRV)
 
--- a/tests/test_parsers.py
+++ b/tests/protocol/test_parsers.py
@@ -7,8 +7,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from multidict import CIMultiDict
-from parser_kit import SEEDS, garbage, pieces, survives
-from site_kit import SETTINGS, host_entry
 
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.decisions.settings import SettingsError, settings_from
@@ -18,6 +16,8 @@
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
 from hazelbend.protocol.worker_lines import LoadReportFields, read_line
 from hazelbend.routing.ports import AttemptResult, ProgressReport
+from tests.support.parser_kit import SEEDS, garbage, pieces, survives
+from tests.support.site_kit import SETTINGS, host_entry
 
 FIELDS = LoadReportFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
 CATALOGUE = Catalogue(
--- a/tests/test_layers.py
+++ b/tests/repository/test_layers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-PACKAGE = Path(__file__).parent.parent / "hazelbend"
+PACKAGE = Path(__file__).parents[2] / "hazelbend"
 ALLOWED = {
     "decisions": set(),
     "routing": {"decisions"},
--- a/tests/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parents[2] / "README.md"
 
 
 def test_embedding_example_runs():
--- a/tests/test_stories.py
+++ b/tests/repository/test_stories.py
@@ -7,7 +7,7 @@
 
 from behave.__main__ import main
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_stories_come_true(monkeypatch, capfd):
--- a/tests/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -14,7 +14,6 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from virtual_loop import VirtualLoop
 
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
@@ -22,6 +21,7 @@
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
 from hazelbend.routing.table import BackendTable
+from tests.support.virtual_loop import VirtualLoop
 
 SAFE, KEYED, UNSAFE = range(3)
 CLASSES = (
--- a/tests/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -4,15 +4,15 @@
 from dataclasses import replace
 
 import pytest
-from crossing_kit import HeldConnects, ScriptedBackend, core, turns
-from model import Model
-from site_kit import until
-from test_router import ENTRY, ID, JOB, Module, send
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
 from hazelbend.routing.ports import Verdict
+from tests.routing.test_router import ENTRY, ID, JOB, Module, send
+from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
+from tests.support.model import Model
+from tests.support.site_kit import until
 
 LONG = replace(JOB, timeout_us=20_000_000)
 
--- a/tests/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -20,10 +20,10 @@
 import orjson
 from aiohttp import web
 from hypothesis import strategies as st
-from site_kit import ToyServer, host_entry, running, until
 
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.app import App
+from tests.support.site_kit import ToyServer, host_entry, running, until
 
 JOBS = 24
 SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
--- a/tests/site_kit.py
+++ b/tests/support/site_kit.py
@@ -20,7 +20,7 @@
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.app import App
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 sys.path.insert(0, str(ROOT / "example"))
 
 from toy_server import ToyServer  # noqa: E402
--- a/tests/srv_kit.py
+++ b/tests/support/srv_kit.py
@@ -8,11 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from site_kit import ToyServer, site
-
 from hazelbend.dispatcher.app import App
 from hazelbend.dns_discovery.settings import SrvSettings, read_settings
 from hazelbend.fakes.nameserver import FakeNameserver
+from tests.support.site_kit import ToyServer, site
 
 NAME = "_arama._tcp.konya-1.example.org"
 SECOND = 1_000_000
--- a/tests/test_system_processes.py
+++ b/tests/system/test_system_processes.py
@@ -105,7 +105,7 @@
         [sys.executable, "-m", "hazelbend.system", *arguments],
         capture_output=True,
         text=True,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[2],
         timeout=TIMEOUT_S,
     )
 
--- a/tests/test_asgi_server.py
+++ b/tests/transport/test_asgi_server.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from socket_kit import HOST, exchange
 
 from hazelbend.transport.http.asgi_server import AsgiServer, HttpRequest, HttpResponse
+from tests.support.socket_kit import HOST, exchange
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_backend_client.py
+++ b/tests/transport/test_backend_client.py
@@ -7,13 +7,13 @@
 from dataclasses import replace
 
 import pytest
-from crossing_kit import OK, ScriptedBackend, chunk
-from site_kit import until
 
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.ports import AttemptWritten, Job, ProgressReport
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
+from tests.support.crossing_kit import OK, ScriptedBackend, chunk
+from tests.support.site_kit import until
 
 JOB = Job("9b", 0, 0, 1_000_000, target="/nearby/%31?q=%20+&x=", body=b"a\0b", idempotency_key="k")
 DONE = b'{"id":"9b","state":"done","result":"r"}\n'
--- a/tests/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -5,10 +5,10 @@
 import random
 
 import pytest
-from parser_kit import garbage, pieces
-from site_kit import site, until
 
 from hazelbend.transport.http import client_connection, client_listener, http_listener
+from tests.support.parser_kit import garbage, pieces
+from tests.support.site_kit import site, until
 
 HEAD = (
     "POST /nearby/17 HTTP/1.1\r\nHost: x\r\nX-Request-ID: {}\r\nX-Tenant-Id: ege-volt\r\nX-Timeout-Ms: {}\r\n"
--- a/tests/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -6,12 +6,12 @@
 import struct
 
 import pytest
-from crossing_kit import turns
-from site_kit import SETTINGS, site, until
-from test_client_listener import open_kept, request
 
 from hazelbend.dispatcher import app as program
 from hazelbend.transport.http import client_connection, half_close, http_listener
+from tests.support.crossing_kit import turns
+from tests.support.site_kit import SETTINGS, site, until
+from tests.transport.test_client_listener import open_kept, request
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
--- a/tests/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -4,12 +4,12 @@
 
 import orjson
 import pytest
-from crossing_kit import turns
-from site_kit import host_entry, site, until
 
 from hazelbend.decisions import discovery_retry
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.transport.http import discovery_watch
+from tests.support.crossing_kit import turns
+from tests.support.site_kit import host_entry, site, until
 
 
 def answer(seq: int, whole: bool, *names: str) -> bytes:
--- a/tests/test_dns_client.py
+++ b/tests/transport/test_dns_client.py
@@ -3,7 +3,6 @@
 import asyncio
 
 import pytest
-from srv_kit import NAME, nameservers, zone
 
 from hazelbend.dns_discovery.answers import (
     CnameAlias,
@@ -19,6 +18,7 @@
 from hazelbend.dns_discovery.resolver import Query
 from hazelbend.fakes.dns_faults import Fault, FaultKind
 from hazelbend.transport.dns.dns_client import DnsClient
+from tests.support.srv_kit import NAME, nameservers, zone
 
 ENDPOINTS = {
     EndpointKey("b1.konya-1.example.org", 7101): SrvPreference(0, 1),
--- a/tests/test_frame_link.py
+++ b/tests/transport/test_frame_link.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
-from socket_kit import HOST, eventually
 
 from hazelbend.transport.peer.frame_link import FrameConnection, FrameLink, FrameServer
+from tests.support.socket_kit import HOST, eventually
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -8,9 +8,6 @@
 import orjson
 import pytest
 from hypothesis import given
-from parser_kit import SEEDS, garbage, survives
-from site_kit import FakeStompClient, host_entry, site, until
-from test_client_listener import request, talk
 
 from hazelbend.decisions import Dispatcher, Settings
 from hazelbend.decisions import interface as face
@@ -27,6 +24,9 @@
 )
 from hazelbend.transport.peer import handover
 from hazelbend.transport.peer.handover import Handover
+from tests.support.parser_kit import SEEDS, garbage, survives
+from tests.support.site_kit import FakeStompClient, host_entry, site, until
+from tests.transport.test_client_listener import request, talk
 
 ENTRIES = (face.WorkerEntry(1), face.WorkerEntry(2, started_at=900_000), face.WorkerEntry(3, machine_kind=1))
 SETTINGS = Settings(fall_window=1, warm_after=1)
--- a/tests/test_ops_door.py
+++ b/tests/transport/test_ops_door.py
@@ -3,13 +3,13 @@
 import asyncio
 
 import pytest
-from parser_kit import garbage, pieces
-from site_kit import site, until
-from test_client_listener import request, talk
-from test_reload import changed
 
 from hazelbend.dispatcher import config
 from hazelbend.transport.http import admin_listener
+from tests.dispatcher.test_reload import changed
+from tests.support.parser_kit import garbage, pieces
+from tests.support.site_kit import site, until
+from tests.transport.test_client_listener import request, talk
 
 OPS = "127.0.0.1:0"
 
--- a/tests/test_request_listener.py
+++ b/tests/transport/test_request_listener.py
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from socket_kit import HOST, TIMEOUT_S, eventually, exchange
 
 from hazelbend.forwarding.ports import ClientRequest, ClientResponse
 from hazelbend.transport.http.request_listener import RequestListener
+from tests.support.socket_kit import HOST, TIMEOUT_S, eventually, exchange
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_snmp.py
+++ b/tests/transport/test_snmp.py
@@ -25,9 +25,9 @@
 from pysnmp.proto.rfc1902 import OctetString
 from pysnmp.smi.builder import DirMibSource, MibBuilder
 from pysnmp.smi.compiler import add_mib_compiler
-from site_kit import ROOT, site, until
 
 from hazelbend.transport.snmp import hazelbend_mib
+from tests.support.site_kit import ROOT, site, until
 
 COMMUNITY = "reading-room"
 
--- a/tests/test_stomp_front.py
+++ b/tests/transport/test_stomp_front.py
@@ -6,10 +6,10 @@
 from hashlib import blake2b
 
 import stomp
-from parser_kit import garbage, pieces
-from site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, until, write_frame
 
 from hazelbend.transport.stomp import stomp_session
+from tests.support.parser_kit import garbage, pieces
+from tests.support.site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, until, write_frame
 
 ANSWERS = {"id": "a", "destination": "/hazelbend/answers"}
 WORK = {"id": "w", "destination": "/hazelbend/work"}
--- a/tests/test_worker_client.py
+++ b/tests/transport/test_worker_client.py
@@ -9,11 +9,11 @@
 from typing import ClassVar
 
 import pytest
-from socket_kit import HOST
 
 from hazelbend.forwarding.errors import OutcomeUnknownError, SendWithdrawnError, WorkerUnreachableError
 from hazelbend.forwarding.ports import ClientRequest, WorkerCall
 from hazelbend.transport.http.worker_client import HttpWorkerClient
+from tests.support.socket_kit import HOST
 
 pytestmark = pytest.mark.anyio
 
