--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -196,7 +196,7 @@
             self._proposals[proposal_id] = Proposal(number, operation)
         self._collect_output()
 
-    def found_epoch(self, unix_s: float, now: int) -> int:
+    def start_new_epoch(self, unix_s: float, now: int) -> int:
         """Start a new epoch, with this one voter, by an operator. Its number."""
         epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.me)
         self.raft.force_new_cluster(epoch, now)
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -193,7 +193,7 @@
     for step in range(3_000):
         now += 10 * MS
         if step == 5:
-            fleets[addresses[0]].found_epoch(1_764_000_000.0, now)
+            fleets[addresses[0]].start_new_epoch(1_764_000_000.0, now)
         leading = [address for address, fleet in fleets.items() if fleet.raft.is_leader]
         if step == 1_000:
             fleets[leading[0]].transfer_leadership(now)
