--- a/hazelbend/transport/http/admin_listener.py
+++ b/hazelbend/transport/http/admin_listener.py
@@ -1,7 +1,7 @@
-"""The operators' address: HTTP/1.1, one call a connection. It makes no decisions.
+"""The HTTP/1.1 listener of the admin endpoint, which serves one request per connection. It decides nothing.
 
-Its few connections are from the reserved descriptors, so that clients cannot take them. Callers that send
-nothing are evicted for those that do.
+Its few connections use reserved file descriptors, so that clients cannot exhaust them. A connection that
+sends nothing is evicted for a new one.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from hazelbend.transport.http.http_listener import HttpListener
 
 CONNECTION_LIMIT = 16
-MAX_CONNECTIONS = 2 * CONNECTION_LIMIT  # beyond it the oldest is closed, however young it is
+MAX_CONNECTIONS = 2 * CONNECTION_LIMIT  # above this the oldest is closed, however recent it is
 
 
 class Operations(Protocol):
-    """What operators may see and do."""
+    """The state and the actions that the admin endpoint exposes."""
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether clients should connect."""
+        """Whether new clients should connect."""
 
     def figures(self) -> Figures:
-        """Return the counters and gauges."""
+        """Return the current counters and gauges."""
 
     def drain(self) -> None:
-        """Start a drain of clients; one that is in progress goes on."""
+        """Start to drain clients; a drain in progress continues."""
 
     def undrain(self) -> bool:
-        """End the drain; False if the program is ending and cannot accept clients again."""
+        """End the drain. Returns False if the program is shutting down and cannot accept clients again."""
 
 
 class AdminListener(HttpListener):
-    """Serves the `/ops` calls."""
+    """Serves the `/ops` requests."""
 
     def __init__(self, operations: Operations) -> None:
         super().__init__(CONNECTION_LIMIT)
@@ -50,9 +50,9 @@
         }
 
     def _evict_connection(self) -> None:
-        """Also close the oldest connection in a rush of new ones.
+        """Evict as usual, and above `MAX_CONNECTIONS` also close the oldest connection.
 
-        A call is answered as soon as it is complete, so all open connections are silent or slow.
+        A request is answered as soon as it is complete, so all open connections are silent or slow.
         """
         super()._evict_connection()
         if self.connections > MAX_CONNECTIONS:
--- a/hazelbend/transport/http/aiohttp_client.py
+++ b/hazelbend/transport/http/aiohttp_client.py
@@ -1,9 +1,9 @@
-"""What hazelbend needs of aiohttp's client beyond its public interface, in one place.
+"""Extensions of aiohttp's client that depend on its private interface, collected in one module.
 
-aiohttp sends an idempotent request again by itself when a kept connection turns out to be closed. Here each
-request is written once: `CheckedRequest` finds connections that are not fit before the first byte, and asks
-the caller whether the request may still be sent. aiohttp's version is pinned; `test_backend_client.py`
-fails where a new one behaves differently.
+aiohttp retries an idempotent request by itself when a pooled connection turns out to be closed. Here each
+request is written at most once: `CheckedRequest` rejects a stale connection before the first byte, and checks
+with the caller that the request may still be sent. The version of aiohttp is pinned; `test_backend_client.py`
+fails if a new version behaves differently.
 """
 
 from __future__ import annotations
@@ -26,30 +26,31 @@
 
 from hazelbend.transport.http.eager_start import start_eagerly
 
-MAX_TIMER_DELAY_S = 0.05  # of the event loop; a time-out that ends later ran while the process stood still
-HAS_EAGER_TASKS = sys.version_info >= (3, 12)  # aiohttp then starts the writing of a body eagerly by itself
+MAX_TIMER_DELAY_S = 0.05  # of the event loop; a timeout that fires later shows that the process was stopped
+HAS_EAGER_TASKS = sys.version_info >= (3, 12)  # aiohttp then starts to write a body eagerly by itself
 IDLE_POLL_S = 0.5  # between checks whether a replaced session is still in use
 MICROSECONDS_PER_MS = 1_000
 
 
 class RequestNotWrittenError(Exception):
-    """Not a byte of the request was written."""
+    """No byte of the request was written."""
 
 
 class RequestWithdrawnError(RequestNotWrittenError):
-    """`before_first_byte` has forbidden the request, or this process stood still while it connected."""
+    """`before_first_byte` returned None, or this process was stopped while the request was connecting."""
 
 
 class StaleConnectionError(RequestNotWrittenError):
-    """The kept connection is not fit for another request."""
+    """The pooled connection cannot be used for another request."""
 
 
 class RequestProgress:
-    """How far the writing of one request is.
+    """Tracks how far one request has been written.
 
-    `before_first_byte` is called when the connection is established: it returns the microseconds that remain
-    for the request, or None where it must not be sent any more. `on_written` is called once, when the last
-    byte is handed to the connection. `timeout_header` tells the server the remaining time, in milliseconds.
+    `before_first_byte` is called when the connection is established. It returns the remaining time of the
+    request in microseconds, or None if the request must not be sent any more. `on_written` is called once,
+    when the last byte has been passed to the connection. The header `timeout_header` carries the remaining
+    time to the server, in milliseconds.
     """
 
     __slots__ = (
@@ -75,27 +76,28 @@
         self.timeout_header = timeout_header
         self.has_body = has_body
         self._on_written = on_written
-        self.is_permitted = False  # `before_first_byte` has let it pass: bytes may have been written
+        self.is_permitted = False  # `before_first_byte` allowed it: bytes may have been written
         self.is_written = False
         self.reused_connection = False
         self._protocol: ResponseHandler | None = None
 
     def begin(self, protocol: ResponseHandler | None) -> None:
-        """The request is about to be written on this connection."""
+        """Record that the request is about to be written on this connection."""
         self._protocol = protocol
         self.is_permitted = True
 
     def discard_connection(self) -> None:
-        """Close the connection, also where it is already back in the pool.
+        """Close the connection, even if it is already back in the pool.
 
-        A response that belongs to no known request came on it: the next one may be out of step as well.
+        Called after a response that matches no known request: later responses on the connection could be
+        matched to the wrong requests as well.
         """
         if self._protocol is not None:
             self._protocol.force_close()
             self._protocol.close()
 
     def mark_written(self) -> None:
-        """The last byte is handed to the connection: from now on the request may be executed."""
+        """Record that the last byte was passed to the connection: from now on the request may be executed."""
         if self.is_written:
             return
         self.is_written = True
@@ -105,36 +107,36 @@
     async def attach(
         self, request: aiohttp.ClientRequest, handler: ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Client middleware that gives this object to the request."""
+        """Client middleware that attaches this object to the request."""
         assert isinstance(request, CheckedRequest)
         request.progress = self
         return await handler(request)
 
 
 class CheckedRequest(aiohttp.ClientRequest):
-    """A request that is checked again, and whose head is completed, once its connection is established.
+    """A request that is checked again, and whose headers are completed, once its connection is established.
 
-    The check, the head and the first write are done in one turn of the event loop. On Python 3.11 aiohttp
-    would write in a task that begins in a later turn, which in a busy process may be long after.
+    The check, the headers and the first write happen in one iteration of the event loop. On Python 3.11
+    aiohttp would write in a task that starts in a later iteration, which may be much later in a busy process.
     """
 
     progress: RequestProgress | None = None
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
-        """Check, complete the head, and write.
+        """Check the connection and the request, set the timeout header, and write.
 
         Raises:
             RequestWithdrawnError: the request must not be sent any more.
-            StaleConnectionError: the connection is not fit for it.
+            StaleConnectionError: the connection cannot be used for it.
         """
         is_new = self.progress is not None and not self.progress.reused_connection
-        if conn.protocol is not None and not _is_fit(conn.protocol, is_new=is_new):
+        if conn.protocol is not None and not _is_usable(conn.protocol, is_new=is_new):
             conn.close()
             raise StaleConnectionError
         if self.progress is not None:
             remaining = self.progress.before_first_byte()
             if remaining is None:
-                conn.release()  # nothing was written, so it is fit for the next request
+                conn.release()  # nothing was written, so the connection can be reused
                 raise RequestWithdrawnError
             self.progress.begin(conn.protocol)
             remaining_ms = max(remaining // MICROSECONDS_PER_MS, 1)
@@ -144,20 +146,21 @@
     def write_bytes(
         self, writer: AbstractStreamWriter, conn: Connection, content_length: int | None = None
     ) -> Coroutine[Any, Any, None]:
-        """See aiohttp. `send` calls it and gives what it returns to a task."""
+        """Override aiohttp's method. `send` calls it and runs the returned coroutine in a task."""
         writing = super().write_bytes(writer, conn, content_length)
         return writing if HAS_EAGER_TASKS else start_eagerly(writing)
 
 
-def _is_fit(protocol: ResponseHandler, *, is_new: bool) -> bool:
-    """Whether a request may be written on this connection now.
+def _is_usable(protocol: ResponseHandler, *, is_new: bool) -> bool:
+    """Return whether a request may be written on this connection now.
 
-    Not on a kept one where unread data or a FIN has arrived: aiohttp would take the data for the response,
-    and after the FIN nobody knows whether the request was executed. Nor where bytes of an earlier request
-    are still buffered, as the peer does not read: the request would wait behind them, after its last check.
+    A reused connection is rejected if unread data or a FIN has arrived: aiohttp would take the data for the
+    response, and after the FIN it is unknown whether the request was executed. It is also rejected while
+    bytes of an earlier request are buffered because the peer does not read: the request would wait behind
+    them, after its last check.
 
-    The close of a new connection is left to the write: servers reject connections that way, and the caller
-    must learn of it.
+    The write detects that a new connection was closed: servers reject connections that way, and the caller
+    must see that failure.
     """
     if protocol.should_close:
         return False
@@ -167,33 +170,35 @@
     if transport.is_closing() or transport.get_write_buffer_size() > 0:
         return False
     sock = transport.get_extra_info("socket")
-    return sock is None or not _has_arrived(sock.fileno())
+    return sock is None or not _has_unread_input(sock.fileno())
 
 
-def _has_arrived(descriptor: int) -> bool:
-    """Whether unread bytes, a FIN or an error are at this socket."""
+def _has_unread_input(descriptor: int) -> bool:
+    """Return whether the socket has unread bytes, a FIN or an error."""
     poller = select.poll()
     poller.register(descriptor, select.POLLIN | select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 class StrictResponseHandler(ResponseHandler):
-    """A connection whose reset never ends a response that has no length.
+    """A connection on which a reset never completes a response that has no length.
 
-    aiohttp takes such a response for complete however its connection was lost; only a FIN may end it
+    aiohttp treats such a response as complete however its connection was lost; only a FIN may end it
     (RFC 9112, section 8).
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection is closed; `exc` is None where the peer has closed it by a FIN."""
+        """Fail an unfinished response if the connection was reset; `exc` is None after a FIN of the peer."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            payload.set_exception(aiohttp.ClientPayloadError(f"reset before the end of the answer: {exc!r}"))
+            payload.set_exception(
+                aiohttp.ClientPayloadError(f"connection reset before the end of the response: {exc!r}")
+            )
         super().connection_lost(exc)
 
 
 class SessionOwner(Protocol):
-    """Who sends requests, each on the session that is current at that moment."""
+    """The owner of a client session, which may replace the session between requests."""
 
     @property
     def session(self) -> aiohttp.ClientSession:
@@ -220,7 +225,7 @@
 def open_checked_session(
     connector: aiohttp.BaseConnector, connect_timeout_s: float, read_buffer_bytes: int
 ) -> aiohttp.ClientSession:
-    """Open a session for `send_once`, which adds no headers of its own and leaves bodies as they are."""
+    """Open a session for `send_once`. It adds no default headers and does not decompress bodies."""
     return open_session(
         connector,
         aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout_s, ceil_threshold=math.inf),
@@ -241,16 +246,16 @@
     body: bytes | None,
     headers: dict[str, str] | Iterable[tuple[str, str]],
 ) -> aiohttp.ClientResponse:
-    """Write a request once, on the first connection that is fit for it, and read the head of the response.
+    """Write a request at most once, on the first usable connection, and read the headers of the response.
 
     Raises:
-        RequestWithdrawnError: `before_first_byte` has forbidden it, or this process stood still while it
-            connected: then a time-out says nothing about the server.
+        RequestWithdrawnError: `before_first_byte` returned None, or this process was stopped while the
+            request was connecting, so that its connect timeout does not show a fault of the server.
         aiohttp.ClientError, OSError: no connection, or no response.
     """
     loop = asyncio.get_running_loop()
     while True:
-        began_at = loop.time()
+        started_at = loop.time()
         try:
             return await owner.session.request(
                 method,
@@ -265,7 +270,7 @@
             progress.reused_connection = False
         except aiohttp.ConnectionTimeoutError:
             timeout_s = owner.session.timeout.sock_connect or 0.0
-            if loop.time() - began_at > timeout_s + MAX_TIMER_DELAY_S:
+            if loop.time() - started_at > timeout_s + MAX_TIMER_DELAY_S:
                 raise RequestWithdrawnError from None
             raise
 
@@ -301,7 +306,7 @@
 
 
 async def close_when_idle(session: aiohttp.ClientSession) -> None:
-    """Close a session that gets no new requests once its last one is over."""
+    """Close a session that gets no new requests, once its last request has ended."""
     connector = session.connector
     assert connector is not None
     try:
@@ -312,16 +317,16 @@
 
 
 def trim_idle_connections(session: aiohttp.ClientSession, max_idle: int) -> None:
-    """Close idle connections, the longest idle first, until at most so many are left.
+    """Close idle connections, the longest idle first, until at most `max_idle` remain.
 
-    aiohttp's own limit counts only connections in use, but each idle one has a descriptor.
+    aiohttp's own limit counts only connections in use, but each idle connection holds a file descriptor too.
     """
     connector = session.connector
     assert connector is not None
     idle_by_key = connector._conns
     count = sum(map(len, idle_by_key.values())) if idle_by_key else 0
     while count > max(max_idle, 0):
-        key = min(idle_by_key, key=lambda each: idle_by_key[each][0][1])
+        key = min(idle_by_key, key=lambda candidate: idle_by_key[candidate][0][1])
         protocol, _ = idle_by_key[key].popleft()
         if not idle_by_key[key]:
             del idle_by_key[key]
@@ -330,17 +335,17 @@
 
 
 def set_keepalive(session: aiohttp.ClientSession, seconds: float) -> None:
-    """From now on close connections that are idle for so long."""
+    """Close connections once they have been idle for `seconds`, from now on."""
     connector = session.connector
     assert connector is not None
     connector._keepalive_timeout = seconds
 
 
 def raw_url(base: str, target: str) -> URL:
-    """Return the URL whose target is sent exactly as it came."""
+    """Return a URL whose request target is sent unchanged."""
     url = URL(base + target, encoded=True)
     if url.raw_path_qs != target:
-        # yarl drops the question mark of an empty query ("/a?"), and aiohttp writes what yarl has. Of all
-        # printable targets without a fragment this is the only case.
+        # yarl drops the question mark of an empty query ("/a?"), and aiohttp writes yarl's target. This is
+        # the only such case among printable targets without a fragment.
         url._cache["raw_path_qs"] = target
     return url
--- a/hazelbend/transport/http/asgi_server.py
+++ b/hazelbend/transport/http/asgi_server.py
@@ -1,7 +1,6 @@
-"""A small HTTP server at one address, by uvicorn, for calls that fit into memory.
+"""A small HTTP server on one address, based on uvicorn, for requests that fit into memory.
 
-It does not take over the process's signals as uvicorn's own command does, and it wakes up only for its
-connections.
+Unlike uvicorn's own command, it does not install signal handlers, and it wakes up only for its connections.
 """
 
 from __future__ import annotations
@@ -15,10 +14,10 @@
 
 import uvicorn
 
-BACKLOG = 512  # connections that the kernel holds until they are accepted
+BACKLOG = 512  # connections that wait in the kernel to be accepted
 KEEP_ALIVE_TIMEOUT_S = 30
-STARTED_POLL_S = 0.005  # between two looks at whether uvicorn serves
-SHUTDOWN_TIMEOUT_S = 1.0  # that requests in flight have at the end
+STARTED_POLL_S = 0.005  # between two checks whether uvicorn has started
+SHUTDOWN_TIMEOUT_S = 1.0  # for requests in flight to finish at shutdown
 PAYLOAD_TOO_LARGE = 413
 
 
@@ -34,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpResponse:
-    """A response with its complete body. `headers` are added to the type and length of the content."""
+    """A response with its complete body. `headers` are sent beside Content-Type and Content-Length."""
 
     status: int
     body: bytes = b""
@@ -49,7 +48,7 @@
 
 
 class _UvicornServer(uvicorn.Server):
-    """uvicorn without its handling of signals and without its timer."""
+    """A uvicorn server without its signal handlers and its periodic timer."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
@@ -57,16 +56,16 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Install no handlers: the program handles its signals itself."""
+        """Install no signal handlers: the program handles its signals itself."""
         yield
 
     async def main_loop(self) -> None:
-        """Wait for the end. uvicorn's own loop wakes up ten times a second, for features not used here."""
+        """Wait for shutdown. uvicorn's own loop wakes up ten times a second, for features not used here."""
         await self.stopping.wait()
 
 
 class AsgiServer:
-    """Serves one address. `handler` answers each request whose body is no longer than `max_body_bytes`."""
+    """Serves one address. `handler` answers each request with a body of at most `max_body_bytes`."""
 
     def __init__(self, handler: RequestHandler, max_body_bytes: int) -> None:
         self._handler = handler
@@ -75,7 +74,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Serve from now on. Raises OSError where the address can't be bound."""
+        """Start serving. Raises OSError if the address cannot be bound."""
         listener = _bound_socket(host, port)
         config = uvicorn.Config(
             self._serve,
@@ -117,7 +116,7 @@
         await _send_response(response, send)
 
     async def _read_body(self, receive: AsgiReceive) -> bytes | None:
-        """The body, or as much of it as shows that it is too long. None: the client has disconnected."""
+        """Return the body, read only until it exceeds the limit, or None if the client has disconnected."""
         body = bytearray()
         while True:
             event = await receive()
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -1,4 +1,4 @@
-"""The dispatcher's requests to backends over HTTP, by aiohttp's client: each is written once."""
+"""HTTP client of the dispatcher for its backends, based on aiohttp. Each request is written at most once."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 log = logging.getLogger("hazelbend.backends")
 
 TIMEOUT_HEADER = "X-Timeout-Ms"
-KEEPALIVE_MARGIN_S = 0.5  # before the backend's limit, at which an idle connection is closed
-DRAIN_TIMEOUT_S = 0.02  # in which the rest of a response must come, whose result is known
+KEEPALIVE_MARGIN_S = 0.5  # an idle connection is closed this long before the backend would close it
+DRAIN_TIMEOUT_S = 0.02  # to read the rest of a response whose result is known
 MAX_DRAIN_READS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class PoolSettings:
-    """What the configuration says about connections to backends."""
+    """The configured limits of connections to backends, and the fields of their load reports."""
 
     connect_timeout_s: float  # seconds
     keepalive_s: float  # seconds
-    max_connections: int  # at most so many in use
+    max_connections: int  # in use at the same time
     report_fields: LoadReportFields
 
 
 class ConnectionPool:
-    """The client session for all backends, and the limit of its connections."""
+    """The client session for all backends, and the limit on its connections."""
 
     def __init__(self, settings: PoolSettings) -> None:
         self.settings = settings
@@ -62,10 +62,10 @@
 
     @contextmanager
     def reserve_connection(self) -> Iterator[bool]:
-        """Yield whether one of the connections is free, and hold it for the block.
+        """Yield whether a connection is free, and reserve it for the duration of the block.
 
-        Nobody waits for one: the wait would look like the backend's fault, and what was known about the
-        backend when it was selected would be out of date.
+        There is no queue for connections: the wait would look like a fault of the backend, and the state
+        that the backend was selected by would be out of date.
         """
         is_free = self._in_use < self.settings.max_connections
         self._in_use += is_free
@@ -76,11 +76,11 @@
             self._in_use -= is_free
 
     def set_limit(self, max_connections: int) -> None:
-        """Change the limit; open connections stay."""
+        """Change the limit; open connections are not closed."""
         self.settings = replace(self.settings, max_connections=max_connections)
 
     def apply_settings(self, settings: PoolSettings) -> None:
-        """Use new settings for new requests; those in flight end on the session that they began on."""
+        """Use new settings for new requests; requests in flight finish on the session that sent them."""
         replaced = self.session
         self.settings = settings
         self.session = _open_session(settings)
@@ -102,7 +102,7 @@
 def _open_session(settings: PoolSettings) -> aiohttp.ClientSession:
     keepalive_s = settings.keepalive_s
     connector = aiohttp.TCPConnector(
-        limit=0,  # by `reserve_connection`
+        limit=0,  # `reserve_connection` limits them
         keepalive_timeout=max(keepalive_s - KEEPALIVE_MARGIN_S, keepalive_s / 2),
         use_dns_cache=False,
     )
@@ -117,7 +117,7 @@
         self._base_url = f"http://{address}"
 
     def close(self) -> None:
-        """See the Protocol. The idle connections of a backend that is gone time out by themselves."""
+        """See the Protocol. The idle connections of a removed backend time out by themselves."""
 
     async def attempt(
         self,
@@ -125,7 +125,7 @@
         before_first_byte: BeforeFirstByte,
         on_progress: AttemptCallback,
     ) -> AttemptResult:
-        """See the Protocol. Where it is cancelled, its connection is closed."""
+        """See the Protocol. When cancelled, it closes its connection."""
         with self._pool.reserve_connection() as is_free:
             if not is_free:
                 return AttemptResult(Outcome.NOT_SENT)
@@ -161,11 +161,11 @@
         except (aiohttp.ClientError, OSError):
             return AttemptResult(Outcome.RESET)
         except (ValueError, aiohttp.http_exceptions.HttpProcessingError) as error:
-            # A response that cannot be parsed, as a line without end, is the backend's failure and not ours.
+            # A response that cannot be parsed, such as an endless line, is a failure of the backend.
             log.warning("%s: %s", self._base_url, error)
             return AttemptResult(Outcome.ERROR)
         finally:
-            response.close()  # closes its connection, unless it was read to its end
+            response.close()  # closes the connection, unless the response was read to its end
 
     async def _read_result(
         self,
@@ -173,7 +173,7 @@
         job: Job,
         on_progress: AttemptCallback,
     ) -> AttemptResult:
-        """Read lines of progress up to the one with the result."""
+        """Read the lines of the response: progress reports, then the result."""
         if response.status != 200:
             is_not_processed = response.headers.get("X-Not-Processed") == "1"
             outcome = outcome_of_status(response.status, is_not_processed)
@@ -211,7 +211,7 @@
 
 
 async def _drain(response: aiohttp.ClientResponse) -> None:
-    """Read the rest of a response whose result is known, so that its connection can be reused."""
+    """Read the rest of a response whose result is known, so that the connection can be reused."""
     try:
         async with asyncio.timeout(DRAIN_TIMEOUT_S):
             for _ in range(MAX_DRAIN_READS):
--- a/hazelbend/transport/http/client_connection.py
+++ b/hazelbend/transport/http/client_connection.py
@@ -1,17 +1,17 @@
-"""One server-side HTTP/1.1 connection: aiohttp's request handler, with deadlines for the client.
+"""One server-side HTTP/1.1 connection: aiohttp's request handler with deadlines for the client.
 
-A connection's states, and the deadline of each:
+The states of a connection and the deadline of each:
 
-    connected, nothing received     REQUEST_TIMEOUT_S from its connecting
+    connected, nothing received     REQUEST_TIMEOUT_S after the connection was accepted
     first request, partial          the same
-    a later request, partial        REQUEST_TIMEOUT_S from its first byte
-    request complete, being served  none: the request has its own
+    later request, partial          REQUEST_TIMEOUT_S after its first byte
+    request complete, being served  none: the request has its own deadline
     response being written          RESPONSE_TIMEOUT_S
     idle, kept alive                none
 
-Private parts of aiohttp are used here only, and `test_client_listener.py` holds them: its version is
-pinned. `_waiter` is set and not done while nothing is being served; `_request_count` counts the requests
-parsed so far.
+The private attributes of aiohttp's request handler are used only here; aiohttp's version is pinned, and
+`test_client_listener.py` checks them. `_waiter` is set and not done while no request is being served;
+`_request_count` is the number of requests parsed so far.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 log = logging.getLogger("hazelbend.client_listener")
 
 TEXT_PLAIN = "text/plain"
-# A client that is silent or slow must get an error or a close within 3 s.
+# A silent or slow client must get an error or see the connection closed within 3 s.
 REQUEST_TIMEOUT_S = 2.3
-RESPONSE_TIMEOUT_S = 10.0  # that a client has to read a response
-UNREAD_GRACE_S = 0.4  # beyond a deadline for bytes that lie in the kernel: the delay may be ours
+RESPONSE_TIMEOUT_S = 10.0  # for a client to read a response
+UNREAD_GRACE_S = 0.4  # added to a deadline while the kernel holds unread bytes: this process may be late
 REQUEST_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
@@ -43,38 +43,38 @@
     """The listener that a connection belongs to."""
 
     request_timeout_s: float
-    """Seconds that a client has to send a complete request."""
+    """Time for a client to send a complete request, in seconds."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection was accepted."""
+        """Add a connection that was accepted."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is closed."""
+        """Remove a connection that is closed."""
 
     def may_linger(self, connection: ClientConnection) -> bool:
-        """The connection is half-closed: return whether it may be read for a while."""
+        """Return whether a half-closed connection may be read for a while before it is closed."""
 
 
 class ClientConnection(RequestHandler):
-    """Tracks how far its request is, and its deadline. Times are seconds of the event loop's clock."""
+    """Tracks the state of its request and its deadline. Times are in seconds of the event loop's clock."""
 
     def __init__(self, owner: ConnectionOwner, server: web.Server, **options: Any) -> None:
         super().__init__(server, **options)
         self._owner = owner
         self._half_closing: HalfClosingTransport | None = None
-        self._arrival_times: deque[float] = deque()  # of the heads of requests that wait to be served
-        self._known_requests = 0  # of `_request_count`
-        self.deadline: float | None = None  # when the listener closes it
-        self.last_active_at = 0.0  # when it connected, or its last response began
+        self._arrival_times: deque[float] = deque()  # when the headers of each waiting request were complete
+        self._known_requests = 0  # how much of `_request_count` is in `_arrival_times` already
+        self.deadline: float | None = None  # when the listener closes the connection
+        self.last_active_at = 0.0  # when the connection was accepted, or its last response started
         self.has_partial_request = False
         self.is_responding = False
-        self.has_valid_request = False  # it has sent one
+        self.has_valid_request = False  # the client has sent at least one
         self.invalid_requests = 0
 
     # --- events of the connection ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time in which the first request must arrive."""
+        """Start the timeout for the first request."""
         assert isinstance(transport, asyncio.Transport)
         self._half_closing = HalfClosingTransport(
             transport, self._receive, self.close, lambda: self._owner.may_linger(self)
@@ -85,15 +85,15 @@
         self._owner.connection_opened(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection is closed; aiohttp cancels the task that serves its request."""
+        """Release the connection; aiohttp cancels the task that serves its request."""
         if self._half_closing is not None:
             self._half_closing.connection_lost()
         self._owner.connection_closed(self)
         super().connection_lost(exc)
-        self._half_closing = None  # breaks the reference cycle, so that nothing waits for the collector
+        self._half_closing = None  # breaks a reference cycle, so that memory is freed without the collector
 
     def data_received(self, data: bytes) -> None:
-        """Data from the socket; aiohttp itself calls this with none, to parse on in what it has buffered."""
+        """Handle received data. aiohttp itself calls this without data to parse what it has buffered."""
         if not data:
             self._receive(data)
         elif self._half_closing is not None:
@@ -112,19 +112,19 @@
             self._known_requests = self._request_count
 
     def take_queueing_time(self) -> float:
-        """Return the seconds that the request being served has waited behind others of this connection.
+        """Return how long the request being served has waited behind others on this connection, in seconds.
 
-        Called once for each request.
+        Must be called once for each request.
         """
         return self._loop.time() - self._arrival_times.popleft() if self._arrival_times else 0.0
 
     def request_received(self) -> None:
-        """The request is complete: the client has no deadline until its response."""
+        """Record that the request is complete: the client has no deadline until the response starts."""
         self.has_partial_request = False
         self.deadline = None
 
     def begin_response(self, *, is_valid: bool) -> None:
-        """A response is about to be written; `is_valid`: its request was."""
+        """Record that a response is about to be written. `is_valid` states whether its request was valid."""
         self.has_valid_request = self.has_valid_request or is_valid
         self.invalid_requests += not is_valid
         self.has_partial_request = False
@@ -136,17 +136,17 @@
 
     @property
     def was_used(self) -> bool:
-        """Whether it has carried a request, valid or not."""
+        """Whether the connection has carried a request, valid or not."""
         return self.has_valid_request or bool(self.invalid_requests)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being served, nor waits to be."""
+        """Whether no request is being served or waiting to be served."""
         return self._waiter is not None and not self._waiter.done()
 
     @property
     def has_unread(self) -> bool:
-        """Whether the kernel holds bytes of it that were not read yet: the delay may be ours."""
+        """Whether the kernel holds unread bytes of this connection: this process may be the late one."""
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or sock.fileno() < 0:
             return False
@@ -154,19 +154,20 @@
         return bool(unread > 0)
 
     def close_if_idle(self) -> None:
-        """Close it, unless a request is being served or has arrived and was not read yet.
+        """Close the connection, unless a request is being served or has arrived and is still unread.
 
-        aiohttp's own `close` would leave an idle connection open and deaf: a request sent on it is lost.
+        aiohttp's own `close` would leave an idle connection open without reading it, so that a request sent
+        on it would be lost.
         """
         if self.is_idle and not self.has_partial_request and not self.has_unread:
             self.force_close()
 
     def enforce_deadline(self, now: float) -> None:
-        """Close it if its deadline has passed."""
+        """Close the connection if its deadline has passed."""
         if self.deadline is None or now < self.deadline or self.transport is None:
             return
         if self.is_idle and not self.has_partial_request and self.is_responding:
-            self.deadline = None  # its response was written; it is kept alive
+            self.deadline = None  # the response was written; the connection is kept alive
         elif self.has_unread and now < self.deadline + UNREAD_GRACE_S:
             return
         elif self.is_responding:
@@ -183,7 +184,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Respond to input that aiohttp cannot parse, in our words and without a line in the log."""
+        """Respond to input that aiohttp cannot parse, with our own text and without logging it."""
         if isinstance(exc, http_exceptions.LineTooLong):
             status, message = 431, "a line or field of the head is too long"
         elif isinstance(exc, http_exceptions.HttpProcessingError):
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -1,4 +1,4 @@
-"""The dispatcher's address for clients: HTTP/1.1 by aiohttp's low-level server. It makes no decisions."""
+"""The dispatcher's HTTP/1.1 listener for clients, based on aiohttp's low-level server. It decides nothing."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from hazelbend.transport.http.request_body import BodyTooLargeError, MalformedBodyError, read_body
 
 MAX_BODY_BYTES = 64 * 1024
-MIN_QUEUEING_TIME_S = 0.005  # behind other requests: taken off a request's time-out from here on
-# The response to an invalid request is delayed by so much for each invalid one before on its connection:
+MIN_QUEUEING_TIME_S = 0.005  # from here on, the wait behind other requests is taken off a request's timeout
+# The delay of the response to an invalid request, for each earlier invalid request on its connection:
 INVALID_REQUEST_DELAY_S = 0.05
 MAX_INVALID_REQUEST_DELAY_S = 0.5
 
 
 class JobRejectedError(Exception):
-    """A request that is not accepted as a job; the text is for the client."""
+    """A request is not accepted as a job. The text is sent to the client."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -35,10 +35,11 @@
 
 
 HttpGate: TypeAlias = Callable[[Job, MultiMapping[str]], PendingJob]
+"""Submits a job with the headers of its request to the job queue; raises `BadRequestError`."""
 
 
 class ClientListener(DrainingListener):
-    """Reads jobs from requests and gives them to the router, or to the gate where jobs may wait."""
+    """Reads jobs from requests and passes them to the router, or to the gate if there is a job queue."""
 
     def __init__(self, router: Router, catalogue: Catalogue, connection_limit: int) -> None:
         super().__init__(connection_limit)
@@ -51,11 +52,13 @@
         assert isinstance(connection, ClientConnection)
         queueing_time_s = connection.take_queueing_time()
         if not request.content.is_eof():
-            queueing_time_s = 0.0  # its body is still to come: its client has not waited for us
+            queueing_time_s = (
+                0.0  # the body has not arrived yet, so the client has not waited for this process
+            )
         response = await self._respond(request, connection, queueing_time_s)
         is_valid = not 400 <= response.status < 500
         if not is_valid and connection.invalid_requests:
-            # A client that repeats an invalid request at once would take the time of others.
+            # A client that repeats an invalid request without delay would take processing time from others.
             delay = INVALID_REQUEST_DELAY_S * connection.invalid_requests
             await asyncio.sleep(min(delay, MAX_INVALID_REQUEST_DELAY_S))
         connection.begin_response(is_valid=is_valid)
@@ -84,7 +87,7 @@
         try:
             return _http_response(await pending.reply())
         except asyncio.CancelledError:
-            pending.leave()  # the client has closed its connection
+            pending.leave()  # the client has closed the connection
             raise
 
     def _accept_job(self, request: web.BaseRequest, body: bytes, queueing_time_s: float) -> PendingJob:
--- a/hazelbend/transport/http/discovery_watch.py
+++ b/hazelbend/transport/http/discovery_watch.py
@@ -1,8 +1,8 @@
-"""The watch on discovery: a long poll for changes since the known version of the list, until a call fails.
+"""Watch on the discovery service: long polls for changes since the known version, until a call fails.
 
-Discovery serves the calls of a whole fleet one after another, and each line that it sends takes time. So the
-complete list is requested only where no version is known: a start goes on from the version in the
-configuration, and a new watch from the last one that the watch before has received.
+Discovery serves the calls of the whole fleet one after another, and each line that it sends takes time. The
+complete list is therefore requested only if no version is known: at startup the watch continues from the
+version in the configuration, and a new watch continues from the last version that the previous one received.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 log = logging.getLogger("hazelbend.discovery")
 
-CALL_TIMEOUT_S = discovery_retry.CALL_TIMEOUT_US / 1e6  # of a call that is not held
-HOLD_GRACE_S = 1.0  # beyond the hold of a call; 2 s after it a change counts as announced
+CALL_TIMEOUT_S = discovery_retry.CALL_TIMEOUT_US / 1e6  # of a call without a hold time
+HOLD_GRACE_S = 1.0  # added to the hold time of a call; 2 s after that time a change counts as announced
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
 class DiscoveryWatch:
-    """Implements `routing.ports.Discovery`. The list stays in force until a new address has answered."""
+    """Implements `routing.ports.Discovery`. The known list stays valid until a new address has answered."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         *,
         is_pushed: bool = False,
     ) -> None:
-        """`is_pushed`: the service is an agent of our own, which no other dispatcher calls."""
+        """`is_pushed`: the service is a local agent that no other dispatcher calls."""
         self.address = address
         self._codec = codec
         self.fleet_size = fleet_size
         self.is_pushed = is_pushed
-        self.known_version: int | None = None  # None: no list, or one of another service
+        self.known_version: int | None = None  # None: no list is known, or only that of another service
         self._hold = discovery_retry.WatchHold()
         self._on_list: Callable[[EndpointList], None] | None = None
         self._task: asyncio.Task[None] | None = None
@@ -51,15 +51,15 @@
     def subscribe(self, on_list: Callable[[EndpointList], None]) -> None:
         """See the Protocol.
 
-        A watch in progress goes on, for the new subscriber: it may have been opened at a new address since
-        the failure that this subscription follows.
+        A watch in progress continues for the new subscriber: it may have been opened at a new address since
+        the failure that led to this subscription.
         """
         self._on_list = on_list
         if self._task is None or self._task.done():
             self._open()
 
     def change_address(self, address: str | None, codec: EndpointListCodec) -> None:
-        """Watch there from now on. It may be another service, so its complete list is requested."""
+        """Watch a new address. It may be another service, so its complete list is requested."""
         self.address = address
         self._codec = codec
         self.known_version = None
@@ -67,18 +67,18 @@
             self._open()
 
     async def close(self) -> None:
-        """End the watch; the subscriber gets nothing more."""
+        """End the watch; the subscriber receives nothing more."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     @property
     def _callers(self) -> int:
-        """How many dispatchers call the service."""
+        """The number of dispatchers that call the service."""
         return 1 if self.is_pushed else self.fleet_size
 
     def _open(self) -> None:
-        """Start a watch instead of the one in progress."""
+        """Start a watch, replacing the one in progress."""
         if self._task is not None:
             self._task.cancel()
         self._task = start_background_task("discovery watch", self._watch)
@@ -89,10 +89,10 @@
 
     async def _watch(self) -> None:
         if self.address is None:
-            self._publish(EndpointList())  # without discovery the known list stays in force
+            self._publish(EndpointList())  # without discovery the known list stays valid
             return
         hold = self._hold.first_hold(self._callers)
-        # Each watch has a connection of its own: one that is dead without a sign ends with its watch.
+        # Each watch opens its own connection, so that a dead connection is not reused by the next watch.
         connector = aiohttp.TCPConnector(limit=1, use_dns_cache=False)
         async with open_session(connector, aiohttp.ClientTimeout(total=None)) as session:
             while True:
@@ -102,15 +102,15 @@
                     log.warning("discovery: call failed: %s", str(error) or type(error).__name__)
                     break
                 self._publish(endpoints)
-                # The next call must come within 200 ms, or what changes in between is lost to this watch.
+                # The next call must arrive within 200 ms, or this watch misses the changes in between.
                 hold = self._hold.next_hold(self._callers)
-        self._task = None  # the subscriber may subscribe again at once, as it gets the failure
+        self._task = None  # the subscriber may subscribe again from within its callback for the failure
         self._publish(EndpointList(failed=True))
 
     async def _call(self, session: aiohttp.ClientSession, hold: int) -> EndpointList:
         """Return the complete list, or the changes since the known version.
 
-        Discovery holds the call for changes for `hold` microseconds.
+        Discovery waits for changes for up to `hold` microseconds before it answers.
         """
         known_version = self.known_version
         url = f"http://{self.address}/v1/servers"
@@ -130,23 +130,23 @@
             elapsed = round((loop.time() - started_at) * 1e6)
             self._hold.record_answer(elapsed - hold, self._callers)
         if 400 <= status < 500:
-            self.known_version = None  # discovery does not know that version
+            self.known_version = None  # discovery does not know this version
         if status != 200:
             raise ValueError(f"status {status}")
         endpoints = self._codec.decode(text)
         if known_version is not None and endpoints.seq < known_version and not endpoints.is_complete:
             self.known_version = None  # discovery has restarted: the changes in between are unknown
-            raise ValueError(f"changes up to {endpoints.seq}, older than the {known_version} held")
+            raise ValueError(f"changes up to version {endpoints.seq}, older than the known {known_version}")
         self.known_version = endpoints.seq
         return endpoints
 
     @staticmethod
     async def _fetch(session: aiohttp.ClientSession, url: str) -> tuple[int, bytes]:
-        """Return status and body of one call."""
+        """Return the status and the body of one call."""
         body = bytearray()
         async with session.get(URL(url, encoded=True), allow_redirects=False) as response:
             async for chunk in response.content.iter_any():
                 body += chunk
                 if len(body) > MAX_LIST_BYTES:
-                    raise ValueError("a list over the limit")
+                    raise ValueError(f"the list is larger than {MAX_LIST_BYTES} bytes")
             return response.status, bytes(body)
--- a/hazelbend/transport/http/draining_listener.py
+++ b/hazelbend/transport/http/draining_listener.py
@@ -1,4 +1,4 @@
-"""A listener for clients that can be drained: new connections are still served, and none is kept alive."""
+"""A listener for clients that can be drained: it serves new connections, but keeps none alive."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class DrainingListener(HttpListener):
-    """While it drains, each connection closes with its next response, and an idle one at the idle deadline.
+    """While draining, closes each connection after its next response, and idle ones at the idle deadline.
 
-    Times are seconds of the event loop's clock.
+    Times are in seconds of the event loop's clock.
     """
 
     def __init__(self, connection_limit: int) -> None:
         super().__init__(connection_limit)
         self.is_closing = False
         self.is_draining = False
-        self.idle_deadline = math.inf  # from then on idle connections that were used are closed
-        self.partial_request_deadline = math.inf  # and those that have not sent a complete request
+        self.idle_deadline = math.inf  # when idle connections that have carried a request are closed
+        self.partial_request_deadline = math.inf  # when connections without a complete request are closed
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether clients should connect."""
+        """Whether new clients should connect."""
         return self._listener is not None and not self.is_draining and not self.is_closing
 
     @property
     def allows_keep_alive(self) -> bool:
         """Whether a connection may stay open after its response."""
-        # Above the limit none is kept: new clients and servers need the descriptors.
+        # Above the limit no connection is kept alive: new clients and servers need the file descriptors.
         return not (self.is_closing or self.is_draining or self.connections > self.connection_limit)
 
     def release_listener(self) -> None:
-        """Another process has the listening socket from now on; accepted connections are served here."""
+        """Leave the listening socket to another process; connections accepted here are still served here."""
         super().stop_accepting()
 
     def start_draining(self, idle_deadline: float, partial_request_deadline: float) -> None:
@@ -43,7 +43,7 @@
         self.partial_request_deadline = partial_request_deadline
 
     def restore_request_timeout(self) -> None:
-        """While it drains on, let new connections have their full time to send a request again."""
+        """Continue to drain, but give connections the full request timeout again."""
         self.partial_request_deadline = math.inf
 
     def stop_draining(self) -> None:
@@ -53,9 +53,9 @@
         self.partial_request_deadline = math.inf
 
     def stop_accepting(self) -> None:
-        """Accept no new connections; close idle ones now, and the others with their responses.
+        """Accept no new connections; close idle ones now and the others after their responses.
 
-        A connection that has sent nothing yet is not closed: its first request may be on its way, and a close
+        A connection that has sent nothing yet is not closed: its first request may be in transit, and closing
         without a response would lose it.
         """
         self.is_closing = True
@@ -65,11 +65,11 @@
                 connection.close_if_idle()
 
     def _check_connection(self, connection: ClientConnection, now: float) -> None:
-        is_cut_short = now >= self.partial_request_deadline and connection.has_partial_request
-        if is_cut_short and connection.deadline is not None:
+        is_past_deadline = now >= self.partial_request_deadline and connection.has_partial_request
+        if is_past_deadline and connection.deadline is not None:
             connection.deadline = min(connection.deadline, now)
         connection.enforce_deadline(now)
-        # One that has sent nothing yet is not an idle one: its first request may be on its way.
+        # A connection that has sent nothing yet does not count as idle: its first request may be in transit.
         close_at = self.idle_deadline if connection.was_used else self.partial_request_deadline
         if now >= close_at:
             connection.close_if_idle()
--- a/hazelbend/transport/http/eager_start.py
+++ b/hazelbend/transport/http/eager_start.py
@@ -1,4 +1,4 @@
-"""Starts a coroutine in the present turn of the event loop, as eager tasks do from Python 3.12 on."""
+"""Starts a coroutine in the current iteration of the event loop, as eager tasks do from Python 3.12 on."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def start_eagerly(coroutine: Coroutine[Any, Any, T]) -> Coroutine[Any, Any, T]:
-    """Run a coroutine up to where it first waits. The returned one is the rest of it, for a task.
+    """Run a coroutine up to its first suspension and return the remainder, to be run as a task.
 
-    What runs at once runs in the task of the caller: it must not look at the current task, as
-    `asyncio.timeout` does.
+    The first part runs in the caller's task, so it must not depend on the current task, as `asyncio.timeout`
+    does.
     """
     try:
-        waits_for = coroutine.send(None)
+        awaited = coroutine.send(None)
     except StopIteration as end:
         return _return(end.value)
     except BaseException as error:
         return _raise(error)
-    return _await_rest(coroutine, waits_for)
+    return _await_rest(coroutine, awaited)
 
 
 async def _return(value: T) -> T:
@@ -32,22 +32,22 @@
     raise error
 
 
-async def _await_rest(coroutine: Coroutine[Any, Any, T], waits_for: object) -> T:
-    result: T = await _rest(coroutine, waits_for)
+async def _await_rest(coroutine: Coroutine[Any, Any, T], awaited: object) -> T:
+    result: T = await _rest(coroutine, awaited)
     return result
 
 
 @types.coroutine
-def _rest(coroutine: Coroutine[Any, Any, T], waits_for: object) -> Generator[Any, Any, T]:
-    """Pass on what the coroutine waits for to the task, and the task's answers to the coroutine."""
+def _rest(coroutine: Coroutine[Any, Any, T], awaited: object) -> Generator[Any, Any, T]:
+    """Yield the awaitables of the coroutine to the task, and send the task's results to the coroutine."""
     try:
         while True:
             try:
-                answer = yield waits_for
+                result_of_wait = yield awaited
             except BaseException as error:
-                waits_for = coroutine.throw(error)
+                awaited = coroutine.throw(error)
             else:
-                waits_for = coroutine.send(answer)
+                awaited = coroutine.send(result_of_wait)
     except StopIteration as end:
         result: T = end.value
         return result
--- a/hazelbend/transport/http/half_close.py
+++ b/hazelbend/transport/http/half_close.py
@@ -1,12 +1,13 @@
-"""A transport that closes its writing side first, and reads on until the peer closes too.
+"""A transport that closes its writing side first and continues to read until the peer closes too.
 
-Closing a socket over unread bytes resets the connection, and the peer may lose what was written shortly
-before (RFC 9112, section 9.6). Whether bytes are unread cannot be checked in one step with the close. So
-`close` here ends only the writing side: what the peer sends after it is read and dropped, until the peer
-closes as well or `LINGER_S` is over.
+Closing a socket that has unread bytes resets the connection, and the peer may lose what was written shortly
+before (RFC 9112, section 9.6). Checking for unread bytes and closing cannot be done atomically. `close`
+therefore ends only the writing side: later input is read and dropped, until the peer closes as well or
+`LINGER_S` has passed.
 
-A paused reader does not see the peer's close either. So `pause_reading` buffers up to `READ_AHEAD_BYTES` and
-goes on reading; a peer that sends more than that breaks the protocol, and `on_overflow` ends its connection.
+A paused reader does not detect the peer's close either. `pause_reading` therefore continues to read and
+buffers up to `READ_AHEAD_BYTES`; a peer that sends more violates the protocol, and `on_overflow` ends its
+connection.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from collections.abc import Callable, Iterable
 from typing import TypeAlias
 
-LINGER_S = 1.0  # that a half-closed connection is read, once all is written
-MAX_LINGER_S = 10.0  # after which the connection of a peer that reads nothing is aborted
-READ_AHEAD_BYTES = 64 * 1024  # buffered while reading is paused: a body of the largest size
+LINGER_S = 1.0  # for which a half-closed connection is read, once everything is written
+MAX_LINGER_S = 10.0  # after which the connection is aborted if the peer reads nothing
+READ_AHEAD_BYTES = 64 * 1024  # buffered while reading is paused: the largest body of a request
 
 
 Buffer: TypeAlias = bytes | bytearray | memoryview
@@ -33,10 +34,10 @@
         on_overflow: Callable[[], None],
         may_linger: Callable[[], bool],
     ) -> None:
-        """`on_data` gets what is read while reading is not paused.
+        """`on_data` receives the input while reading is not paused.
 
-        `on_overflow` is called where the read-ahead buffer is full; `may_linger` is called once, as writing
-        ends, and returns False where the connection is to be closed at once.
+        `on_overflow` is called when the read-ahead buffer is full. `may_linger` is called once, when the
+        writing side ends; it returns False if the connection must be closed at once.
         """
         super().__init__()
         self._inner = inner
@@ -53,7 +54,7 @@
     # --- reading ---
 
     def feed(self, data: bytes) -> None:
-        """Data has arrived: pass it on, buffer it, or drop it."""
+        """Handle received data: pass it on, buffer it or drop it."""
         if self._closing:
             return
         if not self._paused and not self._read_ahead:
@@ -65,17 +66,17 @@
             self._on_overflow()
 
     def pause_reading(self) -> None:
-        """Buffer what arrives."""
+        """Buffer further input."""
         self._paused = True
 
     def resume_reading(self) -> None:
-        """Pass on what was buffered, and what arrives."""
+        """Pass on the buffered input and further input."""
         self._paused = False
         if self._read_ahead:
             self._loop.call_soon(self._flush_read_ahead)
 
     def is_reading(self) -> bool:
-        """Whether what arrives is passed on."""
+        """Whether input is passed on."""
         return not self._paused
 
     def _flush_read_ahead(self) -> None:
@@ -87,7 +88,7 @@
     # --- closing ---
 
     def close(self) -> None:
-        """End the writing side, after what is still to be written; then linger."""
+        """End the writing side once the write buffer is flushed, then linger."""
         if self._closing:
             return
         self._closing = True
@@ -106,19 +107,19 @@
         self._linger_timer = self._loop.call_later(LINGER_S, self._end_linger)
 
     def abort(self) -> None:
-        """Close at once, with a reset where bytes are unread."""
+        """Close at once, with a reset if bytes are unread."""
         self._closing = True
         self.connection_lost()
         self._inner.abort()
 
     def connection_lost(self) -> None:
-        """The connection is closed: stop the timer."""
+        """Stop the timer: the connection is closed."""
         if self._linger_timer is not None:
             self._linger_timer.cancel()
             self._linger_timer = None
 
     def is_closing(self) -> bool:
-        """Whether nothing more may be written."""
+        """Whether the writing side is closed or closing."""
         return self._closing or self._inner.is_closing()
 
     def _end_linger(self) -> None:
--- a/hazelbend/transport/http/http_listener.py
+++ b/hazelbend/transport/http/http_listener.py
@@ -1,4 +1,4 @@
-"""A listening address for HTTP/1.1, by aiohttp's low-level server, with limits on connections and time."""
+"""An HTTP/1.1 listener based on aiohttp's low-level server, with limits on connections and deadlines."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 log = logging.getLogger("hazelbend.client_listener")
 
-SWEEP_PERIOD_S = 0.2  # between checks of the connections' deadlines
-MIN_PARTIAL_REQUEST_AGE_S = 0.25  # a connection with part of a request is not evicted before
+SWEEP_PERIOD_S = 0.2  # between two checks of the connections' deadlines
+MIN_PARTIAL_REQUEST_AGE_S = 0.25  # a connection with a younger partial request is not evicted
 ACCEPT_BACKLOG = 1_024  # connections that wait in the kernel to be accepted
-ACCEPTS_PER_TURN = 16  # of them accepted in one turn of the loop, so that others can be evicted in between
-MAX_LINGERING = 32  # half-closed connections beside the open ones: from the reserved descriptors
-MAX_EXCESS = 16  # connections above the limit, where none can be evicted, before new ones are closed
-CLOSED_POLL_S = 0.02  # between checks whether all connections are closed
-SHUTDOWN_TIMEOUT_S = 1.0  # that responses being written have at the end
-AIOHTTP_LINGERING_S = 0.5  # that aiohttp reads on in the body of a request that was answered before its end
+ACCEPTS_PER_TURN = 16  # in one iteration of the event loop, so that connections can be evicted in between
+MAX_LINGERING = 32  # half-closed connections beside the open ones; they use the reserved descriptors
+MAX_EXCESS = 16  # connections above the limit if none can be evicted; further new ones are closed
+CLOSED_POLL_S = 0.02  # between two checks whether all connections are closed
+SHUTDOWN_TIMEOUT_S = 1.0  # for responses in progress to be written at shutdown
+AIOHTTP_LINGERING_S = 0.5  # for which aiohttp reads the rest of a body whose request is already answered
 
 
 class _Server(web.Server):
@@ -36,10 +36,10 @@
 
 
 def inherited_listener(descriptor: int) -> socket.socket:
-    """Return the listening socket that this process has inherited at a descriptor.
+    """Return the listening socket that this process has inherited as this file descriptor.
 
     Raises:
-        OSError: there is none.
+        OSError: the descriptor is not a listening socket.
     """
     try:
         inherited = socket.socket(fileno=descriptor)
@@ -54,15 +54,15 @@
 
 
 class HttpListener:
-    """One address. Subclasses implement `_serve`, which answers a request.
+    """Listens on one address. Subclasses implement `_serve`, which answers a request.
 
-    Above `connection_limit`, the least useful connection is evicted for each new one.
+    Above `connection_limit`, one connection is evicted for each new one, as `_evict_connection` selects it.
     """
 
     def __init__(self, connection_limit: int) -> None:
         self.connection_limit = connection_limit
         self.request_timeout_s = REQUEST_TIMEOUT_S
-        self._open: dict[ClientConnection, None] = {}  # in the order of their connecting
+        self._open: dict[ClientConnection, None] = {}  # in the order in which they were accepted
         self._lingering: set[ClientConnection] = set()  # half-closed
         self._accepting: set[asyncio.Task[Any]] = set()
         self._is_shared = False  # other processes hold the listening socket as well
@@ -74,7 +74,7 @@
             lingering_time=AIOHTTP_LINGERING_S,
         )
         self._listener: asyncio.Server | None = None
-        self._closing_listener: asyncio.Handle | None = None  # runs a turn after the last accept
+        self._closing_listener: asyncio.Handle | None = None  # runs one loop iteration after the last accept
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -88,14 +88,14 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the listener is bound to."""
         assert self._listener is not None
         return int(self._listener.sockets[0].getsockname()[1])
 
     async def listen(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
         """Listen on an address, or on an inherited socket.
 
-        Other processes hold an inherited socket as well, so it is closed and never shut down.
+        An inherited socket is shared with other processes, so it is closed but never shut down.
         """
         loop = asyncio.get_running_loop()
         if inherited is not None:
@@ -105,15 +105,15 @@
             self._listener = await loop.create_server(
                 self._server, host, port, backlog=ACCEPTS_PER_TURN, reuse_address=True
             )
-        # asyncio takes one number for the backlog and the accepts in one turn: many may wait, but few are
-        # accepted at once.
+        # asyncio uses one number for both the backlog and the accepts in one loop iteration. Here many
+        # connections may wait, but few are accepted at once.
         for listening in self._listener.sockets:
             with socket.socket(fileno=socket.dup(listening.fileno())) as duplicate:
                 duplicate.listen(ACCEPT_BACKLOG)
         self._sweep()
 
     def stop_accepting(self) -> None:
-        """Accept no new connections, but those that wait in the kernel: the close would reset them."""
+        """Stop accepting, after accepting those that wait in the kernel: the close would reset them."""
         if self._listener is None or not self._is_serving:
             return
         loop = asyncio.get_running_loop()
@@ -121,8 +121,8 @@
             loop.remove_reader(listening.fileno())
         if not self._is_shared:
             self._accept_waiting()
-        # asyncio attaches a connection to its server a turn after it has accepted it, and drops it with all
-        # that it sent if the server is closed by then.
+        # asyncio attaches a connection to its server one loop iteration after accepting it. If the server is
+        # closed by then, asyncio drops the connection together with its unread input.
         self._closing_listener = loop.call_soon(self._close_listener)
 
     def _close_listener(self) -> None:
@@ -141,7 +141,7 @@
                 for _ in range(ACCEPT_BACKLOG):
                     try:
                         connection, _address = duplicate.accept()
-                    except OSError:  # none waits, or no descriptor is left
+                    except OSError:  # no connection waits, or the process is out of file descriptors
                         break
                     connection.setblocking(False)
                     task = loop.create_task(loop.connect_accepted_socket(self._server, connection))
@@ -149,7 +149,7 @@
                     task.add_done_callback(self._accepting.discard)
 
     async def wait_closed(self, timeout_s: float) -> None:
-        """Wait until no connection is open, at most so long."""
+        """Wait until no connection is open, for at most `timeout_s`."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while self._has_connections() and loop.time() < deadline:  # noqa: ASYNC110 (four collections)
@@ -159,7 +159,7 @@
         return bool(self._closing_listener or self._accepting or self._open or self._lingering)
 
     async def close(self) -> None:
-        """Close the listener and half-close the connections, so that what was written arrives."""
+        """Close the listener and half-close the connections, so that responses already written arrive."""
         self.stop_accepting()
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
@@ -172,7 +172,7 @@
     # --- connections: implements `client_connection.ConnectionOwner` ---
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection was accepted."""
+        """Add an accepted connection, and evict another one if there are too many."""
         self._open[connection] = None
         if len(self._open) > self.connection_limit:
             self._evict_connection()
@@ -180,12 +180,12 @@
             connection.force_close()  # all others are being served
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is closed."""
+        """Remove a connection that is closed."""
         self._open.pop(connection, None)
         self._lingering.discard(connection)
 
     def may_linger(self, connection: ClientConnection) -> bool:
-        """The connection is half-closed: return whether it may be read for a while."""
+        """Return whether a half-closed connection may be read for a while before it is closed."""
         self._open.pop(connection, None)
         if self._is_serving and len(self._lingering) >= MAX_LINGERING:
             return False
@@ -193,27 +193,29 @@
         return True
 
     def _evict_connection(self) -> None:
-        """Close one connection, never one that is being served.
+        """Close one connection that is not being served.
 
-        First the oldest that has not sent a valid request; else the one that is idle longest.
+        The oldest connection without a valid request is closed first; else the one that is idle longest.
         """
         now = asyncio.get_running_loop().time()
-        silent = (each for each in self._open if _is_silent(each, now))
+        silent = (candidate for candidate in self._open if _is_silent(candidate, now))
         victim = next(silent, None)
         if victim is None:
-            idle = (each for each in self._open if _is_kept_idle(each))
-            victim = min(idle, key=lambda each: each.last_active_at, default=None)
+            idle = (candidate for candidate in self._open if _is_keep_alive_idle(candidate))
+            victim = min(idle, key=lambda candidate: candidate.last_active_at, default=None)
         if victim is not None:
             victim.force_close()
 
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
-        self._sweep_timer = loop.call_later(SWEEP_PERIOD_S, self._sweep)  # first: no error may end it
+        self._sweep_timer = loop.call_later(
+            SWEEP_PERIOD_S, self._sweep
+        )  # set first, so that no error ends it
         for connection in list(self._open):
             try:
                 self._check_connection(connection, loop.time())
             except Exception:
-                log.exception("client connection: unexpected error in the check of its deadline")
+                log.exception("client connection: unexpected error while checking its deadline")
                 connection.force_close()
 
     def _check_connection(self, connection: ClientConnection, now: float) -> None:
@@ -221,15 +223,15 @@
 
 
 def _is_silent(connection: ClientConnection, now: float) -> bool:
-    """Whether it has sent no valid request, and is not about to complete one."""
+    """Return whether the connection has sent no valid request and is not about to complete one."""
     if connection.has_valid_request:
         return False
     if connection.has_partial_request:
-        is_settled = now > connection.last_active_at + MIN_PARTIAL_REQUEST_AGE_S
+        is_stalled = now > connection.last_active_at + MIN_PARTIAL_REQUEST_AGE_S
     else:
-        is_settled = connection.is_idle
-    return is_settled and not connection.has_unread
+        is_stalled = connection.is_idle
+    return is_stalled and not connection.has_unread
 
 
-def _is_kept_idle(connection: ClientConnection) -> bool:
+def _is_keep_alive_idle(connection: ClientConnection) -> bool:
     return connection.is_idle and not connection.has_partial_request and not connection.has_unread
--- a/hazelbend/transport/http/request_body.py
+++ b/hazelbend/transport/http/request_body.py
@@ -13,25 +13,25 @@
 
 
 class BodyTooLargeError(RequestBodyError):
-    """It is larger than the limit."""
+    """The body is larger than the limit."""
 
 
 class MalformedBodyError(RequestBodyError):
-    """It does not match its head: too short, or its chunks or its encoding are invalid."""
+    """The body does not match its headers: it is too short, or its chunks or its encoding are invalid."""
 
 
 async def read_body(request: web.BaseRequest, limit_bytes: int) -> bytes:
-    """Return the complete body, after `100 Continue` where the client expects it (RFC 9110, 10.1.1).
+    """Return the complete body, after sending `100 Continue` if the client expects it (RFC 9110, 10.1.1).
 
     Raises:
-        BodyTooLargeError: it is larger than the limit.
-        MalformedBodyError: it does not match its head.
+        BodyTooLargeError: the body is larger than the limit.
+        MalformedBodyError: the body does not match its headers.
     """
     if (request.content_length or 0) > limit_bytes:
         raise BodyTooLargeError("the body is too large")
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(CONTINUE_RESPONSE)
-        request.writer.output_size = 0  # aiohttp takes what was written for the start of the final response
+        request.writer.output_size = 0  # else aiohttp counts these bytes as the start of the final response
     body = bytearray()
     try:
         while chunk := await request.content.readany():
--- a/hazelbend/transport/http/request_listener.py
+++ b/hazelbend/transport/http/request_listener.py
@@ -1,4 +1,4 @@
-"""A router's address for clients: HTTP/1.1 by aiohttp's low-level server. It makes no decisions."""
+"""A router's HTTP/1.1 listener for clients, based on aiohttp's low-level server. It makes no decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ServeRequest: TypeAlias = Callable[[ClientRequest, ClientResponse], Awaitable[None]]
 
-# Headers of a request that the router reads or sets itself; all others are forwarded.
+# Request headers that the router reads or sets itself; all others are forwarded.
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     "host",
     "request-id",
@@ -25,7 +25,7 @@
     "phase",
     "kv-from",
 }
-# Until a configuration sets them:
+# In use until a configuration sets the limits:
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_MAX_HEADER_BYTES = 16 * 1024
 HEADER_LINE_OVERHEAD_BYTES = 4  # a colon, a space and the end of the line
@@ -33,14 +33,14 @@
 
 
 class InvalidRequestError(Exception):
-    """The head of a request cannot be accepted; the text is for the client."""
+    """The headers of a request cannot be accepted. The text is sent to the client."""
 
 
 class _ClientResponse:
     """Implements `forwarding.ports.ClientResponse` for one request."""
 
     def __init__(self, request: web.BaseRequest, is_last: Callable[[], bool]) -> None:
-        """`is_last`: whether the connection closes after this response."""
+        """`is_last` returns whether the connection closes after this response."""
         self._request = request
         self._is_last = is_last
         self.response: web.StreamResponse | None = None
@@ -77,10 +77,10 @@
 
 
 class RequestListener(DrainingListener):
-    """Reads complete requests and hands them to `serve_request`."""
+    """Reads complete requests and passes them to `serve_request`."""
 
     def __init__(self, serve_request: ServeRequest, clock: Callable[[], int], connection_limit: int) -> None:
-        """`clock` returns microseconds."""
+        """`clock` returns the current time in microseconds."""
         super().__init__(connection_limit)
         self._serve_request = serve_request
         self._clock = clock
@@ -133,10 +133,10 @@
 
 
 def _client_request(request: web.BaseRequest, body: bytes, arrived_at: int) -> ClientRequest:
-    """Return the request as a value.
+    """Return the request as a `ClientRequest`.
 
     Raises:
-        InvalidRequestError: its head is not valid.
+        InvalidRequestError: its headers or its target are invalid.
     """
     headers = request.headers
     ids = headers.getall("Request-Id", [])
--- a/hazelbend/transport/http/worker_client.py
+++ b/hazelbend/transport/http/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to workers over HTTP/1.1, by aiohttp's client: each request is written once, on a fit connection."""
+"""HTTP/1.1 client for workers, based on aiohttp. Each request is written at most once."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 )
 
 CONNECT_TIMEOUT_S = 0.35
-DEFAULT_KEEPALIVE_S = 4.0  # that an idle connection is kept, where no worker has said less
-KEEPALIVE_RATIO = 0.6  # of what a worker has said: its own close must not cross a request
+DEFAULT_KEEPALIVE_S = 4.0  # how long an idle connection stays open, unless a worker announces a shorter time
+KEEPALIVE_RATIO = 0.6  # of the announced time: the worker must not close while a request is in transit
 READ_BUFFER_BYTES = 64 * 1024
 FREE_HANDLE_TIMEOUT_S = 1.0
 DEADLINE_HEADER = "Deadline-Ms"
-# Not forwarded (RFC 9110, section 7.6.1); Content-Length is written anew for the body.
+# Not forwarded (RFC 9110, section 7.6.1); Content-Length is set again from the body.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -78,7 +78,7 @@
 
     def close(self) -> None:
         """See the Protocol."""
-        self._response.close()  # after a complete body the connection is already back in the pool
+        self._response.close()  # has no effect after a complete body: the connection is back in the pool
 
 
 class HttpWorkerClient:
@@ -123,7 +123,7 @@
         return HttpWorkerResponse(response)
 
     def _apply_keepalive(self, header: str | None) -> None:
-        """The shortest time that any worker has named holds for all: to close early costs little."""
+        """Apply the shortest announced timeout to all workers: closing a connection early costs little."""
         worker_keepalive_s = _keepalive_timeout_s(header)
         if worker_keepalive_s is None:
             return
@@ -135,7 +135,7 @@
     async def free_handle(self, address: str, instance: str, handle: str) -> None:
         """See the Protocol."""
         url = raw_url(f"http://{address}", f"/kv-handle/{handle}")
-        headers = {"Expect-Instance": instance}  # the address may be another worker's by now
+        headers = {"Expect-Instance": instance}  # the address may belong to another worker by now
         with contextlib.suppress(TimeoutError, StaleConnectionError, *CALL_ERRORS):
             async with (
                 asyncio.timeout(FREE_HANDLE_TIMEOUT_S),
@@ -149,10 +149,10 @@
 
 
 def _is_response_to(request_id: str, response: aiohttp.ClientResponse, *, on_reused_connection: bool) -> bool:
-    """Whether it is the response to this request.
+    """Return whether this is the response to the request.
 
-    A failure may come without an id, as from a worker that could not parse the request, but not on a reused
-    connection: there it may be a late response to the request before.
+    A failure is accepted without an id, as a worker that cannot parse the request sends it, but not on a
+    reused connection: there it may be a late response to the previous request.
     """
     echoed_id = response.headers.get("Request-Id")
     if echoed_id is None:
@@ -161,7 +161,7 @@
 
 
 def _keepalive_timeout_s(header: str | None) -> float | None:
-    """Return the time-out of a header like `Keep-Alive: timeout=5, max=9`."""
+    """Return the timeout in a header such as `Keep-Alive: timeout=5, max=9`, in seconds."""
     for parameter in (header or "").split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdecimal():
@@ -170,7 +170,7 @@
 
 
 def _requests_in_flight(server_load: str | None) -> int | None:
-    """Return the running and the queued requests of `Server-Load: running,queued,slots`."""
+    """Return the sum of running and queued requests in `Server-Load: running,queued,slots`."""
     counts = (server_load or "").split(",")
     if len(counts) < 2 or not all(count.strip().isdecimal() for count in counts[:2]):
         return None
--- a/hazelbend/transport/http/worker_orders.py
+++ b/hazelbend/transport/http/worker_orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers over HTTP, by httpcore. Each is sent once: an order is not retried."""
+"""Sends orders to workers over HTTP, by httpcore. An order is sent once and never retried."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class OrderResult(Enum):
-    """How a worker answered an order."""
+    """The result of sending an order to a worker."""
 
     ACCEPTED = "taken"
     REJECTED = "refused"
-    UNKNOWN = "unknown"  # no answer: it may have been accepted
+    UNKNOWN = "unknown"  # no response: the worker may have accepted the order
 
 
 class WorkerOrder(msgspec.Struct, frozen=True, rename="camel"):
@@ -30,7 +30,7 @@
 
 
 async def send_order(address: str, instance: str, order: WorkerOrder) -> OrderResult:
-    """Send an order to a worker; the worker rejects it if another instance has the address by now."""
+    """Send an order to a worker. The worker rejects it if another instance has the address by now."""
     async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
