--- a/hazelbend/transport/background_work.py
+++ b/hazelbend/transport/background_work.py
@@ -1,7 +1,8 @@
-"""Work that a process does in the background all its life: it goes on after an unexpected error.
+"""Background tasks and timers that run for the lifetime of a process and survive unexpected errors.
 
-Otherwise a task that ends by an exception, and a timer that sets itself again at its end, stop without a
-sign. Each such error is logged with its traceback, counted by the work's name, and the work starts again.
+Without this module, a task that raises an exception and a timer that reschedules itself at its end would
+stop silently. Here each such error is logged with its traceback and counted by the name of the task or
+timer, which is then started again.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 log = logging.getLogger("hazelbend.background")
 
 RESTART_DELAY_S = 1.0
-EVENT_LOOP = "event loop"  # the name of errors that belong to no work that is started here
+EVENT_LOOP = "event loop"  # the name that errors outside these tasks and timers are counted under
 
 
 @dataclass(slots=True, frozen=True)
 class WorkFailure:
-    """The unexpected errors of one piece of work."""
+    """The unexpected errors of one task or timer."""
 
     count: int
     last_error: str
 
 
 class FailureRegistry:
-    """Unexpected errors since the start of the process, for its status and metrics."""
+    """Counts unexpected errors since the start of the process, for its status and metrics."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, WorkFailure] = {}
 
     @property
     def total(self) -> int:
-        """How many there were."""
+        """The number of errors of all tasks and timers."""
         return sum(failure.count for failure in self.by_name.values())
 
     def record(self, name: str, error: BaseException) -> None:
-        """Count an error."""
+        """Count an error under this name."""
         known = self.by_name.get(name)
         count = known.count + 1 if known is not None else 1
         self.by_name[name] = WorkFailure(count, repr(error))
@@ -50,11 +51,11 @@
 def start_background_task(
     name: str, run: Callable[[], Coroutine[Any, Any, None]], failures: FailureRegistry = FAILURES
 ) -> asyncio.Task[None]:
-    """Run this in a task until it returns or the task is cancelled; after an error it is run again."""
-    return asyncio.create_task(_run_again_after_errors(name, run, failures), name=name)
+    """Run a coroutine function in a task until it returns or is cancelled; restart it after an error."""
+    return asyncio.create_task(_run_with_restarts(name, run, failures), name=name)
 
 
-async def _run_again_after_errors(
+async def _run_with_restarts(
     name: str, run: Callable[[], Coroutine[Any, Any, None]], failures: FailureRegistry
 ) -> None:
     while True:
@@ -68,7 +69,7 @@
 
 
 class RepeatingTimer:
-    """Calls `action` at times that `action` itself sets; one that has failed is called again later."""
+    """Calls `action`, which schedules its own next call. If it fails, it is called again after a delay."""
 
     def __init__(self, name: str, action: Callable[[], None], failures: FailureRegistry = FAILURES) -> None:
         self._name = name
@@ -77,12 +78,12 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def set(self, delay_s: float) -> None:
-        """Call the action once, so many seconds from now, and not at the time that was set before."""
+        """Schedule one call of the action after `delay_s`, replacing any call that is scheduled."""
         self.cancel()
         self._handle = asyncio.get_running_loop().call_later(delay_s, self._run)
 
     def cancel(self) -> None:
-        """Call it no more."""
+        """Cancel the scheduled call."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
@@ -97,7 +98,7 @@
 
 
 def count_loop_errors(failures: FailureRegistry = FAILURES) -> None:
-    """Count what the running event loop reports as unhandled, beside its line in the log."""
+    """Count the unhandled errors that the running event loop reports, in addition to logging them."""
 
     def handle(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -110,4 +111,4 @@
 
 def _report(name: str, error: Exception, failures: FailureRegistry) -> None:
     failures.record(name, error)
-    log.error("%s: unexpected error, runs again in %.0f s", name, RESTART_DELAY_S, exc_info=error)
+    log.error("%s: unexpected error, restarting in %.0f s", name, RESTART_DELAY_S, exc_info=error)
--- a/hazelbend/transport/dns/dns_client.py
+++ b/hazelbend/transport/dns/dns_client.py
@@ -1,5 +1,5 @@
-"""Sockets of the resolver. A query goes over UDP from a port of its own (RFC 5452), or over a TCP connection
-that is kept for a while and carries several (RFC 7766). There are no retries here; each query has a time-out.
+"""Sends the resolver's queries: over UDP from a new port each (RFC 5452), or over a TCP connection that stays
+open for a while and is shared by several queries (RFC 7766). Each query has a timeout; none is retried here.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from hazelbend.protocol.dns import MismatchError, decode_answer, encode_query
 from hazelbend.transport.dns.tcp_connection import DecodeAnswer, TcpConnection
 
-MAX_MISMATCHES = 8  # datagrams that are no answer to the query, after which it is repeated over TCP
+MAX_MISMATCHES = 8  # datagrams that do not match the query, after which it is repeated over TCP
 ID_BITS = 16
 CASE_BITS = 256
 
 
 class DnsClient:
-    """Queries to the configured nameservers."""
+    """Sends queries to the configured nameservers."""
 
     def __init__(self, nameservers: tuple[tuple[str, int], ...], timeout_s: float) -> None:
         self.timeout_s = timeout_s
@@ -26,8 +26,8 @@
         self._connections: dict[int, TcpConnection] = {}
 
     async def query(self, query: Query) -> QueryResult:
-        """The result of a query; QueryFailure if no answer came in time. It raises no error of a socket."""
-        question = Question(query.name, query.question.record_type)  # of a CNAME's target, it may be
+        """Return the result of a query. Timeouts and socket errors are returned as `QueryFailure`."""
+        question = Question(query.name, query.question.record_type)  # the name may be the target of a CNAME
         query_id = secrets.randbits(ID_BITS)
         data, asked = encode_query(
             question.name, question.record_type, query_id, secrets.randbits(CASE_BITS), edns=query.edns
@@ -61,7 +61,7 @@
 
 
 class _UdpAnswer(asyncio.DatagramProtocol):
-    """The answer to one query, from the datagrams that come to its port."""
+    """Selects the answer to one query from the datagrams that arrive at its port."""
 
     def __init__(self, decode: DecodeAnswer) -> None:
         self._decode = decode
@@ -74,7 +74,8 @@
         try:
             self.result.set_result(self._decode(data))
         except MismatchError:
-            # It may be forged (RFC 5452): the true answer may still come, unless somebody is guessing ids.
+            # The datagram may be forged (RFC 5452), and the true answer may still arrive. Many mismatches
+            # suggest an attacker who guesses ids.
             self._mismatches += 1
             if self._mismatches >= MAX_MISMATCHES:
                 self.result.set_result(TruncatedAnswer())
@@ -90,7 +91,7 @@
 
 async def _query_over_udp(address: tuple[str, int], data: bytes, decode: DecodeAnswer) -> QueryResult:
     loop = asyncio.get_running_loop()
-    # A connected socket of its own: the kernel draws its port, and delivers from this nameserver alone.
+    # A separate connected socket: the kernel chooses a random port and delivers only from this nameserver.
     transport, protocol = await loop.create_datagram_endpoint(lambda: _UdpAnswer(decode), remote_addr=address)
     try:
         transport.sendto(data)
--- a/hazelbend/transport/dns/resolver_driver.py
+++ b/hazelbend/transport/dns/resolver_driver.py
@@ -1,4 +1,4 @@
-"""Drives the resolver: sends its queries, gives it their results, and calls it when its next query is due."""
+"""Drives the resolver: sends its queries, passes it the results, and calls it when the next query is due."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ResolverDriver:
-    """The resolver with its sockets and its timer.
+    """Connects the resolver to its sockets and its timer.
 
-    `on_changed` is called with the SRV names whose endpoints may have changed, once for all of a turn.
+    `on_changed` is called with the SRV names whose endpoints may have changed, once per run of the resolver.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
 
     @property
     def queries_in_flight(self) -> int:
-        """How many queries have no result yet."""
+        """The number of queries without a result."""
         return len(self._in_flight)
 
     def run_due(self) -> None:
@@ -51,7 +51,7 @@
             self._timer.set(max(next_at - now, 0) / 1e6)
 
     def reconnect(self) -> None:
-        """Use the nameservers and the time-out of the settings. Queries in flight are cancelled."""
+        """Apply the nameservers and the timeout of the settings. Queries in flight are cancelled."""
         old_client = self._client
         self._client = self._new_client()
         for task in list(self._in_flight):
@@ -60,7 +60,7 @@
         self.run_due()
 
     async def close(self) -> None:
-        """Cancel the queries in flight, and wait for their end."""
+        """Cancel the queries in flight and wait until they have ended."""
         self._closed = True
         self._timer.cancel()
         tasks = list(self._in_flight)
@@ -77,7 +77,7 @@
     def _send(self, query: Query) -> None:
         task = asyncio.create_task(self._client.query(query))
         self._in_flight[task] = query
-        # A callback, as it is also called for a task that is cancelled before it first runs.
+        # A done callback also runs for a task that is cancelled before it starts.
         task.add_done_callback(self._query_done)
 
     def _query_done(self, task: asyncio.Task[QueryResult]) -> None:
@@ -86,10 +86,10 @@
             return
         result: QueryResult
         if task.cancelled():
-            result = QueryFailure("given up")
+            result = QueryFailure("cancelled")
         elif (error := task.exception()) is not None:
-            log.error("%s: fault in the client", query.question, exc_info=error)
-            result = QueryFailure("a fault of ours")
+            log.error("%s: unexpected error in the DNS client", query.question, exc_info=error)
+            result = QueryFailure("internal error")
         else:
             result = task.result()
         for follow_up in self._resolver.query_done(query.id, result, self._now()):
--- a/hazelbend/transport/dns/tcp_connection.py
+++ b/hazelbend/transport/dns/tcp_connection.py
@@ -15,7 +15,7 @@
 LENGTH_BYTES = 2
 
 DecodeAnswer: TypeAlias = Callable[[bytes], QueryResult]
-"""An answer to one query. It raises MismatchError if the bytes are not an answer to it."""
+"""Decodes an answer to one query; raises MismatchError if the bytes do not answer that query."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
 
 class TcpConnection:
-    """One connection, which carries several queries. Answers come in any order and are matched by id."""
+    """One connection shared by several queries. Answers arrive in any order and are matched by id."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.closed = False
@@ -45,7 +45,7 @@
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         if query_id in self._pending:
-            return QueryFailure("an id that is in use on the connection")
+            return QueryFailure("the query id is in use on this connection")
         result: asyncio.Future[QueryResult] = asyncio.get_running_loop().create_future()
         self._pending[query_id] = _PendingQuery(decode, result)
         try:
@@ -61,7 +61,7 @@
                 self._idle_timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.close)
 
     def close(self) -> None:
-        """Close the connection. Its pending queries fail."""
+        """Close the connection; its pending queries fail."""
         self.closed = True
         for task in (self._connect_task, self._read_task):
             if task is not None:
@@ -75,7 +75,7 @@
                 pending.result.set_result(QueryFailure("the connection was closed", server_unreachable=True))
 
     async def _connected(self) -> asyncio.StreamWriter:
-        """Wait until the connection is open. A caller that is cancelled does not cancel it for the others."""
+        """Wait until the connection is open. Cancelling one caller does not affect the others."""
         if self._connect_task is None:
             self._connect_task = asyncio.create_task(self._connect())
             self._connect_task.add_done_callback(_consume_exception)
@@ -91,7 +91,7 @@
             while True:
                 size = int.from_bytes(await reader.readexactly(LENGTH_BYTES))
                 self._handle_answer(await reader.readexactly(size))
-        self._read_task = None  # this task itself must not be cancelled by `close`
+        self._read_task = None  # `close` must not cancel this task itself
         self.close()
 
     def _handle_answer(self, data: bytes) -> None:
@@ -105,6 +105,6 @@
 
 
 def _consume_exception(task: asyncio.Task[asyncio.StreamWriter]) -> None:
-    """All who waited for the task may be gone; asyncio would log its exception as never retrieved."""
+    """Retrieve the exception: if all callers were cancelled, asyncio would log it as never retrieved."""
     if not task.cancelled():
         task.exception()
--- a/hazelbend/transport/peer/fleet_codec.py
+++ b/hazelbend/transport/peer/fleet_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls between dispatchers of a fleet, in msgpack."""
+"""Encodes the bodies of the calls between the dispatchers of a fleet in msgpack."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 FORCE_NEW_EPOCH = b"anyway"
 
 _encoder = msgspec.msgpack.Encoder()
-# Packets and consensus messages are both arrays: which is which is told by the part of the pair.
+# Gossip packets and consensus messages are both arrays, so their position in the pair distinguishes them.
 _peer_messages = msgspec.msgpack.Decoder(tuple[tuple[Packet, ...], tuple[Message, ...]])
 _operations = msgspec.msgpack.Decoder(Operation)
 _replies = msgspec.msgpack.Decoder(Reply)
@@ -24,33 +24,33 @@
 
 
 def encode(value: object) -> bytes:
-    """An operation, a reply or a view."""
+    """Encode an operation, a reply or a view."""
     return _encoder.encode(value)
 
 
 def encode_peer_messages(messages: Sequence[PeerMessage]) -> bytes:
-    """Body of `tell`: gossip packets and consensus messages, each in their order."""
+    """Encode the body of `tell`: gossip packets and consensus messages, each in their original order."""
     packets = [message for message in messages if isinstance(message, Packet)]
     consensus = [message for message in messages if isinstance(message, Message)]
     return _encoder.encode((packets, consensus))
 
 
 def decode_peer_messages(body: bytes) -> list[PeerMessage]:
-    """Body of `tell`. Raises msgspec.DecodeError, as all of these do."""
+    """Decode the body of `tell`. Like all of these functions, raises msgspec.DecodeError."""
     packets, consensus = _peer_messages.decode(body)
     return [*packets, *consensus]
 
 
 def decode_operation(body: bytes) -> Operation:
-    """Body of `ask`."""
+    """Decode the body of `ask`."""
     return _operations.decode(body)
 
 
 def decode_reply(body: bytes) -> Reply:
-    """Answer to `ask`."""
+    """Decode the response to `ask`."""
     return _replies.decode(body)
 
 
 def decode_view(body: bytes) -> FleetView:
-    """Answer to `view`."""
+    """Decode the response to `view`."""
     return _views.decode(body)
--- a/hazelbend/transport/peer/fleet_listener.py
+++ b/hazelbend/transport/peer/fleet_listener.py
@@ -1,9 +1,9 @@
-"""A dispatcher's address in the fleet: HTTP/1.1 calls from peers and from commands. No decisions.
+"""HTTP/1.1 listener for the calls of other dispatchers of the fleet and of commands. It makes no decisions.
 
-POST /fleet/tell    peer messages, several at once: 204
-POST /fleet/ask     one operation on a lease: a Reply
-POST /fleet/found   start a new epoch, by an operator: its number
-GET  /fleet/view    what this dispatcher knows: a FleetView
+POST /fleet/tell    one or more peer messages; responds with 204
+POST /fleet/ask     one operation on a lease; responds with a Reply
+POST /fleet/found   an operator's request for a new epoch; responds with its number
+GET  /fleet/view    responds with the state that this dispatcher knows, a FleetView
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from hazelbend.transport.http.http_listener import HttpListener
 from hazelbend.transport.peer import fleet_codec
 
-MAX_CONNECTIONS = 256  # of peers and commands together
+MAX_CONNECTIONS = 256  # from peers and commands together
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class BodyTooLargeError(ValueError):
-    """A request has more bytes than the listener accepts."""
+    """The body of a request is larger than the listener accepts."""
 
 
 class FleetListener(HttpListener):
@@ -38,13 +38,13 @@
         start_new_epoch: Callable[[bool], str],
         view: Callable[[], FleetView],
     ) -> None:
-        """`start_new_epoch` takes whether to found it although somebody leads. It returns the new epoch, or
-        raises ValueError with the reason against it.
+        """`start_new_epoch` takes whether to start it even if there is a leader. It returns the new epoch, or
+        raises ValueError with the reason for the refusal.
         """
         super().__init__(MAX_CONNECTIONS)
         self._receive = receive
         self._submit = submit
-        self._found_epoch = start_new_epoch
+        self._start_new_epoch = start_new_epoch
         self._view = view
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -80,7 +80,7 @@
             case ("POST", "/fleet/ask"):
                 return _msgpack_response(await self._submit(fleet_codec.decode_operation(body)))
             case ("POST", "/fleet/found"):
-                return web.Response(text=self._found_epoch(body == fleet_codec.FORCE_NEW_EPOCH))
+                return web.Response(text=self._start_new_epoch(body == fleet_codec.FORCE_NEW_EPOCH))
             case ("GET", "/fleet/view"):
                 return _msgpack_response(self._view())
         return web.Response(status=404, text="no such call\n")
--- a/hazelbend/transport/peer/frame_link.py
+++ b/hazelbend/transport/peer/frame_link.py
@@ -1,9 +1,8 @@
 """Length-prefixed frames over TCP, for the processes of the router fleet.
 
-A frame is a big-endian length of four bytes and then that many bytes of content. `FrameConnection` is one
-connection, `FrameLink` keeps a connection to one address and reconnects with backoff, `FrameServer` accepts
-connections. Delivery is not guaranteed: a frame may be dropped, and the users of this module have to cope
-with that.
+A frame is a big-endian length of four bytes, followed by that many bytes of content. `FrameConnection` is one
+connection, `FrameLink` maintains a connection to one address and reconnects with backoff, `FrameServer`
+accepts connections. Delivery is not guaranteed: a frame may be dropped, and callers must handle that.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 
 LENGTH_PREFIX_BYTES = 4
 MAX_FRAME_BYTES = 16 * 1024 * 1024  # enough for a configuration of the largest size and its history
-MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this the other side does not read, and frames are dropped
-MAX_PENDING_FRAMES = 16  # frames that wait while a connection is made
-USER_TIMEOUT_MS = 1_200  # the kernel ends a connection whose data is not acknowledged for so long
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # above this the peer counts as not reading, and frames are dropped
+MAX_PENDING_FRAMES = 16  # frames that wait while a connection is being established
+USER_TIMEOUT_MS = 1_200  # after which the kernel ends a connection whose data is not acknowledged
 KEEPALIVE_S = 1  # idle time before the first TCP keepalive, and the interval between two
 KEEPALIVE_PROBES = 2
 CONNECT_TIMEOUT_S = 0.5
-INITIAL_BACKOFF_S = 0.05  # between two attempts to connect
+INITIAL_BACKOFF_S = 0.05  # between two connection attempts
 MAX_BACKOFF_S = 0.4
 BACKOFF_FACTOR = 2
 
@@ -31,7 +30,7 @@
 class FrameConnection(asyncio.Protocol):
     """One TCP connection that carries frames in both directions.
 
-    `on_frame` gets the content of each frame. `on_open` and `on_close` are called once each.
+    `on_frame` receives the content of each frame. `on_open` and `on_close` are called once each.
     """
 
     def __init__(
@@ -56,9 +55,7 @@
         self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on each frame that is complete; called by asyncio. A frame that is too large ends the
-        connection.
-        """
+        """Pass on each complete frame; called by asyncio. A frame that is too large ends the connection."""
         self._buffer += data
         while len(self._buffer) >= LENGTH_PREFIX_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_PREFIX_BYTES], "big")
@@ -84,11 +81,11 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def send(self, content: bytes) -> bool:
-        """Send one frame. False: it was dropped, as the connection is closed or the peer reads too slowly."""
+        """Send one frame. Returns False if it was dropped: the connection is closed or the peer too slow."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
@@ -98,15 +95,13 @@
         return True
 
     def close(self) -> None:
-        """Abort the connection. It is not flushed: the other side may not read any more."""
+        """Abort the connection without flushing it, as the peer may have stopped reading."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def _set_socket_options(sock: socket.socket) -> None:
-    """Send without delay, and detect a dead peer within some seconds. Options that the platform lacks are
-    left out.
-    """
+    """Disable Nagle's algorithm and detect a dead peer within seconds. Unsupported options are skipped."""
     for level, option, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -120,9 +115,9 @@
 
 
 class FrameLink:
-    """A connection to one address that is made again whenever it ends, until `close`.
+    """A connection to one address that is re-established whenever it ends, until `close`.
 
-    `on_open` and `on_close` are called once for each connection that was made.
+    `on_open` and `on_close` are called once for each connection that was established.
     """
 
     def __init__(
@@ -139,16 +134,16 @@
         self._connection: FrameConnection | None = None
         self._connecting = True
         self._disconnected = asyncio.Event()
-        self._pending_frames: list[bytes] = []  # to be sent once it is connected
+        self._pending_frames: list[bytes] = []  # to be sent once the link is connected
         self._task = start_background_task(f"link to {address}", self._stay_connected)
 
     @property
     def is_open(self) -> bool:
-        """Whether it is connected."""
+        """Whether the link is connected."""
         return self._connection is not None and self._connection.is_open
 
     def send(self, content: bytes) -> bool:
-        """Send one frame, or keep it while the connection is being made. False: it was dropped."""
+        """Send one frame, or queue it while connecting. Returns False if it was dropped."""
         if self._connection is not None:
             return self._connection.send(content)
         if self._connecting and len(self._pending_frames) < MAX_PENDING_FRAMES:
@@ -157,12 +152,12 @@
         return False
 
     def reconnect(self) -> None:
-        """End the present connection, for example because the peer is silent; another one is made."""
+        """End the current connection, for example because the peer is silent, and establish another one."""
         if self._connection is not None:
             self._connection.close()
 
     async def close(self) -> None:
-        """End the link for good."""
+        """Close the link permanently."""
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
@@ -216,7 +211,7 @@
 
 
 class FrameServer:
-    """Accepts connections at one address. `on_close` is called once for each connection that has ended."""
+    """Accepts connections on one address. `on_close` is called once for each connection that has ended."""
 
     def __init__(
         self,
@@ -229,13 +224,13 @@
         self.connections: set[FrameConnection] = set()
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections from now on. Raises OSError where the address can't be bound."""
+        """Start to accept connections. Raises OSError if the address cannot be bound."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: FrameConnection(self._on_frame, self.connections.add, self._connection_lost), host, port
         )
 
     async def close(self) -> None:
-        """Accept no more connections and abort those that are open."""
+        """Stop accepting connections and abort the open ones."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
--- a/hazelbend/transport/peer/lease_requester.py
+++ b/hazelbend/transport/peer/lease_requester.py
@@ -1,4 +1,4 @@
-"""Carries the requests of lease clients to the leader, each in a task, and the responses back."""
+"""Sends the requests of lease clients to the leader, each in its own task, and returns the responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeaseRequester:
-    """Drives lease clients. `submit` returns None if no leader has answered; `clock` is in microseconds."""
+    """Drives lease clients. `submit` returns None if no leader responds; `clock` returns microseconds."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def tick(self, client: LeaseClient) -> None:
-        """Send what the client has to request now."""
+        """Send the requests of a client that are due now."""
         for request in client.tick(self._clock()):
             task = asyncio.create_task(self._send(client, request))
             self._tasks.add(task)
@@ -33,12 +33,12 @@
         client.handle_response(request.number, response, self._clock())
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait for the responses that are due, at most for so long."""
+        """Wait for the outstanding responses, for at most `timeout_s`."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
     async def close(self) -> None:
-        """Abandon all requests."""
+        """Cancel all requests in flight."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/hazelbend/transport/peer/peer_links.py
+++ b/hazelbend/transport/peer/peer_links.py
@@ -1,7 +1,8 @@
-"""Calls to the fleet addresses of other dispatchers, by HTTP/1.1 (fleet_listener.py has the calls).
+"""Calls to the fleet addresses of other dispatchers over HTTP/1.1; fleet_listener.py lists the calls.
 
-A message that is lost is not sent again from here: the engines repeat what matters. One request at a time is
-in flight to each peer. Messages that come meanwhile wait for the next, the newest `MAX_QUEUED_MESSAGES`.
+A lost message is not retried here: the gossip and consensus engines repeat what matters. At most one request
+with messages is in flight to each peer. Further messages wait for the next request; only the newest
+`MAX_QUEUED_MESSAGES` are kept.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 from hazelbend.transport.peer import fleet_codec
 
 MAX_QUEUED_MESSAGES = 256  # for one peer
-TELL_TIMEOUT_S = 1.0  # of one request with messages; the engines have repeated theirs by then
+TELL_TIMEOUT_S = 1.0  # of one request with messages; by then the engines have repeated their messages
 KEEPALIVE_S = 30.0  # of an idle connection to a peer
-MAX_REDIRECTS = 5  # from one that does not lead to the leader that it names
+MAX_REDIRECTS = 5  # from a dispatcher that does not lead to the leader that it names
 MAX_ERROR_TEXT_BYTES = 200
 
-# A call ended without an answer, so that nobody knows whether it was carried out.
+# The call ended without a response, so it is unknown whether it was executed.
 CALL_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
 
 
 class CallRejectedError(ValueError):
-    """A dispatcher answered a call with an error status; the text has its address and reason."""
+    """A dispatcher responded to a call with an error status. The text has its address and the reason."""
 
 
 class PeerLinks:
-    """Connections to any number of addresses, opened as they are needed."""
+    """Connections to any number of addresses, opened on demand."""
 
     def __init__(self, host: str) -> None:
-        """`host`: the own address, from which to connect, so that the source of a connection is known."""
+        """`host` is the local address to connect from, so that peers can identify the source."""
         self._local_address = (host, 0) if host != "0.0.0.0" else None
         self._session: aiohttp.ClientSession | None = None
         self._queued: dict[str, deque[PeerMessage]] = {}  # by address
@@ -46,7 +47,7 @@
         self.requests_lost = 0
 
     def send(self, address: str, message: PeerMessage) -> None:
-        """Send a message to a peer, now or with the next request to it. It may be lost."""
+        """Send a message to a peer, now or with the next request to it. The message may be lost."""
         queued = self._queued.setdefault(address, deque(maxlen=MAX_QUEUED_MESSAGES))
         queued.append(message)
         if address not in self._senders:
@@ -63,19 +64,23 @@
                 except CALL_ERRORS:
                     self.requests_lost += 1
         finally:
-            # Not in a done callback, which runs later: a message queued in between would find this sender.
+            # Not in a done callback: it runs later, and a message queued in between would rely on this
+            # sender, which has ended.
             del self._queued[address]
             del self._senders[address]
 
     async def submit(self, address: str, operation: Operation, timeout_s: float) -> Reply:
-        """Submit an operation to this dispatcher. Raises one of CALL_ERRORS."""
+        """Submit an operation to the dispatcher at this address. Raises one of CALL_ERRORS."""
         body = fleet_codec.encode(operation)
         return fleet_codec.decode_reply(await self._post(address, "ask", body, timeout_s))
 
     async def submit_to_leader(
         self, address: str, operation: Operation, timeout_s: float
     ) -> LeaseResponse | None:
-        """Submit to this dispatcher, and to the leader that it names. None: no leader has answered."""
+        """Submit to the dispatcher at this address, then to the leader that it names.
+
+        Returns None if no leader has responded.
+        """
         with contextlib.suppress(*CALL_ERRORS):
             for _ in range(MAX_REDIRECTS):
                 reply = await self.submit(address, operation, timeout_s)
@@ -86,14 +91,15 @@
         return None
 
     async def start_new_epoch(self, address: str, *, force: bool, timeout_s: float) -> str:
-        """Start a new epoch at this dispatcher; its number. `force`: even if somebody leads. Raises one of
-        CALL_ERRORS.
+        """Start a new epoch at the dispatcher at this address and return its number.
+
+        `force` starts it even if there is a leader. Raises one of CALL_ERRORS.
         """
         body = fleet_codec.FORCE_NEW_EPOCH if force else b""
         return (await self._post(address, "found", body, timeout_s)).decode()
 
     async def view(self, address: str, timeout_s: float) -> FleetView:
-        """What this dispatcher knows. Raises one of CALL_ERRORS."""
+        """Return the state that the dispatcher at this address knows. Raises one of CALL_ERRORS."""
         return fleet_codec.decode_view(await self._call("GET", address, "view", b"", timeout_s))
 
     async def _post(self, address: str, call: str, body: bytes, timeout_s: float) -> bytes:
@@ -124,7 +130,7 @@
             auto_decompress=False,
             connector=connector,
         )
-        session._retry_connection = False  # whether the first attempt was carried out is not known
+        session._retry_connection = False  # it is unknown whether the first attempt was executed
         return session
 
     async def close(self) -> None:
--- a/hazelbend/transport/snmp/hazelbend_mib.py
+++ b/hazelbend/transport/snmp/hazelbend_mib.py
@@ -1,4 +1,4 @@
-"""HAZELBEND-MIB (mibs/): the identifiers of its objects, and their values in a snapshot of the dispatcher."""
+"""Object identifiers of HAZELBEND-MIB (mibs/), and their values in a snapshot of the dispatcher."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 Oid: TypeAlias = tuple[int, ...]
 Values: TypeAlias = list[Any]  # of pysnmp's types, in the order of the MIB
 
-# Enterprise number 32473 is reserved for documentation (RFC 5612), until the users have one of their own.
+# Enterprise number 32473 is reserved for documentation (RFC 5612); it is used until the users register one.
 BASE: Oid = (1, 3, 6, 1, 4, 1, 32473, 1)
 SYSTEM: Oid = (1, 3, 6, 1, 2, 1, 1)
 SNMP_TRAP: Oid = (1, 3, 6, 1, 6, 3, 1, 1, 4)  # RFC 3418
@@ -58,7 +58,7 @@
 
 
 def object_values(overview: Overview) -> dict[Oid, Any]:
-    """Return the values of all instances, by object identifier: the groups, then the tables."""
+    """Return the values of all object instances by identifier: scalar groups first, then the tables."""
     groups = {
         PROGRAM_GROUP: _program_values(overview),
         FLOW_GROUP: _flow_values(overview),
@@ -68,7 +68,7 @@
         NAME_GROUP: _name_values(overview.figures.component_figures),
         WAITING_GROUP: _waiting_values(overview.figures.component_figures),
     }
-    found = {
+    scalars = {
         (*OBJECTS, group, number, 0): value
         for group, values in groups.items()
         for number, value in enumerate(values, 1)
@@ -78,7 +78,7 @@
         (index, _class_columns(row, overview.figures.component_figures))
         for index, row in enumerate(overview.figures.classes, 1)
     )
-    return found | _table_values(SERVER_ENTRY, server_rows) | _table_values(CLASS_ENTRY, class_rows)
+    return scalars | _table_values(SERVER_ENTRY, server_rows) | _table_values(CLASS_ENTRY, class_rows)
 
 
 def _table_values(entry: Oid, rows: Iterable[tuple[int, Values]]) -> dict[Oid, Any]:
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -1,4 +1,4 @@
-"""The SNMP agent: HAZELBEND-MIB and the system group, read-only, over SNMPv2c. Imported where enabled."""
+"""The SNMP agent: HAZELBEND-MIB and the system group, read-only, over SNMPv2c. Imported only if enabled."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 log = logging.getLogger("hazelbend.snmp")
 
-CACHE_S = 0.5  # how long one snapshot serves: a walk asks for many single values
+CACHE_S = 0.5  # lifetime of a snapshot: a walk requests many values one by one
 SNMP_V2C = 2  # security model
-END_OF_BASE: Oid = (*BASE[:-1], BASE[-1] + 1)  # the first identifier after our subtree
+END_OF_BASE: Oid = (*BASE[:-1], BASE[-1] + 1)  # the first identifier after the subtree of this MIB
 
 
 class _MibController(AbstractMibInstrumController):  # type: ignore[misc]  # pysnmp has no types
-    """Serves our subtree from a snapshot, and all else from pysnmp's own objects. Nothing can be written."""
+    """Serves the subtree `BASE` from a snapshot and everything else from pysnmp's own objects, read-only."""
 
     def __init__(self, take_overview: Callable[[], Overview], system_objects: Any) -> None:
         self._take_overview = take_overview
@@ -94,13 +94,13 @@
 
 
 def _is_hidden(name: Any, value: Any, context: dict[str, Any]) -> bool:
-    """Whether access control (VACM) hides this object; pysnmp raises where there is no access at all."""
+    """Return whether access control (VACM) hides this object; without any access pysnmp raises an error."""
     allowed = context.get("acFun")
     return bool(allowed is not None and allowed("read", (name, value), **context))
 
 
 class SnmpAgent:
-    """The agent: answers one community, and notifies the configured targets of servers that go up or down."""
+    """Answers requests of one community, and notifies the configured targets of servers going up or down."""
 
     def __init__(
         self,
@@ -124,7 +124,7 @@
         return int(self._transport.transport.get_extra_info("sockname")[1])
 
     async def start(self) -> None:
-        """Bind the socket and answer requests.
+        """Bind the socket and start to answer requests.
 
         Raises:
             OSError: the address is not available.
@@ -133,7 +133,7 @@
         self._engine = snmp
         self._transport = udp.UdpAsyncioTransport().open_server_mode(self._address)
         try:
-            await self._transport._lport  # the socket is bound by a task; an address in use must show now
+            await self._transport._lport  # a task binds the socket; raise now if the address is in use
         except OSError:
             self._engine = None
             raise
@@ -145,7 +145,7 @@
         log.info("snmp: listening on %s:%d", self._address[0], self.port)
 
     def _configure_access(self, snmp: engine.SnmpEngine) -> None:
-        """Let the community read, and be notified of, our subtrees, over SNMPv2c alone."""
+        """Grant the community read and notify access to the served subtrees, over SNMPv2c only."""
         config.add_v1_system(snmp, "reader", self._community)
         config.add_context(snmp, "")
         config.add_vacm_group(snmp, "readers", SNMP_V2C, "reader")
@@ -174,7 +174,7 @@
             responder(snmp, snmp_context)
 
     async def close(self) -> None:
-        """Stop to answer and close the socket."""
+        """Stop answering and close the socket."""
         if self._engine is not None:
             self._engine.close_dispatcher()
 
@@ -191,7 +191,7 @@
             ((*SERVER_ENTRY, STATE_COLUMN, server.index), rfc1902.Integer32(state)),
         ]
         try:
-            # The default context as octets: pysnmp's access control does not know it as a str, and drops.
+            # The default context as octets: with a str, pysnmp's access control drops the notification.
             self._originator.send_varbinds(self._engine, "notices", None, rfc1902.OctetString(b""), objects)
         except Exception:
             # A notification that cannot be sent must not stop the dispatcher.
--- a/hazelbend/transport/stomp/stomp_backend_client.py
+++ b/hazelbend/transport/stomp/stomp_backend_client.py
@@ -1,6 +1,6 @@
-"""Backend client of a worker that connected over STOMP and subscribed to jobs.
+"""Backend client for a worker that has connected over STOMP and subscribed to jobs.
 
-Jobs go out as MESSAGE frames of its subscription. Progress and results come back as SEND frames.
+Jobs are sent as MESSAGE frames of its subscription. Progress and results arrive as SEND frames.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """An attempt in flight, under the id of its message."""
+    """An attempt in flight."""
 
     job: Job
     on_progress: AttemptCallback
@@ -48,11 +48,11 @@
         self.subscription_id = subscription_id
         self._catalogue = catalogue
         self._report_fields = report_fields
-        self._attempts: dict[str, _Attempt] = {}
+        self._attempts: dict[str, _Attempt] = {}  # by message id
         self._is_lost = False
 
     def change(self, catalogue: Catalogue, report_fields: LoadReportFields) -> None:
-        """Apply new settings to frames from now on."""
+        """Use new settings for all further frames."""
         self._catalogue = catalogue
         self._report_fields = report_fields
 
@@ -77,7 +77,7 @@
             job.body,
         )
         if not self.sink.send(frame):
-            return AttemptResult(Outcome.CONNECT_FAILED)  # not a byte of it went out
+            return AttemptResult(Outcome.CONNECT_FAILED)  # no byte of the frame was sent
         on_progress(AttemptWritten())
         running = _Attempt(job, on_progress, asyncio.get_running_loop().create_future())
         self._attempts[message_id] = running
@@ -92,21 +92,21 @@
             del self._attempts[message_id]
 
     async def probe(self, timeout_us: int) -> AttemptResult:
-        """Report whether the connection is open: its heartbeats are the health check."""
+        """Report whether the connection is open; its heartbeats serve as the health check."""
         return AttemptResult(Outcome.CONNECT_FAILED if self._is_lost else Outcome.SERVED)
 
     def close(self) -> None:
-        """Do nothing: attempts in flight of a removed worker run on until its connection is lost."""
+        """Do nothing: attempts in flight on a removed worker continue until its connection is lost."""
 
     def on_update(self, frame: Frame) -> None:
-        """Apply a progress report or a result; one of an attempt not in flight any more is too late."""
+        """Apply a progress report or a result; ignore it if its attempt is no longer in flight."""
         running = self._attempts.get(frame.get("message-id"))
         if running is None or running.result.done():
             return
         try:
             update = read_line(frame.body, running.job.id, self._report_fields)
         except ValueError as error:
-            log.warning("box: unreadable news: %s", error)
+            log.warning("worker: invalid update: %s", error)
             update = AttemptResult(Outcome.ERROR)
         if isinstance(update, ProgressReport):
             running.is_started = True
@@ -115,15 +115,15 @@
             running.result.set_result(update)
 
     def acknowledge(self, message_id: str, *, accepted: bool) -> None:
-        """Apply an ACK (`accepted`: the worker has the job, no more) or a NACK, which returns the job."""
+        """Apply an ACK (`accepted`: the worker has received the job) or a NACK, which returns the job."""
         running = self._attempts.get(message_id)
         if running is None or accepted or running.result.done():
             return
-        # A worker that reported progress may have done work already.
+        # A worker that has reported progress may already have executed part of the job.
         running.result.set_result(AttemptResult(Outcome.ERROR if running.is_started else Outcome.FULL))
 
     def on_connection_lost(self) -> None:
-        """End all attempts in flight as `RESET`: they may have run."""
+        """End all attempts in flight as `RESET`: the jobs may have been executed."""
         self._is_lost = True
         for running in self._attempts.values():
             if not running.result.done():
--- a/hazelbend/transport/stomp/stomp_listener.py
+++ b/hazelbend/transport/stomp/stomp_listener.py
@@ -1,4 +1,4 @@
-"""The STOMP listener: accepts connections, authenticates clients and workers, and keeps the mailboxes."""
+"""The STOMP listener: accepts connections, authenticates clients and workers, and manages the mailboxes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("hazelbend.stomp")
 
-MAX_MAILBOXES = 1_024  # clients choose their names, and each name keeps a mailbox
+MAX_MAILBOXES = 1_024  # clients choose their identities, and each identity has its own mailbox
 
 
 class StompListener:
@@ -33,14 +33,15 @@
         self._router = router
         self._mailboxes: dict[str, Mailbox] = {}
         self._stored = StoredBytes()
-        self._sessions: dict[Session, None] = {}  # oldest first
+        self._sessions: dict[Session, None] = {}  # in the order in which they connected
         self._listener: asyncio.Server | None = None
         self._gate: StompGate | None = None
-        self.cancel: Callable[[str, str], bool] | None = None  # of a waiting job; client identity, request-id
+        # Cancels a queued job, given the client identity and the request-id:
+        self.cancel: Callable[[str, str], bool] | None = None
 
     @property
     def gate(self) -> StompGate | None:
-        """Where jobs may wait, for all clients; None: nowhere."""
+        """The gate of the job queue, for all clients; None if there is no queue."""
         return self._gate
 
     @gate.setter
@@ -56,7 +57,7 @@
 
     @property
     def port(self) -> int:
-        """The port in use, also where the settings ask for any (0)."""
+        """The port in use, even if the settings specify any free port (0)."""
         assert self._listener is not None
         return int(self._listener.sockets[0].getsockname()[1])
 
@@ -72,29 +73,32 @@
         log.info("listening on %s:%d", self.settings.host, self.port)
 
     def change(self, catalogue: Catalogue) -> None:
-        """Apply new classes and tenants to frames from now on; what is open stays."""
+        """Use new classes and tenants for all further frames; open requests are not affected."""
         self.catalogue = catalogue
         for mailbox in self._mailboxes.values():
             mailbox.catalogue = catalogue
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections stay."""
+        """Close the listening socket; open connections are kept."""
         if self._listener is not None:
             self._listener.close()
 
     def close_idle_clients(self) -> None:
-        """Close connections of clients without open requests: they connect elsewhere. Workers stay."""
+        """Close the connections of clients without open requests, so that they connect to another dispatcher.
+
+        Workers stay connected.
+        """
         for session in list(self._sessions):
             if session.is_idle:
                 session.close_with_error("this dispatcher is being emptied: connect to another")
 
     async def close(self) -> None:
-        """Stop to accept, flush all connections and close them."""
+        """Stop accepting, then flush and close all connections."""
         self.stop_accepting()
         await asyncio.gather(*(session.close() for session in list(self._sessions)))
 
     def mailbox(self, identity: str) -> Mailbox:
-        """Return the mailbox of a client, a new one if it has none.
+        """Return the mailbox of a client, creating it if necessary.
 
         Raises:
             StompError: there are too many mailboxes.
@@ -124,7 +128,10 @@
             mailbox.drop_acknowledged()
 
     def _evict_unauthenticated(self) -> bool:
-        """Close the oldest connection that has not authenticated: such ones must not keep others out."""
+        """Close the oldest unauthenticated connection, so that such connections cannot exhaust the limit.
+
+        Returns whether there was one.
+        """
         unauthenticated = next((session for session in self._sessions if not session.is_authenticated), None)
         if unauthenticated is not None:
             del self._sessions[unauthenticated]
@@ -132,10 +139,10 @@
         return unauthenticated is not None
 
     def authenticate(self, frame: Frame) -> ClientAccount | WorkerAccount:
-        """Return the account of a CONNECT frame, comparing digests in constant time.
+        """Return the account for a CONNECT frame. Digests are compared in constant time.
 
         Raises:
-            StompError: login or passcode is wrong.
+            StompError: the login or the passcode is wrong.
         """
         digest = sha256(frame.get("passcode").encode()).hexdigest()
         found: ClientAccount | WorkerAccount | None = None
@@ -157,8 +164,8 @@
         try:
             await session.run()
         except Exception:
-            # A fault in one connection must not end the others.
-            log.exception("connection: fault")
+            # An error in one connection must not end the others.
+            log.exception("connection: unexpected error")
         finally:
             self._sessions.pop(session, None)
             session.on_connection_lost()
--- a/hazelbend/transport/stomp/stomp_mailbox.py
+++ b/hazelbend/transport/stomp/stomp_mailbox.py
@@ -1,7 +1,7 @@
-"""Mailboxes of STOMP clients: open requests and answers not yet acknowledged, which outlive a connection.
+"""Mailboxes of STOMP clients: open requests and unacknowledged answers, which outlive a connection.
 
 Acknowledgement follows STOMP 1.2, "SUBSCRIBE ack Header". A request that a client sends again under the
-same id attaches to its entry, so that it runs once.
+same id attaches to its existing entry, so that it is executed once.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
     """A connection that frames are written to."""
 
     def send(self, frame: Frame) -> bool:
-        """Write a frame. Returns False if the connection is closed, or too slow and closed for it."""
+        """Write a frame. Returns False if the connection is closed, or had to be closed as too slow."""
 
     def close_with_error(self, text: str) -> None:
         """Send an ERROR frame, then close the connection."""
 
 
 StompGate: TypeAlias = Callable[[Job, str, Frame], PendingJob]
-"""Accepts a job of this client identity where jobs may wait; raises `BadRequestError`."""
+"""Submits a job with its client identity and its frame to the job queue; raises `BadRequestError`."""
 
 
 @dataclass(slots=True)
 class StoredBytes:
-    """The size of the jobs and answers in all mailboxes."""
+    """The total size of the jobs and answers in all mailboxes."""
 
     total: int = 0  # bytes
 
 
 @dataclass(slots=True, eq=False)
 class MailboxEntry:
-    """One request of one client, under the client's own id."""
+    """One request of one client, identified by the client's own id."""
 
     request_id: str
     message_id: str
     answer: Answer | None = None
-    is_acknowledged: bool = False  # or sent where the subscription asks for no ACK
-    ack_id: str = ""  # the header that the client's ACK must name
-    size_bytes: int = 0  # of the job, then of its answer
+    is_acknowledged: bool = False  # also set once sent to a subscription that requires no ACK
+    ack_id: str = ""  # the value that the client's ACK must contain
+    size_bytes: int = 0  # of the job, and later of its answer
 
 
 @dataclass(slots=True, eq=False)
@@ -66,7 +66,7 @@
     unacknowledged: list[MailboxEntry] = field(default_factory=list)  # sent, in order
 
 
-# When a mailbox has space again depends on its client alone, so no estimate of the decision module fits.
+# Only the client determines when its mailbox has space again, so the decision module cannot estimate it.
 FULL_RETRY_AFTER_US = 1_000_000
 MESSAGE_ID_BYTES = 8
 
@@ -91,23 +91,23 @@
         self.catalogue = catalogue
         self._entries: dict[str, MailboxEntry] = {}
         self._subscriptions: list[Subscription] = []
-        self.gate: StompGate | None = None  # of the job queue; None: there is none
-        self.connections = 0  # of this client; one that has sent nothing yet may still do so
+        self.gate: StompGate | None = None  # of the job queue; None: there is no queue
+        self.connections = 0  # of this client; one that has sent nothing yet may still send requests
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is lost when the mailbox is dropped."""
+        """Whether the mailbox can be deleted without losing anything."""
         return not self._entries and not self.connections
 
     def unacknowledged_entries(self) -> list[MailboxEntry]:
-        """Return the requests that are open or whose answer is not acknowledged, oldest first."""
+        """Return the entries that are open or whose answer is unacknowledged, oldest first."""
         return [entry for entry in self._entries.values() if not entry.is_acknowledged]
 
     def send(self, frame: Frame, allowed_tenants: tuple[str, ...] = ()) -> None:
-        """Accept the job of a SEND frame. One whose id is known attaches to its entry and never runs again.
+        """Accept the job of a SEND frame. A job with a known id attaches to its entry and is not run again.
 
         Raises:
-            BadRequestError: it cannot be accepted.
+            BadRequestError: the job cannot be accepted.
         """
         request_id = stomp_jobs.request_id(frame)
         if (known := self._entries.get(request_id)) is not None:
@@ -119,7 +119,7 @@
             raise BadRequestError("this client may not send for that tenant")
         job = stomp_jobs.read_job(frame, self.identity, self.catalogue)
         if self._router.is_open(job.id):
-            # In an upgrade the old process may have it open still. It must not run a second time here.
+            # During an upgrade the job may still be open in the old process. It must not run twice.
             raise BadRequestError("a request of this id is open in another process: send it again later")
         entry = MailboxEntry(request_id, secrets.token_hex(MESSAGE_ID_BYTES))
         if self._is_full(len(frame.body)):
@@ -132,10 +132,10 @@
         except BadRequestError:
             self._drop(entry)
             raise
-        pending.answered.add_done_callback(lambda done: self._on_answer(entry, done.result()))
+        pending.answered.add_done_callback(lambda future: self._on_answer(entry, future.result()))
 
     def subscribe(self, subscription: Subscription) -> None:
-        """Add a subscription. Waiting answers are sent at once, in the order of their requests."""
+        """Add a subscription and send it the waiting answers in the order of their requests."""
         self._subscriptions.append(subscription)
         for entry in self.unacknowledged_entries():
             if entry.answer is not None and not any(
@@ -144,7 +144,10 @@
                 self._deliver(entry)
 
     def unsubscribe(self, subscription: Subscription) -> None:
-        """Remove a subscription. What it has not acknowledged goes to another one of the client, or waits."""
+        """Remove a subscription.
+
+        Its unacknowledged answers are sent to another subscription of the client, or wait for one.
+        """
         if subscription not in self._subscriptions:
             return
         self._subscriptions.remove(subscription)
@@ -152,7 +155,7 @@
             self._deliver(entry)
 
     def acknowledge(self, subscription: Subscription, ack_id: str, *, accepted: bool) -> bool:
-        """Apply an ACK (`accepted`) or a NACK, after which the answers go on waiting.
+        """Apply an ACK (`accepted`) or a NACK, after which the answers stay unacknowledged.
 
         Returns False if the subscription has no unacknowledged message of this id.
         """
@@ -161,7 +164,7 @@
         )
         if position is None:
             return False
-        # In mode "client" an acknowledgement covers all messages before it too.
+        # In mode "client" an acknowledgement also covers all earlier messages.
         first = 0 if subscription.ack_mode == "client" else position
         for entry in subscription.unacknowledged[first : position + 1]:
             entry.is_acknowledged = accepted
@@ -171,18 +174,18 @@
     # --- answers ---
 
     def _reject(self, entry: MailboxEntry, job: Job) -> None:
-        """Answer a job that the full mailbox cannot keep. Nothing has run, so it may be sent again."""
+        """Answer a job that does not fit into the mailbox. It has not run, so the client may resend it."""
         entry.answer = self._router.reject(job, FULL_RETRY_AFTER_US)
         entry.is_acknowledged = True
         if self._subscriptions:
-            self._write(self._subscriptions[-1], entry, is_kept=False)
+            self._write(self._subscriptions[-1], entry, is_retained=False)
 
     def _set_size(self, entry: MailboxEntry, size: int) -> None:
         self._stored.total += size - entry.size_bytes
         entry.size_bytes = size
 
     def drop_acknowledged(self) -> None:
-        """Forget the answers that the client has acknowledged."""
+        """Delete the entries whose answers the client has acknowledged."""
         for entry in [known for known in self._entries.values() if known.is_acknowledged]:
             self._drop(entry)
 
@@ -214,20 +217,20 @@
         self._drop(entry)
         if not entry.is_acknowledged:
             log.warning(
-                "%s: the answer to %s was not fetched in time; dropped", self.identity, entry.request_id
+                "%s: the answer to %s expired before it was acknowledged", self.identity, entry.request_id
             )
         for subscription in self._subscriptions:
             if entry in subscription.unacknowledged:
                 subscription.unacknowledged.remove(entry)
 
     def _deliver(self, entry: MailboxEntry) -> None:
-        """Send an answer to the newest subscription that takes it; without one it waits."""
+        """Send an answer to the newest subscription that accepts it; without one it stays in the mailbox."""
         for subscription in reversed(self._subscriptions):
             if self._write(subscription, entry):
                 return
 
-    def _write(self, subscription: Subscription, entry: MailboxEntry, *, is_kept: bool = True) -> bool:
-        """Send an answer; `is_kept`: it waits in the mailbox until it is acknowledged."""
+    def _write(self, subscription: Subscription, entry: MailboxEntry, *, is_retained: bool = True) -> bool:
+        """Send an answer. If `is_retained`, it stays in the mailbox until it is acknowledged."""
         assert entry.answer is not None
         headers = {
             "subscription": subscription.id,
@@ -240,7 +243,7 @@
             headers["ack"] = entry.message_id
         if not subscription.sink.send(Frame("MESSAGE", headers, entry.answer.result)):
             return False
-        if needs_ack and is_kept:
+        if needs_ack and is_retained:
             entry.ack_id = entry.message_id
             if entry not in subscription.unacknowledged:
                 subscription.unacknowledged.append(entry)
--- a/hazelbend/transport/stomp/stomp_session.py
+++ b/hazelbend/transport/stomp/stomp_session.py
@@ -1,4 +1,4 @@
-"""One STOMP connection: frames in and out, heartbeats, subscriptions (STOMP 1.1 and 1.2)."""
+"""One STOMP connection: its frames, heartbeats and subscriptions (STOMP 1.1 and 1.2)."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 SERVER_HEADER = "hazelbend/0.2"
 CONNECT_TIMEOUT_S = 2.3  # as on the HTTP listener
-IDLE_GRACE_S = 1.0  # from connecting; until then a connection does not count as idle
-CLOSE_TIMEOUT_S = 1.0  # for an ERROR or RECEIPT to get out before the connection closes
-HEARTBEAT_TOLERANCE = 2.0  # of the agreed interval: what the network may add
-HEARTBEAT_SEND_AT = 0.8  # of the agreed interval since the last frame
+IDLE_GRACE_S = 1.0  # after connecting, in which a connection does not count as idle
+CLOSE_TIMEOUT_S = 1.0  # for an ERROR or RECEIPT frame to be sent before the connection closes
+HEARTBEAT_TOLERANCE = 2.0  # factor on the agreed interval, as the network may delay a heartbeat
+HEARTBEAT_SEND_AT = 0.8  # fraction of the agreed interval, counted from the last frame
 MAX_SUBSCRIPTIONS = 16
 MAX_ERROR_CHARS = 200
 READ_BYTES = 65_536
@@ -46,7 +46,7 @@
 class Session:
     """One connection of a client or a worker; implements `FrameSink`.
 
-    connecting -> CONNECT accepted -> open -> ERROR, DISCONNECT or loss -> closed
+    connecting -> CONNECT accepted -> open -> ERROR, DISCONNECT or connection loss -> closed
     """
 
     def __init__(
@@ -75,7 +75,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is a client without open requests or answers, connected for long enough to send."""
+        """Whether this is a client without open requests or unacknowledged answers, past `IDLE_GRACE_S`."""
         now = asyncio.get_running_loop().time()
         return (
             self._is_open
@@ -87,11 +87,11 @@
     # --- writing ---
 
     def send(self, frame: Frame) -> bool:
-        """Write a frame. A consumer that leaves too much unread is disconnected; unsent answers wait."""
+        """Write a frame. A peer that leaves too much unread is disconnected; unsent answers are retained."""
         if not self._is_open or self._writer.is_closing():
             return False
         if self._writer.transport.get_write_buffer_size() > self._listener.settings.write_limit:
-            log.warning("%s: reads too slowly; cut off", self._peer_name)
+            log.warning("%s: reads too slowly; disconnected", self._peer_name)
             self._is_open = False
             self._writer.transport.abort()
             return False
@@ -99,7 +99,7 @@
         return True
 
     def send_error(self, text: str, cause: Frame | None = None) -> None:
-        """Send an ERROR frame, the last on this connection. `cause`: the frame that led to it."""
+        """Send an ERROR frame, the last frame on this connection. `cause` is the frame that it answers."""
         if self._is_open:
             headers = {"version": "1.1,1.2", "message": text[:MAX_ERROR_CHARS]}
             if cause is not None and cause.get("receipt"):
@@ -108,7 +108,7 @@
             self._is_open = False
 
     def close_with_error(self, text: str) -> None:
-        """Send an ERROR frame, then close the connection; its reading task ends by itself."""
+        """Send an ERROR frame, then close the connection; the reading task ends by itself."""
         self.send_error(text)
         self._writer.close()
 
@@ -117,7 +117,7 @@
         self._last_sent_at = asyncio.get_running_loop().time()
 
     async def close(self) -> None:
-        """Flush what is written, within `CLOSE_TIMEOUT_S`, and close the connection."""
+        """Flush the write buffer for at most `CLOSE_TIMEOUT_S` and close the connection."""
         self._is_open = False
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
@@ -138,7 +138,7 @@
             self._connect(first)
             async for frame in frames:
                 self._handle_frame(frame)
-                if frame.get("receipt"):  # the frame was received; says nothing of the job
+                if frame.get("receipt"):  # confirms only that the frame was received
                     self.send(Frame("RECEIPT", {"receipt-id": frame.get("receipt")}))
                 if frame.command == "DISCONNECT":
                     return
@@ -151,7 +151,10 @@
             return
 
     def on_connection_lost(self) -> None:
-        """Release what a closed connection had. A client's requests go on; attempts of a worker are reset."""
+        """Release the state of a closed connection.
+
+        The requests of a client continue; the attempts of a worker end as reset.
+        """
         self._is_open = False
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
@@ -248,7 +251,7 @@
             and self._mailbox is not None
             and self._listener.cancel
         ):
-            # A job that runs already, or is not known, is not cancelled: its answer says how it ended.
+            # A job that is already running or is unknown is not cancelled; its answer reports how it ended.
             self._listener.cancel(self._mailbox.identity, stomp_jobs.request_id(frame))
         elif destination == stomp_jobs.UPDATES_DESTINATION and isinstance(self._account, WorkerAccount):
             if self._worker_client is not None:
@@ -301,7 +304,7 @@
     def _on_acknowledge(self, frame: Frame) -> None:
         if "transaction" in frame.headers:
             raise StompError(f"{frame.command}: transactions are not supported")
-        # STOMP 1.2 names the message by its ack header, 1.1 by message-id; both are the same here.
+        # STOMP 1.2 identifies the message by its ack header, 1.1 by message-id; their values are equal here.
         ack_id = frame.get("id" if self._version == "1.2" else "message-id")
         accepted = frame.command == "ACK"
         if not ack_id:
--- a/hazelbend/transport/stomp/stomp_settings.py
+++ b/hazelbend/transport/stomp/stomp_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the STOMP listener: accounts, heartbeats and limits, as `stomp.toml` gives them."""
+"""Settings of the STOMP listener from `stomp.toml`: accounts, heartbeats and limits."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 @dataclass(slots=True)
 class MailboxLimits:
-    """What is kept for clients that are not connected."""
+    """Limits on the requests and answers that are stored for clients."""
 
     waiting: int = 256  # open requests and unacknowledged answers, for one client
     waiting_bytes: int = 4 * 1024 * 1024
-    remembered: int = 2_048  # acknowledged requests whose ids are still known, for one client
-    keep_s: float = 300.0  # how long an answer waits, and an id stays known after it
+    remembered: int = 2_048  # acknowledged requests whose ids are retained, for one client
+    keep_s: float = 300.0  # how long an answer and its request id are retained
     total_bytes: int = 32 * 1024 * 1024  # jobs and answers of all clients together
 
 
 @dataclass(slots=True, frozen=True)
 class ClientAccount:
-    """A login of clients. `passcode_sha256`: hexadecimal."""
+    """A login for clients. `passcode_sha256` is hexadecimal."""
 
     login: str
     passcode_sha256: str
-    tenants: tuple[str, ...] = ()  # for which it may send; empty: all
+    tenants: tuple[str, ...] = ()  # that it may send jobs for; empty: all
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerAccount:
-    """The login of one worker that takes jobs over STOMP, and where it stands."""
+    """The login of one worker that receives jobs over STOMP, and its placement."""
 
     login: str
     passcode_sha256: str
@@ -46,6 +46,6 @@
     clients: tuple[ClientAccount, ...] = ()
     workers: tuple[WorkerAccount, ...] = ()
     heart_beat_ms: tuple[int, int] = (10_000, 10_000)  # sent, expected; 0: none
-    connections: int = 64  # at most
-    write_limit: int = 1024 * 1024  # bytes that a slow consumer may leave unread
+    connections: int = 64  # maximum
+    write_limit: int = 1024 * 1024  # bytes that a slow peer may leave unread
     mailbox_limits: MailboxLimits = field(default_factory=MailboxLimits)
--- a/hazelbend/transport/stomp/stomp_worker_registry.py
+++ b/hazelbend/transport/stomp/stomp_worker_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the workers that are connected over STOMP; it keeps the router's table of them up to date."""
+"""Registry of the workers connected over STOMP. It keeps the router's table of these workers up to date."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._clients: dict[str, StompBackendClient] = {}
 
     def change(self, catalogue: Catalogue, report_fields: LoadReportFields) -> None:
-        """Apply new settings to all workers."""
+        """Use new settings for all workers."""
         self._catalogue = catalogue
         self._report_fields = report_fields
         for client in self._clients.values():
@@ -38,7 +38,7 @@
         return len(self._clients)
 
     def connect(self, account: WorkerAccount, sink: FrameSink, subscription_id: str) -> StompBackendClient:
-        """Add a worker that subscribed to jobs. A new connection counts as a start (slow start)."""
+        """Add a worker that has subscribed to jobs. A new connection counts as a restart (slow start)."""
         client = self._clients.get(account.login)
         if client is not None and client.sink is sink:
             client.subscription_id = subscription_id
@@ -50,11 +50,11 @@
         client = StompBackendClient(sink, subscription_id, self._catalogue, self._report_fields)
         self._clients[account.login] = client
         self._router.register(_endpoint(account, self._router.clock.now()), client)
-        log.info("box %s: connected", account.login)
+        log.info("worker %s: connected", account.login)
         return client
 
     def drain(self, account: WorkerAccount, client: StompBackendClient) -> None:
-        """Mark a worker that unsubscribed as draining: it finishes its jobs and gets no new ones."""
+        """Mark a worker that has unsubscribed as draining: it finishes its jobs and gets no new ones."""
         if self._clients.get(account.login) is client:
             self._router.change_registered(_host_name(account), WorkerState.DRAINING)
 
@@ -64,7 +64,7 @@
         if self._clients.get(account.login) is client:
             del self._clients[account.login]
             self._router.change_registered(_host_name(account), WorkerState.GONE)
-            log.info("box %s: gone", account.login)
+            log.info("worker %s: disconnected", account.login)
 
 
 def _endpoint(account: WorkerAccount, started_at: int) -> Endpoint:
--- a/hazelbend/transport/storage/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -1,6 +1,6 @@
-"""Stores the consensus state of a control process: sqlite3 with a write-ahead log, synced at each commit.
+"""Stores the consensus state of a control process in sqlite3, with a write-ahead log synced at each commit.
 
-All commands run one after the other in the store's own thread. A command that fails changes nothing.
+All commands run sequentially in the store's own thread. A command that fails changes nothing.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 DATABASE_FILE = "control.db"
 DAMAGED_FILE = "control.damaged"  # a database that could not be read
-CHECKPOINT_PAGES = 200  # pages of the write-ahead log, after which it is written back: this bounds its size
-HARD_STATE = "promise"  # kinds of rows; they are stored, so they keep their first names
+CHECKPOINT_PAGES = 200  # write-ahead log pages that trigger a checkpoint, which bounds the size of the log
+HARD_STATE = "promise"  # stored kinds of rows, whose values keep the names of earlier versions
 SNAPSHOT = "base"
 COMMIT_INDEX = "commit"
 
@@ -34,7 +34,7 @@
 """
 
 T = TypeVar("T")
-STORE_ERRORS = (sqlite3.Error, OSError)  # what the methods of `ControlStore` raise where the disk refuses
+STORE_ERRORS = (sqlite3.Error, OSError)  # raised by the methods of `ControlStore` if the disk fails
 
 _encoder = msgspec.msgpack.Encoder()
 _hard_states = msgspec.msgpack.Decoder(HardState)
@@ -43,26 +43,26 @@
 
 
 class ControlStore:
-    """The database of one process, in its data directory. Use: `open`, any number of `save`, `close`."""
+    """The database of one process, in its data directory. Call `open`, any number of `save`, then `close`."""
 
     def __init__(self, data_dir: Path) -> None:
         self._data_dir = data_dir
         self._thread = ThreadPoolExecutor(1, "control-store")
         self._connection: sqlite3.Connection | None = None
-        self._commit_index = 0  # as it was read
+        self._commit_index = 0  # as read from the database
 
     async def open(self, address: str) -> tuple[PersistentState, int] | None:
-        """The stored state and commit index of the process at this address; None: there are none.
+        """Return the stored state and commit index of the process at this address, or None if there are none.
 
-        A damaged database is set aside, and a new one begun.
+        A damaged database is renamed and a new one is created.
 
         Raises:
-            sqlite3.Error, OSError: the disk refuses; the call may be repeated.
+            sqlite3.Error, OSError: the disk failed; the call may be repeated.
         """
         return await self._run(self._open, address)
 
     async def save(self, records: Sequence[StateRecord], commit_index: int) -> None:
-        """Store all records or none; they are synced to the disk when it returns.
+        """Store all records atomically; they are synced to disk on return.
 
         Raises:
             sqlite3.Error, OSError: nothing was changed.
@@ -70,14 +70,14 @@
         await self._run(self._save, records, commit_index)
 
     async def close(self) -> None:
-        """Wait for the command that runs, and close the database."""
+        """Wait for the command in progress and close the database."""
         await self._run(self._close)
         self._thread.shutdown()
 
     async def _run(self, command: Callable[..., T], *arguments: object) -> T:
         return await asyncio.get_running_loop().run_in_executor(self._thread, command, *arguments)
 
-    # --- in the store's thread ---
+    # --- methods that run in the store's thread ---
 
     def _open(self, address: str) -> tuple[PersistentState, int] | None:
         self._close()
@@ -109,7 +109,7 @@
 
     def _set_aside(self) -> None:
         self._close()
-        # The log of changes first: what is in it must never be applied to another database.
+        # The write-ahead log is removed first: it must never be applied to another database.
         for suffix in ("-wal", "-shm"):
             (self._data_dir / (DATABASE_FILE + suffix)).unlink(missing_ok=True)
         rename_durably(self._data_dir / DATABASE_FILE, self._data_dir / DAMAGED_FILE)
--- a/hazelbend/transport/storage/durable_files.py
+++ b/hazelbend/transport/storage/durable_files.py
@@ -1,7 +1,7 @@
 """Files and folders that survive a loss of power. All functions block on the disk: call them in a thread.
 
-A file's content is durable once the file was synced, and its name, or a rename, once its folder was. The same
-holds for a folder that was made: its name stands in the folder above.
+The content of a file is durable once the file is synced; its name, or a rename, is durable once its folder is
+synced. A new folder likewise requires a sync of its parent folder, which contains its name.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 def make_folder(folder: Path) -> None:
-    """Make a folder and those above it that are missing, all of them durable.
+    """Create a folder and its missing parents durably.
 
     Raises:
-        OSError: the disk refuses.
+        OSError: the disk failed.
     """
     if folder.is_dir():
         return
@@ -28,7 +28,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make all names in this folder durable. Raises OSError."""
+    """Sync a folder, which makes all names in it durable. Raises OSError."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -37,17 +37,17 @@
 
 
 def write_all(descriptor: int, content: bytes) -> None:
-    """Write all of the content, also where the system takes it in parts. Raises OSError."""
+    """Write all of the content, repeating partial writes. Raises OSError."""
     remaining = memoryview(content)
     while remaining:
         remaining = remaining[os.write(descriptor, remaining) :]
 
 
 def write_new_file(path: Path, content: bytes) -> int:
-    """Write and sync a file, in place of any that is there; its descriptor, which is open for writing.
+    """Write and sync a file, overwriting an existing one, and return its descriptor, open for writing.
 
     Raises:
-        OSError: the disk refuses. The file may be there in part, and its descriptor is closed.
+        OSError: the disk failed. The file may be incomplete, and its descriptor is closed.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
     descriptor = os.open(path, flags, 0o600)
@@ -61,6 +61,6 @@
 
 
 def rename_durably(path: Path, new_path: Path) -> None:
-    """Rename a file, in place of any that is there. Raises OSError; then nobody knows which one is there."""
+    """Rename a file, replacing an existing one. After an OSError it is unknown which of the two exists."""
     os.replace(path, new_path)
     sync_folder(new_path.parent)
--- a/hazelbend/transport/storage/fleet_store.py
+++ b/hazelbend/transport/storage/fleet_store.py
@@ -1,6 +1,6 @@
-"""The file of a node's consensus state: locked, and synced before anything that rests on it is sent.
+"""The file with a node's consensus state: locked, and synced before any message that depends on it is sent.
 
-Format: consensus/state_codec.py. All functions block on the disk: call them in a thread.
+consensus/state_codec.py defines the format. All methods block on the disk: call them in a thread.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class StateNotRewrittenError(OSError):
-    """A new file could not be written, for example on a full disk."""
+    """A new state file could not be written, for example because the disk is full."""
 
 
 class FleetStore:
@@ -38,11 +38,13 @@
         self._rewrite_above = REWRITE_ABOVE_BYTES
 
     def open(self, identity_suffix: str) -> PersistentState | None:
-        """Lock the folder and read the stored state. None: there is none, or its identity ends otherwise.
+        """Lock the folder and read the stored state.
+
+        Returns None if there is no state, or if its identity does not end with `identity_suffix`.
 
         Raises:
             OSError: the folder cannot be used, or another process has locked it.
-            CorruptStateError: the file is renamed to `memory.damaged`; the node must start as a new one.
+            CorruptStateError: the file was renamed to `memory.damaged`; the node must start as a new one.
         """
         make_folder(self._folder)
         self._lock = os.open(self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -66,11 +68,11 @@
         return state
 
     def replace(self, content: bytes) -> None:
-        """Write a new file in place of the present one.
+        """Replace the current file with a new one.
 
         Raises:
-            StateNotRewrittenError: the present file stays, and may be added to.
-            OSError: one of the two is there, and nothing more may be added to it.
+            StateNotRewrittenError: the current file is unchanged and may be appended to.
+            OSError: it is unknown which of the two files exists; nothing more may be appended.
         """
         new_path = self._folder / NEW_STATE_FILE
         try:
@@ -78,7 +80,7 @@
         except OSError as error:
             with contextlib.suppress(OSError):
                 new_path.unlink()
-            self._rewrite_above = 2 * self._size  # the disk may be full: not again with each append
+            self._rewrite_above = 2 * self._size  # the disk may be full: do not retry with each append
             raise StateNotRewrittenError(str(error)) from error
         try:
             rename_durably(new_path, self._folder / STATE_FILE)
@@ -92,10 +94,10 @@
         self._rewrite_above = REWRITE_ABOVE_BYTES
 
     def append(self, frames: bytes) -> bool:
-        """Append frames; they are on the disk on return. True: the file is large and should be replaced.
+        """Append frames and sync them to disk. Returns True if the file is large and should be replaced.
 
         Raises:
-            OSError: nobody knows what of them is on the disk, and nothing more may be added.
+            OSError: it is unknown which of the frames are on disk; nothing more may be appended.
         """
         write_all(self._file, frames)
         os.fdatasync(self._file)
--- a/hazelbend/transport/storage/soft_state_file.py
+++ b/hazelbend/transport/storage/soft_state_file.py
@@ -1,4 +1,4 @@
-"""A file for soft state: useful after a restart, harmless where it is lost or old.
+"""A file for soft state: useful after a restart, harmless if lost or outdated.
 
 The file is replaced atomically, and synced so that it survives a loss of power. A damaged file is ignored.
 """
@@ -17,7 +17,7 @@
 
 
 def write_soft_state(path: Path, content: bytes) -> None:
-    """Replace the file. Raises OSError where the disk refuses; the old file stays."""
+    """Replace the file. Raises OSError if the disk fails; the old file is then unchanged."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     checksum = zlib.crc32(content).to_bytes(CHECKSUM_BYTES, "big")
     os.close(write_new_file(temporary, checksum + content))
@@ -25,7 +25,7 @@
 
 
 def read_soft_state(path: Path) -> bytes | None:
-    """The content that was written last; None where there is none, or it is damaged."""
+    """Return the content that was written last, or None if it is missing or damaged."""
     with contextlib.suppress(OSError):
         data = path.read_bytes()
         checksum = data[:CHECKSUM_BYTES]
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -205,7 +205,7 @@
 
 @pytest.mark.parametrize("said", [b"", b"{", b'{"known": 5}\n', b'{"classes": [1]}\n', None, "stale", "file"])
 def test_what_the_process_before_left_does_no_harm(tmp_path, monkeypatch, said):
-    monkeypatch.setattr(handover, "FETCH_WAIT", 0.2)
+    monkeypatch.setattr(handover, "FETCH_TIMEOUT_S", 0.2)
 
     async def speak(reader, writer):
         if said is not None:
