--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The edge connections: what clients may do wrong, and what they get; the program goes on."""
+"""The client listener: invalid, slow and disconnecting clients, connection limits and closing."""
 
 import asyncio
 import os
@@ -20,10 +20,10 @@
 
 
 async def send_and_receive(port: int, *data: bytes, end: bool = False) -> bytes:
-    """Send it all, in these pieces, and perhaps an end; what comes back until the connection closes."""
+    """Send the chunks, then EOF if `end` is set; return all that is received until the connection closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    for piece in data:
-        writer.write(piece)
+    for chunk in data:
+        writer.write(chunk)
         await writer.drain()
     if end:
         writer.write_eof()
@@ -33,7 +33,7 @@
 
 
 async def open_keep_alive(port: int, job_id: str = "first"):
-    """A connection that has had an answer."""
+    """Open a connection on which one request has been answered."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request(job_id))
     assert (await reader.readuntil(b"did " + job_id.encode())).startswith(b"HTTP/1.1 200 ")
@@ -41,7 +41,7 @@
 
 
 CHUNKED = "Transfer-Encoding: chunked\r\n"
-BAD = {
+INVALID_REQUESTS = {
     "two lengths that differ": (request(more="Content-Length: 5\r\n"), 400),
     "a negative length": (request().replace(b"Length: 1", b"Length: -1"), 400),
     "a huge length": (request().replace(b"Length: 1", b"Length: 99999999999999999999"), 400),
@@ -52,7 +52,7 @@
         400,
     ),
     "two ids": (request(more="X-Request-ID: other\r\nConnection: close\r\n"), 400),
-    "another class than the path's": (
+    "a class that contradicts the path": (
         request(more="X-Priority-Class: reserve\r\nIdempotency-Key: k\r\nConnection: close\r\n"),
         400,
     ),
@@ -60,27 +60,30 @@
         request(more="Connection: close\r\n").replace(b"/nearby/", b"/bogus/"),
         400,
     ),
-    "a key that cannot go on": (
+    "a key with a byte that is not ASCII": (
         request(more="Connection: close\r\nIdempotency-Key: \r\n").replace(b"Key: ", b"Key: \x80"),
         400,
     ),
-    "a time-out below zero": (request(more="Connection: close\r\n").replace(b"4000", b"-400"), 400),
+    "a negative timeout": (request(more="Connection: close\r\n").replace(b"4000", b"-400"), 400),
     "no HTTP": (b"\x16\x03\x01\x02\x00\r\n\r\n", 400),
     "a line that is too long": (b"POST /" + b"x" * 10_000 + b" HTTP/1.1\r\n\r\n", 431),
     "a field that is too long": (request(more=f"X-Long: {'x' * 10_000}\r\n"), 431),
-    "too large a body, as said": (request(more="Connection: close\r\n", body=b"x" * 65_537), 413),
-    "a bad length": (b"POST /nearby/1 HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n", 400),
+    "a declared body over the limit": (request(more="Connection: close\r\n", body=b"x" * 65_537), 413),
+    "a length that is not a number": (
+        b"POST /nearby/1 HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n",
+        400,
+    ),
     "no id": (request(job_id="", more="Connection: close\r\n"), 400),
-    "a time-out of words": (request(more="Connection: close\r\n").replace(b"4000", b"soon"), 400),
+    "a timeout that is not a number": (request(more="Connection: close\r\n").replace(b"4000", b"soon"), 400),
     "a fragment": (request(more="Connection: close\r\n").replace(b"/17", b"/17#x"), 400),
     "another method": (b"DELETE /nearby/1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 405),
 }
 
 
-def test_bad_input_gets_its_status_and_the_program_goes_on(tmp_path):
+def test_invalid_request_gets_its_error_status_and_serving_continues(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            for name, (data, status) in BAD.items():
+            for name, (data, status) in INVALID_REQUESTS.items():
                 answer = await send_and_receive(app.client_listener.port, data)
                 assert answer[:13] in (b"HTTP/1.1 %d " % status, b"HTTP/1.0 %d " % status), (name, answer)
             chunked = request(more="Transfer-Encoding: chunked\r\n").replace(b"Content-Length: 1\r\n", b"")
@@ -96,7 +99,7 @@
     asyncio.run(run())
 
 
-def test_a_connection_is_usable_after_a_bad_request(tmp_path):
+def test_connection_is_usable_after_an_invalid_request(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"ege-volt", b"nobody")
@@ -108,7 +111,7 @@
     asyncio.run(run())
 
 
-def test_a_client_that_waits_to_be_told_to_go_on_is_told(tmp_path):
+def test_expect_100_continue_gets_a_continue_response(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             answer = await send_and_receive(
@@ -119,8 +122,8 @@
     asyncio.run(run())
 
 
-def test_over_the_share_of_descriptors_connections_are_not_kept(tmp_path):
-    """Guards the limit on sockets: kept connections of clients must not take what the servers' side needs."""
+def test_connections_above_the_limit_are_not_kept_alive(tmp_path):
+    """Guards the limit on sockets: idle client connections must not use up the descriptors for backends."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
@@ -134,7 +137,7 @@
     asyncio.run(run())
 
 
-def test_random_cuts_and_garbage_on_the_socket(tmp_path):
+def test_fragmented_requests_are_served_and_garbage_does_no_harm(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             good = request(more="Connection: close\r\n")
@@ -151,8 +154,8 @@
     asyncio.run(run())
 
 
-def test_a_client_that_goes_away_cancels_its_job(tmp_path):
-    """Guards against servers' work for nobody: waste is charged."""
+def test_client_disconnect_cancels_its_job(tmp_path):
+    """Guards against backends that continue work whose client has disconnected: wasted work is charged."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
@@ -171,7 +174,7 @@
     [(b"1", 200), (b"return", 503), (b"1 fail", 503), (b"hang", 503)],
     ids=["done", "full", "fail", "late"],
 )
-def test_each_answer_has_its_status(tmp_path, body, status):
+def test_each_job_outcome_maps_to_its_status(tmp_path, body, status):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             data = request(body=body, timeout=400, more="Connection: close\r\n")
@@ -186,7 +189,7 @@
     asyncio.run(run())
 
 
-def test_a_job_that_may_have_run_is_failed_where_a_repeat_may_do_harm(tmp_path):
+def test_job_that_may_have_run_fails_where_a_retry_is_unsafe(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             data = request(body=b"hang", timeout=400, more="Connection: close\r\nIdempotency-Key: k\r\n")
@@ -199,46 +202,46 @@
     asyncio.run(run())
 
 
-def test_when_the_doors_close_idle_connections_close_and_busy_ones_finish(tmp_path):
-    """Guards against connections that stay open and deaf: what clients send on them would be lost."""
+def test_stop_accepting_closes_idle_connections_and_lets_busy_ones_finish(tmp_path):
+    """Guards against connections that stay open but are not read: requests sent on them would be lost."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            kept, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
+            idle, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request())
-            assert (await kept.read(65_536)).startswith(b"HTTP/1.1 200 ")
+            assert (await idle.read(65_536)).startswith(b"HTTP/1.1 200 ")
             data = request("slow", b"100")
             reader, busy = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
-            busy.write(data[:-2])  # its body is still to come
+            busy.write(data[:-2])  # the rest of its body follows later
             await wait_until(lambda: app.client_listener.connections == 2)
             running = asyncio.create_task(send_and_receive(app.client_listener.port, request("run", b"200")))
             await wait_until(lambda: app.router.requests)
             app.client_listener.stop_accepting()
-            assert await asyncio.wait_for(kept.read(), 10) == b""
+            assert await asyncio.wait_for(idle.read(), 10) == b""
             busy.write(data[-2:])
             for answer in await asyncio.gather(running, asyncio.wait_for(reader.read(), 10)):
                 assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
-            for each in (writer, busy):
-                each.close()
+            for open_writer in (writer, busy):
+                open_writer.close()
 
     asyncio.run(run())
 
 
-def test_a_request_that_comes_as_the_doors_close_is_answered(tmp_path):
-    """Guards a client that sends on its resting connection in the moment of the close: its bytes lay unread
-    in the kernel, the connection was reset over them, and the request, which counts as taken, was lost."""
+def test_request_that_arrives_as_accepting_stops_is_answered(tmp_path):
+    """Guards a client that sends on its idle connection just as it is closed: the request lay unread in the
+    kernel, closing reset the connection, and the request, which counts as accepted, was lost."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            kept = [await asyncio.open_connection("127.0.0.1", app.client_listener.port) for _ in range(8)]
-            for number, (reader, writer) in enumerate(kept):
+            idle = [await asyncio.open_connection("127.0.0.1", app.client_listener.port) for _ in range(8)]
+            for number, (reader, writer) in enumerate(idle):
                 writer.write(request(f"first{number}"))
                 assert (await reader.read(65_536)).startswith(b"HTTP/1.1 200 ")
-            for number, (_, writer) in enumerate(kept):
+            for number, (_, writer) in enumerate(idle):
                 handle = writer.get_extra_info("socket")
-                os.write(handle.fileno(), request(f"second{number}"))  # at once, in this turn of the loop
+                os.write(handle.fileno(), request(f"second{number}"))  # within this iteration of the loop
             app.client_listener.stop_accepting()
-            for reader, writer in kept:
+            for reader, writer in idle:
                 answer = await asyncio.wait_for(reader.read(), 10)
                 assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in answer
                 writer.close()
@@ -246,8 +249,8 @@
     asyncio.run(run())
 
 
-def test_an_id_that_another_flow_holds_is_turned_away(tmp_path):
-    """Guards the flow that holds it: servers know a job by its id, and would take one for the other."""
+def test_request_id_of_an_open_flow_is_rejected(tmp_path):
+    """Guards the open flow: backends identify a job by its id and would confuse the two."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
@@ -266,8 +269,8 @@
 
 
 @pytest.fixture
-def hurried(monkeypatch):
-    """Short times for clients; as they stand they must keep within the 3 s that a client is owed."""
+def short_timeouts(monkeypatch):
+    """Shorten the client timeouts. The defaults must close a silent connection within 3 s."""
     assert http_listener.REQUEST_TIMEOUT_S + 3 * http_listener.SWEEP_PERIOD_S < 3.0
     monkeypatch.setattr(http_listener, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(http_listener, "SWEEP_PERIOD_S", 0.02)
@@ -285,7 +288,7 @@
 
 
 @pytest.mark.parametrize("name", SLOW)
-def test_a_client_that_is_silent_or_slow_is_given_up(tmp_path, hurried, name):
+def test_silent_or_slow_client_times_out(tmp_path, short_timeouts, name):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             assert app.client_listener.request_timeout_s == 0.2
@@ -298,12 +301,12 @@
     asyncio.run(run())
 
 
-def test_a_kept_connection_may_be_idle_but_its_next_request_may_not_be_slow(tmp_path, hurried):
+def test_keep_alive_connection_may_idle_but_a_slow_request_times_out(tmp_path, short_timeouts):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             for job in ("a", "b"):
-                writer.write(request(job, b"400"))  # a job may take longer than a client to send it
+                writer.write(request(job, b"400"))  # the job takes longer than the request timeout
                 assert b" 200 " in await reader.readuntil(b"did " + job.encode())
                 await asyncio.sleep(0.3)
             writer.write(request("c")[:40])
@@ -313,15 +316,15 @@
     asyncio.run(run())
 
 
-def test_room_is_made_for_those_who_ask(tmp_path):
-    """Guards the usual clients: connections that say nothing once took all descriptors."""
+def test_silent_connections_are_evicted_before_used_ones(tmp_path):
+    """Guards active clients: silent connections once used up all descriptors."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             app.client_listener.connection_limit = 4
-            kept = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
-            kept[1].write(request("kept"))
-            assert b" 200 " in await kept[0].readuntil(b"did kept")
+            used = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
+            used[1].write(request("kept"))
+            assert b" 200 " in await used[0].readuntil(b"did kept")
             data = request("run", b"300", more="Connection: close\r\n")
             running = asyncio.create_task(send_and_receive(app.client_listener.port, data))
             await wait_until(lambda: "run" in toy.ran)
@@ -332,43 +335,45 @@
             assert b"HTTP/1.1 200 " in await send_and_receive(
                 app.client_listener.port, request("new", more="Connection: close\r\n")
             )
-            assert await asyncio.wait_for(silent[0][0].read(), 10) == b"", "the oldest of the silent go first"
-            kept[1].write(request("again"))
-            assert b" 200 " in await kept[0].readuntil(b"did again"), "who has asked stays before the silent"
-            assert b" 200 " in await running, "what is at work is never closed"
-            for _, writer in (kept, *silent):
+            assert await asyncio.wait_for(silent[0][0].read(), 10) == b"", (
+                "the oldest silent one is evicted first"
+            )
+            used[1].write(request("again"))
+            assert b" 200 " in await used[0].readuntil(b"did again"), "silent ones are evicted before it"
+            assert b" 200 " in await running, "a connection that is being served is never evicted"
+            for _, writer in (used, *silent):
                 writer.close()
 
     asyncio.run(run())
 
 
-def test_the_same_bad_request_again_at_once_waits_for_its_answer(tmp_path):
-    """Guards the others' time: one connection used to get as many answers as the program could write."""
+def test_repeated_invalid_requests_are_delayed(tmp_path):
+    """Guards the other clients: one connection used to get responses as fast as the program could write."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"/nearby/", b"/bogus/")
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             answer = await send_and_receive(
                 app.client_listener.port, bad * 3 + request(more="Connection: close\r\n")
             )
             assert answer.count(b"HTTP/1.1 400 ") == 3 and answer.count(b"HTTP/1.1 200 ") == 1
-            assert loop.time() - began >= client_listener.INVALID_REQUEST_DELAY_S * (1 + 2)
+            assert loop.time() - started_at >= client_listener.INVALID_REQUEST_DELAY_S * (1 + 2)
 
     asyncio.run(run())
 
 
-def test_a_fault_over_one_connection_does_not_end_the_watch_over_the_others(tmp_path, hurried, monkeypatch):
+def test_error_in_one_deadline_check_does_not_stop_the_sweep(tmp_path, short_timeouts, monkeypatch):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            look, faults = client_connection.ClientConnection.enforce_deadline, []
+            enforce_deadline, faults = client_connection.ClientConnection.enforce_deadline, []
 
             def faulty(connection, now):
                 if not faults:
                     faults.append(connection)
-                    raise OSError("as the test asks")
-                look(connection, now)
+                    raise OSError("injected by the test")
+                enforce_deadline(connection, now)
 
             monkeypatch.setattr(client_connection.ClientConnection, "enforce_deadline", faulty)
             assert (
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -1,4 +1,4 @@
-"""How clients' connections end: nothing that was written is lost, whatever comes in that moment."""
+"""Closing of client connections: no written response is lost, whatever arrives at the same time."""
 
 import asyncio
 import os
@@ -13,30 +13,30 @@
 from tests.support.site_kit import SETTINGS, site, wait_until
 from tests.transport.test_client_listener import open_keep_alive, request
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which closing sends a reset
 
 
-def at_once(writer, data: bytes) -> None:
-    """Into the kernel in this turn of the loop."""
+def write_to_kernel(writer, data: bytes) -> None:
+    """Write to the socket directly, within this iteration of the loop."""
     os.write(writer.get_extra_info("socket").fileno(), data)
 
 
-async def rest(reader) -> bytes:
-    """All that comes until the connection is closed; a reset raises."""
+async def read_to_end(reader) -> bytes:
+    """Return everything received until the connection is closed; raises if it is reset."""
     return await asyncio.wait_for(reader.read(), 10)
 
 
 @pytest.mark.parametrize("close", ["stop accepting", "make room", "drain"])
-def test_bytes_that_come_between_the_look_and_the_close_reset_nothing(tmp_path, monkeypatch, close):
-    """Guards a request that crosses a close: the kernel was asked for unread bytes, then the socket
-    closed; what came in between reset it. Read and dropped, it is clear to the client that it was not
-    taken."""
+def test_bytes_between_the_unread_check_and_the_close_cause_no_reset(tmp_path, monkeypatch, close):
+    """Guards a request that crosses a close: bytes that arrived between the check for unread bytes and the
+    close reset the connection. They are read and dropped instead, so the client sees a clean close and knows
+    that its request was not accepted."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await open_keep_alive(app.client_listener.port)
             monkeypatch.setattr(client_connection.ClientConnection, "has_unread", False)
-            at_once(writer, request("crossing"))
+            write_to_kernel(writer, request("crossing"))
             if close == "stop accepting":
                 app.client_listener.stop_accepting()
             elif close == "make room":
@@ -45,7 +45,7 @@
             else:
                 app.client_listener.start_draining(0.0, 0.0)
                 app.client_listener._sweep()
-            assert await rest(reader) == b""
+            assert await read_to_end(reader) == b""
             writer.close()
             await wait_until(
                 lambda: app.client_listener.connections == 0 and not app.client_listener._lingering
@@ -55,30 +55,30 @@
     asyncio.run(run())
 
 
-def test_an_answer_arrives_whole_though_its_client_goes_on_sending(tmp_path):
-    """Guards an error's answer: it was lost behind the reset of a close over bytes that were not read."""
+def test_response_arrives_complete_while_the_client_is_still_sending(tmp_path):
+    """Guards an error response: it was lost when closing with unread bytes reset the connection."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             head = request(body=b"").replace(b"Length: 0", b"Length: 3000000")
             writer.write(head + b"x" * 3_000_000)
-            answer = await rest(reader)
+            answer = await read_to_end(reader)
             assert answer.startswith(b"HTTP/1.1 413 ") and answer.endswith(b"over 64 KiB\n")
             writer.close()
 
     asyncio.run(run())
 
 
-def test_an_answer_with_which_a_connection_closes_arrives_before_what_was_sent_behind(tmp_path):
+def test_closing_response_arrives_despite_pipelined_requests(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("a", b"100"))
             await wait_until(lambda: toy.ran)
-            app.client_listener.connection_limit = 0  # its answer closes the connection
+            app.client_listener.connection_limit = 0  # so that the response closes the connection
             writer.write(request("b") * 200)
-            answer = await rest(reader)
+            answer = await read_to_end(reader)
             assert b"\r\nConnection: close\r\n" in answer and answer.endswith(b"did a")
             writer.close()
             assert toy.ran == ["a"]
@@ -86,14 +86,14 @@
     asyncio.run(run())
 
 
-def test_a_half_closed_connection_is_read_for_a_while_and_no_longer(tmp_path, monkeypatch):
+def test_half_closed_connection_lingers_for_a_limited_time(tmp_path, monkeypatch):
     monkeypatch.setattr(half_close, "LINGER_S", 0.05)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             reader, writer = await open_keep_alive(app.client_listener.port)
             app.client_listener.stop_accepting()
-            assert await rest(reader) == b""
+            assert await read_to_end(reader) == b""
             assert not app.client_listener.connections
             await wait_until(lambda: not app.client_listener._lingering)
             writer.close()
@@ -101,29 +101,29 @@
     asyncio.run(run())
 
 
-def test_who_lingers_is_counted(tmp_path, monkeypatch):
-    """Guards the descriptors: where many are half-closed the next are closed at once."""
+def test_number_of_lingering_connections_is_limited(tmp_path, monkeypatch):
+    """Guards the file descriptors: above `MAX_LINGERING` half-closed connections, others close at once."""
     monkeypatch.setattr(http_listener, "MAX_LINGERING", 2)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            peers = [await open_keep_alive(app.client_listener.port, f"k{number}") for number in range(5)]
+            clients = [await open_keep_alive(app.client_listener.port, f"k{number}") for number in range(5)]
             for connection in list(app.client_listener._open):
                 connection.force_close()
             assert len(app.client_listener._lingering) == 2
-            assert [await rest(reader) for reader, _ in peers] == [b""] * 5
-            for _, writer in peers:
+            assert [await read_to_end(reader) for reader, _ in clients] == [b""] * 5
+            for _, writer in clients:
                 writer.close()
 
     asyncio.run(run())
 
 
-def test_connections_that_wait_to_be_accepted_as_the_listener_closes_are_served(tmp_path):
-    """Guards clients whose connection was up, in the kernel, and was reset with the listening socket.
+def test_connections_in_the_accept_backlog_are_served_when_the_listener_closes(tmp_path):
+    """Guards clients whose connection was established in the kernel and was reset with the listening socket.
 
     All 40 requests open a connection to the toy server in one turn of the event loop. On a busy machine that
-    takes longer than the default connect timeout of 250 ms; the server is then taken for unreachable, and the
-    requests are refused once their objective has passed. Connecting is not what is tested here.
+    takes longer than the default connect timeout of 250 ms; the server then counts as unreachable, and the
+    requests are refused once their objective has passed. This test is not about connecting.
     """
     limits = SETTINGS["limits"] | {"connect_timeout_us": 10_000_000}
 
@@ -135,10 +135,10 @@
                 peer.sendall(request(f"w{number}"))
                 peer.setblocking(False)
                 waiting.append(peer)
-            app.client_listener.stop_accepting()  # not one of them has been accepted in this turn
+            app.client_listener.stop_accepting()  # none of them is accepted yet in this loop iteration
             for number, peer in enumerate(waiting):
                 reader, writer = await asyncio.open_connection(sock=peer)
-                answer = await rest(reader)
+                answer = await read_to_end(reader)
                 assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"did w%d" % number)
                 assert b"\r\nConnection: close\r\n" in answer
                 writer.close()
@@ -146,8 +146,8 @@
     asyncio.run(run())
 
 
-def test_a_new_connection_that_has_sent_nothing_yet_is_answered_as_the_doors_close(tmp_path):
-    """Guards a first request that is on its way: a close without an answer would lose it."""
+def test_silent_new_connection_is_served_after_accepting_stops(tmp_path):
+    """Guards a first request in transit: a close without a response would lose it."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
@@ -156,15 +156,15 @@
             app.client_listener.stop_accepting()
             await turns()
             writer.write(request("late"))
-            assert (await rest(reader)).endswith(b"did late")
+            assert (await read_to_end(reader)).endswith(b"did late")
             writer.close()
 
     asyncio.run(run())
 
 
-def test_the_program_ends_after_the_answers_to_what_was_sent_in_part(tmp_path, monkeypatch):
-    """Guards a planned end: with no request open the program closed at once, over a request of which only the
-    head had come, and over one that had waited in the kernel."""
+def test_shutdown_waits_for_partial_requests(tmp_path, monkeypatch):
+    """Guards a planned shutdown: without open requests the program closed at once, and lost a request of
+    which only part had arrived and one that waited in the kernel."""
     monkeypatch.setattr(shutdown, "FIRST_REQUESTS_S", 0.05)
     monkeypatch.setattr(shutdown, "NEW_CONNECTIONS_S", 0.05)
     monkeypatch.setattr(shutdown, "LAST_JOBS_S", 3.5)
@@ -174,49 +174,53 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             data = request("part", b"50")
             writer.write(data[:-1])
-            await wait_until(lambda: any(each.has_partial_request for each in app.client_listener._open))
+            await wait_until(
+                lambda: any(connection.has_partial_request for connection in app.client_listener._open)
+            )
             leaving = asyncio.create_task(app.leave())
             await wait_until(lambda: not app.client_listener._is_serving)
             await turns()
             assert not leaving.done()
             writer.write(data[-1:])
-            assert (await rest(reader)).endswith(b"did part")
+            assert (await read_to_end(reader)).endswith(b"did part")
             writer.close()
             await asyncio.wait_for(leaving, 10)
 
     asyncio.run(run())
 
 
-# --- clients that go ---
+# --- clients that disconnect ---
 
 
-def by_fin(writer):
+def disconnect_by_fin(writer):
     writer.close()
 
 
-def by_reset(writer):
+def disconnect_by_reset(writer):
     handle = writer.get_extra_info("socket")
     handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     writer.transport.abort()
 
 
-def by_half(writer):
+def disconnect_by_half_close(writer):
     writer.write_eof()
 
 
-@pytest.mark.parametrize("go", [by_fin, by_reset, by_half])
-@pytest.mark.parametrize("behind", [0, 1, 200], ids=["nothing behind", "one behind", "many behind"])
-def test_a_client_that_goes_is_seen_to_go_whatever_it_has_sent_before(tmp_path, go, behind):
-    """Guards servers' work for nobody: with 32 requests waiting, reading was paused, so the end that stood
-    behind them was not seen, and each of them was sent on in its turn."""
+@pytest.mark.parametrize("disconnect", [disconnect_by_fin, disconnect_by_reset, disconnect_by_half_close])
+@pytest.mark.parametrize(
+    "pipelined", [0, 1, 200], ids=["nothing pipelined", "one pipelined", "many pipelined"]
+)
+def test_disconnect_is_detected_despite_pipelined_requests(tmp_path, disconnect, pipelined):
+    """Guards against backends' work without a client: with 32 pipelined requests reading was paused, so the
+    disconnect behind them was not detected, and each of them was executed in turn."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
-            writer.write(request("first", b"hang") + b"".join(request(f"b{n}") for n in range(behind)))
+            writer.write(request("first", b"hang") + b"".join(request(f"b{n}") for n in range(pipelined)))
             await wait_until(lambda: toy.ran and app.client_listener._open)
             await writer.drain()
-            go(writer)
+            disconnect(writer)
             await wait_until(lambda: app.router.counters.abandoned == 1)
             await wait_until(lambda: not app.router.requests and toy.holds == 0)
             assert toy.ran == ["first"] and app.router.counters.received == 1
@@ -225,8 +229,8 @@
     asyncio.run(run())
 
 
-def test_more_than_can_be_held_back_ends_the_connection_after_its_answer(tmp_path):
-    """Guards memory: what a client sends ahead of its answers is bounded."""
+def test_read_ahead_overflow_closes_the_connection_after_its_response(tmp_path):
+    """Guards memory: the input that a client may pipeline is bounded."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
@@ -234,14 +238,14 @@
             many = b"".join(request(f"b{number}") for number in range(4_000))
             assert len(many) > half_close.READ_AHEAD_BYTES
             writer.write(request("first", b"300") + many)
-            answer = await rest(reader)
+            answer = await read_to_end(reader)
             assert answer.endswith(b"did first") and toy.ran == ["first"]
             writer.close()
 
     asyncio.run(run())
 
 
-def test_requests_sent_ahead_are_answered_in_order(tmp_path):
+def test_pipelined_requests_are_answered_in_order(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
@@ -255,8 +259,8 @@
     asyncio.run(run())
 
 
-def test_the_time_of_a_request_that_waits_behind_another_goes_on(tmp_path):
-    """Guards an answer by its time: one sent behind another was given its whole time anew."""
+def test_timeout_of_a_pipelined_request_includes_its_queueing_time(tmp_path):
+    """Guards the deadline: a request pipelined behind another one got its full timeout again."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
@@ -270,9 +274,9 @@
     asyncio.run(run())
 
 
-def test_the_time_of_a_request_begins_with_it_whatever_came_before_on_its_connection(tmp_path):
-    """Guards the count of waiting: a call for health, or a body that came later than its head, was not
-    counted off, and what came next on the connection was refused as late."""
+def test_timeout_starts_with_each_request_on_a_reused_connection(tmp_path):
+    """Guards the count of queueing time: a health check, or a body that arrived after its headers, was not
+    removed from the queue, and the next request on the connection was refused as late."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
@@ -281,7 +285,9 @@
             await reader.readuntil(b"ok\n")
             data = request("slow", b"10")
             writer.write(data[:-1])
-            await wait_until(lambda: any(each.has_partial_request for each in app.client_listener._open))
+            await wait_until(
+                lambda: any(connection.has_partial_request for connection in app.client_listener._open)
+            )
             await asyncio.sleep(0.3)
             writer.write(data[-1:])
             await reader.readuntil(b"did slow")
@@ -293,22 +299,23 @@
     asyncio.run(run())
 
 
-def test_where_all_are_at_work_new_connections_are_shut_before_descriptors_run_out(tmp_path, monkeypatch):
-    """Seen on the bench: `descriptors 942 of 672`. Nobody could be closed to make room, and all came in."""
+def test_new_connections_are_closed_when_none_can_be_evicted(tmp_path, monkeypatch):
+    """Guards the descriptor limit: no connection could be evicted, and all new ones were accepted. Seen on
+    the bench as `descriptors 942 of 672`."""
     monkeypatch.setattr(http_listener, "MAX_EXCESS", 2)
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             app.client_listener.connection_limit = 3
-            peers = []
+            hanging = []
             for number in range(9):
                 reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
                 writer.write(request(f"h{number}", b"hang"))
-                peers.append((reader, writer))
+                hanging.append((reader, writer))
             await wait_until(lambda: len(app.router.requests) == 5)
-            shut = [await rest(reader) for reader, _ in peers[5:]]
-            assert shut == [b""] * 4 and app.client_listener.connections == 5
-            for _, writer in peers:
+            closed = [await read_to_end(reader) for reader, _ in hanging[5:]]
+            assert closed == [b""] * 4 and app.client_listener.connections == 5
+            for _, writer in hanging:
                 writer.close()
 
     asyncio.run(run())
