--- a/tests/transport/test_admin_listener.py
+++ b/tests/transport/test_admin_listener.py
@@ -1,4 +1,4 @@
-"""The operators' door: what each call is answered, and that silent or odd callers keep nobody out."""
+"""The admin endpoint: the response to each call; silent or malformed callers do not block others."""
 
 import asyncio
 
@@ -19,14 +19,14 @@
 
 
 async def call_ops(app, path: str, method: str = "GET") -> tuple[int, str]:
-    """One call: its status and text; the door closes after it."""
+    """Send one request to the admin endpoint, which then closes the connection; return status and text."""
     head, _, text = (await send_and_receive(app.admin.listener.port, call(path, method))).partition(
         b"\r\n\r\n"
     )
     return int(head.split()[1]), text.decode()
 
 
-def test_each_call_has_its_answer_and_closes(tmp_path):
+def test_each_call_gets_its_status_and_the_connection_closes(tmp_path):
     calls = {
         ("GET", "/ops/readiness"): 200,
         ("POST", "/ops/readiness"): 405,
@@ -41,8 +41,8 @@
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for (method, path), status in calls.items():
                 assert (await call_ops(app, path, method))[0] == status, (method, path)
-            for wrong in (b"\x16\x03\x01\r\n\r\n", call("/ops/readiness").replace(b"HTTP", b"HTCPCP")):
-                assert b" 400 " in await send_and_receive(app.admin.listener.port, wrong)
+            for malformed in (b"\x16\x03\x01\r\n\r\n", call("/ops/readiness").replace(b"HTTP", b"HTCPCP")):
+                assert b" 400 " in await send_and_receive(app.admin.listener.port, malformed)
             body = call("/ops/drain/stop", "POST", more="Content-Length: 2\r\n") + b"ab"
             assert b" 200 " in await send_and_receive(app.admin.listener.port, body)
             assert app.accepts_clients and not app.router.counters.received
@@ -50,7 +50,7 @@
     asyncio.run(run())
 
 
-def test_without_the_key_there_is_no_door(tmp_path):
+def test_admin_endpoint_is_disabled_without_its_setting(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             assert app.admin.listener is None and app.conf.ops is None
@@ -58,7 +58,7 @@
     asyncio.run(run())
 
 
-def test_a_bad_address_is_named(tmp_path):
+def test_invalid_address_is_reported(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             with pytest.raises(config.ConfigError, match="ops: 'here' is no address:port"):
@@ -67,8 +67,8 @@
     asyncio.run(run())
 
 
-def test_silent_and_slow_callers_make_room(tmp_path):
-    """Guards the operators' way in, and the few descriptors that are kept for it."""
+def test_silent_and_slow_callers_are_evicted(tmp_path):
+    """Guards the operators' access and the few file descriptors that are reserved for it."""
 
     async def run():
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
@@ -87,7 +87,7 @@
     asyncio.run(run())
 
 
-def test_full_clients_keep_no_operator_out(tmp_path):
+def test_client_connection_limit_does_not_block_operators(tmp_path):
     async def run():
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.client_listener.connection_limit = 1
@@ -103,13 +103,13 @@
     asyncio.run(run())
 
 
-def test_random_cuts_and_garbage_at_the_door(tmp_path):
+def test_fragmented_calls_are_answered_and_garbage_does_no_harm(tmp_path):
     async def run():
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             good = call("/ops/readiness")
             for seed in range(25):
-                cut = [piece for piece in pieces(good, seed) if piece]
-                assert b" 200 " in await send_and_receive(app.admin.listener.port, *cut)
+                chunks = [chunk for chunk in pieces(good, seed) if chunk]
+                assert b" 200 " in await send_and_receive(app.admin.listener.port, *chunks)
                 answer = await send_and_receive(app.admin.listener.port, garbage(good, seed), end=True)
                 assert not answer or answer.startswith(b"HTTP/1.")
             assert app.accepts_clients
@@ -117,7 +117,7 @@
     asyncio.run(run())
 
 
-def test_the_door_moves_at_a_reload_or_stays_where_it_was(tmp_path, caplog):
+def test_admin_listener_moves_at_a_reload_or_keeps_its_address(tmp_path, caplog):
     async def run():
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             first = app.admin.listener
@@ -125,7 +125,7 @@
             await wait_until(lambda: "the door stays where it was" in caplog.text)
             assert app.admin.listener is first and (await call_ops(app, "/ops/readiness"))[0] == 200
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.client_listener.port}"))
-            await wait_until(lambda: caplog.text.count("the door stays where it was") == 2)  # tried again
+            await wait_until(lambda: caplog.text.count("the door stays where it was") == 2)  # it was retried
             app.apply(changed(app, tmp_path, ops="127.0.0.2:0"))
             app.apply(changed(app, tmp_path, ops="localhost:0"))
             await wait_until(
--- a/tests/transport/test_aiohttp_client.py
+++ b/tests/transport/test_aiohttp_client.py
@@ -1,4 +1,4 @@
-"""A connect time-out that ran while this process stood still. On virtual time."""
+"""A connect timeout that expires while this process is stopped. On virtual time."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 CONNECT_TIMEOUT_S = 0.25
 
 
-def sent(ends_after_s: float) -> None:
-    """Send a request whose connect time-out is only noticed after so long."""
+def send_with_late_timeout(ends_after_s: float) -> None:
+    """Send a request whose connect timeout fires `ends_after_s` after the start."""
 
-    async def request(*words: object, **options: object) -> None:
+    async def request(*arguments: object, **options: object) -> None:
         await asyncio.sleep(ends_after_s)
         raise aiohttp.ConnectionTimeoutError
 
@@ -35,14 +35,14 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.04])
-def test_a_connect_timeout_in_time_is_the_servers(delay_s):
+def test_punctual_connect_timeout_is_a_failure_of_the_server(delay_s):
     with pytest.raises(aiohttp.ConnectionTimeoutError):
-        sent(CONNECT_TIMEOUT_S + delay_s)
+        send_with_late_timeout(CONNECT_TIMEOUT_S + delay_s)
 
 
 @pytest.mark.parametrize("pause_s", [0.1, 3.0])
-def test_a_connect_timeout_during_a_pause_of_this_process_says_nothing_of_the_server(pause_s):
-    """Given a process that is stopped while it connects, when it goes on after the time-out, then the request
-    counts as not sent: it would count against each server that was being connected to."""
+def test_connect_timeout_after_a_pause_of_this_process_withdraws_the_request(pause_s):
+    """If the process is stopped while it connects and continues after the timeout, the request counts as not
+    sent. Otherwise it would count as a failure of every server that was being connected to."""
     with pytest.raises(RequestWithdrawnError):
-        sent(CONNECT_TIMEOUT_S + pause_s)
+        send_with_late_timeout(CONNECT_TIMEOUT_S + pause_s)
--- a/tests/transport/test_asgi_server.py
+++ b/tests/transport/test_asgi_server.py
@@ -17,10 +17,10 @@
 
 
 async def test_requests_get_responses_and_bodies_are_limited():
-    async def answer(request: HttpRequest) -> HttpResponse:
+    async def handle(request: HttpRequest) -> HttpResponse:
         return HttpResponse(200, request.body + request.headers["x-a"].encode(), headers={"X-B": "c"})
 
-    server = AsgiServer(answer, max_body_bytes=10)
+    server = AsgiServer(handle, max_body_bytes=10)
     await server.listen(HOST, 0)
     port = server._server.servers[0].sockets[0].getsockname()[1]
     response = await exchange(port, b"POST /p HTTP/1.1\r\nHost: h\r\nX-A: z\r\nContent-Length: 2\r\n\r\nab")
--- a/tests/transport/test_backend_client.py
+++ b/tests/transport/test_backend_client.py
@@ -1,4 +1,4 @@
-"""Links to real servers: every way that an attempt can end, and what went over the socket."""
+"""The HTTP backend client against scripted servers: every outcome of an attempt, and the bytes it sends."""
 
 import asyncio
 import socket
@@ -20,11 +20,11 @@
 STARTED = b'{"id":"9b","state":"started"}\n'
 
 
-class Script:
-    """A server that answers each request with given bytes, then closes if told so; it keeps what came."""
+class ScriptedServer:
+    """A server that records requests and answers them with given bytes. `close`: it closes after each."""
 
     def __init__(self, *answers: bytes, close: bool = False) -> None:
-        self.answers, self.close, self.heard, self.connections = list(answers), close, [], 0
+        self.answers, self.close, self.requests, self.connections = list(answers), close, [], 0
 
     async def serve(self, reader, writer):
         self.connections += 1
@@ -32,7 +32,7 @@
             while self.answers:
                 head = await reader.readuntil(b"\r\n\r\n")
                 size = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0] or 0)
-                self.heard.append(head + await reader.readexactly(size))
+                self.requests.append(head + await reader.readexactly(size))
                 writer.write(self.answers.pop(0))
                 await writer.drain()
                 if self.close:
@@ -45,9 +45,11 @@
 
 
 @asynccontextmanager
-async def linked(script: Script, keepalive: float = 60.0, places: int = 4):
-    server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
-    pool = ConnectionPool(PoolSettings(0.25, keepalive, places, LoadReportFields({"inflight": "in_flight"})))
+async def connected_client(scripted: ScriptedServer, keepalive: float = 60.0, max_connections: int = 4):
+    server = await asyncio.start_server(scripted.serve, "127.0.0.1", 0)
+    pool = ConnectionPool(
+        PoolSettings(0.25, keepalive, max_connections, LoadReportFields({"inflight": "in_flight"}))
+    )
     try:
         yield pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), server
     finally:
@@ -55,9 +57,9 @@
         await pool.close()
 
 
-def test_an_attempt_is_written_in_the_turn_of_its_last_check():
-    """Guards a busy process, in which the next turn comes late: the time that its server is told was over
-    by then. Given an attempt with a body, when it is checked, then its bytes go out before all else."""
+def test_attempt_is_written_in_the_same_loop_iteration_as_its_last_check():
+    """Guards a busy process, where the next loop iteration starts late: the remaining time sent to the server
+    had passed by then. After the check, the attempt's bytes are written before any other callback runs."""
     events = []
 
     def check() -> int:
@@ -66,25 +68,25 @@
         return 500_000
 
     async def run() -> None:
-        async with linked(Script([CASES["done"][0]])) as (link, _):
-            await link.attempt(JOB, check, lambda message: events.append(type(message).__name__))
+        async with connected_client(ScriptedServer([CASES["done"][0]])) as (client, _):
+            await client.attempt(JOB, check, lambda message: events.append(type(message).__name__))
 
     asyncio.run(run())
     assert events[:3] == ["checked", "AttemptWritten", "another callback"]
 
 
-def attempt(script: Script, times: int = 1):
-    """The endings of so many attempts, one after the other, and the news."""
+def run_attempts(scripted: ScriptedServer, times: int = 1):
+    """Run `times` attempts in sequence; return their results and the progress updates."""
 
     async def run():
-        news = []
-        async with linked(script) as (link, _):
-            return [await link.attempt(JOB, lambda: 500_000, news.append) for _ in range(times)], news
+        updates = []
+        async with connected_client(scripted) as (client, _):
+            return [await client.attempt(JOB, lambda: 500_000, updates.append) for _ in range(times)], updates
 
     return asyncio.run(run())
 
 
-REFUSED = (
+NOT_PROCESSED = (
     b'HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nX-Server-Load: {"inflight":7}\r\nContent-Length: 0\r\n\r\n'
 )
 CASES = {
@@ -95,7 +97,7 @@
     "returned": (OK + chunk(b'{"id":"9b","state":"returned"}\n') + b"0\r\n\r\n", Outcome.FULL),
     "lost": (OK + chunk(b'{"id":"9b","state":"lost"}\n') + b"0\r\n\r\n", Outcome.RESET),
     "500": (b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-    "503, not processed": (REFUSED, Outcome.FULL),
+    "503, not processed": (NOT_PROCESSED, Outcome.FULL),
     "503 that may have run": (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
     "a redirect is not followed": (
         b"HTTP/1.1 307 X\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
@@ -113,79 +115,79 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_each_way_that_an_attempt_ends(name):
+def test_each_response_maps_to_its_outcome(name):
     answer, outcome = CASES[name]
-    script = Script(answer, close=True)
-    [ending], _ = attempt(script)
-    assert ending.outcome is outcome
-    assert len(script.heard) == 1, "no attempt is sent again by itself"
+    scripted = ScriptedServer(answer, close=True)
+    [result], _ = run_attempts(scripted)
+    assert result.outcome is outcome
+    assert len(scripted.requests) == 1, "the client does not retry by itself"
 
 
-def test_the_result_news_and_load_come_through():
-    [ending], news = attempt(Script(CASES["done"][0]))
-    assert ending.result == b"r" and news == [AttemptWritten(), ProgressReport()]
-    [ending], _ = attempt(Script(REFUSED))
-    assert ending.load == LoadReport(in_flight=7.0)
+def test_result_progress_and_load_report_are_returned():
+    [result], updates = run_attempts(ScriptedServer(CASES["done"][0]))
+    assert result.result == b"r" and updates == [AttemptWritten(), ProgressReport()]
+    [result], _ = run_attempts(ScriptedServer(NOT_PROCESSED))
+    assert result.load == LoadReport(in_flight=7.0)
 
 
-def test_method_target_body_and_ids_pass_on_as_they_came():
-    script = Script(CASES["done"][0])
-    attempt(script)
-    head, _, body = script.heard[0].partition(b"\r\n\r\n")
+def test_method_target_body_and_ids_are_forwarded_unchanged():
+    scripted = ScriptedServer(CASES["done"][0])
+    run_attempts(scripted)
+    head, _, body = scripted.requests[0].partition(b"\r\n\r\n")
     first, *rows = head.split(b"\r\n")
     assert first == b"POST /nearby/%31?q=%20+&x= HTTP/1.1" and body == JOB.body
     assert {b"X-Request-ID: 9b", b"Idempotency-Key: k", b"X-Timeout-Ms: 500"} <= set(rows)
     assert not [row for row in rows if row.lower().startswith((b"accept", b"user-agent", b"cookie"))]
 
 
-def test_an_empty_query_is_not_lost():
-    """Guards against yarl, which drops the mark of a query that is empty."""
+def test_empty_query_is_preserved():
+    """Guards against yarl, which drops the question mark of an empty query."""
 
     async def run():
-        script = Script(CASES["done"][0])
-        async with linked(script) as (link, _):
-            await link.attempt(replace(JOB, target="/nearby/1?"), lambda: 500_000, lambda news: None)
-        assert script.heard[0].startswith(b"POST /nearby/1? HTTP/1.1\r\n")
+        scripted = ScriptedServer(CASES["done"][0])
+        async with connected_client(scripted) as (client, _):
+            await client.attempt(replace(JOB, target="/nearby/1?"), lambda: 500_000, lambda update: None)
+        assert scripted.requests[0].startswith(b"POST /nearby/1? HTTP/1.1\r\n")
 
     asyncio.run(run())
 
 
-def test_a_connection_is_used_again_after_a_whole_answer():
-    script = Script(*[CASES["done"][0]] * 3)
-    endings, _ = attempt(script, 3)
-    assert [each.outcome for each in endings] == [Outcome.SERVED] * 3
-    assert script.connections == 1
+def test_connection_is_reused_after_a_complete_response():
+    scripted = ScriptedServer(*[CASES["done"][0]] * 3)
+    results, _ = run_attempts(scripted, 3)
+    assert [result.outcome for result in results] == [Outcome.SERVED] * 3
+    assert scripted.connections == 1
 
 
-def test_an_idle_connection_is_dropped_before_the_servers_limit():
-    """Guards against a request written to a connection that the server closes at that moment: a reset."""
+def test_idle_connection_is_closed_before_the_server_closes_it():
+    """Guards against a reset: a request written to a connection that the server closes at the same time."""
 
     async def run():
-        script = Script(*[CASES["done"][0]] * 2)
-        async with linked(script, keepalive=0.2) as (link, _):
-            await link.attempt(JOB, lambda: 500_000, lambda news: None)
-            await asyncio.sleep(0.15)  # over what is kept of the limit of 0.2 s, and under the limit
-            await link.attempt(JOB, lambda: 500_000, lambda news: None)
-        assert script.connections == 2
+        scripted = ScriptedServer(*[CASES["done"][0]] * 2)
+        async with connected_client(scripted, keepalive=0.2) as (client, _):
+            await client.attempt(JOB, lambda: 500_000, lambda update: None)
+            await asyncio.sleep(0.15)  # beyond the client's keep-alive timeout, below the server's 0.2 s
+            await client.attempt(JOB, lambda: 500_000, lambda update: None)
+        assert scripted.connections == 2
 
     asyncio.run(run())
 
 
-def test_a_refused_connection_never_ran():
+def test_refused_connection_is_reported_as_connect_failed():
     async def run():
-        async with linked(Script()) as (link, server):
+        async with connected_client(ScriptedServer()) as (client, server):
             server.close()
             await server.wait_closed()
             assert (
-                await link.attempt(JOB, lambda: 500_000, lambda news: None)
+                await client.attempt(JOB, lambda: 500_000, lambda update: None)
             ).outcome is Outcome.CONNECT_FAILED
-            assert (await link.probe(100_000)).outcome is Outcome.CONNECT_FAILED
+            assert (await client.probe(100_000)).outcome is Outcome.CONNECT_FAILED
 
     asyncio.run(run())
 
 
-def test_a_cancelled_attempt_closes_its_connection():
-    """Guards against work that goes on at a server though nobody waits for it."""
+def test_cancelled_attempt_closes_its_connection():
+    """Guards against a server that continues work that is no longer wanted."""
 
     async def run():
         closed = asyncio.Event()
@@ -198,8 +200,8 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
-        link, started = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), asyncio.Event()
-        task = asyncio.create_task(link.attempt(JOB, lambda: 500_000, lambda news: started.set()))
+        client, started = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), asyncio.Event()
+        task = asyncio.create_task(client.attempt(JOB, lambda: 500_000, lambda update: started.set()))
         await asyncio.wait_for(started.wait(), 10)
         task.cancel()
         await asyncio.wait_for(closed.wait(), 10)
@@ -209,18 +211,18 @@
     asyncio.run(run())
 
 
-def test_a_reset_on_a_kept_connection_is_told_apart():
-    """Guards against shutting out a server that is well for a connection that had died since its last use."""
+def test_reset_on_a_reused_connection_is_marked_stale():
+    """Guards against ejecting a healthy server because a pooled connection broke since its last use."""
 
     async def run():
-        script = Script(CASES["done"][0], b"")
-        async with linked(script) as (link, _):
-            first = await link.attempt(JOB, lambda: 500_000, lambda news: None)
-            script.close = True  # the next request on the kept connection is read, then reset
-            stale = await link.attempt(JOB, lambda: 500_000, lambda news: None)
-            script.answers.append(b"")
-            fresh = await link.attempt(JOB, lambda: 500_000, lambda news: None)
-        return [(each.outcome, each.stale) for each in (first, stale, fresh)]
+        scripted = ScriptedServer(CASES["done"][0], b"")
+        async with connected_client(scripted) as (client, _):
+            first = await client.attempt(JOB, lambda: 500_000, lambda update: None)
+            scripted.close = True  # the next request on the pooled connection is read, then reset
+            stale = await client.attempt(JOB, lambda: 500_000, lambda update: None)
+            scripted.answers.append(b"")
+            fresh = await client.attempt(JOB, lambda: 500_000, lambda update: None)
+        return [(result.outcome, result.stale) for result in (first, stale, fresh)]
 
     assert asyncio.run(run()) == [
         (Outcome.SERVED, False),
@@ -229,38 +231,38 @@
     ]
 
 
-def test_a_want_of_places_is_no_fault_of_the_server():
-    """Guards against our own queue looking like a server that cannot be reached: it was shut out for that."""
+def test_attempt_above_the_connection_limit_is_not_sent():
+    """Guards against ejecting a server as unreachable because the local connection limit was reached."""
 
     async def run():
-        script = Script(b"", *[CASES["done"][0]] * 2)
-        async with linked(script, places=1) as (link, _):
-            held = asyncio.create_task(link.attempt(JOB, lambda: 500_000, lambda news: None))
-            while not script.heard:
+        scripted = ScriptedServer(b"", *[CASES["done"][0]] * 2)
+        async with connected_client(scripted, max_connections=1) as (client, _):
+            in_flight = asyncio.create_task(client.attempt(JOB, lambda: 500_000, lambda update: None))
+            while not scripted.requests:
                 await asyncio.sleep(0.005)
-            second = await link.attempt(JOB, lambda: 500_000, lambda news: None)
-            held.cancel()
-            await asyncio.gather(held, return_exceptions=True)
-            third = await link.attempt(JOB, lambda: 500_000, lambda news: None)
+            second = await client.attempt(JOB, lambda: 500_000, lambda update: None)
+            in_flight.cancel()
+            await asyncio.gather(in_flight, return_exceptions=True)
+            third = await client.attempt(JOB, lambda: 500_000, lambda update: None)
         return second.outcome, third.outcome
 
     assert asyncio.run(run()) == (Outcome.NOT_SENT, Outcome.SERVED)
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_ones(monkeypatch):
-    """Guards a request of an unsafe class: a second answer, `never ran`, that came on the resting
-    connection was taken for the answer to the next request there, which had run."""
+def test_late_second_response_is_not_matched_to_the_next_request(monkeypatch):
+    """Guards a request that must not run twice: a second response, `not processed`, that arrived on the idle
+    connection was taken for the response to the next request there, which had run."""
 
     async def run():
         backend = ScriptedBackend()
         await backend.listen()
         pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
         client = pool.client(f"127.0.0.1:{backend.port}")
-        first = await client.attempt(JOB, lambda: 500_000, lambda news: None)
-        backend.writers[0].write(REFUSED)
+        first = await client.attempt(JOB, lambda: 500_000, lambda update: None)
+        backend.writers[0].write(NOT_PROCESSED)
         connector = pool.session.connector
-        await wait_until(lambda: any(held.should_close for held, _ in next(iter(connector._conns.values()))))
-        second = await client.attempt(JOB, lambda: 500_000, lambda news: None)
+        await wait_until(lambda: any(idle.should_close for idle, _ in next(iter(connector._conns.values()))))
+        second = await client.attempt(JOB, lambda: 500_000, lambda update: None)
         backend.close()
         await pool.close()
         return first.outcome, second.outcome, backend
@@ -271,9 +273,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 8_000_000], ids=["after the last byte", "before it"])
-def test_a_reset_once_the_request_is_handed_to_the_socket_may_have_run(size):
-    """Of a body that the socket's buffers do not hold the last byte may not have gone out: nobody tells,
-    so it is held to have run, which costs a repeat and does no harm."""
+def test_reset_after_the_request_was_passed_to_the_socket_counts_as_possibly_run(size):
+    """If the body does not fit into the socket's buffers, its last byte may not have been sent. This cannot
+    be detected, so the request counts as possibly executed, which costs a retry and does no harm."""
 
     async def run():
         async def serve(reader, writer):
@@ -287,18 +289,18 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = ConnectionPool(PoolSettings(0.25, 60.0, 4, LoadReportFields({})))
-        client, told = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), []
-        ending = await client.attempt(replace(JOB, body=b"x" * size), lambda: 500_000, told.append)
+        client, updates = pool.client(f"127.0.0.1:{server.sockets[0].getsockname()[1]}"), []
+        result = await client.attempt(replace(JOB, body=b"x" * size), lambda: 500_000, updates.append)
         server.close()
         await pool.close()
-        return ending.outcome, told
+        return result.outcome, updates
 
     assert asyncio.run(run()) == (Outcome.RESET, [AttemptWritten()])
 
 
-def test_idle_connections_are_no_more_than_there_are_places():
-    """Guards the descriptors: each backend that had been used held one for as long as its keep-alive, however
-    many backends there were; the longest idle goes first."""
+def test_idle_connections_stay_within_the_connection_limit():
+    """Guards the file descriptors: each used backend held one for its keep-alive time, however many backends
+    there were. The longest idle connection is closed first."""
 
     async def run():
         backends = [ScriptedBackend() for _ in range(5)]
@@ -306,16 +308,16 @@
         for backend in backends:
             await backend.listen()
             client = pool.client(f"127.0.0.1:{backend.port}")
-            assert (await client.attempt(JOB, lambda: 500_000, lambda news: None)).outcome is Outcome.SERVED
-        resting = sum(map(len, pool.session.connector._conns.values()))
+            assert (await client.attempt(JOB, lambda: 500_000, lambda update: None)).outcome is Outcome.SERVED
+        idle_count = sum(map(len, pool.session.connector._conns.values()))
         await wait_until(lambda: backends[0].closed and backends[1].closed)
         last = pool.client(f"127.0.0.1:{backends[4].port}")
-        await last.attempt(JOB, lambda: 500_000, lambda news: None)
+        await last.attempt(JOB, lambda: 500_000, lambda update: None)
         await wait_until(lambda: backends[2].closed)
         closed = [backend.closed for backend in backends]
         for backend in backends:
             backend.close()
         await pool.close()
-        return resting, closed, backends[4].connections
+        return idle_count, closed, backends[4].connections
 
     assert asyncio.run(run()) == (3, [1, 1, 1, 0, 0], 1)
--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -142,8 +142,8 @@
         async with site(tmp_path, stomp="") as (app, _):
             good = request(more="Connection: close\r\n")
             for seed in range(25):
-                cut = [piece for piece in pieces(good, seed) if piece]
-                assert b" 200 " in await send_and_receive(app.client_listener.port, *cut)
+                chunks = [chunk for chunk in pieces(good, seed) if chunk]
+                assert b" 200 " in await send_and_receive(app.client_listener.port, *chunks)
                 wrong = garbage(good, seed)
                 if random.Random(seed).random() < 0.5:
                     wrong = b"\0" + wrong
--- a/tests/transport/test_eager_start.py
+++ b/tests/transport/test_eager_start.py
@@ -1,4 +1,4 @@
-"""A coroutine that begins in the present turn, whatever becomes of it."""
+"""Coroutines that start in the current iteration of the event loop, with every way that they can end."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from hazelbend.transport.http.eager_start import start_eagerly
 
 
-def test_it_runs_to_its_first_wait_at_once_and_the_rest_in_its_task():
+def test_coroutine_runs_to_its_first_wait_at_once_and_continues_in_its_task():
     events = []
 
     async def work() -> str:
-        events.append("begun")
+        events.append("started")
         await asyncio.sleep(0)
         events.append("after the first wait")
         await asyncio.sleep(0.001)
         return "result"
 
     async def scenario() -> None:
-        rest = start_eagerly(work())
-        assert events == ["begun"]
-        assert await asyncio.create_task(rest) == "result"
+        remainder = start_eagerly(work())
+        assert events == ["started"]
+        assert await asyncio.create_task(remainder) == "result"
 
     asyncio.run(scenario())
-    assert events == ["begun", "after the first wait"]
+    assert events == ["started", "after the first wait"]
 
 
-def test_one_that_never_waits_has_its_result_or_its_error():
+def test_coroutine_without_a_wait_returns_its_result_or_raises():
     async def work(error: Exception | None) -> int:
         if error is not None:
             raise error
@@ -43,7 +43,7 @@
     asyncio.run(scenario())
 
 
-def test_errors_and_cancellation_reach_it_where_it_waits():
+def test_errors_and_cancellation_are_raised_at_the_wait():
     seen = []
 
     async def work(future: asyncio.Future[None]) -> str:
@@ -51,19 +51,19 @@
             await future
         except (OSError, asyncio.CancelledError) as error:
             seen.append(type(error))
-            return "mended"
+            return "recovered"
         return "not reached"
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         failing = loop.create_future()
-        rest = start_eagerly(work(failing))
+        remainder = start_eagerly(work(failing))
         failing.set_exception(OSError())
-        assert await rest == "mended"
+        assert await remainder == "recovered"
         task = asyncio.create_task(start_eagerly(work(loop.create_future())))
         await asyncio.sleep(0)
         task.cancel()
-        assert await task == "mended"
+        assert await task == "recovered"
 
     asyncio.run(scenario())
     assert seen == [OSError, asyncio.CancelledError]
--- a/tests/transport/test_request_listener.py
+++ b/tests/transport/test_request_listener.py
@@ -1,4 +1,4 @@
-"""The listener of a router for clients, on real sockets."""
+"""The router's listener for clients, on real sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 async def listener():
-    """A listener; a test sets its `serve`."""
+    """A listener whose `serve` a test sets."""
 
     class ScriptedListener(RequestListener):
         serve: Callable[[ClientRequest, ClientResponse], Awaitable[None]]
@@ -42,7 +42,7 @@
     await created.close()
 
 
-async def test_a_request_arrives_complete_without_its_hop_by_hop_fields(listener):
+async def test_request_arrives_complete_without_hop_by_hop_headers(listener):
     async def serve(request: ClientRequest, response: ClientResponse) -> None:
         await response.answer(201, (("Server-Signature", "s"),), b"done")
 
@@ -60,12 +60,12 @@
 
 
 async def test_events_are_forwarded_as_they_arrive(listener):
-    gate = asyncio.Event()
+    may_continue = asyncio.Event()
 
     async def serve(request: ClientRequest, response: ClientResponse) -> None:
         await response.begin(200, (("Content-Type", "text/event-stream"),))
         await response.write(b"id: 1\n\n")
-        await gate.wait()
+        await may_continue.wait()
         await response.write(b"id: 2\n\n")
         await response.finish()
 
@@ -74,13 +74,13 @@
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     async with asyncio.timeout(TIMEOUT_S):
         first = await reader.readuntil(b"id: 1\n\n")
-        gate.set()
+        may_continue.set()
         rest = await reader.readuntil(b"0\r\n\r\n")
     assert b"200" in first and b"id: 2" in rest
     writer.close()
 
 
-async def test_an_aborted_stream_does_not_look_complete(listener):
+async def test_aborted_stream_is_not_terminated_as_complete(listener):
     async def serve(request: ClientRequest, response: ClientResponse) -> None:
         await response.begin(200, ())
         await response.write(b"id: 1\n\n")
@@ -100,13 +100,13 @@
         (HEAD.replace(b"900", b"9x") + b"Content-Length: 0\r\n\r\n", b"400"),
     ],
 )
-async def test_requests_beyond_the_limits_or_malformed_are_rejected(listener, request_bytes, status):
+async def test_malformed_or_too_large_requests_are_rejected(listener, request_bytes, status):
     listener.max_body_bytes, listener.max_header_bytes = 40, 2_000
     raw_response = await exchange(listener.port, request_bytes)
     assert raw_response.split(b" ")[1] == status and listener.received == []
 
 
-async def test_a_client_that_disconnects_cancels_its_request(listener):
+async def test_client_disconnect_cancels_its_request(listener):
     ended = asyncio.Event()
 
     async def serve(request: ClientRequest, response: ClientResponse) -> None:
--- a/tests/transport/test_worker_client.py
+++ b/tests/transport/test_worker_client.py
@@ -1,4 +1,4 @@
-"""Calls of a router to workers, on real sockets."""
+"""The router's HTTP client for workers, on real sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 async def worker():
-    """A worker that sends scripted responses, and records the requests."""
+    """A worker that sends scripted responses and records the requests."""
 
     class Worker:
         responses: ClassVar[list[bytes]] = []
@@ -69,7 +69,7 @@
 OK = b"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nServer-Load: 3,1,8\r\nContent-Length: 2\r\n\r\nok"
 
 
-async def test_a_call_is_sent_unchanged_with_its_remaining_time(worker, client):
+async def test_call_is_sent_unchanged_with_its_remaining_time(worker, client):
     worker.responses = [OK]
     response = await client.send(call_of(worker), lambda: 250_000)
     assert (response.status, response.reported_in_flight, response.not_executed) == (200, 4, False)
@@ -80,14 +80,14 @@
     assert b"Deadline-Ms: 250" in request and b"X-Timeout-Ms" not in request
 
 
-async def test_a_withdrawn_call_sends_nothing(worker, client):
+async def test_withdrawn_call_sends_nothing(worker, client):
     worker.responses = [OK]
     with pytest.raises(SendWithdrawnError):
         await client.send(call_of(worker), lambda: None)
     assert worker.requests == []
 
 
-async def test_an_unreachable_worker_has_not_executed_the_call(client):
+async def test_call_to_an_unreachable_worker_counts_as_not_executed(client):
     class UnreachableWorker:
         address = f"{HOST}:9"
 
@@ -100,14 +100,14 @@
     [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"nonsense\r\n\r\n",
      b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"],
 )  # fmt: skip
-async def test_a_truncated_response_means_an_unknown_outcome(worker, client, truncated):
+async def test_truncated_response_means_an_unknown_outcome(worker, client, truncated):
     worker.responses = [truncated]
     with pytest.raises(OutcomeUnknownError):
         response = await client.send(call_of(worker), lambda: 1_000_000)
         await response.body()
 
 
-# --- responses whose end is that of their connection ---
+# --- responses that end with their connection ---
 
 UNFRAMED = b"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nContent-Type: text/event-stream\r\n\r\n"
 
@@ -122,7 +122,7 @@
 
 @pytest.fixture
 async def ending_worker():
-    """A worker that sends `response`, then, once `go` is set, ends the connection: by FIN, or by RST."""
+    """A worker that sends `response` and, once `may_end` is set, ends the connection by FIN or RST."""
 
     class Worker:
         response, reset = b"", False
@@ -133,7 +133,7 @@
                 await reader.readexactly(2)
                 writer.write(self.response)
                 await writer.drain()
-                await self.go.wait()
+                await self.may_end.wait()
                 if self.reset:
                     linger = struct.pack("ii", 1, 0)
                     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -141,7 +141,7 @@
                 writer.close()
 
     created = Worker()
-    created.go = asyncio.Event()
+    created.may_end = asyncio.Event()
     server = await asyncio.start_server(created.serve, HOST, 0)
     created.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     yield created
@@ -150,53 +150,51 @@
 
 @pytest.mark.parametrize("read", [body_of, chunks_of])
 @pytest.mark.parametrize("part", [b"", b"part of it", b"id: 1\ndata: a\n\nid: 2\nda"])
-async def test_a_response_without_a_length_that_is_reset_is_incomplete(ending_worker, client, part, read):
+async def test_reset_of_a_response_without_a_length_makes_it_incomplete(ending_worker, client, part, read):
     ending_worker.response, ending_worker.reset = UNFRAMED + part, True
     response = await client.send(call_of(ending_worker), lambda: 1_000_000)
-    ending_worker.go.set()
+    ending_worker.may_end.set()
     with pytest.raises(OutcomeUnknownError):
         await read(response)
 
 
 @pytest.mark.parametrize("read", [body_of, chunks_of])
 @pytest.mark.parametrize("part", [b"", b"all of it"])
-async def test_a_response_without_a_length_ends_with_its_connection(ending_worker, client, part, read):
+async def test_response_without_a_length_ends_with_its_connection(ending_worker, client, part, read):
     ending_worker.response = UNFRAMED + part
     response = await client.send(call_of(ending_worker), lambda: 1_000_000)
-    ending_worker.go.set()
+    ending_worker.may_end.set()
     assert await read(response) == part
 
 
 @pytest.mark.parametrize("reset", [False, True])
-async def test_a_worker_that_closes_before_the_response_head_means_an_unknown_outcome(
-    ending_worker, client, reset
-):
+async def test_close_before_the_response_headers_means_an_unknown_outcome(ending_worker, client, reset):
     ending_worker.reset = reset
-    ending_worker.go.set()
+    ending_worker.may_end.set()
     with pytest.raises(OutcomeUnknownError):
         await client.send(call_of(ending_worker), lambda: 1_000_000)
 
 
-async def test_a_reset_after_a_complete_response_with_a_length_does_not_matter(ending_worker, client):
+async def test_reset_after_a_complete_response_with_a_length_is_ignored(ending_worker, client):
     ending_worker.response, ending_worker.reset = OK, True
     response = await client.send(call_of(ending_worker), lambda: 1_000_000)
-    ending_worker.go.set()
+    ending_worker.may_end.set()
     assert await response.body() == b"ok"
 
 
-async def test_a_response_to_another_request_is_never_forwarded(worker, client):
+async def test_response_to_another_request_is_rejected(worker, client):
     worker.responses = [OK.replace(b"q1", b"q7")]
     with pytest.raises(OutcomeUnknownError):
         await client.send(call_of(worker), lambda: 1_000_000)
 
 
-async def test_a_success_without_a_request_id_is_not_forwarded(worker, client):
+async def test_success_without_a_request_id_is_rejected(worker, client):
     worker.responses = [OK.replace(b"Request-Id: q1\r\n", b"")]
     with pytest.raises(OutcomeUnknownError):
         await client.send(call_of(worker), lambda: 1_000_000)
 
 
-async def test_a_surplus_response_on_a_kept_connection_is_not_taken_for_the_next_one(worker, client):
+async def test_surplus_response_is_not_matched_to_the_next_call(worker, client):
     worker.responses = [OK + OK, OK.replace(b"q1", b"q2").replace(b"ok", b"22")]
     response = await client.send(call_of(worker), lambda: 1_000_000)
     assert await response.body() == b"ok"
@@ -206,7 +204,7 @@
     assert await second.body() == b"22" and worker.connections == 2
 
 
-async def test_a_worker_reports_what_it_has_not_executed(worker, client):
+async def test_not_executed_header_is_reported(worker, client):
     worker.responses = [b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"]
     response = await client.send(call_of(worker), lambda: 1_000_000)
     assert response.not_executed
