--- a/tests/transport/test_control_storage.py
+++ b/tests/transport/test_control_storage.py
@@ -1,4 +1,4 @@
-"""What a control process keeps in files: the consensus state and the soft state."""
+"""Files of a control process: the consensus state and the soft state."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     assert await store.open("10.0.0.1:7") is None
     await store.save(state_codec.state_records(state()), 2)
     await store.close()
-    again = ControlStore(tmp_path / "new" / "folder")
-    assert await again.open("10.0.0.1:7") == (state(), 2)
-    await again.close()
+    reopened = ControlStore(tmp_path / "new" / "folder")
+    assert await reopened.open("10.0.0.1:7") == (state(), 2)
+    await reopened.close()
 
 
-async def test_the_state_of_another_address_is_not_restored(tmp_path):
+async def test_state_of_another_address_is_not_restored(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
     await store.save(state_codec.state_records(state()), 0)
@@ -50,18 +50,18 @@
     await store.open("10.0.0.1:7")
     await store.save(state_codec.state_records(state()), 0)
     await store.save([state_codec.LogEntries(2, (Entry(2, None, b"new"),))], 1)
-    found, commit = await store.open("10.0.0.1:7")
-    assert [entry.operation for entry in found.entries] == [b"op0", b"new"] and commit == 1
+    restored, commit = await store.open("10.0.0.1:7")
+    assert [entry.operation for entry in restored.entries] == [b"op0", b"new"] and commit == 1
     await store.save([state_codec.Snapshot(2, 2, ("a",), b"state")], 2)
-    found, _ = await store.open("10.0.0.1:7")
-    assert (found.last_included_index, found.snapshot_state, found.entries) == (2, b"state", [])
+    restored, _ = await store.open("10.0.0.1:7")
+    assert (restored.last_included_index, restored.snapshot_state, restored.entries) == (2, b"state", [])
     await store.save([state_codec.HardState("a@10.0.0.1:7", 6, 0, "")], 0)
-    found, _ = await store.open("10.0.0.1:7")
-    assert (found.epoch, found.last_included_index, found.entries) == (6, 0, [])
+    restored, _ = await store.open("10.0.0.1:7")
+    assert (restored.epoch, restored.last_included_index, restored.entries) == (6, 0, [])
     await store.close()
 
 
-async def test_a_failed_save_changes_nothing_and_the_next_one_works(tmp_path):
+async def test_failed_save_changes_nothing_and_the_next_one_succeeds(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
     await store.save(state_codec.state_records(state()), 1)
@@ -69,33 +69,33 @@
         await store.save([state_codec.LogEntries(1, (Entry(9, None, b"x"),)), None], 9)
     assert await store.open("10.0.0.1:7") == (state(), 1)
     await store.save([state_codec.LogEntries(4, (Entry(2, None, b"x"),))], 3)
-    found, _ = await store.open("10.0.0.1:7")
-    assert len(found.entries) == 4
+    restored, _ = await store.open("10.0.0.1:7")
+    assert len(restored.entries) == 4
     await store.close()
 
 
-async def test_a_transaction_that_was_not_committed_at_a_crash_is_not_restored(tmp_path):
+async def test_uncommitted_transaction_is_not_restored_after_a_crash(tmp_path):
     store = ControlStore(tmp_path)
     await store.open("10.0.0.1:7")
     await store.save(state_codec.state_records(state()), 1)
     await store.close()
     log = tmp_path / (DATABASE_FILE + "-wal")
-    other = ControlStore(tmp_path)
-    await other.open("10.0.0.1:7")
-    await other.save([state_codec.LogEntries(4, (Entry(2, None, b"x" * 9_000),))], 2)
+    second = ControlStore(tmp_path)
+    await second.open("10.0.0.1:7")
+    await second.save([state_codec.LogEntries(4, (Entry(2, None, b"x" * 9_000),))], 2)
     content = log.read_bytes()
-    copy = tmp_path / "after"
-    copy.mkdir()
-    (copy / DATABASE_FILE).write_bytes((tmp_path / DATABASE_FILE).read_bytes())
+    crashed_folder = tmp_path / "after"
+    crashed_folder.mkdir()
+    (crashed_folder / DATABASE_FILE).write_bytes((tmp_path / DATABASE_FILE).read_bytes())
     for torn in (content[:-5_000], content[:-5_000] + bytes(5_000)):
-        (copy / (DATABASE_FILE + "-wal")).write_bytes(torn)
-        third = ControlStore(copy)
+        (crashed_folder / (DATABASE_FILE + "-wal")).write_bytes(torn)
+        third = ControlStore(crashed_folder)
         assert await third.open("10.0.0.1:7") == (state(), 1)
         await third.close()
-    await other.close()
+    await second.close()
 
 
-async def test_a_damaged_database_is_set_aside_and_a_new_one_is_created(tmp_path):
+async def test_damaged_database_is_renamed_and_replaced(tmp_path):
     (tmp_path / DATABASE_FILE).write_bytes(b"no database at all" * 500)
     store = ControlStore(tmp_path)
     assert await store.open("10.0.0.1:7") is None
--- a/tests/transport/test_frame_link.py
+++ b/tests/transport/test_frame_link.py
@@ -1,4 +1,4 @@
-"""Frames between the processes of the fleet, on real sockets."""
+"""Frame links between the processes of the router fleet, on real sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return "asyncio"
 
 
-async def test_frames_arrive_complete_and_in_order_also_those_sent_while_connecting():
+async def test_frames_arrive_in_order_including_those_sent_while_connecting():
     received: list[bytes] = []
     server = FrameServer(lambda connection, frame: received.append(frame), lambda connection: None)
     await server.listen(HOST, 0)
@@ -34,7 +34,7 @@
     await server.close()
 
 
-async def test_a_link_reconnects_after_its_connection_ends_and_replies_use_the_same_connection():
+async def test_link_reconnects_and_replies_use_the_connection_of_the_frame():
     connections: list[FrameConnection] = []
     replies: list[bytes] = []
 
@@ -58,7 +58,7 @@
     await server.close()
 
 
-async def test_a_frame_that_is_too_large_ends_the_connection():
+async def test_too_large_frame_closes_the_connection():
     server = FrameServer(lambda connection, frame: None, lambda connection: None)
     await server.listen(HOST, 0)
     port = server._server.sockets[0].getsockname()[1]
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -1,4 +1,4 @@
-"""What passes between two processes of one dispatcher in an upgrade; and that nothing of it can do harm."""
+"""State and updates exchanged by the two processes of a dispatcher during an upgrade, valid and malformed."""
 
 import asyncio
 import socket
@@ -9,8 +9,7 @@
 import pytest
 from hypothesis import given
 
-from hazelbend.decisions import Dispatcher, Settings
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import Dispatcher, Settings, interface
 from hazelbend.decisions.health import suspect
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
@@ -28,138 +27,147 @@
 from tests.support.site_kit import FakeStompClient, host_entry, site, wait_until
 from tests.transport.test_client_listener import request, send_and_receive
 
-ENTRIES = (face.WorkerEntry(1), face.WorkerEntry(2, started_at=900_000), face.WorkerEntry(3, machine_kind=1))
+ENTRIES = (
+    interface.WorkerEntry(1),
+    interface.WorkerEntry(2, started_at=900_000),
+    interface.WorkerEntry(3, machine_kind=1),
+)
 SETTINGS = Settings(fall_window=1, warm_after=1)
-BUSY = face.LoadReport(in_flight=9.0, queued=5.0, free_slots=0.0)
-IDLE = face.LoadReport(in_flight=0.0, queued=0.0, free_slots=4.0)
+BUSY = interface.LoadReport(in_flight=9.0, queued=5.0, free_slots=0.0)
+IDLE = interface.LoadReport(in_flight=0.0, queued=0.0, free_slots=4.0)
 
 
-def fresh() -> Dispatcher:
+def new_dispatcher() -> Dispatcher:
     dispatcher = Dispatcher(SETTINGS, 7)
-    dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, ENTRIES), 1_000_000)
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, ENTRIES), 1_000_000)
     return dispatcher
 
 
-def seasoned() -> Dispatcher:
-    """One that knows worker 1 to be busy, 2 to have gone silent, 3 to be idle, and has a job out on 3."""
-    dispatcher, now, loads = fresh(), 1_000_000, {1: BUSY, 2: None, 3: IDLE}
+def dispatcher_with_history() -> Dispatcher:
+    """A dispatcher that knows worker 1 as busy, 2 as silent and 3 as idle, with a job in flight on 3."""
+    dispatcher, now, loads = new_dispatcher(), 1_000_000, {1: BUSY, 2: None, 3: IDLE}
     for number in range(60):
         now += 50_000
-        for action in dispatcher.handle(face.RequestArrived(number, 5_000_000), now):
-            if isinstance(action, face.Send):
-                outcome = face.Outcome.CONNECT_FAILED if action.worker == 2 else face.Outcome.SERVED
-                event = face.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
+        for action in dispatcher.handle(interface.RequestArrived(number, 5_000_000), now):
+            if isinstance(action, interface.Send):
+                outcome = interface.Outcome.CONNECT_FAILED if action.worker == 2 else interface.Outcome.SERVED
+                event = interface.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
                 dispatcher.handle(event, now + 40_000)
     suspect(dispatcher.workers[2], dispatcher.random, now)
     dispatcher.workers[2].reliability.record(now, is_error=True)
-    dispatcher.handle(face.RequestArrived(1_000, 5_000_000), 4_100_000)
+    dispatcher.handle(interface.RequestArrived(1_000, 5_000_000), 4_100_000)
     return dispatcher
 
 
-def passed(memory: dict) -> dict:
-    return orjson.loads(orjson.dumps(memory))
+def through_json(learned_state: dict) -> dict:
+    return orjson.loads(orjson.dumps(learned_state))
 
 
-def test_what_was_learnt_goes_on():
-    old, new, now = seasoned(), fresh(), 4_200_000
+def test_learned_state_is_restored():
+    old, new, now = dispatcher_with_history(), new_dispatcher(), 4_200_000
     assert old.avoided(now) == {2} and new.avoided(now) == set()
-    import_state(new, passed(export_state(old, now)), now)
+    import_state(new, through_json(export_state(old, now)), now)
     assert new.avoided(now) == {2}
-    assert [each.value for each in new.load_model.run_times] == [
-        each.value for each in old.load_model.run_times
+    assert [run_time.value for run_time in new.load_model.run_times] == [
+        run_time.value for run_time in old.load_model.run_times
     ]
-    held = {number: len(worker.attempts) for number, worker in old.workers.items()}
-    assert held[3]
+    in_flight = {number: len(worker.attempts) for number, worker in old.workers.items()}
+    assert in_flight[3]
     for number, worker in new.workers.items():
         assert worker.rate == old.workers[number].rate and not worker.attempts
         assert (
             worker.usual_level == old.workers[number].usual_level and worker.size == old.workers[number].size
         )
         assert worker.reliability.risk(now) == old.workers[number].reliability.risk(now)
-        assert worker.peer_jobs >= bool(held[number]), "the old one's jobs run there still"
+        assert worker.peer_jobs >= bool(in_flight[number]), "the jobs of the old process still run there"
     [sent] = [
-        each for each in new.handle(face.RequestArrived(1, 5_000_000), now) if isinstance(each, face.Send)
+        action
+        for action in new.handle(interface.RequestArrived(1, 5_000_000), now)
+        if isinstance(action, interface.Send)
     ]
-    assert sent.worker == 3, "1 is known to be busy, 2 to be silent"
+    assert sent.worker == 3, "worker 1 is known as busy, 2 as silent"
 
 
-def test_a_worker_whose_process_is_new_starts_afresh():
-    old, new = seasoned(), Dispatcher(SETTINGS, 7)
-    entries = (ENTRIES[0], face.WorkerEntry(2, started_at=4_000_000))
-    new.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_150_000)
-    import_state(new, passed(export_state(old, 4_200_000)), 4_200_000)
+def test_restarted_worker_starts_without_learned_state():
+    old, new = dispatcher_with_history(), Dispatcher(SETTINGS, 7)
+    entries = (ENTRIES[0], interface.WorkerEntry(2, started_at=4_000_000))
+    new.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 4_150_000)
+    import_state(new, through_json(export_state(old, 4_200_000)), 4_200_000)
     assert new.avoided(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
 
 
-def test_levels_by_the_rate_that_an_earlier_version_passes_on_are_not_taken():
-    """They are of another unit: some 10^5 of the new one, so that every server would seem full for long."""
-    old, new, now = seasoned(), fresh(), 4_200_000
-    memory = passed(export_state(old, now))
-    memory["levels"] = [[kind, [10.0, 1e7]] for kind, _ in memory.pop("usuals")]
-    for each in memory["workers"]:
-        each["level"] = each.pop("usual")
-        del each["size"]
-    import_state(new, memory, now)
+def test_levels_of_an_earlier_version_are_ignored():
+    """They have another unit, about 10^5 of the new one, so that every server would long seem full."""
+    old, new, now = dispatcher_with_history(), new_dispatcher(), 4_200_000
+    learned_state = through_json(export_state(old, now))
+    learned_state["levels"] = [[kind, [10.0, 1e7]] for kind, _ in learned_state.pop("usuals")]
+    for worker_state in learned_state["workers"]:
+        worker_state["level"] = worker_state.pop("usual")
+        del worker_state["size"]
+    import_state(new, learned_state, now)
     assert new.load_model.usual_levels == {} and new.avoided(now) == {2}
     for worker in new.workers.values():
         new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
 
 
-def test_the_share_of_cold_workers_is_read_where_an_earlier_version_has_it():
-    """It stood among the means, and stands by itself now; a version that passes none on leaves the own."""
-    old, now = seasoned(), 4_200_000
+def test_traffic_share_of_warming_workers_is_read_from_the_earlier_format():
+    """An earlier version stored it among the means, later ones store it separately. If it is missing, the own
+    value of the new process stays."""
+    old, now = dispatcher_with_history(), 4_200_000
     old.slow_start.own_traffic.add(0.25, 60.0)
-    for place in ("share", "means", "nowhere"):
-        new, memory = fresh(), passed(export_state(old, now))
+    for location in ("share", "means", "nowhere"):
+        new, learned_state = new_dispatcher(), through_json(export_state(old, now))
         before = new.slow_start.own_traffic.value
-        share = memory.pop("share") if place != "share" else None
-        if place == "means":
-            memory["means"]["share"] = share
-        import_state(new, memory, now)
-        kept = before if place == "nowhere" else old.slow_start.own_traffic.value
-        assert new.slow_start.own_traffic.value == pytest.approx(kept)
+        share = learned_state.pop("share") if location != "share" else None
+        if location == "means":
+            learned_state["means"]["share"] = share
+        import_state(new, learned_state, now)
+        expected = before if location == "nowhere" else old.slow_start.own_traffic.value
+        assert new.slow_start.own_traffic.value == pytest.approx(expected)
 
 
 @given(SEEDS)
-def test_a_memory_that_is_no_use_changes_nothing(seed):
-    text, new = orjson.dumps(export_state(seasoned(), 4_200_000)), fresh()
+def test_unusable_learned_state_changes_nothing(seed):
+    state_bytes, new = orjson.dumps(export_state(dispatcher_with_history(), 4_200_000)), new_dispatcher()
     before = export_state(new, 4_200_000)
     try:
-        memory = orjson.loads(garbage(text, seed))
-        import_state(new, memory if isinstance(memory, dict) else {}, 4_200_000)
+        learned_state = orjson.loads(garbage(state_bytes, seed))
+        import_state(new, learned_state if isinstance(learned_state, dict) else {}, 4_200_000)
     except ValueError:
         assert export_state(new, 4_200_000) == before
-    actions = new.handle(face.RequestArrived(1, 5_000_000), 4_300_000)
-    assert any(isinstance(each, face.Send) for each in actions) or new.queued, "it goes on deciding"
+    actions = new.handle(interface.RequestArrived(1, 5_000_000), 4_300_000)
+    assert any(isinstance(action, interface.Send) for action in actions) or new.queued, (
+        "the dispatcher still makes decisions"
+    )
 
 
-READER = EndpointListCodec(("ankara-1", "konya-1"), ("big-box",))
-KNOWN = READER.from_object({"seq": 0, "whole": True, "hosts": [host_entry("s-1", "127.0.0.1:9")]})
+CODEC = EndpointListCodec(("ankara-1", "konya-1"), ("big-box",))
+KNOWN = CODEC.from_object({"seq": 0, "whole": True, "hosts": [host_entry("s-1", "127.0.0.1:9")]})
 STATE = HandoverState(("nearby", "reserve"), KNOWN, ("s-1",), ("a", "b"), {"means": {}})
 
 
 @given(SEEDS)
-def test_any_line_is_read_or_refused(seed):
-    survives(lambda line: decode_state(line, READER), garbage(encode_state(STATE, READER), seed), ValueError)
+def test_any_line_is_decoded_or_rejected(seed):
+    survives(lambda line: decode_state(line, CODEC), garbage(encode_state(STATE, CODEC), seed), ValueError)
     survives(decode_update, garbage(encode_update(FlowIdUpdate("9b", True)), seed), ValueError)
 
 
-def test_a_state_and_news_are_read_as_they_were_written():
+def test_state_and_updates_survive_a_round_trip():
     assert (
-        decode_state(encode_state(STATE, READER), EndpointListCodec(("konya-1",), ()))
+        decode_state(encode_state(STATE, CODEC), EndpointListCodec(("konya-1",), ()))
         .endpoints.entries[0]
         .zone
         == 1
-    ), "zones go by name: the next process may have them in another order"
-    assert decode_state(encode_state(STATE, READER), READER) == STATE
-    assert [decode_update(encode_update(FlowIdUpdate("9b", taken))) for taken in (True, False)] == [
+    ), "zones are encoded by name: the next process may have them in another order"
+    assert decode_state(encode_state(STATE, CODEC), CODEC) == STATE
+    assert [decode_update(encode_update(FlowIdUpdate("9b", is_open))) for is_open in (True, False)] == [
         FlowIdUpdate("9b", True), FlowIdUpdate("9b", False)
     ]  # fmt: skip
     assert decode_update(b'{"something": "later versions say"}') is None
 
 
-class Told:
+class RecordingOwner:
     def __init__(self):
         self.counts = []
 
@@ -171,22 +179,22 @@
 
 
 @asynccontextmanager
-async def listening(path):
-    told = Told()
-    here = Handover(path, told, lambda: READER)
-    await here.listen()
-    yield here, told
-    await here.close()
+async def listening_handover(path):
+    owner = RecordingOwner()
+    local = Handover(path, owner, lambda: CODEC)
+    await local.listen()
+    yield local, owner
+    await local.close()
 
 
-def test_ids_pass_both_ways_until_either_ends(tmp_path):
+def test_flow_ids_are_exchanged_until_one_process_ends(tmp_path):
     async def run():
         path = tmp_path / "next"
-        async with listening(path) as (old, old_told):
-            new_told = Told()
-            new = Handover(path, new_told, lambda: READER)
+        async with listening_handover(path) as (old, old_owner):
+            new_owner = RecordingOwner()
+            new = Handover(path, new_owner, lambda: CODEC)
             assert await new.fetch_state() == STATE
-            assert new.is_open_elsewhere("a") and not new.is_open_elsewhere("c") and new_told.counts == [1]
+            assert new.is_open_elsewhere("a") and not new.is_open_elsewhere("c") and new_owner.counts == [1]
             old.broadcast_update("c", True)
             old.broadcast_update("a", False)
             await wait_until(lambda: new.is_open_elsewhere("c") and not new.is_open_elsewhere("a"))
@@ -194,36 +202,36 @@
             await wait_until(lambda: old.is_open_elsewhere("d"))
             await new.listen()
             await old.close()
-            await wait_until(lambda: new_told.counts == [1, 0])
-            assert not new.is_open_elsewhere("c") and path.exists(), "the socket is the new one's by now"
+            await wait_until(lambda: new_owner.counts == [1, 0])
+            assert not new.is_open_elsewhere("c") and path.exists(), "the new process has replaced the socket"
             await new.close()
             assert not path.exists() and not list(tmp_path.iterdir())
-        assert old_told.counts == [1, 0]
+        assert old_owner.counts == [1, 0]
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("said", [b"", b"{", b'{"known": 5}\n', b'{"classes": [1]}\n', None, "stale", "file"])
-def test_what_the_process_before_left_does_no_harm(tmp_path, monkeypatch, said):
+@pytest.mark.parametrize("sent", [b"", b"{", b'{"known": 5}\n', b'{"classes": [1]}\n', None, "stale", "file"])
+def test_unusable_state_of_the_previous_process_is_ignored(tmp_path, monkeypatch, sent):
     monkeypatch.setattr(handover, "FETCH_TIMEOUT_S", 0.2)
 
-    async def speak(reader, writer):
-        if said is not None:
-            writer.write(said)
+    async def send(reader, writer):
+        if sent is not None:
+            writer.write(sent)
             writer.close()
 
     async def run():
         path, server = tmp_path / "next", None
-        if said == "stale":
-            with socket.socket(socket.AF_UNIX) as left:
-                left.bind(str(path))
-        elif said == "file":
+        if sent == "stale":
+            with socket.socket(socket.AF_UNIX) as stale_socket:
+                stale_socket.bind(str(path))
+        elif sent == "file":
             path.write_text("what is this")
         else:
-            server = await asyncio.start_unix_server(speak, str(path))
-        told = Told()
-        new = Handover(path, told, lambda: READER)
-        assert await new.fetch_state() is None and told.counts == []
+            server = await asyncio.start_unix_server(send, str(path))
+        owner = RecordingOwner()
+        new = Handover(path, owner, lambda: CODEC)
+        assert await new.fetch_state() is None and owner.counts == []
         await new.listen()
         assert path.is_socket()
         await new.close()
@@ -233,22 +241,22 @@
     asyncio.run(run())
 
 
-def test_nonsense_from_the_other_process_parts_the_two(tmp_path):
+def test_malformed_update_disconnects_the_sibling(tmp_path):
     async def run():
-        async with listening(tmp_path / "next") as (old, told):
+        async with listening_handover(tmp_path / "next") as (old, owner):
             _, writer = await asyncio.open_unix_connection(str(tmp_path / "next"), limit=2**22)
-            await wait_until(lambda: told.counts == [1])
+            await wait_until(lambda: owner.counts == [1])
             writer.write(b'{"taken": "x"}\n\x00\xff\n')
-            await wait_until(lambda: told.counts == [1, 0])
+            await wait_until(lambda: owner.counts == [1, 0])
             assert not old.is_open_elsewhere("x")
             writer.close()
 
     asyncio.run(run())
 
 
-def test_a_path_that_is_too_long_is_gone_without(tmp_path):
+def test_too_long_socket_path_is_tolerated(tmp_path):
     async def run():
-        new = Handover(tmp_path / ("x" * 200), Told(), lambda: READER)
+        new = Handover(tmp_path / ("x" * 200), RecordingOwner(), lambda: CODEC)
         assert await new.fetch_state() is None
         await new.listen()
         await new.close()
@@ -256,46 +264,46 @@
     asyncio.run(run())
 
 
-def test_an_id_that_is_open_in_the_other_process_is_turned_away(tmp_path):
+def test_flow_id_open_in_the_other_process_is_rejected(tmp_path):
     async def run():
         async with site(tmp_path) as (app, [toy]):
-            whole = app.client_listener.connection_limit
-            here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
+            full_limit = app.client_listener.connection_limit
+            local = Handover(tmp_path / "next", app, lambda: app.conf.reader)
             app.router.is_open_elsewhere, app.router.on_id_changed = (
-                here.is_open_elsewhere,
-                here.broadcast_update,
+                local.is_open_elsewhere,
+                local.broadcast_update,
             )
-            await here.listen()
-            other = Told()
-            there = Handover(tmp_path / "next", other, lambda: app.conf.reader)
+            await local.listen()
+            remote_owner = RecordingOwner()
+            remote = Handover(tmp_path / "next", remote_owner, lambda: app.conf.reader)
             running = asyncio.create_task(
                 send_and_receive(app.client_listener.port, request("a", b"300", more="Connection: close\r\n"))
             )
             await wait_until(lambda: toy.holds)
-            state = await there.fetch_state()
-            assert state.flow_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
+            state = await remote.fetch_state()
+            assert state.flow_ids == ("a",) and [entry.host for entry in state.endpoints.entries] == ["toy-0"]
             assert (
-                app.client_listener.connection_limit < whole / 2
-                and app.pool.settings.max_connections < whole / 2
+                app.client_listener.connection_limit < full_limit / 2
+                and app.pool.settings.max_connections < full_limit / 2
             )
-            there.broadcast_update("b", True)
-            await wait_until(lambda: here.is_open_elsewhere("b"))
+            remote.broadcast_update("b", True)
+            await wait_until(lambda: local.is_open_elsewhere("b"))
             again = request("b", more="Connection: close\r\n")
             assert b" 409 " in await send_and_receive(app.client_listener.port, again)
             own_id = blake2b(b"dashboard\0s", digest_size=16).hexdigest()
-            there.broadcast_update(own_id, True)
-            await wait_until(lambda: here.is_open_elsewhere(own_id))
+            remote.broadcast_update(own_id, True)
+            await wait_until(lambda: local.is_open_elsewhere(own_id))
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.job("s", b"1")
             await wait_until(lambda: peer.closed)
-            assert "open in another process" in peer.of("ERROR")[0].headers["message"], "the other front"
-            there.broadcast_update("b", False)
-            await wait_until(lambda: not here.is_open_elsewhere("b"))
+            assert "open in another process" in peer.of("ERROR")[0].headers["message"], "over STOMP as well"
+            remote.broadcast_update("b", False)
+            await wait_until(lambda: not local.is_open_elsewhere("b"))
             assert b" 200 " in await send_and_receive(app.client_listener.port, again)
             assert b" 200 " in await running
-            await wait_until(lambda: not there.is_open_elsewhere("a"))
-            await there.close()
-            await wait_until(lambda: app.client_listener.connection_limit == whole)
-            await here.close()
+            await wait_until(lambda: not remote.is_open_elsewhere("a"))
+            await remote.close()
+            await wait_until(lambda: app.client_listener.connection_limit == full_limit)
+            await local.close()
 
     asyncio.run(run())
--- a/tests/transport/test_storage_power_loss.py
+++ b/tests/transport/test_storage_power_loss.py
@@ -1,4 +1,4 @@
-"""Stores of a process's own state when power is lost, or the disk refuses, at any step."""
+"""Stores of a process's own state when power is lost or the disk fails at any step."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def disk(tmp_path, monkeypatch) -> RecordingOs:
-    """The disk below `tmp_path / "disk"`, as the stores see it."""
+    """The simulated disk below `tmp_path / "disk"`, used by the stores."""
     root = tmp_path / "disk"
     root.mkdir()
     recording = RecordingOs(root)
@@ -31,8 +31,8 @@
     return recording
 
 
-class Survivors:
-    """Opens what each loss of power would leave."""
+class PowerLossOutcomes:
+    """Opens the stores that a loss of power at this moment could leave behind."""
 
     def __init__(self, disk: RecordingOs, folder) -> None:
         self.disk = disk
@@ -40,7 +40,7 @@
         self.count = 0
 
     def terms(self) -> set[int | None]:
-        """The terms that a process may find in its store now; None: no store."""
+        """Return the terms that a process could find in its store after a power loss now; None: no store."""
         found: set[int | None] = set()
         for state in list(self.disk.states_after_power_loss()):
             self.count += 1
@@ -55,92 +55,92 @@
         return found
 
 
-def frame(term: int) -> bytes:
+def encoded_frame(term: int) -> bytes:
     return state_codec.encode_frame(state_codec.HardState(IDENTITY, 7, term, ""))
 
 
-def whole(term: int) -> bytes:
+def encoded_state(term: int) -> bytes:
     return state_codec.encode_state(PersistentState(IDENTITY, 7, term, entries=[Entry(1, ("a",))]))
 
 
-def test_what_the_fleets_store_has_acknowledged_survives_a_loss_of_power_at_any_time(disk, tmp_path):
-    """Given a store in a folder that did not exist, when power is lost after any call, then the state that
-    was acknowledged last is found, or one that was being written, and never none."""
-    survivors = Survivors(disk, tmp_path / "after")
+def test_acknowledged_fleet_state_survives_a_power_loss_at_any_time(disk, tmp_path):
+    """After a power loss following any call, a store in a new folder has the last acknowledged state or the
+    one being written, and is never empty."""
+    outcomes = PowerLossOutcomes(disk, tmp_path / "after")
     store = FleetStore(disk.root / "data" / "fleet")
     assert store.open("@10.0.0.1:7") is None
-    store.replace(whole(1))
-    assert survivors.terms() == {1}
+    store.replace(encoded_state(1))
+    assert outcomes.terms() == {1}
     for term in range(2, STEPS):
-        store.append(frame(term))
-        assert survivors.terms() == {term}
-        store.replace(whole(term))
-        assert survivors.terms() == {term}
+        store.append(encoded_frame(term))
+        assert outcomes.terms() == {term}
+        store.replace(encoded_state(term))
+        assert outcomes.terms() == {term}
     store.close()
-    assert survivors.count >= 2 * STEPS - 3
+    assert outcomes.count >= 2 * STEPS - 3
 
 
-def test_at_each_step_of_a_save_the_state_before_it_or_after_it_is_found(disk, tmp_path):
-    survivors = Survivors(disk, tmp_path / "after")
+def test_power_loss_within_a_save_leaves_the_old_or_the_new_state(disk, tmp_path):
+    outcomes = PowerLossOutcomes(disk, tmp_path / "after")
     store = FleetStore(disk.root / "data" / "fleet")
     store.open("@10.0.0.1:7")
-    store.replace(whole(1))
+    store.replace(encoded_state(1))
     original = disk._called
     seen: set[int | None] = set()
 
-    def look(name: str) -> None:
-        seen.update(survivors.terms())
+    def check(name: str) -> None:
+        seen.update(outcomes.terms())
         original(name)
 
-    disk._called = look
-    store.append(frame(2))
-    assert seen == {1, 2} and survivors.terms() == {2}
+    disk._called = check
+    store.append(encoded_frame(2))
+    assert seen == {1, 2} and outcomes.terms() == {2}
     seen.clear()
-    store.replace(whole(3))
-    assert seen == {2, 3} and survivors.terms() == {3}
+    store.replace(encoded_state(3))
+    assert seen == {2, 3} and outcomes.terms() == {3}
     store.close()
 
 
 @pytest.mark.parametrize("step", range(12))
-def test_a_disk_that_refuses_any_call_of_a_save_leaves_the_state_before_it_or_after_it(disk, tmp_path, step):
-    """Also where a sync returns an error: then nobody knows which of the two is there, and the store says so
-    by an error, after which its process takes another identity."""
-    survivors = Survivors(disk, tmp_path / "after")
+def test_disk_failure_within_a_save_leaves_the_old_or_the_new_state(disk, tmp_path, step):
+    """If a sync fails, it is unknown which of the two states is on disk. The store raises an error, after
+    which its process starts with a new identity."""
+    outcomes = PowerLossOutcomes(disk, tmp_path / "after")
     store = FleetStore(disk.root / "data" / "fleet")
     store.open("@10.0.0.1:7")
-    store.replace(whole(1))
+    store.replace(encoded_state(1))
     disk.fails_at = len(disk.calls) + step
     calls = len(disk.calls)
     try:
-        store.append(frame(2))
-        store.replace(whole(3))
+        store.append(encoded_frame(2))
+        store.replace(encoded_state(3))
     except OSError:
-        assert survivors.terms() <= {1, 2, 3}
+        assert outcomes.terms() <= {1, 2, 3}
     else:
-        assert len(disk.calls) - calls <= step and survivors.terms() == {3}
+        assert len(disk.calls) - calls <= step and outcomes.terms() == {3}
     store.close()
 
 
-def test_a_disk_that_fills_while_the_file_is_rewritten_leaves_the_file_in_use(disk, tmp_path):
-    """Given a file that has grown large, when a new one can't be written, then the present one is added to as
-    before, and the rewriting is not tried again with each append."""
-    survivors = Survivors(disk, tmp_path / "after")
+def test_failed_rewrite_keeps_the_file_in_use(disk, tmp_path):
+    """If a file that has grown large cannot be rewritten, appends to it continue, and the rewrite is not
+    retried with each append."""
+    outcomes = PowerLossOutcomes(disk, tmp_path / "after")
     store = FleetStore(disk.root / "data" / "fleet")
     store.open("@10.0.0.1:7")
-    store.replace(whole(1))
+    store.replace(encoded_state(1))
     store._rewrite_above = 10
-    assert store.append(frame(2))
+    assert store.append(encoded_frame(2))
     disk.fails_at = len(disk.calls) + 1  # the first write of the new file
     with pytest.raises(StateNotRewrittenError):
-        store.replace(whole(2))
+        store.replace(encoded_state(2))
     assert not (disk.root / "data" / "fleet" / fleet_store.NEW_STATE_FILE).exists()
-    assert not store.append(frame(3)) and survivors.terms() == {3}
-    store.replace(whole(4))
-    assert survivors.terms() == {4}
+    assert not store.append(encoded_frame(3)) and outcomes.terms() == {3}
+    store.replace(encoded_state(4))
+    assert outcomes.terms() == {4}
     store.close()
 
 
-def test_soft_state_is_the_old_one_or_the_new_one(disk, tmp_path):
+def test_power_loss_leaves_the_old_or_the_new_soft_state(disk, tmp_path):
     make_folder(disk.root / "data")
     path = disk.root / "data" / "soft-state"
     write_soft_state(path, b"one")
@@ -148,7 +148,7 @@
     count = 0
     found = set()
 
-    def look(name: str) -> None:
+    def check(name: str) -> None:
         nonlocal count
         for state in list(disk.states_after_power_loss()):
             count += 1
@@ -156,13 +156,13 @@
             found.add(read_soft_state(tmp_path / str(count) / "data" / "soft-state"))
         original(name)
 
-    disk._called = look
+    disk._called = check
     write_soft_state(path, b"two")
     assert found == {b"one", b"two"}
 
 
-def test_each_folder_that_is_made_is_synced_in_the_one_above(disk):
-    """Guards a data directory that is lost with all that was synced in it."""
+def test_each_new_folder_is_synced_in_its_parent(disk):
+    """Guards against a data directory that is lost together with all files synced in it."""
     make_folder(disk.root / "a" / "b" / "c")
     assert list(disk.states_after_power_loss()) == [{}]
     assert "a" in disk.tree.durable and "b" in disk.tree.durable["a"].durable
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.anyio
-async def test_the_control_store_makes_its_folder_durable(disk, monkeypatch):
+async def test_control_store_makes_its_folder_durable(disk, monkeypatch):
     folder = disk.root / "data" / "control"
     store = ControlStore(folder)
     await store.open("10.0.0.1:7")
@@ -185,14 +185,14 @@
 
 
 @pytest.mark.anyio
-async def test_a_database_that_is_set_aside_leaves_no_log_that_another_could_take_up(tmp_path, monkeypatch):
-    """Given a damaged database, when the process is killed at any step as it sets it aside, then there is
-    never a log of changes without its database."""
+async def test_renamed_database_leaves_no_write_ahead_log_behind(tmp_path, monkeypatch):
+    """If the process is killed at any step of renaming a damaged database, there is never a write-ahead log
+    without its database."""
     steps = []
     for name in (control_store.DATABASE_FILE, control_store.DATABASE_FILE + "-wal"):
         (tmp_path / name).write_bytes(b"damaged" * 100)
 
-    def look() -> None:
+    def check() -> None:
         names = set(os.listdir(tmp_path))
         steps.append(names)
         has_log = control_store.DATABASE_FILE + "-wal" in names
@@ -201,11 +201,11 @@
     store = ControlStore(tmp_path)
     rename = control_store.rename_durably
 
-    def rename_and_look(path, new_path) -> None:
-        look()
+    def rename_and_check(path, new_path) -> None:
+        check()
         rename(path, new_path)
-        look()
+        check()
 
-    monkeypatch.setattr(control_store, "rename_durably", rename_and_look)
+    monkeypatch.setattr(control_store, "rename_durably", rename_and_check)
     store._set_aside()
     assert len(steps) == 2 and control_store.DAMAGED_FILE in steps[-1]
