--- a/tests/transport/test_background_work.py
+++ b/tests/transport/test_background_work.py
@@ -1,4 +1,4 @@
-"""Background work goes on after an unexpected error, and the error is seen. On virtual time."""
+"""Background tasks and timers survive unexpected errors, which are counted and logged. On virtual time."""
 
 from __future__ import annotations
 
@@ -23,23 +23,27 @@
 
 @pytest.fixture
 def run():
-    """Runs a coroutine on virtual time."""
+    """Returns a function that runs a coroutine on virtual time."""
     loop = VirtualLoop()
     yield loop.run_until_complete
     loop.close()
 
 
-def test_a_task_that_ends_by_an_exception_is_counted_logged_and_runs_again(run, caplog):
+def test_failed_task_is_counted_logged_and_restarted(run, caplog):
     failures = FailureRegistry()
-    began = []
+    started_at = []
 
     async def work() -> None:
-        began.append(asyncio.get_running_loop().time())
-        if len(began) < 3:
+        started_at.append(asyncio.get_running_loop().time())
+        if len(started_at) < 3:
             raise ERROR
 
     run(start_and_wait(work, failures))
-    assert [round(each - began[0], 3) for each in began] == [0, RESTART_DELAY_S, 2 * RESTART_DELAY_S]
+    assert [round(time - started_at[0], 3) for time in started_at] == [
+        0,
+        RESTART_DELAY_S,
+        2 * RESTART_DELAY_S,
+    ]
     assert failures.by_name == {"work": WorkFailure(2, repr(ERROR))} and failures.total == 2
     [record, _] = caplog.records
     assert (record.levelno, record.exc_info[1]) == (logging.ERROR, ERROR) and "work" in record.message
@@ -49,7 +53,7 @@
     await start_background_task("work", work, failures)
 
 
-def test_a_task_that_is_cancelled_ends_and_is_no_failure(run):
+def test_cancelled_task_ends_without_a_failure(run):
     failures = FailureRegistry()
 
     async def scenario() -> None:
@@ -63,7 +67,7 @@
     assert failures.total == 0
 
 
-def test_a_timer_whose_action_fails_before_it_sets_itself_again_goes_on(run):
+def test_timer_continues_after_its_action_fails(run):
     failures = FailureRegistry()
     calls = []
 
@@ -87,22 +91,22 @@
     assert failures.by_name == {"timer": WorkFailure(1, repr(ERROR))}
 
 
-def test_a_timer_that_is_set_again_calls_once_at_the_later_time(run):
+def test_timer_that_is_set_again_fires_once_at_the_later_time(run):
     calls = []
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         timer = RepeatingTimer("timer", lambda: calls.append(loop.time()), FailureRegistry())
-        began = loop.time()
+        started_at = loop.time()
         timer.set(0.1)
         timer.set(0.5)
         await asyncio.sleep(1)
-        assert [round(each - began, 3) for each in calls] == [0.5]
+        assert [round(time - started_at, 3) for time in calls] == [0.5]
 
     run(scenario())
 
 
-def test_an_error_in_a_callback_of_the_loop_is_counted(run, caplog):
+def test_error_in_a_loop_callback_is_counted(run, caplog):
     failures = FailureRegistry()
 
     async def scenario() -> None:
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -26,7 +26,7 @@
     return await asyncio.wait_for(reader.read(), 10)
 
 
-@pytest.mark.parametrize("close", ["stop accepting", "make room", "drain"])
+@pytest.mark.parametrize("close", ["stop accepting", "evict", "drain"])
 def test_bytes_between_the_unread_check_and_the_close_cause_no_reset(tmp_path, monkeypatch, close):
     """Guards a request that crosses a close: bytes that arrived between the check for unread bytes and the
     close reset the connection. They are read and dropped instead, so the client sees a clean close and knows
@@ -39,7 +39,7 @@
             write_to_kernel(writer, request("crossing"))
             if close == "stop accepting":
                 app.client_listener.stop_accepting()
-            elif close == "make room":
+            elif close == "evict":
                 app.client_listener.connection_limit = 0
                 app.client_listener._evict_connection()
             else:
--- a/tests/transport/test_dns_client.py
+++ b/tests/transport/test_dns_client.py
@@ -1,4 +1,4 @@
-"""The DNS client against a nameserver with each fault that the stand-in knows."""
+"""The DNS client against a fake nameserver, with each fault that the fake can inject."""
 
 import asyncio
 
@@ -66,11 +66,11 @@
     return Query(query_id, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=over_tcp, edns=True)
 
 
-def query_once(what, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
+def query_once(fault, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
     async def run():
         async with nameservers(1, ZONE) as [server]:
-            if what:
-                server.faults = [Fault(what, delay_s=60.0)]
+            if fault:
+                server.faults = [Fault(fault, delay_s=60.0)]
             host, _, port = server.address.rpartition(":")
             client = DnsClient(((host, int(port)),), timeout)
             result = await client.query(Query(1, 0, Question(name, kind), name, over_tcp=tcp, edns=True))
@@ -80,36 +80,37 @@
     return asyncio.run(run())
 
 
-def timeout_for(wanted):
-    """Short only where no answer is to come: a busy machine may be slow with the others."""
-    return 0.3 if wanted in ("no answer in time", "") else 20.0
+def timeout_for(expected):
+    """Return a short timeout only if no answer is expected: a busy machine may answer the others slowly."""
+    return 0.3 if expected in ("no answer in time", "") else 20.0
 
 
-def check(result, wanted):
-    if isinstance(wanted, str):
-        assert isinstance(result, QueryFailure) and wanted in result.reason, result
+def check(result, expected):
+    if isinstance(expected, str):
+        assert isinstance(result, QueryFailure) and expected in result.reason, result
     else:
-        assert isinstance(result, wanted), result
+        assert isinstance(result, expected), result
 
 
-def test_each_fault_of_the_stand_in_has_an_expected_result():
+def test_each_fault_of_the_fake_has_an_expected_result():
     assert set(EXPECTED) == set(FaultKind)
 
 
-@pytest.mark.parametrize("what", [kind.value for kind in FaultKind])
-def test_faults_over_udp(what):
-    check(query_once(what, timeout=timeout_for(EXPECTED[what]))[0], EXPECTED[what])
+@pytest.mark.parametrize("fault", [kind.value for kind in FaultKind])
+def test_fault_over_udp_gives_its_expected_result(fault):
+    check(query_once(fault, timeout=timeout_for(EXPECTED[fault]))[0], EXPECTED[fault])
 
 
-@pytest.mark.parametrize("what", EXPECTED_OVER_TCP)
-def test_faults_over_tcp(what):
+@pytest.mark.parametrize("fault", EXPECTED_OVER_TCP)
+def test_fault_over_tcp_gives_its_expected_result(fault):
     check(
-        query_once(what, tcp=True, timeout=timeout_for(EXPECTED_OVER_TCP[what]))[0], EXPECTED_OVER_TCP[what]
+        query_once(fault, tcp=True, timeout=timeout_for(EXPECTED_OVER_TCP[fault]))[0],
+        EXPECTED_OVER_TCP[fault],
     )
 
 
 @pytest.mark.parametrize("tcp", [False, True])
-def test_a_positive_answer_with_additional_addresses(tcp):
+def test_positive_answer_includes_additional_addresses(tcp):
     result, [query] = query_once("", tcp)
     assert result.records == ENDPOINTS and result.ttl_s == 5 and query.tcp is tcp
     addresses = {question.name: good.records for question, good in result.additional.items()}
@@ -117,19 +118,19 @@
 
 
 def test_negative_answers():
-    for name, kind, why in (("_arama._tcp.adana-1.example.org", RecordType.SRV, "NXDOMAIN"),
+    for name, kind, reason in (("_arama._tcp.adana-1.example.org", RecordType.SRV, "NXDOMAIN"),
                             ("b1.konya-1.example.org", RecordType.AAAA, "NODATA")):  # fmt: skip
-        assert query_once("", name=name, kind=kind)[0] == NegativeAnswer(why, 5)
+        assert query_once("", name=name, kind=kind)[0] == NegativeAnswer(reason, 5)
 
 
-def test_a_mismatched_datagram_does_not_end_the_query():
-    """Guards against forged answers (RFC 5452): the true one is waited for, and counts."""
+def test_mismatched_datagram_does_not_end_the_query():
+    """Guards against forged answers (RFC 5452): the client waits for the true answer and returns it."""
 
     async def run():
         async with nameservers(1, ZONE) as [server]:
             server.faults = [Fault("slow", delay_s=0.2)]
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
-            asking = asyncio.create_task(
+            query_task = asyncio.create_task(
                 client.query(Query(1, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True))
             )
             while not server.queries:
@@ -137,7 +138,7 @@
             [query] = server.queries
             forged = (query.id ^ 1).to_bytes(2) + b"\x84\x00" + bytes(8)
             server._udp.sendto(forged, ("127.0.0.1", query.port))
-            return await asking
+            return await query_task
 
     assert asyncio.run(run()).records == ENDPOINTS
 
@@ -153,28 +154,28 @@
             return server.queries
 
     queries = asyncio.run(run())
-    assert len({each.id for each in queries}) > 15 and len({each.port for each in queries}) > 15
+    assert len({query.id for query in queries}) > 15 and len({query.port for query in queries}) > 15
 
 
-def test_a_tcp_connection_is_kept_and_carries_several_queries():
+def test_tcp_connection_is_shared_by_several_queries():
     async def run():
         async with nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
-            asks = [
+            tcp_queries = [
                 Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=True, edns=True)
                 for number in range(50)
             ]
-            results = await asyncio.gather(*map(client.query, asks))
-            results.append(await client.query(asks[0]))
+            results = await asyncio.gather(*map(client.query, tcp_queries))
+            results.append(await client.query(tcp_queries[0]))
             client.close()
             return results, server.queries
 
     results, queries = asyncio.run(run())
-    assert all(isinstance(each, PositiveAnswer) for each in results) and len(queries) == 51
-    assert len({each.port for each in queries}) == 1
+    assert all(isinstance(result, PositiveAnswer) for result in results) and len(queries) == 51
+    assert len({query.port for query in queries}) == 1
 
 
-def test_a_refused_connection_fails_at_once():
+def test_refused_connection_fails_at_once():
     async def run():
         async with nameservers(1, ZONE) as [server]:
             port = int(server.address.rpartition(":")[2])
--- a/tests/transport/test_snmp.py
+++ b/tests/transport/test_snmp.py
@@ -1,4 +1,4 @@
-"""The MIB compiles, and a walk of the agent gives what the MIB says, nothing more and nothing less."""
+"""The MIB compiles, and a walk of the agent returns exactly the objects that the MIB defines."""
 
 import asyncio
 
@@ -34,18 +34,22 @@
 
 @pytest.fixture(scope="module")
 def mib(tmp_path_factory):
-    """The symbols of HAZELBEND-MIB, compiled from its text."""
+    """The symbols of HAZELBEND-MIB, compiled from its source."""
     folder = tmp_path_factory.mktemp("mibs")
     compiler = MibCompiler(SmiStarParser(), PySnmpCodeGen(), PyFileWriter(str(folder)))
     compiler.add_sources(FileReader(str(ROOT / "mibs")), FileReader(str(ROOT / "tests/base_mibs")))
     compiler.add_searchers(StubSearcher(*PySnmpCodeGen.baseMibs))
-    done = compiler.compile("HAZELBEND-MIB", rebuild=True)
-    assert done["HAZELBEND-MIB"] == "compiled", done
+    compiled = compiler.compile("HAZELBEND-MIB", rebuild=True)
+    assert compiled["HAZELBEND-MIB"] == "compiled", compiled
     builder = MibBuilder()
     builder.add_mib_sources(DirMibSource(str(folder)))
     builder.load_texts = True
     builder.load_modules("HAZELBEND-MIB")
-    return {name: each for name, each in builder.mibSymbols["HAZELBEND-MIB"].items() if hasattr(each, "name")}
+    return {
+        name: symbol
+        for name, symbol in builder.mibSymbols["HAZELBEND-MIB"].items()
+        if hasattr(symbol, "name")
+    }
 
 
 def enable(folder, notify=""):
@@ -53,63 +57,65 @@
     (folder / "snmp.toml").write_text("\n".join(lines))
 
 
-def on_site(folder, work):
+def run_on_site(folder, check):
     enable(folder)
 
     async def run():
         async with site(folder, toys=2, stomp="") as (app, _):
-            await work(app)
+            await check(app)
 
     asyncio.run(run())
 
 
-def new_asker():
-    """A manager's engine that looks for MIBs here only; by default pysnmp would ask the network for them."""
-    asker = SnmpEngine()
-    add_mib_compiler(asker.get_mib_builder(), sources=[f"file://{ROOT}/tests/base_mibs"])
-    return asker
+def new_manager():
+    """Return a manager's engine that uses local MIBs only; by default pysnmp would download them."""
+    manager = SnmpEngine()
+    add_mib_compiler(manager.get_mib_builder(), sources=[f"file://{ROOT}/tests/base_mibs"])
+    return manager
 
 
 async def walk(port, community=COMMUNITY, oid=hazelbend_mib.BASE):
-    asker, found = new_asker(), {}
+    manager, values = new_manager(), {}
     target = await UdpTransportTarget.create(("127.0.0.1", port), timeout=0.5, retries=0)
     start = ObjectType(ObjectIdentity(oid))
     async for error, status, _, rows in walk_cmd(
-        asker, CommunityData(community), target, ContextData(), start
+        manager, CommunityData(community), target, ContextData(), start
     ):
         if error or status:
-            found["error"] = str(error or status)
+            values["error"] = str(error or status)
             break
-        found |= {tuple(row[0]): row[1] for row in rows}
-    asker.close_dispatcher()
-    return found
+        values |= {tuple(row[0]): row[1] for row in rows}
+    manager.close_dispatcher()
+    return values
 
 
-def test_a_walk_gives_every_object_of_the_mib_with_its_type(tmp_path, mib):
-    async def work(app):
-        found = await walk(app.agent.port)
-        assert "error" not in found
+def test_walk_returns_every_object_of_the_mib_with_its_type(tmp_path, mib):
+    async def check(app):
+        values = await walk(app.agent.port)
+        assert "error" not in values
         readable = {
-            each.name: each
-            for each in mib.values()
-            if getattr(each, "maxAccess", "") in ("readonly", "read-only")
+            symbol.name: symbol
+            for symbol in mib.values()
+            if getattr(symbol, "maxAccess", "") in ("readonly", "read-only")
         }
-        seen = {oid[: len(name)] for oid in found for name in readable if oid[: len(name)] == name}
-        assert seen == set(readable), "an object of the MIB that the agent lacks, or the other way round"
-        assert len(found) == len([oid for oid in found if any(oid[: len(name)] == name for name in readable)])
-        for oid, value in found.items():
-            [syntax] = [each.syntax for name, each in readable.items() if oid[: len(name)] == name]
+        seen = {oid[: len(name)] for oid in values for name in readable if oid[: len(name)] == name}
+        assert seen == set(readable), "the MIB and the agent differ in their objects"
+        assert len(values) == len(
+            [oid for oid in values if any(oid[: len(name)] == name for name in readable)]
+        )
+        for oid, value in values.items():
+            [syntax] = [symbol.syntax for name, symbol in readable.items() if oid[: len(name)] == name]
             assert syntax.tagSet == value.tagSet, oid
-        names = {str(value) for oid, value in found.items() if oid[:-1] == (*hazelbend_mib.SERVER_ENTRY, 2)}
+        names = {str(value) for oid, value in values.items() if oid[:-1] == (*hazelbend_mib.SERVER_ENTRY, 2)}
         assert names == {"toy-0", "toy-1"}
-        assert list(found) == sorted(found)
+        assert list(values) == sorted(values)
         system = await walk(app.agent.port, oid=hazelbend_mib.SYSTEM)
         assert any(oid[:-1] == (*hazelbend_mib.SYSTEM, 3) for oid in system), "sysUpTime"
 
-    on_site(tmp_path, work)
+    run_on_site(tmp_path, check)
 
 
-def test_counters_follow_the_program(mib):
+def test_counters_have_the_values_of_the_overview(mib):
     from hazelbend.decisions.interface import Outcome
     from hazelbend.routing.overview import ClassFigures, Figures, Overview
     from hazelbend.routing.ports import Verdict
@@ -123,12 +129,12 @@
     )  # fmt: skip
     fronts = {"edge": 3, "boxes": 1}
     view = Overview("n", 5_000_000, "leaving", 100, 7, verdicts, figures, outcomes, (), (), fronts)
-    found = {
+    values = {
         oid: int(value)
         for oid, value in hazelbend_mib.object_values(view).items()
         if not isinstance(value, OctetString)
     }
-    want = {
+    expected = {
         "hbUpTime": 500, "hbState": 2, "hbFlowsTaken": 100, "hbFlowsServed": 10, "hbFlowsFailed": 12,
         "hbFlowsAbandoned": 7, "hbSchedulingsError": 20, "hbSchedulingsServed": 21,
         "hbSchedulingsNotSent": 27,
@@ -137,50 +143,52 @@
         "hbNamesStale": 51, "hbNamesQueries": 52, "hbNamesFollowed": 0, "hbWaitingJobs": 53,
         "hbWaitingCancelled": 54, "hbWaitingReleased": 0,
     }  # fmt: skip
-    assert {name: found[(*mib[name].name, 0)] for name in want} == want
+    assert {name: values[(*mib[name].name, 0)] for name in expected} == expected
     columns = ("hbClassSucceeded", "hbClassDeclined", "hbClassAborted", "hbClassLongest")
-    assert [[found[(*mib[name].name, row)] for name in columns] for row in (1, 2)] == [
+    assert [[values[(*mib[name].name, row)] for name in columns] for row in (1, 2)] == [
         [31, 32, 33, 0], [34, 35, 36, 55]
     ]  # fmt: skip
 
 
-def test_a_stranger_gets_nothing_and_nobody_may_write(tmp_path):
-    async def work(app):
+def test_unknown_community_gets_nothing_and_writes_are_rejected(tmp_path):
+    async def check(app):
         assert "error" in await walk(app.agent.port, "public")
         assert "error" in await walk(app.agent.port, "public", hazelbend_mib.SYSTEM)
-        asker = new_asker()
+        manager = new_manager()
         target = await UdpTransportTarget.create(("127.0.0.1", app.agent.port), timeout=0.5, retries=0)
         name = ObjectType(ObjectIdentity((*hazelbend_mib.OBJECTS, 1, 1, 0)), OctetString("x"))
-        error, status, *_ = await set_cmd(asker, CommunityData(COMMUNITY), target, ContextData(), name)
+        error, status, *_ = await set_cmd(manager, CommunityData(COMMUNITY), target, ContextData(), name)
         assert error or status
-        asker.close_dispatcher()
+        manager.close_dispatcher()
 
-    on_site(tmp_path, work)
+    run_on_site(tmp_path, check)
 
 
-def test_a_server_that_goes_down_and_up_is_notified(tmp_path, mib):
+def test_targets_are_notified_of_a_server_going_down_and_up(tmp_path, mib):
     async def listen():
-        heard, receiver = [], engine.SnmpEngine()
+        notifications, receiver = [], engine.SnmpEngine()
         transport = udp.UdpAsyncioTransport().open_server_mode(("127.0.0.1", 0))
         await transport._lport
         config.add_transport(receiver, udp.DOMAIN_NAME, transport)
         config.add_v1_system(receiver, "anyone", COMMUNITY)
         ntfrcv.NotificationReceiver(
-            receiver, lambda *given: heard.append({tuple(name): value for name, value in given[4]})
+            receiver, lambda *given: notifications.append({tuple(name): value for name, value in given[4]})
         )
-        return heard, receiver, transport.transport.get_extra_info("sockname")[1]
+        return notifications, receiver, transport.transport.get_extra_info("sockname")[1]
 
     async def run():
-        heard, receiver, port = await listen()
+        notifications, receiver, port = await listen()
         enable(tmp_path, f'"127.0.0.1:{port}"')
         async with site(tmp_path, stomp="") as (app, _):
             app.router.set_manual_drain("toy-0", True)
-            await wait_until(lambda: len(heard) == 1)
+            await wait_until(lambda: len(notifications) == 1)
             app.router.set_manual_drain("toy-0", False)
-            await wait_until(lambda: len(heard) == 2)
+            await wait_until(lambda: len(notifications) == 2)
         receiver.close_dispatcher()
-        kinds = [tuple(each[(1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0)]) for each in heard]
+        kinds = [tuple(notification[(1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0)]) for notification in notifications]
         assert kinds == [mib["hbServerDown"].name, mib["hbServerUp"].name]
-        assert all(str(each[(*mib["hbServerName"].name, 1)]) == "toy-0" for each in heard)
+        assert all(
+            str(notification[(*mib["hbServerName"].name, 1)]) == "toy-0" for notification in notifications
+        )
 
     asyncio.run(run())
