--- a/hazelbend/transport/dns/dns_client.py
+++ b/hazelbend/transport/dns/dns_client.py
@@ -29,12 +29,12 @@
         """Return the result of a query. Timeouts and socket errors are returned as `QueryFailure`."""
         question = Question(query.name, query.question.record_type)  # the name may be the target of a CNAME
         query_id = secrets.randbits(ID_BITS)
-        data, asked = encode_query(
+        data, encoded_name = encode_query(
             question.name, question.record_type, query_id, secrets.randbits(CASE_BITS), edns=query.edns
         )
 
         def decode(answer: bytes) -> QueryResult:
-            return decode_answer(answer, query_id, asked, question, over_tcp=query.over_tcp)
+            return decode_answer(answer, query_id, encoded_name, question, over_tcp=query.over_tcp)
 
         try:
             async with asyncio.timeout(self.timeout_s):
--- a/hazelbend/transport/http/draining_listener.py
+++ b/hazelbend/transport/http/draining_listener.py
@@ -43,7 +43,7 @@
         self.partial_request_deadline = partial_request_deadline
 
     def restore_request_timeout(self) -> None:
-        """Continue to drain, but give connections the full request timeout again."""
+        """Continue to drain, but give new connections the full request timeout again."""
         self.partial_request_deadline = math.inf
 
     def stop_draining(self) -> None:
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -46,13 +46,13 @@
         self._system_objects = system_objects
         self._values: dict[Oid, Any] = {}
         self._sorted_oids: list[Oid] = []
-        self._taken_at = -CACHE_S
+        self._snapshot_at = -CACHE_S
 
     def _refresh(self) -> None:
         now = asyncio.get_running_loop().time()
-        if now - self._taken_at >= CACHE_S:
+        if now - self._snapshot_at >= CACHE_S:
             self._values = object_values(self._take_overview())
-            self._taken_at = now
+            self._snapshot_at = now
             self._sorted_oids = sorted(self._values)
 
     def read_variables(self, *varBinds: Any, **context: Any) -> list[Any]:  # noqa: N803 (pysnmp's name)
@@ -83,9 +83,9 @@
     def _next(self, name: Any, value: Any, context: dict[str, Any]) -> Any:
         oid = tuple(name)
         if oid < BASE:
-            following, found = self._system_objects.read_next_variables((name, value), **context)[0]
-            if not rfc1905.endOfMibView.isSameTypeWith(found) and tuple(following) < BASE:
-                return following, found
+            next_name, next_value = self._system_objects.read_next_variables((name, value), **context)[0]
+            if not rfc1905.endOfMibView.isSameTypeWith(next_value) and tuple(next_name) < BASE:
+                return next_name, next_value
         if oid < END_OF_BASE:
             for instance in self._sorted_oids[bisect_right(self._sorted_oids, oid) :]:
                 if not _is_hidden(rfc1902.ObjectName(instance), self._values[instance], context):
--- a/hazelbend/transport/stomp/stomp_listener.py
+++ b/hazelbend/transport/stomp/stomp_listener.py
@@ -145,14 +145,14 @@
             StompError: the login or the passcode is wrong.
         """
         digest = sha256(frame.get("passcode").encode()).hexdigest()
-        found: ClientAccount | WorkerAccount | None = None
+        matching_account: ClientAccount | WorkerAccount | None = None
         accounts: list[ClientAccount | WorkerAccount] = [*self.settings.clients, *self.settings.workers]
         for account in accounts:
             if account.login == frame.get("login") and hmac.compare_digest(account.passcode_sha256, digest):
-                found = account
-        if found is None:
+                matching_account = account
+        if matching_account is None:
             raise StompError("login or passcode not known")
-        return found
+        return matching_account
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         session = Session(self, reader, writer)
--- a/hazelbend/transport/storage/control_store.py
+++ b/hazelbend/transport/storage/control_store.py
@@ -88,7 +88,7 @@
         except (CorruptStateError, sqlite3.DatabaseError) as error:
             damaged = isinstance(error, CorruptStateError) or not isinstance(error, sqlite3.OperationalError)
             if damaged:
-                self._set_aside()
+                self._rename_damaged_database()
                 self._connect()
                 return None
             raise
@@ -107,7 +107,7 @@
         connection.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}")
         connection.executescript(_SCHEMA)
 
-    def _set_aside(self) -> None:
+    def _rename_damaged_database(self) -> None:
         self._close()
         # The write-ahead log is removed first: it must never be applied to another database.
         for suffix in ("-wal", "-shm"):
--- a/tests/transport/test_storage_power_loss.py
+++ b/tests/transport/test_storage_power_loss.py
@@ -207,5 +207,5 @@
         check()
 
     monkeypatch.setattr(control_store, "rename_durably", rename_and_check)
-    store._set_aside()
+    store._rename_damaged_database()
     assert len(steps) == 2 and control_store.DAMAGED_FILE in steps[-1]
