--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -69,7 +69,7 @@
     except ValueError as error:
         print(f"hazelbend: {error}", file=sys.stderr)
         return ExitStatus.NOTHING
-    wait_s = settings.leases.opening_wait_s
+    wait_s = settings.leases.epoch_opening_delay_s
     print(f"epoch {epoch} is started; leases are granted from {wait_s:.1f} s from now on")
     return ExitStatus.OK
 
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -18,7 +18,7 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     MAX_LINE_BYTES,
-    FlowIdUpdate,
+    JobIdUpdate,
     HandoverState,
     decode_state,
     decode_update,
@@ -63,7 +63,7 @@
             if writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
                 self._disconnect(writer)
             else:
-                writer.write(encode_update(FlowIdUpdate(job_id, is_open)))
+                writer.write(encode_update(JobIdUpdate(job_id, is_open)))
 
     async def fetch_state(self) -> HandoverState | None:
         """Return the state of the previous process and stay connected to it, or None if there is no state."""
@@ -79,7 +79,7 @@
             if writer is not None:
                 writer.close()
             return None
-        self._add_sibling(reader, writer, set(state.flow_ids))
+        self._add_sibling(reader, writer, set(state.open_job_ids))
         return state
 
     async def listen(self) -> None:
@@ -136,7 +136,7 @@
         try:
             while line := await reader.readline():
                 if (update := decode_update(line)) is not None:
-                    (ids.add if update.is_open else ids.discard)(update.flow_id)
+                    (ids.add if update.is_open else ids.discard)(update.job_id)
         except (OSError, ValueError) as error:
             log.warning("connection to a sibling process: %s", error)
         finally:
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -134,7 +134,7 @@
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
                 await wait_until(lambda: len(app.router.table.servers) == 2)
                 worst, learned = 0.0, []
-                app.router.table.watcher = lambda each, up: learned.append((time.monotonic(), each, up))
+                app.router.table.on_accepts_work_changed = lambda each, up: learned.append((time.monotonic(), each, up))
                 # By its weight the other box is the second choice.
                 async with load(app, b"14") as statuses:
                     for _ in range(200):
@@ -174,14 +174,14 @@
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
-                    await wait_until(lambda: app.extensions["srv"].resolver.names.roots[NAME].failing_since)
+                    await wait_until(lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
                     await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
-                await wait_until(lambda: not app.extensions["srv"].resolver.names.roots[NAME].failing_since)
+                await wait_until(lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
@@ -202,7 +202,7 @@
             await wait_until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             changes = []
-            app.router.table.watcher = lambda server, up: changes.append((server.entry.host, up))
+            app.router.table.on_accepts_work_changed = lambda server, up: changes.append((server.entry.host, up))
             async with load(app) as statuses:
                 for liar in servers:
                     if lie == "old zone":
@@ -326,9 +326,9 @@
                 assert first.accepts_work and spare.accepts_work
                 await wait_until(lambda: not spare.accepts_work)
                 assert time.monotonic() - back > 0.29, "the hysteresis"
-                app.module.avoided = lambda now: {first.id}
+                app.module.workers_in_backoff = lambda now: {first.id}
                 await wait_until(lambda: spare.accepts_work)
-                del app.module.avoided
+                del app.module.workers_in_backoff
                 await wait_until(lambda: not spare.accepts_work)
                 server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
                 await wait_until(lambda: len(app.router.table.servers) == 1)
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -14,7 +14,7 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    FlowIdUpdate,
+    JobIdUpdate,
     HandoverState,
     decode_state,
     decode_update,
@@ -32,7 +32,7 @@
     interface.WorkerEntry(2, started_at=900_000),
     interface.WorkerEntry(3, machine_kind=1),
 )
-SETTINGS = Settings(fall_window=1, warm_after=1)
+SETTINGS = Settings(collapse_window=1, warmup_duration=1)
 BUSY = interface.LoadReport(in_flight=9.0, queued=5.0, free_slots=0.0)
 IDLE = interface.LoadReport(in_flight=0.0, queued=0.0, free_slots=4.0)
 
@@ -65,9 +65,9 @@
 
 def test_learned_state_is_restored():
     old, new, now = dispatcher_with_history(), new_dispatcher(), 4_200_000
-    assert old.avoided(now) == {2} and new.avoided(now) == set()
+    assert old.workers_in_backoff(now) == {2} and new.workers_in_backoff(now) == set()
     import_state(new, through_json(export_state(old, now)), now)
-    assert new.avoided(now) == {2}
+    assert new.workers_in_backoff(now) == {2}
     assert [run_time.value for run_time in new.load_model.run_times] == [
         run_time.value for run_time in old.load_model.run_times
     ]
@@ -93,7 +93,7 @@
     entries = (ENTRIES[0], interface.WorkerEntry(2, started_at=4_000_000))
     new.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 4_150_000)
     import_state(new, through_json(export_state(old, 4_200_000)), 4_200_000)
-    assert new.avoided(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
+    assert new.workers_in_backoff(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
 
 
 def test_levels_of_an_earlier_version_are_ignored():
@@ -105,7 +105,7 @@
         worker_state["level"] = worker_state.pop("usual")
         del worker_state["size"]
     import_state(new, learned_state, now)
-    assert new.load_model.usual_levels == {} and new.avoided(now) == {2}
+    assert new.load_model.usual_levels == {} and new.workers_in_backoff(now) == {2}
     for worker in new.workers.values():
         new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
@@ -150,7 +150,7 @@
 @given(SEEDS)
 def test_any_line_is_decoded_or_rejected(seed):
     survives(lambda line: decode_state(line, CODEC), garbage(encode_state(STATE, CODEC), seed), ValueError)
-    survives(decode_update, garbage(encode_update(FlowIdUpdate("9b", True)), seed), ValueError)
+    survives(decode_update, garbage(encode_update(JobIdUpdate("9b", True)), seed), ValueError)
 
 
 def test_state_and_updates_survive_a_round_trip():
@@ -161,8 +161,8 @@
         == 1
     ), "zones are encoded by name: the next process may have them in another order"
     assert decode_state(encode_state(STATE, CODEC), CODEC) == STATE
-    assert [decode_update(encode_update(FlowIdUpdate("9b", is_open))) for is_open in (True, False)] == [
-        FlowIdUpdate("9b", True), FlowIdUpdate("9b", False)
+    assert [decode_update(encode_update(JobIdUpdate("9b", is_open))) for is_open in (True, False)] == [
+        JobIdUpdate("9b", True), JobIdUpdate("9b", False)
     ]  # fmt: skip
     assert decode_update(b'{"something": "later versions say"}') is None
 
@@ -269,7 +269,7 @@
         async with site(tmp_path) as (app, [toy]):
             full_limit = app.client_listener.connection_limit
             local = Handover(tmp_path / "next", app, lambda: app.conf.reader)
-            app.router.is_open_elsewhere, app.router.on_id_changed = (
+            app.router.is_open_elsewhere, app.router.on_open_ids_changed = (
                 local.is_open_elsewhere,
                 local.broadcast_update,
             )
@@ -281,7 +281,7 @@
             )
             await wait_until(lambda: toy.holds)
             state = await remote.fetch_state()
-            assert state.flow_ids == ("a",) and [entry.host for entry in state.endpoints.entries] == ["toy-0"]
+            assert state.open_job_ids == ("a",) and [entry.host for entry in state.endpoints.entries] == ["toy-0"]
             assert (
                 app.client_listener.connection_limit < full_limit / 2
                 and app.pool.settings.max_connections < full_limit / 2
