--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -20,7 +20,7 @@
 from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
 from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
 from tests.support.model import Model
-from tests.support.site_kit import until
+from tests.support.site_kit import wait_until
 
 LONG = replace(JOB, timeout_us=20_000_000)
 
@@ -38,7 +38,7 @@
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
                 flow = site.router.accept(job)
-                await until(lambda: connects.waiting)
+                await wait_until(lambda: connects.waiting)
                 await change(site, flow)
                 await turns()
                 connects.let_go()
