--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from benchmarks.control.faults import Fault, FaultInjector
-from benchmarks.control.fleet import InvariantViolationError, Fleet, has_formed
+from benchmarks.control.fleet import Fleet, InvariantViolationError, has_formed
 from benchmarks.control.network import MS, S
 from benchmarks.control.observers import DrainingWorkers, LeaderMonitor, OrderMonitor, RouterMonitor
 from benchmarks.control.operators import Operators
@@ -184,7 +184,9 @@
     return str(broken), broken.faults
 
 
-def _broken(seed: int, machines: int, tolerance: int, skipped: frozenset[int]) -> InvariantViolationError | None:
+def _broken(
+    seed: int, machines: int, tolerance: int, skipped: frozenset[int]
+) -> InvariantViolationError | None:
     try:
         play(seed, machines, tolerance, skipped=skipped)
     except InvariantViolationError as error:
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from benchmarks.control.fleet import InvariantViolationError, Fleet, Machine
+from benchmarks.control.fleet import Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import MS
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
@@ -167,9 +167,13 @@
             return
         body = decompress_body(config)
         if (config.version, body) in self.rejected:
-            raise InvariantViolationError(f"{machine.address} has {config.version} in force, which was refused")
+            raise InvariantViolationError(
+                f"{machine.address} has {config.version} in force, which was refused"
+            )
         if body not in self.sent.get(config.version, set()):
-            raise InvariantViolationError(f"version {config.version} differs from what was sent under its number")
+            raise InvariantViolationError(
+                f"version {config.version} differs from what was sent under its number"
+            )
 
     # --- reads ---
 
@@ -182,7 +186,9 @@
                 return
             self.reads += 1
             if config.version < began_with:
-                raise InvariantViolationError(f"read {config.version} after {began_with} was acknowledged or read")
+                raise InvariantViolationError(
+                    f"read {config.version} after {began_with} was acknowledged or read"
+                )
             self._newest_read = max(self._newest_read, config.version)
 
         self.fleet.read(address or self._next_machine(), on_result)
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -76,7 +76,9 @@
     def alive(self, now: int) -> dict[str, Peer]:
         """Peers that were heard within `ALIVE_TIMEOUT_US`."""
         return {
-            address: peer for address, peer in self._peers.items() if now - peer.last_hello_at < ALIVE_TIMEOUT_US
+            address: peer
+            for address, peer in self._peers.items()
+            if now - peer.last_hello_at < ALIVE_TIMEOUT_US
         }
 
     def alive_quorum_peers(self, now: int) -> tuple[str, ...]:
--- a/hazelbend/control/worker_sync.py
+++ b/hazelbend/control/worker_sync.py
@@ -89,7 +89,9 @@
         They were not heard because nobody listened: they have a little more than a heartbeat to be heard
         before they count as silent.
         """
-        last_heartbeat_at = now - round((SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us)
+        last_heartbeat_at = now - round(
+            (SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us
+        )
         for record in records:
             if record.state is not WorkerState.GONE:
                 self._forward(self.registry.merge(record, last_heartbeat_at))
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -147,7 +147,8 @@
         heard = self._heard_instances
         self._heard_instances = set()
         return {
-            instance: max(now - self.tracked[instance].last_heartbeat_at, 0) for instance in heard & set(self.tracked)
+            instance: max(now - self.tracked[instance].last_heartbeat_at, 0)
+            for instance in heard & set(self.tracked)
         }
 
     def _end_previous_instance(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -18,8 +18,8 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     MAX_LINE_BYTES,
-    JobIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -14,8 +14,8 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    JobIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
@@ -281,7 +281,9 @@
             )
             await wait_until(lambda: toy.holds)
             state = await remote.fetch_state()
-            assert state.open_job_ids == ("a",) and [entry.host for entry in state.endpoints.entries] == ["toy-0"]
+            assert state.open_job_ids == ("a",) and [entry.host for entry in state.endpoints.entries] == [
+                "toy-0"
+            ]
             assert (
                 app.client_listener.connection_limit < full_limit / 2
                 and app.pool.settings.max_connections < full_limit / 2
