--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -48,17 +48,17 @@
     def __init__(self, path: Path, owner: HandoverOwner, codec: Callable[[], EndpointListCodec]) -> None:
         """`codec` returns the codec of the current configuration."""
         self.path, self._owner, self._codec = path, owner, codec
-        self._siblings: dict[asyncio.StreamWriter, set[str]] = {}  # with the ids of the flows open there
+        self._siblings: dict[asyncio.StreamWriter, set[str]] = {}  # with the ids of the jobs open there
         self._server: asyncio.Server | None = None
         self._socket_inode = 0  # the inode of the socket of this process
         self._tasks: set[asyncio.Task[None]] = set()
 
     def is_open_elsewhere(self, job_id: str) -> bool:
-        """Return whether a flow of this id is open in another process."""
+        """Return whether a job with this id is open in another process."""
         return any(job_id in ids for ids in self._siblings.values())
 
     def broadcast_update(self, job_id: str, is_open: bool) -> None:
-        """Notify all siblings that a flow was accepted here (`is_open`) or has ended."""
+        """Notify all siblings that a job was accepted here (`is_open`) or has ended."""
         for writer in list(self._siblings):
             if writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
                 self._disconnect(writer)
--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -249,8 +249,8 @@
     asyncio.run(run())
 
 
-def test_request_id_of_an_open_flow_is_rejected(tmp_path):
-    """Guards the open flow: backends identify a job by its id and would confuse the two."""
+def test_request_id_of_an_open_job_is_rejected(tmp_path):
+    """Guards the open job: backends identify a job by its id and would confuse the two."""
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -187,7 +187,7 @@
     await local.close()
 
 
-def test_flow_ids_are_exchanged_until_one_process_ends(tmp_path):
+def test_job_ids_are_exchanged_until_one_process_ends(tmp_path):
     async def run():
         path = tmp_path / "next"
         async with listening_handover(path) as (old, old_owner):
@@ -264,7 +264,7 @@
     asyncio.run(run())
 
 
-def test_flow_id_open_in_the_other_process_is_rejected(tmp_path):
+def test_job_id_open_in_the_other_process_is_rejected(tmp_path):
     async def run():
         async with site(tmp_path) as (app, [toy]):
             full_limit = app.client_listener.connection_limit
--- a/tests/transport/test_stomp_listener.py
+++ b/tests/transport/test_stomp_listener.py
@@ -194,8 +194,10 @@
             await wait_until(lambda: peer.answers())
             assert peer.answers() == {"late": ["failed"]}
             assert peer.of("MESSAGE")[0].headers["reason"] == "deadline"
-            [flow] = accepted
-            assert flow.job.timeout_us < 300_000, "part of the client's timeout is reserved for the response"
+            [open_request] = accepted
+            assert open_request.job.timeout_us < 300_000, (
+                "part of the client's timeout is reserved for the response"
+            )
 
     asyncio.run(run())
 
