--- a/hazelbend/__init__.py
+++ b/hazelbend/__init__.py
@@ -1,1 +1,1 @@
-"""hazelbend: a dispatcher that spreads jobs over real servers on delayed information."""
+"""hazelbend: a dispatcher that distributes jobs over servers, whose load it knows only with a delay."""
--- a/hazelbend/__main__.py
+++ b/hazelbend/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m hazelbend`: one dispatcher. With words behind it: a command, see `--help`."""
+"""`python -m hazelbend` runs one dispatcher. With arguments it runs a command; see `--help`."""
 
 import sys
 from typing import Any, cast
 
-# No TLS is spoken here. Loading it is a third of the time that a restart takes, in which clients may have
-# nobody to go to, and 4 MB; asyncio and aiohttp do without where it is missing.
+# The dispatcher does not use TLS. Loading it takes 4 MB and a third of the time of a restart, during which
+# clients may have no dispatcher. asyncio and aiohttp work without it if it is missing.
 cast(dict[str, Any], sys.modules)["ssl"] = None
 
 if len(sys.argv) > 1:
--- a/hazelbend/benchlink/__init__.py
+++ b/hazelbend/benchlink/__init__.py
@@ -1,12 +1,12 @@
-"""The link to the simulator: many dispatchers in one process, on the simulator's binary protocol.
+"""The link to the simulator: many dispatchers in one process, over the simulator's binary protocol.
 
-The simulator writes batches of events on standard input and reads batches of actions on standard output.
-Each dispatcher is an *instance*; instances share nothing.
+The simulator writes batches of events to the standard input of this process, and reads batches of actions
+from its standard output. Each dispatcher is an *instance*; instances share no state.
 
 - `records`: codes and layouts of the protocol
-- `messages`: decoded events that the decision module does not know: an instance begins or ends
+- `messages`: messages that are not events of the decision module: an instance starts or ends
 - `decoder`, `encoder`: bytes to events, actions to bytes
 - `instances`: the decision modules by instance number
-- `event_loop`: standard input to standard output
-- `errors`: what goes wrong
+- `event_loop`: reads batches from standard input and writes replies to standard output
+- `errors`: the exceptions of this package
 """
--- a/hazelbend/benchlink/decoder.py
+++ b/hazelbend/benchlink/decoder.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator to events of the decision module."""
+"""Decodes batches from the simulator to events of the decision module."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 )
 from hazelbend.decisions.settings import SettingsError, report_fields, settings_from
 
-_OUTCOMES = tuple(Outcome)  # looked up by index: quicker than a call of the enumeration
+_OUTCOMES = tuple(Outcome)  # a lookup by index is faster than a call of `Outcome`
 
 
 def settings_from_json(text: bytes) -> tuple[Settings, tuple[str, ...]]:
-    """The settings, and which field of a `LoadReport` each of its values stands for.
+    """Return the settings, and the `LoadReport` field of each value of a load report ("" if it is unused).
 
     Raises:
-        MalformedInputError: the text is not JSON, or a setting is not what it may be.
+        MalformedInputError: the text is not JSON, or a setting is invalid.
     """
     try:
         conf = json.loads(text)
@@ -53,20 +53,23 @@
 
 
 class Decoder:
-    """Decodes batches. Keeps what later records refer to: numbered worker lists, and report columns."""
+    """Decodes batches.
+
+    Stores the numbered worker lists and the report columns, which later records refer to.
+    """
 
     def __init__(self) -> None:
-        """No worker list is known yet."""
+        """Create a decoder without worker lists and report columns."""
         self._worker_lists: dict[int, tuple[WorkerEntry, ...]] = {}
         self._columns: dict[int, tuple[str, ...]] = {}  # by instance
 
     def decode(self, count: int, body: bytes) -> list[tuple[int, Message]]:
-        """The messages of one batch, each with the number of its instance, in order.
+        """Return the messages of one batch in order, each with the number of its instance.
 
-        `body` is `count` records and the tail.
+        `body` consists of `count` records and the tail.
 
         Raises:
-            MalformedInputError: a record is not what the protocol allows.
+            MalformedInputError: a record violates the protocol.
         """
         if count * records.EVENT_SIZE > len(body):
             raise MalformedInputError(f"batch: {count} records do not fit into {len(body)} bytes")
@@ -101,7 +104,7 @@
         rows = records.WORKER_ENTRY_LAYOUT.iter_unpack(data)
         self._worker_lists[number] = tuple(_worker_entry(row, index) for row in rows)
 
-    # --- one record each; all have the same arguments, as the table below calls them alike ---
+    # --- one method for each kind of record, all with the same arguments, which _DECODERS requires ---
 
     def _configure(self, body: bytes, at: int, instance: int, tail: memoryview, index: int) -> Message:
         seed, offset, length = records.CONFIGURE_LAYOUT.unpack_from(body, at)
@@ -140,7 +143,7 @@
             return JobStarted(request, worker, attempt)
         if kind == records.JOB_PROGRESS:
             return JobProgress(request, worker, attempt, share)
-        return None  # a kind that later versions of the protocol may add
+        return None  # later versions of the protocol may add other kinds
 
     def _attempt_ended(self, body: bytes, at: int, instance: int, tail: memoryview, index: int) -> Message:
         row = records.ATTEMPT_ENDED_LAYOUT.unpack_from(body, at)
@@ -165,7 +168,7 @@
         return Kill()
 
     def _peer_message(self, body: bytes, at: int, instance: int, tail: memoryview, index: int) -> None:
-        """A message of another instance: dispatchers share nothing, so it is skipped."""
+        """Skip a message from another instance: dispatchers share no state."""
 
 
 _DECODERS: dict[int, Callable[[Decoder, bytes, int, int, memoryview, int], Message | None]] = {
@@ -184,7 +187,10 @@
 
 
 def _load_report(columns: tuple[str, ...], count: int, values: list[float]) -> LoadReport | None:
-    """The first `count` values by their columns. What a report does not carry stays unknown."""
+    """Return a load report with the first `count` values by their columns, or None if there are none.
+
+    Fields without a value stay unknown.
+    """
     if not count:
         return None
     fields = {name: value for name, value in zip(columns, values[:count], strict=False) if name}
--- a/hazelbend/benchlink/encoder.py
+++ b/hazelbend/benchlink/encoder.py
@@ -1,4 +1,4 @@
-"""Actions of the decision module to the simulator's replies."""
+"""Encodes actions of the decision module to replies for the simulator."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _u32(value: int) -> int:
-    """The value, clipped to what 32 bits hold."""
+    """Return the value, limited to the range of an unsigned 32-bit integer."""
     return min(max(value, 0), records.U32_MAX)
 
 
@@ -56,7 +56,7 @@
 
 
 def encode_reply(groups: Iterable[tuple[int, list[Action]]]) -> bytes:
-    """The reply to one batch: each instance with its actions, in order."""
+    """Return the reply to one batch: the actions of each instance, in order."""
     rows: list[bytes] = []
     for instance, actions in groups:
         if actions:
@@ -66,7 +66,7 @@
 
 
 def encode_failure(instance: int, text: str) -> bytes:
-    """The reply to a batch in which the decision module of this instance raised an exception."""
+    """Return the reply to a batch in which the decision module of this instance raised an exception."""
     message = text.encode()
     failure_row = records.INSTANCE_FAILED_LAYOUT.pack(records.INSTANCE_FAILED, 0, len(message))
     rows = [_instance_row(instance), failure_row]
--- a/hazelbend/benchlink/event_loop.py
+++ b/hazelbend/benchlink/event_loop.py
@@ -1,4 +1,4 @@
-"""Batches of events from standard input, replies with actions to standard output."""
+"""Reads batches of events from standard input, and writes replies with actions to standard output."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """One reply for each batch, until the input ends between two batches.
+    """Write one reply for each batch, until the input ends between two batches.
 
     Raises:
         MalformedInputError: the input violates the protocol; the text names the batch.
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Run until the input ends; the exit status. Malformed input is one line on standard error."""
+    """Run until the input ends, and return the exit status. Malformed input gives one line on stderr."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedInputError as error:
--- a/hazelbend/benchlink/instances.py
+++ b/hazelbend/benchlink/instances.py
@@ -9,19 +9,19 @@
 
 
 class InstanceTable:
-    """The instances by number. They share nothing but this table."""
+    """The instances by number. They share no state."""
 
     def __init__(self) -> None:
-        """No instance has begun yet."""
+        """Create a table without instances."""
         self._instances: dict[int, Dispatcher] = {}
 
     def handle_batch(self, messages: list[tuple[int, Message]], now: int) -> list[tuple[int, list[Action]]]:
-        """Hand each message to its instance; the actions come in the order of the messages.
+        """Pass each message to its instance, and return the actions in the order of the messages.
 
         `now`: the simulator's time, in microseconds.
 
         Raises:
-            MalformedInputError: an event is for an instance that has not begun, or was killed.
+            MalformedInputError: an event is for an instance that has not started, or was killed.
             InstanceFailedError: the decision module of an instance raised an exception.
         """
         groups: list[tuple[int, list[Action]]] = []
@@ -37,7 +37,7 @@
             else:
                 try:
                     actions = self._instances[instance].handle(message, now)
-                except Exception as error:  # whatever the module raises is reported to the simulator
+                except Exception as error:  # every exception of the module is reported to the simulator
                     raise InstanceFailedError(instance, error) from error
                 if actions:
                     groups.append((instance, actions))
--- a/hazelbend/benchlink/messages.py
+++ b/hazelbend/benchlink/messages.py
@@ -1,4 +1,4 @@
-"""What the decoder makes of the simulator's records: events of the decision module, or one of these."""
+"""The messages that the decoder returns: events of the decision module, `Configure` and `Kill`."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Configure:
-    """An instance begins, with these settings."""
+    """An instance starts with these settings."""
 
     seed: int
     """Seed of the instance's random numbers."""
     settings: Settings
     columns: tuple[str, ...]
-    """`LoadReport` fields that the values of a load report stand for; "" for a value that is not used."""
+    """The `LoadReport` field of each value of a load report; "" if the value is unused."""
 
 
 @dataclass(slots=True, frozen=True)
 class Kill:
-    """An instance was ended."""
+    """The simulator has ended an instance."""
 
 
 Message: TypeAlias = Configure | Kill | Event
--- a/hazelbend/benchlink/records.py
+++ b/hazelbend/benchlink/records.py
@@ -1,9 +1,9 @@
 """Codes and layouts of the simulator's protocol.
 
-All numbers are little-endian. A batch is a header, records of fixed size, and a tail that holds what varies
-in size: settings (JSON) and worker lists. A record names its part of the tail by offset and length. Each
-record starts with its code, one byte; the rest of a record that a layout does not cover is zero. Times and
-durations are in microseconds.
+All numbers are little-endian. A batch is a header, records of fixed size, and a tail with the data of
+variable size: settings (JSON) and worker lists. A record refers to its part of the tail by offset and length.
+Each record starts with its code, one byte; the bytes after its layout are zero. Times and durations are in
+microseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from struct import Struct
 from typing import Final
 
-# --- batches of events: count of records, bytes behind the header, the time ---
+# --- batches of events; the header: number of records, bytes after the header, current time ---
 
 BATCH_HEADER: Final = Struct("<IIQ")
 EVENT_SIZE: Final = 48  # bytes
@@ -30,7 +30,7 @@
 JOB_SIGNAL: Final = 120
 SELECT_INSTANCE: Final = 130  # the records after it belong to this instance
 
-# The code is skipped (`x`): the decoder has read it.
+# The layouts skip the code (`x`), which the decoder has read already.
 SELECT_INSTANCE_LAYOUT: Final = Struct("<xI")  # instance
 CONFIGURE_LAYOUT: Final = Struct("<xQII")  # seed, offset, length
 WORKER_LIST_LAYOUT: Final = Struct("<xBII")  # list number, offset, count of entries
@@ -47,12 +47,12 @@
 PROBE_ENDED_LAYOUT: Final = Struct("<xHIIB4f")  # outcome, worker, elapsed, count of report values, values
 WORKER_ENTRY_LAYOUT: Final = Struct("<IBBHBfQ")  # worker, zone, machine kind, cell, state, weight, started at
 
-MAX_WORKER_LISTS: Final = 16  # numbered lists that are kept at once
+MAX_WORKER_LISTS: Final = 16  # numbered lists that the decoder stores at once
 MAX_REPORT_VALUES: Final = 4
 WORK_IS_EXPECTED: Final = 1  # flag of REQUEST_ARRIVED: `expected work` holds a value
 JOB_STARTED, JOB_PROGRESS = 1, 2  # kinds of JOB_SIGNAL
 
-# --- batches of actions: bytes of records and tail, count of records ---
+# --- batches of actions; the header: bytes of records and tail, number of records ---
 
 REPLY_HEADER: Final = Struct("<II")
 ACTION_SIZE: Final = 24  # bytes
--- a/hazelbend/cli/check.py
+++ b/hazelbend/cli/check.py
@@ -1,4 +1,4 @@
-"""`check CONFIG`: what the program makes of a configuration, without starting it."""
+"""`check CONFIG`: shows how the program reads a configuration, without starting it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from hazelbend.dispatcher.text_table import format_table
 
 EXIT_OK = 0
-EXIT_DOUBTS = 1
-EXIT_UNUSABLE = 2
-FEATURES = {  # what a deploy file or a setting turns on, by the field of `Config` that it fills
+EXIT_WARNINGS = 1
+EXIT_INVALID = 2
+FEATURES = {  # components that a deploy file or a setting enables, by their field of `Config`
     "stomp": "the STOMP front",
     "snmp": "the SNMP agent",
     "console": "the console",
@@ -26,22 +26,22 @@
 
 
 def run(path: str, as_json: bool) -> int:
-    """Print the report on the configuration at `path`; the exit status."""
+    """Print the report on the configuration at `path`, and return the exit status."""
     try:
         conf = config.load(os.environ | {"RELAY_CONFIG": path})
     except config.ConfigError as error:
         print(f"hazelbend check: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_INVALID
     report = _report(conf)
     if as_json:
         print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
     else:
-        print("\n".join(_page(report)))
-    return EXIT_DOUBTS if report["doubts"] else EXIT_OK
+        print("\n".join(_format_report(report)))
+    return EXIT_WARNINGS if report["doubts"] else EXIT_OK
 
 
 def _report(conf: config.Config) -> dict[str, Any]:
-    """Plain values for JSON."""
+    """Return the report as plain values, for JSON."""
     report = conf.settings_report.as_plain_values()
     report["on"] = [name for field, name in FEATURES.items() if getattr(conf, field) is not None]
     report["off"] = [name for field, name in FEATURES.items() if getattr(conf, field) is None]
@@ -50,8 +50,8 @@
     return report
 
 
-def _page(report: dict[str, Any]) -> Iterator[str]:
-    """The report as paragraphs and tables."""
+def _format_report(report: dict[str, Any]) -> Iterator[str]:
+    """Yield the report as paragraphs and tables."""
     settings = dict(report["goes_by"])
     classes = settings.pop("classes")
     yield "It goes by:"
@@ -67,12 +67,12 @@
     if report["doubts"]:
         yield "\nHardly meant so:"
         yield format_table(
-            [("KEY", "READ AS"), *((doubt["key"], doubt["text"]) for doubt in report["doubts"])]
+            [("KEY", "READ AS"), *((warning["key"], warning["text"]) for warning in report["doubts"])]
         )
 
 
 def _rows(values: dict[str, Any], prefix: str = "") -> Iterator[tuple[str, str]]:
-    """Nested settings as rows with dotted keys."""
+    """Yield nested settings as rows with dotted keys."""
     for key, value in values.items():
         if isinstance(value, dict):
             yield from _rows(value, f"{prefix}{key}.")
--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -1,6 +1,6 @@
-"""Commands `fleet` and `lease`, for a person or a timer on a machine of the fleet.
+"""Commands `fleet` and `lease`, for operators and scheduled tasks on a machine of the fleet.
 
-Each command calls the dispatcher of its own machine, at the address that `deploy/fleet.toml` names.
+Each command calls the dispatcher on the same machine, at the address that `deploy/fleet.toml` names.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 class ExitStatus(IntEnum):
-    """Of all commands here but `lease run`."""
+    """Exit statuses of all commands in this module except `lease run`."""
 
     OK = 0
-    NOTHING = 1  # to show, or a refusal
+    NOTHING = 1  # there is nothing to show, or the command was refused
     INVALID_SETTINGS = 2
     UNREACHABLE = 3
 
 
 async def status(settings: FleetSettings, links: PeerLinks, *, as_json: bool) -> int:
-    """Print members, voters and the leader."""
+    """Print members, voters and the leader; the exit status is NOTHING if there is no leader."""
     view = await links.view(settings.listen, CALL_TIMEOUT_S)
     if as_json:
         print(msgspec.json.encode(view).decode())
@@ -63,7 +63,7 @@
 
 
 async def start(settings: FleetSettings, links: PeerLinks, *, force: bool) -> int:
-    """Start a new epoch. `force`: even if somebody leads, as far as this machine's dispatcher knows."""
+    """Start a new epoch. `force`: even if this machine's dispatcher knows a leader."""
     try:
         epoch = await links.start_new_epoch(settings.listen, force=force, timeout_s=CALL_TIMEOUT_S)
     except ValueError as error:
@@ -75,9 +75,9 @@
 
 
 async def show_leases(settings: FleetSettings, links: PeerLinks, name: str | None, *, as_json: bool) -> int:
-    """Print all leases or the one of this name, as the leader has them.
+    """Print all leases, or the one with this name, as the leader knows them.
 
-    If the leader does not answer: as this machine's dispatcher has them.
+    If the leader does not answer, print them as this machine's dispatcher knows them.
     """
     view = await links.view(settings.listen, CALL_TIMEOUT_S)
     if view.leader and view.leader != view.me:
@@ -88,7 +88,7 @@
         print(msgspec.json.encode({"fresh": view.is_fresh, "leases": leases}).decode())
     else:
         if not view.is_fresh:
-            print("as last known here: nobody that leads could be asked", file=sys.stderr)
+            print("no leader could be reached: showing the last known leases", file=sys.stderr)
         for lease in leases:
             _print_lease(lease)
     return ExitStatus.OK if leases or name is None else ExitStatus.NOTHING
@@ -102,20 +102,23 @@
 
 
 async def force_release(settings: FleetSettings, links: PeerLinks, name: str) -> int:
-    """Release a lease that another holds."""
+    """Release a lease that another process holds."""
     response = await LeaderRoute(settings, links).submit(ForceRelease(name))
     if response is None:
-        print("hazelbend: nobody that leads has answered; it may have been done", file=sys.stderr)
+        print("hazelbend: no leader has answered; the lease may have been released", file=sys.stderr)
         return ExitStatus.UNREACHABLE
     released = response.reason == Reason.RELEASED
     if released:
-        print("released. Its holder may act on: only a store that checks tokens refuses it", file=sys.stderr)
+        print(
+            "released. The holder may continue to act: only a store that checks tokens rejects it",
+            file=sys.stderr,
+        )
     print(response.reason)
     return ExitStatus.OK if released else ExitStatus.NOTHING
 
 
 def main(command: Callable[[FleetSettings, PeerLinks], Awaitable[int]]) -> int:
-    """Run a command with this machine's settings; the exit status."""
+    """Run a command with this machine's settings, and return the exit status."""
 
     async def run() -> int:
         settings = fleet_settings()
--- a/hazelbend/cli/leader_route.py
+++ b/hazelbend/cli/leader_route.py
@@ -1,4 +1,4 @@
-"""How a command reaches the leader of the fleet."""
+"""Sends operations of a command to the leader of the fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeaderRoute:
-    """The way to the leader: through this machine's dispatcher, or through a seed while that one is down."""
+    """Sends operations to the leader through this machine's dispatcher, or a seed while it is down."""
 
     def __init__(self, settings: FleetSettings, links: PeerLinks) -> None:
         others = [seed for seed in settings.seeds if seed != settings.advertised_address]
@@ -19,9 +19,9 @@
         self._failures = 0
 
     async def submit(self, operation: Operation) -> LeaseResponse | None:
-        """The leader's response. None: no leader has answered."""
+        """Return the leader's response. None: no leader answered, and the next call uses another address."""
         address = self._addresses[self._failures % len(self._addresses)]
         response = await self._links.submit_to_leader(address, operation, CALL_TIMEOUT_S)
         if response is None:
-            self._failures += 1  # a dispatcher that is no voter may not know who leads
+            self._failures += 1  # a dispatcher that is not a voter may not know the leader
         return response
--- a/hazelbend/cli/lease_run.py
+++ b/hazelbend/cli/lease_run.py
@@ -1,7 +1,7 @@
-"""Command `lease run`: runs a command under a lease.
+"""Command `lease run`: runs a command while it holds a lease.
 
-The command starts once the lease is held. It gets SIGTERM, and then SIGKILL, early enough to be gone before
-the lease's time is over.
+The command starts once the lease is held. If the lease is not renewed, the command gets SIGTERM and then
+SIGKILL, early enough to end before the lease expires.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 from hazelbend.transport.peer.peer_links import PeerLinks
 
 POLL_S = 0.02
-STOP_TIMES_PER_TTL = 5  # a stop time: from SIGTERM to the end of the lease
-KILL_TIMES_PER_STOP_TIME = 4  # a kill time: from SIGKILL to the end of the lease
+STOP_TIMES_PER_TTL = 5  # the stop time is the time from SIGTERM to the expiry of the lease
+KILL_TIMES_PER_STOP_TIME = 4  # the kill time is the time from SIGKILL to the expiry of the lease
 LEASE_VARIABLE = "HAZELBEND_LEASE"
 TOKEN_VARIABLE = "HAZELBEND_TOKEN"
 PR_SET_PDEATHSIG = 1  # of <linux/prctl.h>
 FORWARDED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-SIGNALLED_STATUS_BASE = 128  # a shell's status of a command that a signal ended
+SIGNALLED_STATUS_BASE = 128  # as in a shell: the exit status of a command that a signal ended is 128 + signal
 US_PER_S = 1e6
 
 
 class LeaseRunStatus(IntEnum):
-    """Exit status where the command's own is not to be had. Few commands use these."""
+    """Exit statuses if there is none of the command itself. Few commands use these numbers."""
 
     NOT_HELD = 75  # EX_TEMPFAIL
     LOST = 76
 
 
 def now_us() -> int:
-    """Microseconds of the machine's monotonic clock."""
+    """Return the time of the machine's monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1_000
 
 
@@ -52,7 +52,7 @@
     def __init__(
         self, route: LeaderRoute, client: LeaseClient, command: tuple[str, ...], stop_time_us: int
     ) -> None:
-        """`stop_time_us`: how long before the end of the lease the command gets SIGTERM."""
+        """`stop_time_us`: how long before the lease expires the command gets SIGTERM."""
         self._client = client
         self._command = command
         self._stop_time_us = stop_time_us
@@ -62,7 +62,7 @@
         self._terminated = False
 
     async def run(self) -> int:
-        """The exit status: the command's, or a LeaseRunStatus."""
+        """Run the command, and return its exit status or a LeaseRunStatus."""
         loop = asyncio.get_running_loop()
         for number in FORWARDED_SIGNALS:
             loop.add_signal_handler(number, self._forward_signal, number)
@@ -76,7 +76,7 @@
         return self._exit_status()
 
     async def _supervise(self) -> None:
-        """Until the request for the lease has ended."""
+        """Start and stop the command, until the request for the lease has ended."""
         while True:
             self._requester.tick(self._client)
             now = now_us()
@@ -102,7 +102,7 @@
         self._process = await asyncio.create_subprocess_exec(
             *self._command,
             env=os.environ | variables,
-            start_new_session=True,  # a group of its own, so that its children are stopped with it
+            start_new_session=True,  # in its own process group, so that its children are stopped too
             preexec_fn=_die_with_parent,
         )
         self._ended = asyncio.create_task(self._process.wait())
@@ -116,13 +116,13 @@
         if not self._terminated and now >= self._client.stop_at(self._stop_time_us):
             self._terminated = True
             self._signal(signal.SIGTERM)
-        # If this process was stopped for long, both are due at once.
+        # If this process was suspended for long, both signals are due at once.
         kill_at = self._client.stop_at(self._stop_time_us // KILL_TIMES_PER_STOP_TIME)
         if not self._has_ended() and now >= kill_at:
             self._signal(signal.SIGKILL)
 
     def _forward_signal(self, number: int) -> None:
-        """Somebody ends this process: the command ends first, and then the lease."""
+        """Forward a signal to the command, whose end releases the lease. Without a command, release now."""
         if self._process is None:
             self._client.release(now_us())
         else:
@@ -146,7 +146,10 @@
 
 
 def _die_with_parent() -> None:
-    """In the command's process: it is killed if `lease run` is, as nobody would stop it in time then."""
+    """In the command's process: request SIGKILL when `lease run` dies.
+
+    Without `lease run`, no process would stop the command before the lease expires.
+    """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -158,7 +161,7 @@
     wait_s: float,
     command: tuple[str, ...],
 ) -> int:
-    """Run a command under the lease `name`; the exit status. `wait_s`: most time in the queue."""
+    """Run a command under the lease `name`; returns the exit status. `wait_s`: longest wait for the lease."""
     holder = f"{os.uname().nodename}.{os.getpid()}.{secrets.token_hex(4)}"
     request = Acquire(name, holder, 1, round(ttl_s * US_PER_S), round(wait_s * US_PER_S))
     client = LeaseClient(request, settings.leases.limits, now_us())
--- a/hazelbend/cli/main.py
+++ b/hazelbend/cli/main.py
@@ -1,6 +1,6 @@
-"""The command line, by click.
+"""The command line, built with click.
 
-Each command imports its own module when it runs: a command needs only the packages of its part.
+Each command imports its own module when it runs, so it needs only the packages of its own component.
 """
 
 from __future__ import annotations
@@ -16,20 +16,23 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Tools beside the dispatcher. Without a command the dispatcher itself runs."""
+    """Tools for operators of the dispatcher. Without a command, the dispatcher itself runs."""
 
 
 @main.command()
 @click.argument("name")
 @click.option(
-    "--nameserver", multiple=True, metavar="ADDRESS:PORT", help="Ask these; else deploy/srv.toml's."
+    "--nameserver",
+    multiple=True,
+    metavar="ADDRESS:PORT",
+    help="Nameservers to query. [default: those in deploy/srv.toml]",
 )
-@click.option("--timeout", default=1.0, show_default=True, help="Seconds for one query.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of tables.")
+@click.option("--timeout", default=1.0, show_default=True, help="Timeout of one query, in seconds.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of tables.")
 def resolve(name: str, nameserver: tuple[str, ...], timeout: float, as_json: bool) -> None:
-    """What each nameserver says of an SRV NAME, and of its targets' addresses.
+    """Query each nameserver for an SRV NAME, and for the addresses of its targets.
 
-    Ends with status 0 if one of them lists boxes, 1 if none does, 2 if it cannot ask.
+    Exits with status 0 if a nameserver lists endpoints, 1 if none does, 2 if it cannot query.
     """
     from hazelbend.cli.resolve import run
 
@@ -38,11 +41,11 @@
 
 @main.command()
 @click.argument("config", type=click.Path(dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of a page.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of text.")
 def check(config: str, as_json: bool) -> None:
-    """What the program makes of the settings in CONFIG, and of our files under deploy/. Nothing is opened.
+    """Show how the dispatcher reads the settings in CONFIG and the files under deploy/, without starting it.
 
-    Ends with status 0 if all is understood, 1 if it would start but doubts some settings, 2 if it would not.
+    Exits with status 0 without warnings, 1 with warnings, 2 if the dispatcher would not start.
     """
     from hazelbend.cli.check import run
 
@@ -54,12 +57,12 @@
 
 
 class Duration(click.ParamType[float]):
-    """Seconds, from `10s`, `1m`, `500ms` or a bare number."""
+    """A duration such as `10s`, `1m`, `500ms` or a number without a unit. Converts to seconds."""
 
     name = "time"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        """See the class. What is none ends the command with a usage error."""
+        """Return the duration in seconds. An invalid one ends the command with a usage error."""
         text = str(value).strip()
         number = text.rstrip(UNIT_LETTERS)
         try:
@@ -68,32 +71,32 @@
             self.fail(f"{text!r} is no time such as 10s, 1m or 500ms", param, ctx)
 
 
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 
 
 @main.group()
 def fleet() -> None:
-    """The dispatchers that share leases, as this machine's one knows them.
+    """Show and start the fleet, the dispatchers that share leases, through this machine's dispatcher.
 
-    Commands end with status 0, 1 if there is nothing to show or a refusal, 2 for settings, 3 if none answers.
+    Exit status: 0 success, 1 nothing to show or refused, 2 invalid settings, 3 no dispatcher answers.
     """
 
 
 @fleet.command("status")
 @JSON_OPTION
 def fleet_status(as_json: bool) -> None:
-    """Members, voters and who leads. Status 1 if nobody does."""
+    """Show members, voters and the leader. Exits with status 1 if there is no leader."""
     from hazelbend.cli import fleet as commands
 
     raise SystemExit(commands.main(lambda settings, links: commands.status(settings, links, as_json=as_json)))
 
 
 @fleet.command("start")
-@click.option("--anyway", is_flag=True, help="Though somebody leads, as far as this dispatcher knows.")
+@click.option("--anyway", is_flag=True, help="Even if this dispatcher knows a leader.")
 def fleet_start(anyway: bool) -> None:
-    """Start a new epoch here: once for a new fleet, and when most voters are lost for good.
+    """Start a new epoch on this member: once for a new fleet, and when most voters are lost for good.
 
-    While a majority lives behind a cut, this makes two fleets until they hear of each other.
+    If a majority is alive behind a network partition, there are two fleets until they can connect again.
     """
     from hazelbend.cli import fleet as commands
 
@@ -102,19 +105,19 @@
 
 @main.group()
 def lease() -> None:
-    """Leases for tasks that one of the fleet may do at a time."""
+    """Leases for tasks that only one process of the fleet may run at a time."""
 
 
 @lease.command("run", options_metavar="[--ttl TIME] [--wait TIME] --")
 @click.argument("name")
-@click.option("--ttl", type=Duration(), default=10.0, help="How long the lease outlives its holder. [10s]")
-@click.option("--wait", type=Duration(), default=0.0, help="How long to queue for it. [0]")
+@click.option("--ttl", type=Duration(), default=10.0, help="TTL of the lease without a renewal. [10s]")
+@click.option("--wait", type=Duration(), default=0.0, help="Longest wait for the lease. [0]")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def lease_run(name: str, ttl: float, wait: float, command: tuple[str, ...]) -> None:
-    """Run COMMAND while the lease NAME is held, with its token in HAZELBEND_TOKEN.
+    """Run COMMAND while the lease NAME is held, with its fencing token in HAZELBEND_TOKEN.
 
-    Ends with COMMAND's status, with 75 if the lease was not to be had, and with 76 if it was lost: COMMAND
-    then got SIGTERM, and SIGKILL before the lease's time was over.
+    Exits with COMMAND's status, with 75 if the lease was not granted, and with 76 if it was lost: COMMAND
+    then gets SIGTERM, and SIGKILL before the lease expires.
     """
     from hazelbend.cli import fleet as commands
 
@@ -126,7 +129,7 @@
 @lease.command("list")
 @JSON_OPTION
 def lease_list(as_json: bool) -> None:
-    """All leases, their holders and who waits."""
+    """List all leases with their holders and waiters."""
     from hazelbend.cli import fleet as commands
 
     raise SystemExit(
@@ -138,7 +141,7 @@
 @click.argument("name")
 @JSON_OPTION
 def lease_show(name: str, as_json: bool) -> None:
-    """One lease. Status 1 if it is free."""
+    """Show one lease. Exits with status 1 if it is free."""
     from hazelbend.cli import fleet as commands
 
     raise SystemExit(
@@ -148,9 +151,11 @@
 
 @lease.command("release")
 @click.argument("name")
-@click.option("--force", is_flag=True, required=True, help="Its holder is not asked, and may act on.")
+@click.option(
+    "--force", is_flag=True, required=True, help="Required: the holder does not know, and may continue."
+)
 def lease_release(name: str, force: bool) -> None:
-    """Take a lease from its holder. The next one's token is higher."""
+    """Take a lease from its holder. The next holder gets a higher token."""
     from hazelbend.cli import fleet as commands
 
     assert force
--- a/hazelbend/cli/resolve.py
+++ b/hazelbend/cli/resolve.py
@@ -1,4 +1,4 @@
-"""`resolve NAME`: query each nameserver as the dispatcher would, and print what each answers."""
+"""`resolve NAME`: query each nameserver as the dispatcher would, and print the answers."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from hazelbend.dns_discovery.settings import Nameserver
 from hazelbend.transport.dns.dns_client import DnsClient
 
-EXIT_LISTED = 0  # a nameserver lists endpoints
-EXIT_NOT_LISTED = 1  # none does
+EXIT_LISTED = 0  # at least one nameserver lists endpoints
+EXIT_NOT_LISTED = 1  # no nameserver lists endpoints
 EXIT_USAGE = 2  # the command cannot query
 
 
@@ -50,7 +50,7 @@
 
 
 class NameserverReport(msgspec.Struct):
-    """What one nameserver answers. The field names are in the output of `--json`."""
+    """The answer of one nameserver. The field names are in the output of `--json`."""
 
     nameserver: str
     answer: str
@@ -116,7 +116,7 @@
 async def _query_addresses(
     client: DnsClient, server: int, target: str, srv_answer: PositiveAnswer
 ) -> list[PositiveAnswer]:
-    """The addresses of a target, from the additional section where it has them."""
+    """Return the addresses of a target, from the additional section of the SRV answer if it has them."""
     answers: list[PositiveAnswer] = []
     for record_type in ADDRESS_TYPES:
         question = Question(target, record_type)
@@ -132,18 +132,18 @@
 
 async def _query(client: DnsClient, server: int, question: Question) -> QueryResult:
     """Query until the result is final: over TCP, without EDNS and along CNAMEs as the resolver would."""
-    ask_for = question.name
+    query_name = question.name
     over_tcp = False
     edns = True
     for query_id in count(1):
-        query = Query(query_id, server, question, ask_for, over_tcp=over_tcp, edns=edns)
+        query = Query(query_id, server, question, query_name, over_tcp=over_tcp, edns=edns)
         result = await client.query(query)
         if isinstance(result, TruncatedAnswer) and not over_tcp:
             over_tcp = True
         elif isinstance(result, QueryFailure) and result.edns_suspected and edns:
             edns = False
         elif isinstance(result, CnameAlias) and query_id <= MAX_CNAME_CHAIN:
-            ask_for = result.target
+            query_name = result.target
             over_tcp = False
         else:
             return result
@@ -151,7 +151,7 @@
 
 
 def describe(result: QueryResult) -> str:
-    """A result in the words of the output."""
+    """Return the text of a result in the output."""
     match result:
         case NegativeAnswer(reason=reason):
             return f"nothing: {reason}"
--- a/hazelbend/console/client.py
+++ b/hazelbend/console/client.py
@@ -1,6 +1,7 @@
-"""The operator's side of the console: an interactive prompt, or single commands for scripts.
+"""The console client: an interactive prompt, or single commands for scripts.
 
-It speaks with `hazelbend.dispatcher.console_server` over a Unix socket: one JSON object a line, each way.
+It connects to `hazelbend.dispatcher.console_server` over a Unix socket. Each request and response is one line
+with a JSON object.
 """
 
 from __future__ import annotations
@@ -23,17 +24,17 @@
 # What the prompt completes; "help" lists all commands.
 SHOW_SUBJECTS = ("status", "figures", "servers", "flows", "fronts", "sources", "names", "waiting", "log")
 COMMANDS = ("drain", "undrain", "cancel", "shutdown", "help", "quit")
-LEAVE_COMMANDS = ("quit", "exit")  # of the prompt itself
+EXIT_COMMANDS = ("quit", "exit")  # of the prompt itself
 
 
 class ConsoleConnection:
-    """A connection to the program's console socket."""
+    """A connection to the console socket of a dispatcher."""
 
     def __init__(self, path: Path) -> None:
         """Connect.
 
         Raises:
-            OSError: nobody listens there.
+            OSError: no dispatcher listens at this path.
         """
         self._socket = socket.socket(socket.AF_UNIX)
         self._socket.settimeout(TIMEOUT_S)
@@ -41,21 +42,21 @@
         self._file = self._socket.makefile("rb")
 
     def run(self, command: str) -> tuple[bool, str]:
-        """Whether the program carried the command out, and its text.
+        """Run a command. Returns whether it succeeded, and its text.
 
         Raises:
-            OSError: the connection is lost, or there was no answer in time.
+            OSError: the connection is lost, or the response does not arrive within TIMEOUT_S.
         """
         self._socket.sendall(orjson.dumps({"command": command}, option=orjson.OPT_APPEND_NEWLINE))
         line = self._file.readline()
         if not line:
             raise ConnectionError("the program closed the connection")
-        answer = orjson.loads(line)
-        return answer["ok"], answer["text"]
+        response = orjson.loads(line)
+        return response["ok"], response["text"]
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the commands of the command line, or else the prompt; the exit status."""
+    """Run the commands of the command line, or the prompt if there are none. Returns the exit status."""
     options = _parse(arguments)
     try:
         connection = ConsoleConnection(options.socket or console_socket())
@@ -74,25 +75,30 @@
     parser = argparse.ArgumentParser(
         prog="hazelbend.console", description="The console of a running hazelbend."
     )
-    parser.add_argument("--socket", type=Path, help="the program's socket; else as deploy/console.toml says")
     parser.add_argument(
-        "-c", dest="command", action="append", help="run this command and end; may be repeated"
+        "--socket", type=Path, help="the dispatcher's console socket [default: from deploy/console.toml]"
+    )
+    parser.add_argument(
+        "-c", dest="command", action="append", help="run this command and exit; may be repeated"
     )
     return parser.parse_args(arguments)
 
 
 def _run_commands(connection: ConsoleConnection, commands: list[str]) -> int:
-    """Run them in their order, up to the first that fails."""
+    """Run the commands in order, up to the first that fails. Returns the exit status."""
     for command in commands:
-        is_done, text = connection.run(command)
-        print(text, file=sys.stdout if is_done else sys.stderr)
-        if not is_done:
+        succeeded, text = connection.run(command)
+        print(text, file=sys.stdout if succeeded else sys.stderr)
+        if not succeeded:
             return EXIT_FAILED
     return EXIT_OK
 
 
 def run_prompt(connection: ConsoleConnection) -> int:
-    """Read and run commands until the operator leaves. `shutdown` has to be confirmed."""
+    """Read and run commands until the operator quits. Returns the exit status.
+
+    The operator must confirm `shutdown`.
+    """
     from prompt_toolkit import PromptSession
     from prompt_toolkit.completion import NestedCompleter
     from prompt_toolkit.shortcuts import confirm
@@ -108,7 +114,7 @@
             continue
         except EOFError:
             return EXIT_OK
-        if command in LEAVE_COMMANDS:
+        if command in EXIT_COMMANDS:
             return EXIT_OK
         if not command:
             continue
--- a/hazelbend/dispatcher/__init__.py
+++ b/hazelbend/dispatcher/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, wiring, signals, log, console."""
+"""The dispatcher process: configuration, wiring of the components, extensions, signals, log and console."""
--- a/hazelbend/dispatcher/admin_endpoint.py
+++ b/hazelbend/dispatcher/admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The admin listener at the address that the configuration names, also after a reload has changed it."""
+"""Keeps the admin listener at the configured address, also when a reload changes it."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     """Opens, moves and closes the admin listener."""
 
     def __init__(self, operations: Operations, configured_address: Callable[[], Address | None]) -> None:
-        """`configured_address`: as the configuration says now; None: no listener."""
+        """`configured_address` returns the address in the current configuration; None: no listener."""
         self.listener: AdminListener | None = None
-        self.address: Address | None = None  # of the listener
+        self.address: Address | None = None  # the address of `listener`
         self._operations = operations
         self._configured_address = configured_address
         self._lock = asyncio.Lock()
         self._moving: asyncio.Task[None] | None = None
 
     async def move(self) -> None:
-        """Listen at the configured address, and only then close the listener that was open.
+        """Listen at the configured address, and only then close the previous listener.
 
         Raises:
-            OSError: the address can't be used; the listener stays as it was.
+            OSError: the address can't be used; the previous listener stays open.
         """
         async with self._lock:
             address = self._configured_address()
@@ -39,7 +39,7 @@
             if address is not None:
                 listener = AdminListener(self._operations)
                 await listener.listen(*address)
-                log.info("operators' door: listening on %s:%d", address[0], listener.port)
+                log.info("admin listener: listening on %s:%d", address[0], listener.port)
             previous = self.listener
             self.listener = listener
             self.address = address
@@ -47,17 +47,17 @@
                 await previous.close()
 
     def move_later(self) -> None:
-        """After a reload: move in the background; where that fails the listener stays."""
+        """After a reload: move in the background. If that fails, the previous listener stays open."""
         self._moving = asyncio.create_task(self._move_or_stay())
 
     async def _move_or_stay(self) -> None:
         try:
             await self.move()
         except OSError as error:
-            log.error("reload: ops: %s; the door stays where it was", error)
+            log.error("reload: ops: %s; the admin listener keeps its address", error)
 
     def cancel_move(self) -> None:
-        """Stay, if a move is under way."""
+        """Cancel a move that is in progress."""
         if self._moving is not None:
             self._moving.cancel()
 
--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -1,4 +1,4 @@
-"""The dispatcher process: wiring of its parts, signals, start, reload and end."""
+"""The dispatcher process: wiring of its components, signals, start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -38,34 +38,35 @@
 
 log = logging.getLogger("hazelbend")
 
-FIRST_LIST_TIMEOUT_S = 3.0  # for which a start on a passed listener waits for discovery; it is due within 6
-LISTEN_RETRY_DELAY_S = 0.2  # between tries for an address that the previous process still holds
+# How long a start waits for the first list from discovery. A start on a passed listener must complete in 6 s.
+FIRST_LIST_TIMEOUT_S = 3.0
+LISTEN_RETRY_DELAY_S = 0.2  # between attempts to bind an address that the previous process still uses
 RESERVED_DESCRIPTORS = 64  # for the admin listener, discovery, listeners, the log and the interpreter
-MIN_DESCRIPTORS = 8  # for one side, clients or servers
-SERVER_LOG_LINES = 200  # in a period of the rate limit
+MIN_DESCRIPTORS = 8  # for the client connections, and for the server connections
+SERVER_LOG_LINES = 200  # per period of the rate limit
 
 
 class Agent(Protocol):
-    """The SNMP agent, whose module is imported only where it is enabled."""
+    """The SNMP agent. Its module is imported only if it is enabled."""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
 
     async def close(self) -> None:
         """Stop listening."""
 
     def server_changed(self, server: Backend, is_up: bool) -> None:
-        """Notify that a server takes work, or no longer does."""
+        """Send a notification that a server has begun (`is_up`) or ceased to accept work."""
 
 
 class App:
-    """One dispatcher: everything that runs in the process."""
+    """One dispatcher process: creates, starts, reloads and closes all its components."""
 
     def __init__(self, conf: config.Config, recent: RecentLines | None = None) -> None:
         self.conf = conf
         self.recent = recent or RecentLines()
         self.stopping = asyncio.Event()
-        self.leaving = self._closed = False
+        self.is_shutting_down = self._closed = False
         self.pool = ConnectionPool(_pool_settings(conf))
         table = BackendTable(lambda entry: self.pool.client(entry.dial))
         self.module = Dispatcher(conf.settings, conf.seed)
@@ -81,7 +82,7 @@
         self.stomp: StompListener | None = None
         if conf.stomp is not None:
             self.stomp = StompListener(conf.stomp, self.router, self.stomp_workers, conf.catalogue)
-        self.extensions: dict[str, Extension] = {}  # by their name in Config
+        self.extensions: dict[str, Extension] = {}  # by the name of their field in Config
         self.console: ConsoleServer | None = None
         if conf.console is not None:
             self.console = ConsoleServer(conf.console, self)
@@ -98,7 +99,7 @@
         self._drain = Drain(self)
         self._final_deadlines: dict[str, int] = {}  # by reason, in microseconds of the router's clock
         self.admin = AdminEndpoint(self, lambda: self.conf.ops)
-        self._siblings = 0  # other processes of this dispatcher, in an upgrade
+        self._siblings = 0  # other running processes of this dispatcher, during an upgrade
         self.handover: Handover | None = None
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
@@ -106,23 +107,23 @@
                 self.handover.is_open_elsewhere,
                 self.handover.broadcast_update,
             )
-        self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
+        self._opening: list[asyncio.Task[None]] = []  # retry to bind addresses that are still in use
 
-    # --- what operators see and do ---
+    # --- operations ---
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether clients should connect."""
+        """Whether clients should connect to this dispatcher."""
         return self.client_listener.accepts_clients
 
     def figures(self) -> Figures:
-        """Counters and gauges, for the admin listener."""
+        """Return counters and gauges, for the admin listener."""
         return replace(
             collect_figures(self.router, self._class_names), component_figures=self._component_figures()
         )
 
     def _component_figures(self) -> dict[str, int]:
-        """The figures of the extensions, and errors of background work if there were any."""
+        """Return the figures of the extensions, and the number of background errors unless it is 0."""
         figures = {
             name: count
             for extension in self.extensions.values()
@@ -133,14 +134,14 @@
         return figures
 
     def drain(self) -> None:
-        """Send clients away; the process goes on."""
+        """Start a drain: clients are sent away while the process continues to run."""
         self._drain.start()
         for extension in self.extensions.values():
             extension.drain()
 
     def undrain(self) -> bool:
-        """Accept clients again; False: the process is ending."""
-        if self.leaving:
+        """Stop the drain. Returns False, and does nothing, if the process is shutting down."""
+        if self.is_shutting_down:
             return False
         self._drain.stop()
         return True
@@ -148,7 +149,7 @@
     def set_final_deadline(self, reason: str, deadline: int | None) -> None:
         """Set or remove (None) the final deadline of requests, in microseconds of the router's clock.
 
-        Each reason has a deadline of its own, and the earliest is in force.
+        Each reason has its own deadline. The earliest of them applies.
         """
         if deadline is None:
             self._final_deadlines.pop(reason, None)
@@ -157,13 +158,13 @@
         self.router.set_final_deadline(min(self._final_deadlines.values(), default=None))
 
     def overview(self) -> Overview:
-        """Everything that the console and SNMP show."""
+        """Return everything that the console and SNMP show."""
         connections = {
             "edge": self.client_listener.connections,
             "stomp": self.stomp.connections if self.stomp is not None else 0,
             "boxes": self.stomp_workers.connected,
         }
-        state = "leaving" if self.leaving else "draining" if self._drain.is_on else "serving"
+        state = "leaving" if self.is_shutting_down else "draining" if self._drain.is_on else "serving"
         view = build_overview(self.router, self.conf.name, state, self._class_names, connections)
         return replace(view, figures=replace(view.figures, component_figures=self._component_figures()))
 
@@ -172,7 +173,10 @@
         return [row.name for row in self.conf.catalogue.classes]
 
     def subscribe(self, on_list: Callable[[EndpointList], None]) -> None:
-        """Discovery, as the router subscribes to it: the watch's updates, as extensions pass them on."""
+        """Subscribe to the updates of the discovery watch, after each extension has filtered them.
+
+        The router uses this object as its discovery.
+        """
 
         def filter_update(update: EndpointList) -> None:
             for extension in self.extensions.values():
@@ -189,7 +193,7 @@
             self.agent.server_changed(server, is_up)
 
     async def start(self) -> None:
-        """Open all listeners, that for clients last: what can fail for want of an address comes before."""
+        """Open all listeners, the client listener last: before it, an address in use fails the start."""
         passed = self.conf.passed_socket
         listener = inherited_listener(passed) if passed is not None else None
         state = await self.handover.fetch_state() if self.handover is not None else None
@@ -216,25 +220,28 @@
         await self.admin.move()
 
     async def _wait_for_first_list(self) -> None:
-        """The list as last known may lack drains: those that the previous process was told, in an upgrade;
-        all that discovery has, where lists are pushed.
+        """Wait up to FIRST_LIST_TIMEOUT_S for the first list from discovery.
+
+        The known list may lack drains: in an upgrade those that the previous process received, and if lists
+        are pushed all that discovery has.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await self.router.list_received.wait()
 
     def _log_settings_report(self) -> None:
-        """How the settings were read, in one line that a program can read too, and warnings."""
+        """Log how the settings were read, as one line with JSON, and one line for each warning."""
         report = self.conf.settings_report
         log.info("understood %s", orjson.dumps(report.as_plain_values()).decode())
         for warning in report.warnings:
             log.warning("settings: %s: %s", warning.key, warning.text)
 
     def _start_router(self, state: HandoverState | None) -> None:
-        """From the configuration, or from the state that the previous process hands over."""
+        """Start the router with the configured endpoints, or with the state of the previous process."""
         known = state.endpoints if state is not None and state.endpoints.entries else self.conf.known
         if known.is_complete and known.entries and self.conf.passed_socket is None and self.conf.srv is None:
-            # An upgrade waits for the complete list, and where lists are merged it is what one of them says.
+            # Otherwise the watch requests the complete list: an upgrade waits for it, and with SRV names the
+            # known list is only one of the lists that are merged.
             self.watch.known_version = known.seq
         for name, extension in self.extensions.items():
             component_state = state.component_states.get(name, {}) if state is not None else {}
@@ -244,7 +251,7 @@
             self._take_over(state)
 
     def _take_over(self, state: HandoverState) -> None:
-        """Drains by hand, and what the previous process has learned."""
+        """Restore the manual drains and the learned state of the previous process."""
         for host in state.drained_hosts:
             self.router.set_manual_drain(host, True)
         if list(state.class_names) != self._class_names:
@@ -252,12 +259,18 @@
         try:
             import_state(self.module, state.learned, self.router.clock.now())
         except ValueError as error:
-            log.warning("what the process before has learnt cannot be used: %s", error)
+            log.warning("upgrade: the learned state of the previous process cannot be used: %s", error)
         else:
-            log.info("going on from the process before: %d servers", len(state.endpoints.entries))
+            log.info(
+                "upgrade: took over the state of the previous process: %d servers",
+                len(state.endpoints.entries),
+            )
 
     def _reload_extension(self, name: str) -> None:
-        """Its settings have come, gone or changed, or something that they rest on has."""
+        """Create, change or remove an extension after a reload.
+
+        Its settings may have been added, removed or changed, or other settings that it uses.
+        """
         is_enabled = getattr(self.conf, name) is not None
         extension = self.extensions.get(name)
         if extension is None and is_enabled:
@@ -283,7 +296,7 @@
         task.add_done_callback(self._closing.discard)
 
     def state(self) -> HandoverState:
-        """What this process hands over to the next one."""
+        """Return the state that this process hands over to the next one."""
         table = self.router.table
         discovered = (extension.discovered_endpoints() for extension in self.extensions.values())
         endpoints = next((found for found in discovered if found is not None), None)
@@ -298,7 +311,10 @@
         )
 
     def siblings_changed(self, count: int) -> None:
-        """Processes of this dispatcher have started or ended, in an upgrade: all share its descriptors."""
+        """Adapt the limits of descriptors, which all processes of this dispatcher share during an upgrade.
+
+        `count`: how many other processes run now.
+        """
         if not self._closed:
             self._siblings = count
             self._share_descriptors()
@@ -308,13 +324,13 @@
         self.pool.set_limit(_descriptors_of_one_side(self.conf, self._siblings))
 
     async def _open(self, listen: Callable[[], Awaitable[None]]) -> None:
-        """Listen at an address; in an upgrade, once the previous process no longer holds it."""
+        """Listen at an address. In an upgrade: retry in the background while the previous process uses it."""
         try:
             await listen()
         except OSError as error:
             if self.conf.passed_socket is None:
                 raise
-            log.warning("an address is still held, and taken when it is free: %s", error)
+            log.warning("upgrade: an address is still in use, retrying until it is free: %s", error)
             self._opening.append(asyncio.create_task(self._open_later(listen)))
 
     async def _open_later(self, listen: Callable[[], Awaitable[None]]) -> None:
@@ -324,24 +340,24 @@
                 return await listen()
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration again. One that is bad changes nothing."""
+        """Read the configuration again, after SIGHUP. An invalid configuration changes nothing."""
         if self._closed:
             return
         try:
             conf = config.load()
         except config.ConfigError as error:
-            log.error("reload: %s; the settings stay as they were", error)
+            log.error("reload: %s; the settings are unchanged", error)
         except Exception:
-            log.exception("reload: fault; the settings stay as they were")
+            log.exception("reload: unexpected error; the settings are unchanged")
         else:
             self.apply(conf)
 
     def apply(self, conf: config.Config) -> None:
-        """Apply all that differs and can change in a running process: here and nowhere else."""
+        """Apply all differences that a running process can apply. A reload changes settings only here."""
         old = self.conf
-        kept = config.unchangeable(old, conf)
-        self.conf = conf = replace(conf, **{name: getattr(old, name) for name in kept})
-        names = (each.name for each in fields(conf) if each.compare)
+        restart_only = config.restart_only_changes(old, conf)
+        self.conf = conf = replace(conf, **{name: getattr(old, name) for name in restart_only})
+        names = (config_field.name for config_field in fields(conf) if config_field.compare)
         changed = [name for name in names if getattr(conf, name) != getattr(old, name)]
         self._apply_connections(old, conf)
         self._apply_settings(old, conf)
@@ -350,8 +366,8 @@
         if conf.ops != self.admin.address:
             self.admin.move_later()
         log.info("reloaded: %s", ", ".join(changed) or "nothing has changed")
-        if kept:
-            log.warning("reload: these wait for a restart: %s", ", ".join(kept))
+        if restart_only:
+            log.warning("reload: these wait for a restart: %s", ", ".join(restart_only))
 
     def _apply_connections(self, old: config.Config, conf: config.Config) -> None:
         if _pool_settings(conf) != _pool_settings(old):
@@ -373,15 +389,15 @@
             self.watch.change_address(conf.discovery, conf.reader)
 
     async def leave(self) -> None:
-        """A planned end: finish what was taken, then close."""
-        log.info("leaving: %d flows open", len(self.router.requests))
-        self.leaving = True
+        """Shut down gracefully: complete the accepted requests, then close."""
+        log.info("shutting down: %d requests open", len(self.router.requests))
+        self.is_shutting_down = True
         await GracefulShutdown(self, self._drain, self.extensions.values()).run()
         await self.close()
-        log.info("left")
+        log.info("shutdown complete")
 
     async def close(self) -> None:
-        """End everything at once."""
+        """Close everything at once."""
         self._closed = True
         self._drain.close()
         for task in self._opening:
@@ -407,7 +423,7 @@
         await self.pool.close()
 
     async def run(self) -> None:
-        """Run until a signal ends it."""
+        """Run until SIGTERM or SIGINT, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         count_loop_errors()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -419,9 +435,10 @@
 
 
 def _descriptors_of_one_side(conf: config.Config, siblings: int = 0) -> int:
-    """Half of the descriptors, for clients or for servers, without those of STOMP.
+    """Return half of the descriptors, less the reserved ones and those of STOMP.
 
-    `siblings`: other processes of this dispatcher.
+    One half is for client connections, the other for server connections. `siblings`: other running processes
+    of this dispatcher, with which it shares its descriptors.
     """
     own = conf.sockets // (1 + siblings)
     stomp = conf.stomp.connections if conf.stomp is not None else 0
@@ -435,7 +452,7 @@
 
 
 def main() -> int:
-    """Run a dispatcher as the environment configures it; the exit status."""
+    """Run a dispatcher with the configuration that the environment names, and return the exit status."""
     recent = set_up()
     try:
         conf = config.load()
--- a/hazelbend/dispatcher/config.py
+++ b/hazelbend/dispatcher/config.py
@@ -1,6 +1,6 @@
-"""The dispatcher's configuration: the platform's JSON file, which RELAY_CONFIG names, and our own files.
+"""The dispatcher's configuration: the platform's JSON file, which RELAY_CONFIG names, and our deploy files.
 
-Errors name the faulty key. Our own files, each of which enables one component: deploy_files.py.
+Errors name the faulty key. Each deploy file enables one component; `deploy_files` reads them.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
     from hazelbend.job_queue.settings import WaitingSettings
     from hazelbend.leases.settings import FleetSettings
 
-__all__ = ["Config", "ConfigError", "from_object", "load", "unchangeable", "with_deploy_files"]
+__all__ = ["Config", "ConfigError", "from_object", "load", "restart_only_changes", "with_deploy_files"]
 
 PASSED_SOCKET = "RELAY_PASSED_SOCKET"
-FROM_ENVIRONMENT = ("name", "listen", "discovery", "ops")  # keys that RELAY_... variables stand in for
+FROM_ENVIRONMENT = ("name", "listen", "discovery", "ops")  # keys that RELAY_... variables replace if missing
 HANDOVER_DIGEST_BYTES = 6
 US_PER_S = 1e6
 US_PER_MS = 1_000
@@ -42,13 +42,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything that the dispatcher is configured with."""
+    """The whole configuration of a dispatcher.
+
+    A reload logs the names of the fields that have changed.
+    """
 
     name: str
     listen: tuple[str, int]
     discovery: str | None
     seed: int
-    sockets: int  # file descriptors that it may use
+    sockets: int  # limit of open file descriptors
     known: EndpointList
     settings: Settings
     catalogue: Catalogue
@@ -58,8 +61,8 @@
     keepalive: float  # seconds
     settings_report: SettingsReport = field(compare=False)
     ops: tuple[str, int] | None = None  # address of the admin listener
-    passed_socket: int | None = None  # descriptor of the clients' listener, which the platform holds
-    handover: Path | None = None  # where the next process finds this one, in an upgrade
+    passed_socket: int | None = None  # descriptor of the client listener, which the platform keeps open
+    handover: Path | None = None  # socket on which the next process of an upgrade fetches the state
     stomp: StompSettings | None = None
     snmp: SnmpSettings | None = None
     console: Path | None = None
@@ -69,10 +72,10 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """The configuration in these environment variables and the files that they name.
+    """Return the configuration from environment variables and the files that they name.
 
     Raises:
-        ConfigError: it can't be used.
+        ConfigError: the configuration is invalid.
     """
     content = _read_platform_file(environment)
     for key in FROM_ENVIRONMENT:
@@ -89,14 +92,18 @@
 
 
 def with_deploy_files(config: Config, folder: Path, content: dict[str, Any]) -> Config:
-    """The configuration with what our files in this folder enable; `content` is the platform's object.
+    """Return the configuration with the components that the deploy files in `folder` enable.
+
+    `content` is the platform's JSON object.
 
     Raises:
-        ConfigError: a file can't be used.
+        ConfigError: a deploy file is invalid.
     """
     settings_table = ConfigTable(content, "").sub("settings")
     enabled = read_deploy_files(folder, settings_table, config.catalogue)
-    return replace(config, **{each.name: getattr(enabled, each.name) for each in fields(DeploySettings)})
+    return replace(
+        config, **{component.name: getattr(enabled, component.name) for component in fields(DeploySettings)}
+    )
 
 
 def _read_platform_file(environment: Mapping[str, str]) -> dict[str, Any]:
@@ -115,12 +122,12 @@
 
 
 def _handover_file_name(name: str) -> str:
-    """By a digest: a name may have characters that a path may not."""
+    """Return the file name, with a digest of the name: it may contain characters that a path may not."""
     return f"hazelbend-{blake2b(name.encode(), digest_size=HANDOVER_DIGEST_BYTES).hexdigest()}.next"
 
 
 def _passed_socket(text: str) -> int | None:
-    """The descriptor that the platform names. Whether it is a listener shows when it is opened."""
+    """Parse the descriptor that the platform passes. Whether it is a listener is checked at the start."""
     if not text:
         return None
     if not text.isascii() or not text.isdecimal() or not 2 < int(text) < 1_000_000:
@@ -132,7 +139,7 @@
 
 
 class _PlatformSettings(NamedTuple):
-    """The part `settings`, as the decision module and the listeners have it."""
+    """The platform's `settings`, in the form that the decision module and the listeners need."""
 
     settings: Settings
     load_fields: LoadReportFields
@@ -141,10 +148,12 @@
 
 
 def from_object(content: dict[str, Any]) -> Config:
-    """The configuration in the platform's object. Unknown keys are skipped: new ones may appear.
+    """Return the configuration in the platform's JSON object.
+
+    Unknown keys are skipped, as the platform may add new ones.
 
     Raises:
-        ConfigError: it can't be used.
+        ConfigError: the object is invalid.
     """
     if isinstance(content.get("settings"), dict):
         content = content | {"settings": TrackedTable(content["settings"])}
@@ -188,12 +197,12 @@
 ) -> _PlatformSettings:
     try:
         settings = settings_from(content)
-        # On sockets a list that is pushed comes on a watch, like one that is asked for.
+        # Over sockets the dispatcher gets a pushed list by a watch too, like a list that it polls.
         settings = replace(settings, list_is_pushed=has_discovery and not settings.list_is_polled)
         names = report_fields(content)
     except SettingsError as error:
         raise ConfigError(str(error)) from None
-    # The settings have the protocol's names of a report's fields; a site may use these on its sockets.
+    # `names` has the protocol's names of the fields of a load report; over sockets a site may use these two.
     names |= {"inflight": names["outstanding"], "queue": names["backlog"]}
     catalogue = _catalogue(table, settings)
     reader = EndpointListCodec(table.texts("azs"), table.texts("machine_types"))
@@ -224,10 +233,10 @@
 # --- reload ---
 
 
-def unchangeable(old: Config, new: Config) -> list[str]:
-    """The fields that differ but can only be changed by a restart."""
-    # Endpoints and open requests know zones, kinds, classes and tenants by their indexes: new ones may only
-    # be added at the end.
+def restart_only_changes(old: Config, new: Config) -> list[str]:
+    """Return the names of the fields that differ but that only a restart can change."""
+    # Endpoints and open requests refer to zones, kinds, classes and tenants by index: new ones may only be
+    # added at the end.
     extends = new.catalogue.extends(old.catalogue) and new.reader.adopt_numbers(old.reader)
     names = () if extends else ("settings", "catalogue", "reader")
     return [
--- a/hazelbend/dispatcher/console_server.py
+++ b/hazelbend/dispatcher/console_server.py
@@ -1,6 +1,7 @@
-"""The console's side in the program: commands over a Unix socket that only its owner can open.
+"""The server of the console: commands over a Unix socket that only its owner can open.
 
-One line in, one line out, both JSON: {"command": "show servers"} and {"ok": true, "text": "..."}.
+A request and its response are one line of JSON each: {"command": "show servers"} and
+{"ok": true, "text": "..."}.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from hazelbend.dispatcher.text_table import format_table
 from hazelbend.routing.overview import Overview
 
-LINE_LIMIT = 4_096
-IDLE_TIMEOUT_S = 3_600.0  # after which a silent console is closed
-LIVENESS_TIMEOUT_S = 0.5  # for a program at the socket to accept a connection
+LINE_LIMIT = 4_096  # bytes
+IDLE_TIMEOUT_S = 3_600.0  # a connection without a command for this long is closed
+LIVENESS_TIMEOUT_S = 0.5  # for the process that owns the socket to accept a connection
 OWNER_ONLY_UMASK = 0o177
 MAX_SHOWN_COMMAND = 60  # characters, in an error
 
@@ -46,8 +47,8 @@
 help                   this list"""
 
 
-# What an extension that is off would have shown or done, and the file that enables it.
-OFF = {
+# The errors of commands whose extension is not enabled, with the file that enables it.
+DISABLED_COMMAND_ERRORS = {
     "waiting": "jobs do not wait here; see deploy/waiting.toml",
     "cancel": "jobs do not wait here; see deploy/waiting.toml",
     "names": "no SRV names are followed; see deploy/srv.toml",
@@ -57,18 +58,18 @@
 
 
 class Program(ExtensionContext, Protocol):
-    """What the commands need of the running program."""
+    """What the commands need of the running dispatcher."""
 
     extensions: dict[str, Extension]
     recent: RecentLines
     stopping: asyncio.Event
 
     def overview(self) -> Overview:
-        """Everything that is shown."""
+        """Return everything that the commands show."""
 
 
 class Commands:
-    """What each command does, on the running program."""
+    """Runs console commands on the running dispatcher."""
 
     def __init__(self, program: Program) -> None:
         self._program = program
@@ -81,10 +82,10 @@
         }
 
     def run(self, line: str) -> str:
-        """Carry out a command; the text to show.
+        """Run a command and return the text to show.
 
         Raises:
-            CommandError: it is unknown or can't be carried out.
+            CommandError: the command is unknown or can't be run.
         """
         words = line.split()
         text = self._show(words[1:]) if words[:1] == ["show"] else self._act(words)
@@ -94,24 +95,24 @@
         return text
 
     def _show(self, words: list[str]) -> str | None:
-        """`show` and these words; None: there is no such thing."""
+        """Return the text of `show` with these words; None if there is no such command."""
         match words:
             case ["log", *count] if len(count) < 2:
                 return self._log(*count)
-            case [what] if what in self._shows:
-                return self._shows[what](self._program.overview())
-            case [what, *rest] if call := self._extension_command(_shows_of, what, rest):
+            case [subject] if subject in self._shows:
+                return self._shows[subject](self._program.overview())
+            case [subject, *rest] if call := self._extension_command(_show_commands_of, subject, rest):
                 return call(*rest)
             case ["sources"]:
                 return self._sources()
         return None
 
     def _act(self, words: list[str]) -> str | None:
-        """All other commands; None: there is no such command."""
+        """Run any other command and return its text; None if there is no such command."""
         match words:
             case ["help"]:
                 return HELP
-            case [verb, *rest] if call := self._extension_command(_verbs_of, verb, rest):
+            case [verb, *rest] if call := self._extension_command(_other_commands_of, verb, rest):
                 return call(*rest)
             case ["drain" | "undrain" as verb, host]:
                 return self._set_drain(host, drains=verb == "drain")
@@ -122,10 +123,10 @@
 
     @staticmethod
     def _explain_disabled(words: list[str]) -> None:
-        """Raise an error where this is a command of an extension that is off."""
-        what = words[1:2] if words[:1] == ["show"] else words[:1]
-        if what and what[0] in OFF:
-            raise CommandError(OFF[what[0]])
+        """Raise CommandError if this is a command of an extension that is not enabled."""
+        name = words[1:2] if words[:1] == ["show"] else words[:1]
+        if name and name[0] in DISABLED_COMMAND_ERRORS:
+            raise CommandError(DISABLED_COMMAND_ERRORS[name[0]])
 
     def _set_drain(self, host: str, *, drains: bool) -> str:
         if not self._program.router.set_manual_drain(host, drains):
@@ -133,11 +134,11 @@
         return f"{host}: {'gets nothing new' if drains else 'gets work again'}"
 
     def _extension_command(
-        self, of: Callable[[Extension], dict[str, ConsoleCommand]], name: str, words: list[str]
+        self, commands_of: Callable[[Extension], dict[str, ConsoleCommand]], name: str, words: list[str]
     ) -> ConsoleCommand | None:
-        """The command of this name of an extension, if it takes so many words."""
-        every = (of(extension).get(name) for extension in self._program.extensions.values())
-        found = next((call for call in every if call is not None), None)
+        """Return the extension command with this name; None if there is none that takes so many words."""
+        candidates = (commands_of(extension).get(name) for extension in self._program.extensions.values())
+        found = next((call for call in candidates if call is not None), None)
         if found is None:
             return None
         try:
@@ -190,9 +191,9 @@
         return format_table([("FRONT", "CONNECTIONS"), *view.fronts.items()])
 
     def _sources(self) -> str:
-        heard = "heard" if self._program.router.list_received.is_set() else "as known"
+        list_state = "heard" if self._program.router.list_received.is_set() else "as known"
         servers = len(self._program.overview().servers)
-        return format_table([("SOURCE", "STATE", "BOXES"), ("box list", heard, servers)])
+        return format_table([("SOURCE", "STATE", "BOXES"), ("box list", list_state, servers)])
 
     def _log(self, count: str = "20") -> str:
         if not count.isascii() or not count.isdecimal() or int(count) < 1:
@@ -200,16 +201,16 @@
         return "\n".join(list(self._program.recent.lines)[-int(count) :])
 
 
-def _shows_of(extension: Extension) -> dict[str, ConsoleCommand]:
-    return extension.shows()
+def _show_commands_of(extension: Extension) -> dict[str, ConsoleCommand]:
+    return extension.show_commands()
 
 
-def _verbs_of(extension: Extension) -> dict[str, ConsoleCommand]:
-    return extension.verbs()
+def _other_commands_of(extension: Extension) -> dict[str, ConsoleCommand]:
+    return extension.other_commands()
 
 
 async def _is_live(path: Path) -> bool:
-    """Whether a program listens there; one that does not answer at once may be busy."""
+    """Whether a process listens at this socket. One that does not accept in time counts as live but busy."""
     try:
         async with asyncio.timeout(LIVENESS_TIMEOUT_S):
             _, writer = await asyncio.open_unix_connection(str(path))
@@ -222,29 +223,35 @@
 
 
 class ConsoleServer:
-    """Listens at the console's socket and answers commands."""
+    """Listens at the console's socket and runs the commands that arrive."""
 
     def __init__(self, path: Path, program: Program) -> None:
         self.path = path
         self._commands = Commands(program)
         self._server: asyncio.Server | None = None
-        self._own_inode = 0  # of our socket
+        self._own_inode = 0  # of the socket that this server has made
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def listen(self) -> None:
-        """The socket is made with mode 0600: at no moment could another user open it."""
+        """Start to listen, and replace the socket of a process that was killed.
+
+        The umask gives the socket the mode 0600 from the start: at no time can another user open it.
+
+        Raises:
+            OSError: the socket is in use or can't be made.
+        """
         with contextlib.suppress(OSError):
             if self.path.is_socket() and not await _is_live(self.path):
-                self.path.unlink()  # left by a program that was killed
+                self.path.unlink()
         listener = socket.socket(socket.AF_UNIX)
-        before = os.umask(OWNER_ONLY_UMASK)
+        previous_umask = os.umask(OWNER_ONLY_UMASK)
         try:
             listener.bind(str(self.path))
         except OSError:
             listener.close()
             raise
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         self._own_inode = self.path.stat().st_ino
         self._server = await asyncio.start_unix_server(self._serve, sock=listener, limit=LINE_LIMIT)
 
@@ -255,7 +262,7 @@
             for writer in self._writers:
                 writer.close()
             with contextlib.suppress(OSError):
-                # Not a socket that another program has put there since.
+                # Another process may have replaced the socket since; that one stays.
                 if self.path.stat().st_ino == self._own_inode:
                     self.path.unlink()
 
@@ -270,15 +277,15 @@
                 writer.write(orjson.dumps(self._answer(line), option=orjson.OPT_APPEND_NEWLINE))
                 await writer.drain()
         except (OSError, ValueError, TimeoutError):
-            pass  # it went, or its line was over the limit
+            pass  # the client has disconnected, was idle for too long or sent a line over the limit
         finally:
             self._writers.discard(writer)
             writer.close()
 
     def _answer(self, line: bytes) -> dict[str, object]:
         try:
-            asked = orjson.loads(line)
-            command = asked.get("command") if isinstance(asked, dict) else None
+            message = orjson.loads(line)
+            command = message.get("command") if isinstance(message, dict) else None
             if not isinstance(command, str):
                 raise CommandError("no command")
             return {"ok": True, "text": self._commands.run(command)}
--- a/hazelbend/dispatcher/deploy_files.py
+++ b/hazelbend/dispatcher/deploy_files.py
@@ -1,6 +1,7 @@
-"""Our own files under `deploy/`: each enables one component. Errors name the file and the key.
+"""The deploy files, TOML files under `deploy/`, each of which enables one component.
 
-What no file enables is neither opened nor imported. Another folder can be named with `HAZELBEND_DEPLOY`.
+Errors name the file and the key. A component that no file enables is neither opened nor imported. The
+environment variable `HAZELBEND_DEPLOY` names another folder.
 """
 
 from __future__ import annotations
@@ -49,14 +50,14 @@
 
     stomp: StompSettings | None
     snmp: SnmpSettings | None
-    console: Path | None  # its socket
+    console: Path | None  # the console's socket
     srv: SrvSettings | None
     waiting: WaitingSettings | None
     fleet: FleetSettings | None
 
 
 class PlatformNames(NamedTuple):
-    """Names in the platform's settings that our files refer to."""
+    """Names in the platform's settings that the deploy files refer to."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -69,10 +70,12 @@
 
 
 def read_deploy_files(folder: Path, platform_settings: ConfigTable, catalogue: Catalogue) -> DeploySettings:
-    """What the files in this folder enable. `platform_settings`: the table of that name.
+    """Return the settings of the components that the files in this folder enable.
+
+    `platform_settings`: the table `settings` of the platform's file.
 
     Raises:
-        ConfigError: a file can't be read, or a key in it is wrong.
+        ConfigError: a file can't be read, or one of its keys is invalid.
     """
     zones = platform_settings.texts("azs")
     kinds = platform_settings.texts("machine_types")
@@ -83,12 +86,18 @@
         console=_if_enabled(folder / "console.toml", _read_console),
         srv=_if_enabled(folder / "srv.toml", lambda table: _read_srv(table, names)),
         waiting=_if_enabled(folder / "waiting.toml", lambda table: _read_waiting(table, names)),
-        fleet=_if_enabled(folder / "fleet.toml", lambda table: _read_fleet_beside(table, platform_settings)),
+        fleet=_if_enabled(
+            folder / "fleet.toml", lambda table: _read_fleet_if_allowed(table, platform_settings)
+        ),
     )
 
 
 def console_socket(environment: Mapping[str, str] = os.environ) -> Path:
-    """The socket at which the console finds the dispatcher of this machine."""
+    """Return the path of the console socket of this machine's dispatcher.
+
+    Raises:
+        ConfigError: console.toml does not enable the console, or is invalid.
+    """
     path = _if_enabled(deploy_folder(environment) / "console.toml", _console_path)
     if path is None:
         raise ConfigError("deploy/console.toml: does not enable the console; name a socket with --socket")
@@ -96,7 +105,11 @@
 
 
 def fleet_settings(environment: Mapping[str, str] = os.environ) -> FleetSettings:
-    """The fleet's settings of the dispatcher on this machine, for commands beside it."""
+    """Return the fleet settings of this machine's dispatcher, for commands that run beside it.
+
+    Raises:
+        ConfigError: fleet.toml does not enable a fleet, or is invalid.
+    """
     path = deploy_folder(environment) / "fleet.toml"
     settings = _if_enabled(path, _read_fleet)
     if settings is None:
@@ -105,18 +118,18 @@
 
 
 def deploy_folder(environment: Mapping[str, str]) -> Path:
-    """The folder with our own files."""
+    """Return the folder with the deploy files."""
     return Path(environment.get(DEPLOY_VARIABLE, "deploy"))
 
 
 def _if_enabled(path: Path, read: Callable[[ConfigTable], T]) -> T | None:
-    """The settings in one of our files; None if it is not there or does not say `enabled = true`."""
+    """Return the settings in a deploy file; None if it does not exist or lacks `enabled = true`."""
     table = _enabled(path)
     return read(table) if table is not None else None
 
 
 def _enabled(path: Path) -> ConfigTable | None:
-    """The table in one of our files, if it enables its component."""
+    """Return the table in a deploy file; None if it does not exist or does not enable its component."""
     try:
         table = ConfigTable(tomllib.loads(path.read_text()), f"{path}: ")
     except FileNotFoundError:
@@ -128,7 +141,10 @@
 
 @contextmanager
 def _errors_of(table: ConfigTable, requirements: str) -> Iterator[None]:
-    """Name the file in errors of its schema, and the requirements of a component that is not installed."""
+    """Convert errors of a deploy file's schema to a ConfigError that names the file.
+
+    If the packages of the component are missing, the error names the requirements file to install.
+    """
     try:
         yield
     except ImportError as error:
@@ -137,7 +153,7 @@
         raise ConfigError(f"{table.prefix}{error}") from None
 
 
-# --- one component each ---
+# --- one reader for each component ---
 
 
 def _read_fleet(table: ConfigTable) -> FleetSettings:
@@ -147,8 +163,8 @@
         return read_settings(table.table)
 
 
-def _read_fleet_beside(table: ConfigTable, platform_settings: ConfigTable) -> FleetSettings:
-    """For a dispatcher: its platform may forbid that dispatchers share anything."""
+def _read_fleet_if_allowed(table: ConfigTable, platform_settings: ConfigTable) -> FleetSettings:
+    """Read the fleet's settings for a dispatcher, whose platform may forbid that dispatchers share state."""
     if platform_settings.sub("limits").get("peers", bool, True) is False:
         raise table.error("enabled", "settings.limits.peers is false: dispatchers here share nothing")
     return _read_fleet(table)
@@ -171,7 +187,7 @@
 
 def _read_snmp(table: ConfigTable) -> SnmpSettings:
     host, port = table.address("listen")
-    community = table.get("community", str)  # no default: anybody may know a common one
+    community = table.get("community", str)  # no default: a common community would be easy to guess
     notify = tuple(table.parse_address("notify", text) for text in table.texts("notify"))
     if not community:
         raise table.error("community", "empty")
@@ -245,11 +261,11 @@
 
 
 def _read_login(row: ConfigTable, logins: set[str]) -> _Login:
-    """A login, which must be none of `logins`, and is added to them."""
+    """Read a login, which must not be in `logins`, and add it to them."""
     name = row.get("login", str)
     digest = row.get("passcode_sha256", str).lower()
     if not name or name in logins:
-        raise row.error("login", f"{name!r} is empty or stands there twice")
+        raise row.error("login", f"{name!r} is empty or a duplicate")
     if len(digest) != PASSCODE_DIGITS or any(digit not in "0123456789abcdef" for digit in digest):
         raise row.error("passcode_sha256", f"not {PASSCODE_DIGITS} hexadecimal digits")
     logins.add(name)
--- a/hazelbend/dispatcher/drain.py
+++ b/hazelbend/dispatcher/drain.py
@@ -2,7 +2,7 @@
 
 The steps, by their time since the start:
 
-    0                    client connections are told to close; what they send is served
+    0                    responses carry `Connection: close`; requests are still served
     IDLE_GRACE_S         idle connections are closed, on HTTP and on STOMP
     DEADLINE_FROM_S      new requests get REQUESTS_END_S as their final deadline
     WINDOW_END_S         the deadline is removed: late clients are served as usual, with `Connection: close`
@@ -19,14 +19,14 @@
 log = logging.getLogger("hazelbend")
 
 # Seconds from the start of a drain. The load balancer checks every 0.1 s and sends new connections for 0.2 s
-# after its first failed check. At 4 s no connection may be idle, nor carry a request of the last 2 s.
+# after its first failed check. At 4 s no connection may be idle, or carry a request of the last 2 s.
 IDLE_GRACE_S = 0.8  # idle connections stay open until then: the next request may be on its way
 DEADLINE_FROM_S = 1.7  # requests that arrive from then on have a final deadline
-REQUESTS_END_S = 3.6  # this deadline
-WINDOW_END_S = 4.4  # nobody checks the connections any more
+REQUESTS_END_S = 3.6  # the final deadline of these requests
+WINDOW_END_S = 4.4  # from then on the load balancer no longer checks the connections
 STOMP_SWEEP_PERIOD_S = 0.2  # between sweeps of the idle STOMP clients
 
-DEADLINE_REASON = "drain"
+DRAIN_DEADLINE_REASON = "drain"
 
 
 class DrainTarget(ExtensionContext, Protocol):
@@ -38,7 +38,7 @@
 
 
 class Drain:
-    """One drain at a time, on (`is_on`) or off."""
+    """Starts and stops drains, one at a time."""
 
     def __init__(self, target: DrainTarget) -> None:
         self._target = target
@@ -46,26 +46,26 @@
 
     @property
     def is_on(self) -> bool:
-        """Whether a drain was started and not stopped, also after its window."""
+        """Whether a drain was started and not stopped, also after WINDOW_END_S."""
         return self._task is not None
 
     def start(self) -> None:
-        """Start to send clients away. A drain that is on continues unchanged."""
+        """Start a drain. If one is on, it continues unchanged."""
         if self._task is not None:
             return
-        log.info("draining: %d flows open", len(self._target.router.requests))
+        log.info("draining: %d requests open", len(self._target.router.requests))
         now = asyncio.get_running_loop().time()
         self._target.client_listener.start_draining(now + IDLE_GRACE_S, now + REQUESTS_END_S)
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Accept clients again."""
+        """Stop the drain and accept clients again."""
         if self._task is None:
             return
-        log.info("drain over")
+        log.info("drain stopped")
         self.close()
         self._target.client_listener.stop_draining()
-        self._target.set_final_deadline(DEADLINE_REASON, None)
+        self._target.set_final_deadline(DRAIN_DEADLINE_REASON, None)
 
     def close(self) -> None:
         """Cancel the task. The listeners and the deadline stay as they are."""
@@ -80,9 +80,9 @@
         try:
             await asyncio.sleep(DEADLINE_FROM_S - IDLE_GRACE_S)
             deadline = started_at + round(REQUESTS_END_S * 1e6)
-            self._target.set_final_deadline(DEADLINE_REASON, deadline)
+            self._target.set_final_deadline(DRAIN_DEADLINE_REASON, deadline)
             await asyncio.sleep(WINDOW_END_S - DEADLINE_FROM_S)
-            self._target.set_final_deadline(DEADLINE_REASON, None)
+            self._target.set_final_deadline(DRAIN_DEADLINE_REASON, None)
             self._target.client_listener.restore_request_timeout()
             await stomp_sweeps
         finally:
--- a/hazelbend/dispatcher/extensions.py
+++ b/hazelbend/dispatcher/extensions.py
@@ -6,12 +6,12 @@
 
 `App` calls the hooks in this order:
 
-    initial_endpoints  the first endpoint list passes through each extension before the router has it
+    initial_endpoints  each extension may change the first endpoint list before the router gets it
     start              everything that can fail because an address is in use
-    filter_update      each update from discovery passes through on its way to the router
+    filter_update      each extension may change an update from discovery before the router gets it
     change             after a reload; `stop` and `close` where the reload removes the extension's settings
     drain              clients are being sent away; the process continues to run
-    leave              a planned shutdown has begun: hand over what other dispatchers can take
+    leave              a planned shutdown has begun: hand over what other dispatchers can take over
     finish             the listeners are closed, a few seconds remain
     end, close         shutdown, planned or not: before the client connections are closed, and after
 """
@@ -30,7 +30,7 @@
     from hazelbend.transport.http.client_listener import ClientListener
     from hazelbend.transport.stomp.stomp_listener import StompListener
 
-# A command of the console: takes the words after its name and returns the text to print.
+# A command of the console. Its arguments are the words after its name; it returns the text to print.
 ConsoleCommand = Callable[..., str]
 
 
@@ -41,16 +41,16 @@
     name: str
 
 
-# By the name of their settings in Config. `App` starts the extensions in this order, and closes them in it.
+# By the name of their settings in Config. `App` starts and closes the extensions in this order.
 EXTENSION_CLASSES = {
-    "srv": ExtensionClass("hazelbend.dispatcher.sources", "Sources"),
-    "waiting": ExtensionClass("hazelbend.dispatcher.waiting", "Waiting"),
-    "fleet": ExtensionClass("hazelbend.dispatcher.fleet", "FleetPart"),
+    "srv": ExtensionClass("hazelbend.dispatcher.sources", "SourcesExtension"),
+    "waiting": ExtensionClass("hazelbend.dispatcher.waiting", "WaitingExtension"),
+    "fleet": ExtensionClass("hazelbend.dispatcher.fleet", "FleetExtension"),
 }
 
 
 class CommandError(Exception):
-    """A console command that cannot be carried out. The text says why."""
+    """A console command can't be run. The text gives the reason."""
 
 
 class ExtensionContext(Protocol):
@@ -132,11 +132,11 @@
         """Return metrics for the admin endpoint, the console and SNMP."""
         return {}
 
-    def shows(self) -> dict[str, ConsoleCommand]:
+    def show_commands(self) -> dict[str, ConsoleCommand]:
         """Return the commands of the console's `show NAME [ARGUMENT ...]`. They may raise CommandError."""
         return {}
 
-    def verbs(self) -> dict[str, ConsoleCommand]:
+    def other_commands(self) -> dict[str, ConsoleCommand]:
         """Return further commands of the console. They may raise CommandError."""
         return {}
 
--- a/hazelbend/dispatcher/fleet.py
+++ b/hazelbend/dispatcher/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet extension: gossip, leases and the snapshot, with what the console shows of them."""
+"""The fleet extension: gossip, leases and the snapshot, and their output on the console."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger("hazelbend.fleet")
 
-TRANSFER_TIMEOUT_S = 0.25  # for another to lead before the program goes on leaving
+TRANSFER_TIMEOUT_S = 0.25  # how long a shutdown waits for another member to become leader
 TRANSFER_POLL_S = 0.02
 
 
-class FleetPart(Extension):
-    """One dispatcher in the fleet. The engine decides; a fault here does not reach routing."""
+class FleetExtension(Extension):
+    """Connects this dispatcher with the fleet. Its faults do not affect routing."""
 
     def __init__(self, context: ExtensionContext) -> None:
         conf = context.conf
@@ -36,11 +36,11 @@
 
     @property
     def node(self) -> LeaseNode:
-        """The engine. Another takes its place if its store fails."""
+        """The current lease node. If its store fails, the driver replaces it by a new one."""
         return self.driver.node
 
     async def start(self) -> None:
-        """Load the state, listen, and begin to join. Raises OSError if the address is in use."""
+        """Load the state, listen, and begin to join the fleet. Raises OSError if the address is in use."""
         if self.settings.store:
             await self.driver.open_store()
         await self.listener.listen(*self.settings.listen_address)
@@ -58,21 +58,21 @@
             self.snapshot.start()
 
     def drain(self) -> None:
-        """Let another lead: work on this machine is about to begin."""
+        """Transfer leadership, as maintenance of this machine is about to begin."""
         self.driver.transfer_leadership()
 
     async def leave(self, seconds: float) -> None:
-        """Release leases, let another lead, and tell the members."""
+        """Release the snapshot's lease, transfer leadership, and announce the departure to the members."""
         if self.snapshot is not None:
             await self.snapshot.leave()
         deadline = time.monotonic() + TRANSFER_TIMEOUT_S
-        # Each call asks the engine again, which has no event for the end of a transfer.
+        # The node has no event for the end of a transfer, so this polls it.
         while self.driver.transfer_leadership() and time.monotonic() < deadline:  # noqa: ASYNC110
             await asyncio.sleep(TRANSFER_POLL_S)
         self.driver.leave()
 
     async def close(self) -> None:
-        """End without waiting for anybody."""
+        """Close everything without waiting for other members."""
         if self.snapshot is not None:
             await self.snapshot.close()
         await self.driver.stop()  # first, so that no call waits for a commit
@@ -80,7 +80,7 @@
         await self.driver.close()
 
     def counts(self) -> dict[str, int]:
-        """Figures for the admin endpoint, the console and SNMP."""
+        """Return the figures of the fleet."""
         snapshot_counts = {}
         if self.snapshot is not None:
             snapshot_counts = {
@@ -96,8 +96,8 @@
             "fleet_requests_lost": self.driver.links.requests_lost,
         }
 
-    def shows(self) -> dict[str, ConsoleCommand]:
-        """The console's `show fleet` and `show leases`."""
+    def show_commands(self) -> dict[str, ConsoleCommand]:
+        """Return `show fleet` and `show leases` of the console."""
         return {"fleet": self._show_fleet, "leases": self._show_leases}
 
     def _show_fleet(self) -> str:
--- a/hazelbend/dispatcher/fleet_snapshot.py
+++ b/hazelbend/dispatcher/fleet_snapshot.py
@@ -1,8 +1,8 @@
-"""The fleet's snapshot: one dispatcher at a time writes it to a store, by HTTP PUT with its fencing token.
+"""The fleet's snapshot: the holder of a lease writes it to a store, by HTTP PUT with its fencing token.
 
-The store must reject a token lower than the highest that it has seen for this URL, with 409 or 412. Then this
-dispatcher releases the lease: whatever it believes, another holds it. A write begins only if its time-out
-ends before the lease does.
+The store must reject a token lower than the highest that it has seen for this URL, with 409 or 412. A
+dispatcher with a rejected token releases the lease, as another one has acquired it since. A write begins only
+if its timeout ends before the lease expires.
 """
 
 from __future__ import annotations
@@ -31,15 +31,18 @@
 LEASE_NAME = "hazelbend.snapshot"
 TOKEN_HEADER = "X-Fencing-Token"
 TOKEN_REJECTED_STATUSES = (409, 412)
-QUEUE_WAIT_US = 600_000_000  # of one request for the lease; then the next one begins
+QUEUE_WAIT_US = 600_000_000  # longest wait of one request for the lease; the next request follows it
 MIN_POLL_S = 0.05
-RELEASE_TIMEOUT_S = 0.2  # for the response to a release at the end
-RETRY_DELAY_S = 1.0  # after a lease that ended
+RELEASE_TIMEOUT_S = 0.2  # for the response to the release at a shutdown
+RETRY_DELAY_S = 1.0  # between the end of a lease and the next request
 US_PER_S = 1e6
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What is written: `token` and `by` say who wrote it, `written_at` when (Unix seconds)."""
+    """The body of a write. `token` and `by` identify the writer; `written_at` is in Unix seconds.
+
+    The field names are in the JSON that the store gets.
+    """
 
     token: int
     written_at: float
@@ -51,12 +54,12 @@
     """How a write ended."""
 
     WRITTEN = auto()
-    TOKEN_REJECTED = auto()  # the store has seen a higher one
-    FAILED = auto()  # nobody knows whether it was written
+    TOKEN_REJECTED = auto()  # the store has seen a higher token
+    FAILED = auto()  # whether the snapshot was written is unknown
 
 
 class SnapshotTask:
-    """Requests the lease again and again, and writes while it is held. `clock` is in microseconds."""
+    """Requests the lease again after each loss, and writes while it holds it. `clock` is in microseconds."""
 
     def __init__(
         self,
@@ -67,7 +70,7 @@
         submit: Callable[[Operation], Awaitable[LeaseResponse | None]],
         view: Callable[[], FleetView],
     ) -> None:
-        """`submit` puts an operation to the leader; None: no leader has answered."""
+        """`submit` sends an operation to the leader. It returns the response; None: no leader answered."""
         self.settings = settings
         self.limits = limits
         self.me = me
@@ -82,18 +85,18 @@
         self.failed = 0
 
     def start(self) -> None:
-        """Begin in the background."""
+        """Start the background task."""
         self._task = start_background_task("snapshot of the fleet", self._run)
 
     async def leave(self) -> None:
-        """Release the lease, so that another need not wait for its end."""
+        """Release the lease, so that another dispatcher need not wait until it expires."""
         await self._stop()
         self._client.release(self._clock())
         self._requester.tick(self._client)
         await self._requester.finish(RELEASE_TIMEOUT_S)
 
     async def close(self) -> None:
-        """End without a release."""
+        """Stop without a release of the lease."""
         await self._stop()
         await self._requester.close()
 
@@ -135,7 +138,8 @@
             trust_env=False,
             connector=aiohttp.TCPConnector(limit=1, use_dns_cache=False),
         )
-        session._retry_connection = False  # whether it was written is not known: the next write tells
+        # No automatic retry: the first attempt may have been written. The next write shows the state.
+        session._retry_connection = False
         return session
 
     def _may_write(self, client: LeaseClient, now: int) -> bool:
@@ -155,13 +159,13 @@
             return WriteResult.TOKEN_REJECTED
         if status >= 300:
             self.failed += 1
-            log.warning("fleet: snapshot: the store answers %d", status)
+            log.warning("fleet: snapshot: the store responded with status %d", status)
             return WriteResult.FAILED
         self.written += 1
         return WriteResult.WRITTEN
 
     async def _put(self, session: aiohttp.ClientSession, token: int) -> int:
-        """The store's status. Raises one of CALL_ERRORS."""
+        """Write a snapshot and return the HTTP status. Raises one of CALL_ERRORS."""
         body = msgspec.json.encode(Snapshot(token, time.time(), self.me, self._view()))
         headers = {TOKEN_HEADER: str(token), "Content-Type": "application/json"}
         url = URL(self.settings.url, encoded=True)
--- a/hazelbend/dispatcher/lease_node_driver.py
+++ b/hazelbend/dispatcher/lease_node_driver.py
@@ -1,4 +1,4 @@
-"""Drives the fleet's engine: its clock, its peers, its store, and the requests for leases."""
+"""Runs a lease node: connects it with the clock, its peers, its store, and the requests for leases."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 log = logging.getLogger("hazelbend.fleet")
 
-COMMIT_TIMEOUT_S = 2.0  # for a request to be committed; after it nobody knows whether it was
+COMMIT_TIMEOUT_S = 2.0  # for an operation to be committed; after this it may or may not be committed
 MIN_TIMER_S = 0.001
 US_PER_S = 1e6
 
 
 class LeaderExistsError(ValueError):
-    """A new epoch is refused, as somebody leads."""
+    """A new epoch is refused, because the fleet has a leader."""
 
 
 class LeaseNodeDriver:
-    """The engine of one dispatcher with the I/O around it. `clock` is in microseconds and never goes back."""
+    """The lease node of one dispatcher and its I/O. `clock` is in microseconds and monotonic."""
 
     def __init__(self, name: str, settings: FleetSettings, seed: int, clock: Callable[[], int]) -> None:
         self._name = name
@@ -44,30 +44,35 @@
         self._store: FleetStore | None = None
         self._saving: asyncio.Task[None] | None = None
         self._timer = RepeatingTimer("lease node", self.pump)
-        self._pending: dict[int, asyncio.Future[Reply]] = {}  # by number of the request
+        self._pending: dict[int, asyncio.Future[Reply]] = {}  # by the number of the operation
         self._last_number = 0
         self._last_leader = ""
         self._closed = False
 
     def _new_member(self) -> LeaseNode:
-        """An identity is bound to one persistent state and must never come again, whatever the seed."""
+        """Return a node with a new identity.
+
+        An identity belongs to one persistent state and must never be used again. It is therefore random,
+        independent of the seed.
+        """
         identity = f"{self._name}#{secrets.token_hex(6)}@{self._settings.advertised_address}"
         return LeaseNode(identity, self._settings.node_settings, self._seed, self._clock())
 
     # --- the store ---
 
     async def open_store(self) -> None:
-        """Continue as the identity that the store has, if its file is complete; else as a new member, with
-        the store or, if it fails, without.
+        """Continue with the identity and the state in the store, if its file is complete.
+
+        Otherwise continue as a new member: with the store, or without it if it fails.
         """
         store = FleetStore(Path(self._settings.store))
         try:
             persistent = await asyncio.to_thread(store.open, f"@{self._settings.advertised_address}")
         except CorruptStateError as error:
-            log.error("fleet: store: %s; it is set aside, and this is another member from now on", error)
+            log.error("fleet: store: %s; its file is renamed, and this process joins as a new member", error)
             persistent = None
         except OSError as error:
-            log.error("fleet: store: %s; this is another member, and remembers nothing after its end", error)
+            log.error("fleet: store: %s; this process joins as a new member, without persistent state", error)
             store.close()
             return
         if persistent is not None:
@@ -81,8 +86,11 @@
             self._store = store
 
     def _lose_store(self, store: FleetStore, error: OSError) -> None:
-        """The state that its next messages rest on was not saved, so this identity must not send them."""
-        log.error("fleet: store: %s; this is another member from now on, and remembers nothing", error)
+        """Continue as a new member without a store, after a failed write.
+
+        The next messages depend on state that was not saved, so the old identity must not send them.
+        """
+        log.error("fleet: store: %s; this process continues as a new member, without persistent state", error)
         store.close()
         self._store = None
         self.node = self._new_member()
@@ -93,12 +101,12 @@
     # --- input ---
 
     def receive(self, message: PeerMessage) -> None:
-        """A message from a peer."""
+        """Handle a message from a peer."""
         self.node.receive(message, self._clock())
         self.pump()
 
     async def submit(self, operation: Operation) -> Reply:
-        """Submit an operation to this dispatcher. An empty reply: nobody knows what became of it."""
+        """Submit an operation to this dispatcher's node. An empty reply: its result is unknown."""
         self._last_number += 1
         number = self._last_number
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
@@ -114,7 +122,7 @@
             del self._pending[number]
 
     async def submit_to_leader(self, operation: Operation) -> LeaseResponse | None:
-        """Submit an operation to the leader, whoever that is. None: no leader has answered."""
+        """Submit an operation to the leader, here or at a peer. Returns None if no leader has answered."""
         reply = await self.submit(operation)
         if reply.response is None and reply.leader not in ("", self.node.me):
             address = address_of(reply.leader)
@@ -122,35 +130,36 @@
         return reply.response
 
     def start_new_epoch(self, force: bool) -> str:
-        """Start a new epoch, by an operator; its number. `force`: even if somebody leads.
+        """Start a new epoch for an operator, and return its number. `force`: even if the fleet has a leader.
 
-        Raises ValueError with the reason against it.
+        Raises:
+            ValueError: the epoch is refused; the text gives the reason.
         """
         leader = self.node.leader
         if leader and not force:
             raise LeaderExistsError(f"{leader} leads: nothing is lost")
         epoch = self.node.start_new_epoch(time.time(), self._clock())
-        log.warning("fleet: epoch %d is started here by an operator", epoch)
+        log.warning("fleet: an operator has started epoch %d on this member", epoch)
         self.pump()
         return str(epoch)
 
     def view(self) -> FleetView:
-        """What this dispatcher knows."""
+        """Return the state of the fleet as this dispatcher knows it."""
         return self.node.view(self._clock())
 
     def transfer_leadership(self) -> bool:
-        """Let another voter lead. Call it until it returns False."""
+        """Transfer leadership to another voter. Call it until it returns False."""
         transferring = self.node.transfer_leadership(self._clock())
         self.pump()
         return transferring
 
     def leave(self) -> None:
-        """Announce to the members that this process leaves."""
+        """Announce to the members that this process leaves the fleet."""
         self.node.leave(self._clock())
         self.pump()
 
     async def stop(self) -> None:
-        """Do nothing from here on: end all requests, and the write that is under way."""
+        """Stop the node, cancel the pending operations, and wait for a write that is in progress."""
         self._closed = True
         self._timer.cancel()
         for future in self._pending.values():
@@ -167,7 +176,7 @@
     # --- output ---
 
     def pump(self) -> None:
-        """Let the engine do what is due, send its output, and set the timer for the next time."""
+        """Run the node's due work, send its output, and set the timer for its next work."""
         if self._closed:
             return
         now = self._clock()
@@ -191,7 +200,7 @@
                 future.set_result(reply)
 
     async def _save(self, store: FleetStore) -> None:
-        """Save the state, then send the output that rests on it. Output that comes meanwhile goes next."""
+        """Save the state, then send the output that depends on it; repeat while there is new output."""
         node = self.node
         try:
             while node.has_output:
@@ -207,14 +216,15 @@
             self._saving = None
 
     async def _rewrite(self, store: FleetStore) -> None:
-        """Write the state anew, as its file has grown large. Where the disk has no room the file stays.
+        """Rewrite the file of the state, which has grown large. If the disk is full, the file stays as it is.
 
-        The state has changes made meanwhile, which are added once more: frames are idempotent.
+        The written state already has the changes made meanwhile, which are appended again later: frames are
+        idempotent.
         """
         try:
             await asyncio.to_thread(store.replace, state_codec.encode_state(self.node.raft.persistent))
         except StateNotRewrittenError as error:
-            log.warning("fleet: store: %s; its file is not made smaller for now", error)
+            log.warning("fleet: store: %s; its file is not compacted for now", error)
 
     def _log_changes(self) -> None:
         table = self.node.members.table
@@ -224,4 +234,4 @@
         leader = self.node.leader
         if leader != self._last_leader:
             self._last_leader = leader
-            log.info("fleet: %s leads", leader or "nobody")
+            log.info("fleet: leader: %s", leader or "none")
--- a/hazelbend/dispatcher/log.py
+++ b/hazelbend/dispatcher/log.py
@@ -28,9 +28,9 @@
 
 
 class RateLimitedLog:
-    """A logger with a rate limit, for events that can repeat by the hundred.
+    """A logger with a rate limit, for events that can repeat hundreds of times.
 
-    In each period it writes up to `lines` lines. The rest are counted, and `flush` logs the count.
+    In each period it writes up to `lines` lines. It counts the others, and `flush` logs the count.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._suppressed = 0
         self._written = 0
         if suppressed:
-            self._log.info("and %d lines more of this kind", suppressed)
+            self._log.info("rate limit: %d similar lines suppressed", suppressed)
 
     def _write(self, level: int, text: str, values: tuple[object, ...]) -> None:
         self.flush()
--- a/hazelbend/dispatcher/settings_report.py
+++ b/hazelbend/dispatcher/settings_report.py
@@ -1,8 +1,9 @@
-"""How the program reads a deployment's settings: what is in effect, what is not used, and what is doubtful.
+"""How the program reads a deployment's settings: which are in effect, which are unused, which are doubtful.
 
-An unknown setting is skipped, as the platform's protocol asks, and a value that can't be used falls back to
-the strictest reading. So a deployment that names things differently runs, but not as its operators expect.
-The report is for the log at each start and for `python -m hazelbend check`.
+The platform's protocol requires that unknown settings are skipped, and a value that can't be used is read in
+the strictest way. A deployment that uses other names therefore runs, but not as its operators expect. The
+report shows this, in the log at each start and in the output of `python -m hazelbend check`. Its words are
+part of that output, which operators' tools may read.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 REPORT_COLUMNS = (
     "outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", "x0", "x1",
 )  # fmt: skip
-DEFAULT_DEADLINE_US = 5_000_000  # of a class that names none
+DEFAULT_DEADLINE_US = 5_000_000  # of a class without `deadline_us`
 US_PER_MS = 1e3
 US_PER_S = 1e6
 
 
 class SettingWarning(NamedTuple):
-    """A setting that can be read but is hardly meant so."""
+    """A setting that can be read, but that probably has a value that was not intended."""
 
     key: str
     text: str
@@ -47,12 +48,12 @@
 class SettingsReport:
     """The report of one configuration."""
 
-    effective: dict[str, Any]  # plain values, under the operators' names
+    effective: dict[str, Any]  # plain values, under the names that operators know
     unused: tuple[str, ...]  # paths of settings that nothing reads, sorted
     warnings: tuple[SettingWarning, ...]
 
     def as_plain_values(self) -> dict[str, Any]:
-        """As the log and `check --json` have it."""
+        """Return the report as the log and `check --json` show it."""
         return {
             "goes_by": self.effective,
             "not_used": list(self.unused),
@@ -61,16 +62,17 @@
 
 
 def report_settings(table: dict[str, Any], settings: Settings) -> SettingsReport:
-    """The report of settings as written (`table`) and as read. Call it when every reader has had the table.
+    """Return the report on `table`, from which `settings` were read.
 
-    It fails on nothing that could be read.
+    Call this after everything that reads settings has read the table, or its settings count as unused. Raises
+    no error for settings that could be read.
     """
     effective = _effective_settings(table, settings)  # before the warnings, which read unused settings too
     unused = tuple(sorted(set(table.unread_paths()))) if isinstance(table, TrackedTable) else ()
     return SettingsReport(effective, unused, tuple(_warnings(table, settings)))
 
 
-# --- what is in effect ---
+# --- effective settings ---
 
 
 def _effective_settings(table: dict[str, Any], settings: Settings) -> dict[str, Any]:
@@ -146,7 +148,7 @@
     return "pushed on a watch" if settings.list_is_pushed else "told"
 
 
-# --- what is doubtful ---
+# --- warnings ---
 
 
 def _warnings(table: dict[str, Any], settings: Settings) -> Iterator[SettingWarning]:
@@ -184,7 +186,7 @@
 
 
 def _class_warnings(row: dict[str, Any], job_class: JobClass, kinds: int) -> Iterator[SettingWarning]:
-    """With keys within the class's row."""
+    """Yield pairs of a key in the class's row and the text of the warning."""
     is_keyed = job_class.idempotency is Idempotency.KEYED
     if row.get("semantics") not in IDEMPOTENCY_BY_SEMANTICS:
         yield SettingWarning("semantics", f"{row.get('semantics')!r} is not known; it will never run twice")
--- a/hazelbend/dispatcher/sources.py
+++ b/hazelbend/dispatcher/sources.py
@@ -1,7 +1,7 @@
-"""Where servers come from while `deploy/srv.toml` is enabled: the endpoint list and SRV names, merged.
+"""Merges the endpoint list and SRV names, if `deploy/srv.toml` is enabled. Imported only then.
 
-Imported only then. It stands between the subscription to discovery and the router: updates of the endpoint
-list pass through `filter_update`, and changes of SRV names go to the router as changes of the list.
+The extension sits between the subscription to discovery and the router: updates of the endpoint list pass
+through `filter_update`, and changes of SRV names go to the router as changes of the list.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 log = logging.getLogger("hazelbend.names")
 
-HOUSEKEEPING_INTERVAL_US = 1_000_000  # between looks at failing names and at old tombstones
+HOUSEKEEPING_INTERVAL_US = 1_000_000  # between checks of failing names and old tombstones
 MIN_SRV_WEIGHT = 0.1  # an SRV weight of 0 is "a very small chance of being selected" (RFC 2782), not none
 
 
-class Sources(Extension):
+class SourcesExtension(Extension):
     """The resolver, the merger and the router, wired together."""
 
     def __init__(self, context: ExtensionContext) -> None:
@@ -60,18 +60,18 @@
 
     @property
     def snapshot_error(self) -> str:
-        """Why the snapshot was not read or written last; empty: it was."""
+        """Why the last read or write of the snapshot failed; empty if it succeeded."""
         return self._snapshots.error
 
     @property
     def queries_in_flight(self) -> int:
-        """How many DNS queries have no result yet."""
+        """The number of DNS queries in flight."""
         return self._driver.queries_in_flight
 
     # --- life cycle ---
 
     def initial_endpoints(self, known: EndpointList, handed_over: dict[str, Any]) -> EndpointList:
-        """The list to begin with: the known list, and the last known records of the SRV names."""
+        """Return the known list merged with the last known records of the SRV names."""
         now = self._clock.now()
         self._router.on_registered_changed = self.merger.apply_connected
         last_known = self._snapshots.load(handed_over)
@@ -92,13 +92,13 @@
         self._check_periodically()
 
     def change(self) -> None:
-        """Apply changed settings. What is known of names that stay is kept."""
+        """Apply changed settings. The records of names that stay are kept."""
         settings = self._configured()
         reader = self._context.conf.reader
         if (settings, reader) == (self.settings, self._reader):
             return
         now = self._clock.now()
-        before = self.settings
+        previous = self.settings
         self.settings = settings
         self._reader = reader
         self._names = _names_by_canonical(settings)
@@ -107,20 +107,20 @@
         self.resolver.reconfigure(settings, now)
         self.resolver.track_only(self._names, now)
         self.resolver.names.changed |= self._names.keys()  # zone, kind or weight scale may have changed
-        same_timeout = settings.budgets.timeout_s == before.budgets.timeout_s
-        if same_timeout and settings.nameservers == before.nameservers:
+        same_timeout = settings.budgets.timeout_s == previous.budgets.timeout_s
+        if same_timeout and settings.nameservers == previous.nameservers:
             self._driver.run_due()
         else:
             self._driver.reconnect()
 
     def stop(self) -> None:
-        """Hand the router back the endpoint list alone."""
+        """Remove the endpoints of SRV names: the router gets the endpoint list alone."""
         self._closed = True
         self._router.on_registered_changed = lambda entry: None
         self._router.apply_list(EndpointList(self.merger.listed(), is_complete=True))
 
     async def close(self) -> None:
-        """End the queries, and write the last snapshot."""
+        """Cancel the queries and write a last snapshot."""
         self._closed = True
         self._check_timer.cancel()
         self._snapshots.cancel_timer()
@@ -128,41 +128,41 @@
         await self._snapshots.save_last()
 
     def handover_state(self) -> dict[str, Any]:
-        """The snapshot, for the next process of an upgrade."""
+        """Return the snapshot, for the next process of an upgrade."""
         return dict(msgspec.to_builtins(self._capture()))
 
     # --- updates ---
 
     def discovered_endpoints(self) -> EndpointList:
-        """The endpoint list, without what SRV names list."""
+        """Return the endpoint list, without the endpoints of SRV names."""
         return EndpointList(self.merger.listed(), is_complete=True)
 
     def filter_update(self, update: EndpointList) -> EndpointList:
-        """An update of the endpoint list. Returns the update for the router."""
+        """Merge an update of the endpoint list. Returns the update for the router."""
         changes = self.merger.apply_list(update, self._clock.now())
         self._carry_over_drains()
         self._snapshots.save_later()
-        self._check_soon()  # once the router has the changes
+        self._check_soon()  # runs after the router has the changes
         return changes
 
     def on_servers_changed(self) -> None:
-        """A server has become available or unavailable: another priority may have to open."""
+        """Check the priorities: as a server's availability has changed, another priority may have to open."""
         self._check_soon()
 
     def _names_changed(self, names: Iterable[str]) -> None:
-        """The endpoints of these SRV names may have changed."""
+        """Merge the endpoints of these SRV names, which may have changed, and send the changes."""
         now = self._clock.now()
         for name in sorted(names):
-            before = len(self.merger.priorities(name))
+            previous_count = len(self.merger.priorities(name))
             self._send(self._apply_name(name, now))
             count = len(self.merger.priorities(name))
-            if count != before:
-                self._log.info("%s: %d boxes (%d before)", name, count, before)
+            if count != previous_count:
+                self._log.info("%s: %d endpoints (previously %d)", name, count, previous_count)
         self._check_priorities(now)
         self._snapshots.save_later()
 
     def _apply_name(self, name: str, now: int) -> EndpointList:
-        """Merge what an SRV name lists now. Returns the changes."""
+        """Merge the endpoints that an SRV name lists now. Returns the changes."""
         settings = self._names.get(name)
         if settings is None:
             changes = self.merger.apply_srv(name, {}, now)
@@ -187,7 +187,7 @@
             self._router.apply_list(changes)
 
     def _carry_over_drains(self) -> None:
-        """An endpoint that is drained by hand stays so under its new host."""
+        """Keep manual drains of endpoints whose host name has changed."""
         renamed, self.merger.renamed = self.merger.renamed, []
         for old_host, new_host in renamed:
             self._router.table.rename_manual_drain(old_host, new_host)
@@ -198,7 +198,7 @@
         self._priorities.update(now, round(self.settings.pools.failback_delay_s * 1e6))
 
     def _check_soon(self) -> None:
-        """Check in a turn of its own: the caller may be in the middle of an update of the router's table."""
+        """Check in the next iteration of the event loop: the caller may be updating the router's table."""
         if not self._check_pending and not self._closed:
             self._check_pending = True
             asyncio.get_running_loop().call_soon(self._check_now)
@@ -209,7 +209,7 @@
             self._check_priorities(self._clock.now())
 
     def _check_periodically(self) -> None:
-        """The decision module does not report when it ejects a server, so it is polled."""
+        """Check the priorities at intervals: the decision module does not report when it ejects a server."""
         now = self._clock.now()
         self._check_priorities(now)
         if now >= self._housekeeping_at + HOUSEKEEPING_INTERVAL_US:
@@ -233,14 +233,14 @@
         ]
         return snapshot.capture(self.resolver, tombstones, self.merger.srv_start_times(), self._clock.now())
 
-    # --- what operators see ---
+    # --- console and figures ---
 
-    def shows(self) -> dict[str, ConsoleCommand]:
-        """`show sources` and `show names` of the console."""
+    def show_commands(self) -> dict[str, ConsoleCommand]:
+        """Return `show sources` and `show names` of the console."""
         return {"sources": self._show_sources, "names": self.status.show_names}
 
     def counts(self) -> dict[str, int]:
-        """Figures for the administrators' interface."""
+        """Return the `names.*` figures."""
         return self.status.counts()
 
     def _show_sources(self) -> str:
@@ -249,7 +249,7 @@
         )
 
     def _configured(self) -> SrvSettings:
-        # This extension is created, and notified of changes, only while the configuration has its settings.
+        # This extension is created and changed only while the configuration has its settings.
         assert self._context.conf.srv is not None
         return self._context.conf.srv
 
--- a/hazelbend/dispatcher/srv_priorities.py
+++ b/hazelbend/dispatcher/srv_priorities.py
@@ -1,4 +1,7 @@
-"""Opens and closes the priorities of SRV names by whether their endpoints are available."""
+"""Opens and closes the priorities of SRV names, depending on which of their endpoints are available.
+
+Endpoints of a priority that is not open are spare: they are known but get no requests.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class SrvPriorities:
-    """The priority pools of all SRV names. `send` takes changes to the router."""
+    """The priority pools of all SRV names. `send` passes changes to the router."""
 
     def __init__(
         self,
@@ -30,53 +33,53 @@
         self._send = send
         self._log = log
         self._pools: dict[str, PriorityPool] = {}
-        self._with_several: set[str] = set()  # names whose endpoints have several priorities
+        self._multi_priority_names: set[str] = set()  # SRV names whose endpoints have several priorities
 
     def level(self, name: str) -> int | None:
-        """Up to which priority an SRV name is open; None: it has no endpoints."""
+        """Return the highest open priority value of an SRV name; None if it has no endpoints."""
         pool = self._pools.get(name)
         return pool.level if pool is not None else None
 
     def apply(self, name: str, claims: Mapping[EndpointKey, SrvClaim], now: int) -> EndpointList:
-        """An SRV name is about to list these endpoints. Returns the changes."""
+        """Set the priorities of an SRV name that is about to list these endpoints. Returns the changes."""
         priorities = {claim.preference.priority for claim in claims.values()}
         pool = self._pools.setdefault(name, PriorityPool())
         if len(priorities) > 1:
-            self._with_several.add(name)
+            self._multi_priority_names.add(name)
             if pool.level is not None:
                 return EndpointList()  # `update` changes it from now on
             level = pool.update(dict.fromkeys(priorities, True), now, 0)
             return self._merger.open_priorities(name, level, now)
-        self._with_several.discard(name)
-        # The one priority is open, and endpoints of further ones are spare from the start.
+        self._multi_priority_names.discard(name)
+        # The only priority is open. Endpoints that come later with another priority start as spare.
         pool.level = min(priorities, default=None)
         return self._merger.open_priorities(name, pool.level, now)
 
     def remove(self, name: str, now: int) -> None:
-        """An SRV name is no longer tracked, and lists no endpoint."""
+        """Remove an SRV name that is no longer tracked and lists no endpoint."""
         self._pools.pop(name, None)
-        self._with_several.discard(name)
+        self._multi_priority_names.discard(name)
         self._merger.open_priorities(name, None, now)
 
     def update(self, now: int, failback_delay_us: int) -> None:
-        """Open and close priorities by which endpoints are available now."""
-        if not self._with_several:
+        """Open and close priorities, depending on which endpoints are available now."""
+        if not self._multi_priority_names:
             return
         ejected = self._router.module.workers_in_backoff(now)
         members = self._merger.view.members
-        for name in sorted(self._with_several):
+        for name in sorted(self._multi_priority_names):
             available = self._available_priorities(name, members, ejected)
             pool = self._pools[name]
-            before = pool.level
+            previous_level = pool.level
             level = pool.update(available, now, failback_delay_us)
-            if level != before:
-                self._log.info("%s: open up to priority %s (%s before)", name, level, before)
+            if level != previous_level:
+                self._log.info("%s: open up to priority %s (previously %s)", name, level, previous_level)
             self._send(self._merger.open_priorities(name, level, now))
 
     def _available_priorities(
         self, name: str, members: Mapping[str, MergedEndpoint], ejected: set[WorkerId]
     ) -> dict[int, bool]:
-        """For each priority, whether an endpoint of it can take work."""
+        """Return, for each priority, whether at least one of its endpoints can accept requests."""
         available: dict[int, bool] = {}
         for host, priority in self._merger.priorities(name).items():
             member = members[host]
--- a/hazelbend/dispatcher/srv_snapshots.py
+++ b/hazelbend/dispatcher/srv_snapshots.py
@@ -1,4 +1,4 @@
-"""When the snapshot of SRV names is read and written."""
+"""Reads the snapshot of SRV names at the start, and writes it after changes."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
 
 
 class SnapshotSaver:
-    """Reads the snapshot at the start, and writes it some time after a change.
+    """Reads the snapshot at the start, and writes it at most once per interval after changes.
 
-    `capture` makes a snapshot of the present state.
+    `capture` returns a snapshot of the current state.
     """
 
     def __init__(self, settings: SnapshotFile | None, capture: Callable[[], Snapshot]) -> None:
         self.settings = settings  # None: no file is configured
-        self.error = ""  # of the last read or write
+        self.error = ""  # of the last read or write; empty if it succeeded
         self._capture = capture
         self._timer: asyncio.TimerHandle | None = None
         self._write_task: asyncio.Task[None] | None = None
 
     def load(self, handed_over: dict[str, Any]) -> Snapshot | None:
-        """The state that the process before handed over, else the file's; None if neither can be used."""
+        """Return the state that the previous process handed over, or else the state in the file.
+
+        Returns None if there is neither, or if it can't be used.
+        """
         try:
             if handed_over:
                 return snapshot.from_object(handed_over)
@@ -41,17 +44,17 @@
         return None
 
     def save_later(self) -> None:
-        """Write the file once the interval is over."""
+        """Schedule a write at the end of the interval, unless one is scheduled."""
         if self.settings is not None and self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(self.settings.interval_s, self._save)
 
     def cancel_timer(self) -> None:
-        """Begin no further write."""
+        """Cancel the scheduled write."""
         if self._timer is not None:
             self._timer.cancel()
 
     async def save_last(self) -> None:
-        """Wait for a write that is under way, then write the state at the end."""
+        """Wait for a write that is in progress, then write the final state."""
         if self._write_task is not None:
             await asyncio.gather(self._write_task, return_exceptions=True)
         if self.settings is not None:
@@ -73,7 +76,7 @@
             snapshot.write_file(path, data)
         except OSError as error:
             if self.error != str(error):
-                log.warning("snapshot: cannot be written: %s", error)
+                log.warning("snapshot: write failed: %s", error)
             self.error = str(error)
         else:
             self.error = ""
--- a/hazelbend/dispatcher/srv_status.py
+++ b/hazelbend/dispatcher/srv_status.py
@@ -1,6 +1,6 @@
-"""What operators see of SRV names and of the sources of endpoints: console, figures and log.
+"""Status of SRV names and of the sources of endpoints, for the console, the figures and the log.
 
-The words on the console, such as "BOXES", and the names of the figures are an interface to operators.
+The words on the console, such as "BOXES", and the names of the figures are a stable interface to operators.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 @dataclass(slots=True, frozen=True)
 class SrvNameStatus:
-    """One SRV name."""
+    """The status of one SRV name."""
 
     name: str
     state: str  # a value of SrvReport, or NOT_QUERIED
     endpoints: int
     open: int  # endpoints that are not spare
-    level: int | None  # up to which priority it is open
-    ttl_left_s: float  # negative: the TTL ended so long ago
-    failing_for_s: float  # 0: its last round of queries was answered
+    level: int | None  # the highest open priority value; None if there are no endpoints
+    ttl_left_s: float  # negative if the TTL has expired
+    failing_for_s: float  # 0 if its last round of queries was answered
     last_error: str
 
 
 @dataclass(slots=True, frozen=True)
 class SrvRecordStatus:
-    """One record of an SRV name."""
+    """The status of one record of an SRV name."""
 
     key: EndpointKey
     priority: int
@@ -48,7 +48,7 @@
 
 
 class SrvStatus:
-    """Status of the resolver and of the merged endpoints. `now` gives the time in microseconds."""
+    """Reports the status of the resolver and of the merged endpoints. `now` returns microseconds."""
 
     def __init__(
         self, resolver: Resolver, merger: EndpointMerger, priorities: SrvPriorities, now: Callable[[], int]
@@ -59,12 +59,12 @@
         self._now = now
 
     def names(self) -> list[SrvNameStatus]:
-        """All SRV names, by name."""
+        """Return the status of all SRV names, sorted by name."""
         now = self._now()
         return [self._name_status(name, now) for name in sorted(self._resolver.names.by_srv_name)]
 
     def records(self, name: str) -> list[SrvRecordStatus]:
-        """The accepted records of an SRV name, by target and port."""
+        """Return the accepted records of an SRV name, sorted by target and port."""
         records = sorted(self._resolver.names.by_srv_name[name].quorum.values.items())
         return [
             SrvRecordStatus(
@@ -78,7 +78,7 @@
         ]
 
     def counts(self) -> dict[str, int]:
-        """Figures for the administrators' interface."""
+        """Return the `names.*` figures."""
         counters = self._resolver.counters
         states = [status.state for status in self.names()]
         members = self._merger.view.members.values()
@@ -97,7 +97,7 @@
     # --- console ---
 
     def show_sources(self, *, list_received: bool, snapshot_error: str) -> str:
-        """Text of `show sources`."""
+        """Return the text of `show sources`."""
         view = self._merger.view
         members = view.members.values()
         received = "heard" if list_received else "as known"
@@ -116,7 +116,7 @@
         return "\n".join([format_table(sources), "", self._nameserver_table(), "", footer])
 
     def show_names(self, name: str = "") -> str:
-        """Text of `show names`, or of `show names NAME`.
+        """Return the text of `show names`, or of `show names NAME`.
 
         Raises:
             CommandError: the name is not tracked.
@@ -176,7 +176,7 @@
         )
 
     def _ttl_expires_at(self, tracked: TrackedName) -> int:
-        """The first end of the TTLs of the name and of its targets' addresses."""
+        """Return when the first TTL of the name and its targets' addresses expires, in microseconds."""
         times = [tracked.ttl_expires_at]
         for key in tracked.quorum.accepted:
             for record_type in ADDRESS_TYPES:
@@ -187,7 +187,7 @@
 
 
 class FailingNamesLog:
-    """Logs once when the queries for an SRV name begin to fail, and when they are answered again."""
+    """Logs when the queries for an SRV name begin to fail, and when they are answered again."""
 
     def __init__(self, resolver: Resolver, log: RateLimitedLog) -> None:
         self._resolver = resolver
@@ -195,13 +195,13 @@
         self._failing: set[str] = set()
 
     def update(self) -> None:
-        """Log what has changed since the last call."""
+        """Log the names that have begun or ceased to fail since the last call."""
         by_srv_name = self._resolver.names.by_srv_name
         failing = {name for name, tracked in by_srv_name.items() if tracked.failing_since}
         for name in sorted(failing - self._failing):
-            self._log.warning("%s: unknown: %s", name, by_srv_name[name].last_error)
+            self._log.warning("%s: queries fail: %s", name, by_srv_name[name].last_error)
         for name in sorted(self._failing - failing):
-            self._log.info("%s: answered again", name)
+            self._log.info("%s: queries are answered again", name)
         self._failing = failing
         self._log.flush()
 
--- a/hazelbend/dispatcher/tracked_table.py
+++ b/hazelbend/dispatcher/tracked_table.py
@@ -1,6 +1,6 @@
 """A table of settings that records which of its keys were read.
 
-So the settings that the program does not use are known without a list of them, which could become outdated.
+This finds the settings that the program does not use, without a list of them that could become outdated.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 
 class TrackedTable(dict[str, Any]):
-    """A table that records which of its keys were read with `get`; the tables in it do so as well."""
+    """A table that records which of its keys were read with `get`, also in the tables that it contains."""
 
     def __init__(self, table: dict[str, Any]) -> None:
         super().__init__({key: _tracked(value) for key, value in table.items()})
         self.read_keys: set[str] = set()
 
     def get(self, key: str, default: Any = None) -> Any:  # noqa: ANN401 (as `dict.get`)
-        """The value of a key, which counts as read from now on."""
+        """Return the value of a key, and record the key as read."""
         self.read_keys.add(key)
         return super().get(key, default)
 
     def unread_paths(self, prefix: str = "") -> Iterator[str]:
-        """The paths of the keys that were not read. The rows of a list share one path."""
+        """Yield the paths of the keys that were not read. The rows of a list share one path."""
         for key, value in self.items():
             path = f"{prefix}{key}"
             if key not in self.read_keys:
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting jobs on both fronts, when deploy/waiting.toml is enabled. Imported only then."""
+"""Waiting jobs from HTTP and STOMP clients. Imported only if deploy/waiting.toml is enabled."""
 
 from __future__ import annotations
 
@@ -25,12 +25,15 @@
 MS_PER_S = 1e3
 
 
-class Waiting(Extension):
-    """The extension: its gate before the router, and what the listeners and the console call."""
+class WaitingExtension(Extension):
+    """Puts a gate before the router, and connects it with the listeners and the console.
+
+    The gate holds jobs that wait for other jobs, for a point in time or for admission.
+    """
 
     def __init__(self, context: ExtensionContext) -> None:
         self._context = context
-        self.settings = self._wanted()
+        self.settings = self._configured()
         self.gate = JobGate(
             context.router,
             self._bounds(),
@@ -38,9 +41,9 @@
             lambda index: context.conf.settings.classes[index].late_value_fraction,
             lambda index: context.conf.settings.classes[index].objective,
         )
-        self._join()
+        self._attach_to_listeners()
 
-    def _wanted(self) -> WaitingSettings:
+    def _configured(self) -> WaitingSettings:
         assert self._context.conf.waiting is not None
         return self._context.conf.waiting
 
@@ -48,21 +51,21 @@
         catalogue = self._context.conf.catalogue
         return self.settings.bounds(tuple(row.name for row in catalogue.classes), catalogue.tenants)
 
-    def _join(self) -> None:
-        reads = self.settings.http_headers or self.settings.ordinary
-        self._context.client_listener.gate = self._http if reads else None
+    def _attach_to_listeners(self) -> None:
+        http_uses_gate = self.settings.http_headers or self.settings.ordinary
+        self._context.client_listener.gate = self._submit_from_http if http_uses_gate else None
         if self._context.stomp is not None:
-            self._context.stomp.gate = self._stomp
+            self._context.stomp.gate = self._submit_from_stomp
             self._context.stomp.cancel = lambda client, own_id: self.gate.cancel((client, own_id))
 
     def change(self) -> None:
         """Apply reloaded settings."""
-        self.settings = self._wanted()
+        self.settings = self._configured()
         self.gate.change(self._bounds(), self.settings.ordinary)
-        self._join()
+        self._attach_to_listeners()
 
     def stop(self) -> None:
-        """Turned off: what waits is refused, what runs goes on."""
+        """Detach from the listeners and refuse the waiting jobs. Running jobs continue."""
         self._context.client_listener.gate = None
         if self._context.stomp is not None:
             self._context.stomp.gate = self._context.stomp.cancel = None
@@ -70,32 +73,32 @@
         self.gate.close()
 
     async def leave(self, seconds: float) -> None:
-        """Refuse at once what can't start within these seconds."""
+        """Refuse at once the jobs that can't start within these seconds."""
         self.gate.leave(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
 
     async def finish(self, seconds: float) -> None:
-        """What can still run does; the rest is refused in time for its clients to hear of it."""
+        """Let waiting jobs start for this many seconds, then refuse the rest in time for their responses."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self.gate.wait_drained()
         self.gate.reject_waiting(ENDING_REASON)
 
     def end(self) -> None:
-        """Refuse what still waits."""
+        """Refuse the jobs that still wait."""
         self.gate.close()
 
-    # --- what operators see and do ---
+    # --- console and figures ---
 
     def counts(self) -> dict[str, int]:
-        """The `waiting.*` figures."""
+        """Return the `waiting.*` figures."""
         return self.gate.counts([row.name for row in self._context.conf.catalogue.classes])
 
-    def shows(self) -> dict[str, ConsoleCommand]:
-        """`show waiting` of the console."""
+    def show_commands(self) -> dict[str, ConsoleCommand]:
+        """Return `show waiting` of the console."""
         return {"waiting": self._show}
 
-    def verbs(self) -> dict[str, ConsoleCommand]:
-        """`cancel` of the console."""
+    def other_commands(self) -> dict[str, ConsoleCommand]:
+        """Return `cancel` of the console."""
         return {"cancel": self._cancel}
 
     def _show(self) -> str:
@@ -109,17 +112,17 @@
             age = f"{row.age_us / US_PER_S:.1f} s"
             remaining = f"{row.remaining_us / US_PER_S:.1f} s"
             lines.append((row.client or "-", row.id, name, tenant, age, remaining, row.waits_for))
-        more = f"{len(rows)} wait" + "".join(f", {name} {count}" for name, count in counts.most_common())
-        return "\n".join([format_table(lines), more])
+        summary = f"{len(rows)} wait" + "".join(f", {name} {count}" for name, count in counts.most_common())
+        return "\n".join([format_table(lines), summary])
 
     def _cancel(self, client: str, own_id: str) -> str:
         if not self.gate.cancel(("" if client == "-" else client, own_id)):
             raise CommandError(f"no job {own_id!r} of {client!r} waits; see: show waiting")
         return f"{own_id}: refused"
 
-    # --- what the fronts call ---
+    # --- called by the listeners ---
 
-    def _http(self, job: Job, headers: MultiMapping[str]) -> PendingJob:
+    def _submit_from_http(self, job: Job, headers: MultiMapping[str]) -> PendingJob:
         if not self.settings.http_headers:
             return self._submit(job, "", job.id, JobTerms(), None)
         names = ("X-After", "X-Not-Before", "X-Wanted-Ms", "X-Take-Results")
@@ -131,7 +134,7 @@
         client = tenants[job.tenant] if tenants else ""
         return self._submit(job, client, job.id, terms, headers.get("X-Timeout-Ms"))
 
-    def _stomp(self, job: Job, client: str, frame: Frame) -> PendingJob:
+    def _submit_from_stomp(self, job: Job, client: str, frame: Frame) -> PendingJob:
         names = ("after", "not-before", "wanted", "take-results")
         terms = self._terms(*(frame.get(name) for name in names))
         return self._submit(job, client, request_id(frame), terms, frame.headers.get("deadline"))
@@ -143,13 +146,13 @@
         self, job: Job, client: str, own_id: str, terms: JobTerms, timeout_text: str | None
     ) -> PendingJob:
         catalogue = self._context.conf.catalogue
-        wait = job.timeout_us
+        client_timeout_us = job.timeout_us
         if terms.waits and timeout_text is not None:
-            # A job that waits may do so for longer than its class may run.
-            wait = timeout_us(
+            # A waiting job may have a longer timeout than the deadline of its class.
+            client_timeout_us = timeout_us(
                 timeout_text, round(self.settings.limits.longest_s * MS_PER_S), catalogue.margin_us
             )
         try:
-            return self.gate.submit(job, (client, own_id), terms, wait)
+            return self.gate.submit(job, (client, own_id), terms, client_timeout_us)
         except TermsError as error:
             raise BadRequestError(str(error)) from None
--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -170,7 +170,7 @@
             app.drain()
             await wait_until(lambda: app._final_deadlines)
             leaving = asyncio.create_task(app.leave())
-            await wait_until(lambda: app.leaving)
+            await wait_until(lambda: app.is_shutting_down)
             assert "drain" not in app._final_deadlines
             leaving.cancel()
             await asyncio.gather(leaving, return_exceptions=True)
@@ -190,7 +190,7 @@
     assert ask(ops, "POST", "/ops/drain/start")[0] == 200
     wait_for(lambda: b"draining: " in (tmp_path / "log").read_bytes())
     program.send_signal(signal.SIGTERM)
-    wait_for(lambda: b"leaving" in (tmp_path / "log").read_bytes())
+    wait_for(lambda: b"shutting down" in (tmp_path / "log").read_bytes())
     assert ask(ops, "POST", "/ops/drain/stop")[0] == 409
     assert ask(ops, "GET", "/ops/readiness")[0] == 503
     assert ask(ops, "POST", "/ops/drain/start")[0] == 200
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -85,7 +85,7 @@
     running.request("POST", "/nearby/1", "2900", headers)
     wait_for(lambda: orjson.loads(ask(toy, "GET", "/load")[2])["inflight"] == 1)
     program.send_signal(signal.SIGTERM)
-    wait_for(lambda: b"leaving" in (tmp_path / "log").read_bytes())
+    wait_for(lambda: b"shutting down" in (tmp_path / "log").read_bytes())
     left_at = time.monotonic()
     assert ask(port)[0] == 200
     served_until, last = 0.0, None
@@ -97,12 +97,12 @@
             break  # it was idle when the doors closed
         assert (answer.status, answer.read()[:8]) == (200, b"toy did ")
         served_until, last = time.monotonic(), answer.headers["Connection"]
-    assert served_until > left_at + 1.0 and b"doors closed" in (tmp_path / "log").read_bytes()
+    assert served_until > left_at + 1.0 and b"listeners closed" in (tmp_path / "log").read_bytes()
     response = running.getresponse()
     assert (response.status, response.headers["Connection"]) == (200, "close")
     assert response.read() == b"toy did long"
     assert program.wait(10) == 0
-    assert b"left" in (tmp_path / "log").read_bytes()
+    assert b"shutdown complete" in (tmp_path / "log").read_bytes()
 
 
 def test_hundreds_of_silent_connections_leave_room(start, tmp_path):
@@ -246,7 +246,7 @@
     wait_for(lambda: orjson.loads(ask(toy, "GET", "/load")[2])["inflight"] == 1)
     log = tmp_path / "log"
     program.send_signal(signal.SIGTERM)
-    wait_for(lambda: b"leaving" in log.read_bytes())
+    wait_for(lambda: b"shutting down" in log.read_bytes())
     program.send_signal(signal.SIGHUP)
     wait_for(lambda: b"reloaded" in log.read_bytes())
     program.send_signal(signal.SIGTERM)
@@ -254,7 +254,7 @@
     response = running.getresponse()
     assert (response.status, response.read()) == (200, b"toy did long")
     assert program.wait(10) == 0
-    assert log.read_bytes().count(b"leaving") == 1 and b"Traceback" not in log.read_bytes()
+    assert log.read_bytes().count(b"shutting down") == 1 and b"Traceback" not in log.read_bytes()
 
 
 def silent_discovery(start, tmp_path, mode):
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -160,7 +160,7 @@
     running.request("POST", "/nearby/1", "900", headers)
     wait_for(lambda: orjson.loads(ask(toy, "GET", "/load")[2])["inflight"] == 1)
     program.send_signal(signal.SIGTERM)
-    wait_for(lambda: b"leaving" in log.read_bytes())
+    wait_for(lambda: b"shutting down" in log.read_bytes())
     program.send_signal(signal.SIGHUP)
     response = running.getresponse()
     assert (response.status, response.read()) == (200, b"toy did long")
--- a/tests/dispatcher/test_upgrade.py
+++ b/tests/dispatcher/test_upgrade.py
@@ -66,9 +66,9 @@
         wait_for(lambda: orjson.loads(ask(toy, "GET", "/load")[2])["inflight"] == 1)
         new, second = run_beside(start, tmp_path, listener, "new", known=known, settings=settings)
         wait_for(lambda: ready(second))
-        assert log.read_bytes().count(b"an address is still held") == 3, "STOMP's, SNMP's and the console's"
+        assert log.read_bytes().count(b"an address is still in use") == 3, "STOMP's, SNMP's and the console's"
         assert (tmp_path / "console.sock").stat().st_ino == socket_file, "a live one stays"
-        assert b"going on from the process before: 1 servers" in log.read_bytes()
+        assert b"took over the state of the previous process: 1 servers" in log.read_bytes()
         copy = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
         copy.request("POST", "/nearby/1", "1", headers)
         assert copy.getresponse().status == 409, "whichever of the two it came to"
--- a/tests/transport/test_admin_listener.py
+++ b/tests/transport/test_admin_listener.py
@@ -122,10 +122,12 @@
         async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             first = app.admin.listener
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.client_listener.port}"))
-            await wait_until(lambda: "the door stays where it was" in caplog.text)
+            await wait_until(lambda: "the admin listener keeps its address" in caplog.text)
             assert app.admin.listener is first and (await call_ops(app, "/ops/readiness"))[0] == 200
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.client_listener.port}"))
-            await wait_until(lambda: caplog.text.count("the door stays where it was") == 2)  # it was retried
+            await wait_until(
+                lambda: caplog.text.count("the admin listener keeps its address") == 2
+            )  # it was retried
             app.apply(changed(app, tmp_path, ops="127.0.0.2:0"))
             app.apply(changed(app, tmp_path, ops="localhost:0"))
             await wait_until(
