--- a/tests/dispatcher/test_deployments.py
+++ b/tests/dispatcher/test_deployments.py
@@ -28,7 +28,7 @@
     assert statuses[200] > sum(statuses.values()) / 3, (
         "enough requests must be served for the check to be meaningful"
     )
-    assert statuses[503] and sum(statuses[each] for each in (500, 502, 504))
+    assert statuses[503] and sum(statuses[status] for status in (500, 502, 504))
 
 
 def test_package_contains_no_names_of_deployments():
--- a/tests/dispatcher/test_fleet_site.py
+++ b/tests/dispatcher/test_fleet_site.py
@@ -38,7 +38,7 @@
     """
     path, stop, tasks = tmp_path / "acts", tmp_path / "stop", []
     leader = three.leader()
-    others = [each for each in three.machines if each is not leader]
+    others = [machine for machine in three.machines if machine is not leader]
     for machine in (others[0], others[1], others[0]):
         command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), str(stop))
         tasks.append(machine.start_command("lease", "run", "job", "--ttl", "6s", "--wait", "90s", *command))
@@ -54,9 +54,9 @@
     leader.stop(signal.SIGKILL)
     leader.start()
     stop.touch()
-    for each in tasks:
-        _output, errors = each.communicate(timeout=90)
-        assert each.returncode == 7, errors
+    for task in tasks:
+        _output, errors = task.communicate(timeout=90)
+        assert task.returncode == 7, errors
     done = read_acts(path)
     tokens = [token for _, token in done]
     assert tokens == sorted(tokens) and len(set(tokens)) == 3, (
@@ -72,14 +72,14 @@
     command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), "/none")
     task = machine.start_command("lease", "run", "job", "--ttl", "2s", *command)
     wait_for(lambda: len(read_acts(path)) > 5)
-    for each in three.machines:
-        each.send(signal.SIGSTOP)
+    for dispatcher in three.machines:
+        dispatcher.send(signal.SIGSTOP)
     stopped = time.monotonic_ns()
     _, errors = task.communicate(timeout=60)
     assert task.returncode == 76 and "lost" in errors
     assert read_acts(path)[-1][0] < stopped + 2e9, "at the latest one TTL after the last renewal"
-    for each in three.machines:
-        each.send(signal.SIGCONT)
+    for dispatcher in three.machines:
+        dispatcher.send(signal.SIGCONT)
     three.leader()
     task = machine.start_command("lease", "run", "job", "--ttl", "2s", "--wait", "30s", *command)
     before = len(read_acts(path))
@@ -106,15 +106,17 @@
     second = three.leader()
     second.send(signal.SIGTERM)
     signalled_at = time.monotonic()
-    others = [each for each in three.machines if each is not second]
+    others = [machine for machine in three.machines if machine is not second]
 
     def another_leads() -> bool:
-        leaders = {each.view()["leader"].rpartition("@")[2] for each in others}
-        return len(leaders) == 1 and leaders <= {each.address for each in others}
+        leaders = {machine.view()["leader"].rpartition("@")[2] for machine in others}
+        return len(leaders) == 1 and leaders <= {machine.address for machine in others}
 
     three.wait_for(another_leads)
     assert time.monotonic() < signalled_at + 30.0
-    states = {each["identity"].rpartition("@")[2]: each["status"] for each in others[0].view()["members"]}
+    states = {
+        member["identity"].rpartition("@")[2]: member["status"] for member in others[0].view()["members"]
+    }
     assert states[second.address] == "left"
 
 
@@ -123,9 +125,9 @@
     command = ("--", sys.executable, "-c", ACT_SCRIPT, str(path), "/")
     assert machine.run_command("lease", "run", "job", "--ttl", "1s", *command)[0] == 7
     assert machine.run_command("fleet", "start")[0] == 1, "the fleet has a leader"
-    for each in three.machines[:2]:
-        each.stop(signal.SIGKILL)
-        each.start()
+    for other in three.machines[:2]:
+        other.stop(signal.SIGKILL)
+        other.start()
     three.wait_for(lambda: machine.view()["leader"] == "")
     assert machine.run_command("lease", "run", "job", "--ttl", "1s", *command)[0] == 75
     assert machine.run_command("fleet", "status")[0] == 1
@@ -141,16 +143,16 @@
     with Site(tmp_path, 3, longest=30.0, store=True) as fleet_site:
         fleet_site.bootstrap(opens=False)
         before = fleet_site.machines[0].view()
-        for each in fleet_site.machines:
-            each.stop(signal.SIGKILL)
-        for each in fleet_site.machines:
-            each.start()
+        for machine in fleet_site.machines:
+            machine.stop(signal.SIGKILL)
+        for machine in fleet_site.machines:
+            machine.start()
         leader = fleet_site.leader()
         after = leader.view()
         assert after["epoch"] == before["epoch"] and set(after["voters"]) == set(before["voters"])
         assert leader.run_command("fleet", "status")[0] == 0
         # A member with a damaged file joins under a new identity.
-        victim = next(each for each in fleet_site.machines if each is not leader)
+        victim = next(machine for machine in fleet_site.machines if machine is not leader)
         victim.stop(signal.SIGKILL)
         file = victim.folder / "store" / "memory"
         content = bytearray(file.read_bytes())
@@ -169,7 +171,7 @@
     found = fault_run.result()
     assert found["broken"] == [] and found["overlaps"] == 0
     assert sum(found["faults"].values()) > 3, fault_run.schedule
-    assert not [each for each in fault_run.tasks.values() if each.poll() is None], "no task is still running"
+    assert not [task for task in fault_run.tasks.values() if task.poll() is None], "no task is still running"
 
 
 def test_console_and_figures_show_the_fleet(tmp_path):
@@ -234,7 +236,7 @@
 def test_invalid_duration_is_rejected(text):
     with pytest.raises(click.BadParameter, match="is no time"):
         Duration().convert(text, None, None)
-    assert [Duration().convert(each, None, None) for each in ("10s", "1m", "500ms", 2.5)] == [
+    assert [Duration().convert(value, None, None) for value in ("10s", "1m", "500ms", 2.5)] == [
         10.0,
         60.0,
         0.5,
@@ -281,9 +283,9 @@
     assert (store.rejected, store.took_lower) == (1, 0)
     unchecked = FakeStore(checks=False)
     assert unchecked.put("a", 3) and unchecked.put("a", 2) and unchecked.took_lower == 1
-    for each in (store, unchecked):
-        each.shutdown()
-        each.server_close()
+    for fake_store in (store, unchecked):
+        fake_store.shutdown()
+        fake_store.server_close()
     fault_run = FaultRun(1, 3, 1.0, "", tmp_path)
     name = LEASES[0]
     fault_run.path.write_text(f"1000 {name} 5 71\n2000 {name} 6 72\n3000 {name} 5 71\n4000 {name} 5 73\n")
--- a/tests/dispatcher/test_program.py
+++ b/tests/dispatcher/test_program.py
@@ -77,7 +77,8 @@
 def test_sigterm_serves_new_requests_then_completes_the_accepted_ones(start, tmp_path):
     """Guards a planned restart: no accepted request may be lost.
 
-    Clients still send requests on new and on open connections, and another dispatcher may be down meanwhile.
+    Clients still send requests on new connections and on open ones, which may be all that they have while
+    another dispatcher is down.
     """
     program, port, toy, _ = start_with_toy_server(start, tmp_path)
     running = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
@@ -113,8 +114,8 @@
     resource.prlimit(program.pid, resource.RLIMIT_NOFILE, (128, 128))
     silent = [socket.create_connection(("127.0.0.1", port)) for _ in range(300)]
     assert [send_request(port)[0] for _ in range(5)] == [200] * 5
-    for each in silent:
-        each.close()
+    for connection in silent:
+        connection.close()
     assert b"system resource" not in (tmp_path / "log").read_bytes()
 
 
@@ -152,7 +153,7 @@
         settings, _, rest = words.partition(".venv/bin/python ")
         variables = dict(pair.split("=") for pair in settings.split())
         arguments = re.findall(r'"[^"]*"|\S+', rest)
-        arguments = [each.strip('"') for each in arguments]
+        arguments = [argument.strip('"') for argument in arguments]
         if background:
             start(*arguments, **variables)
             address = re.search(r"127\.0\.0\.1:(\d+)", words)
@@ -323,5 +324,5 @@
     assert again.recv(1_000) and time.monotonic() - began < 6.0
     assert send_request(port)[0] == 503, "no backend is known"
     assert b"system resource" not in (tmp_path / "log").read_bytes()
-    for each in (*idle, again, discovery):
-        each.close()
+    for opened_socket in (*idle, again, discovery):
+        opened_socket.close()
--- a/tests/dispatcher/test_settings_report.py
+++ b/tests/dispatcher/test_settings_report.py
@@ -66,7 +66,7 @@
     ],
 )
 def test_doubtful_setting_gets_a_warning_with_its_key(settings, key, words):
-    assert any(each == key and words in text for each, text in report_on(**settings).warnings)
+    assert any(warning_key == key and words in text for warning_key, text in report_on(**settings).warnings)
 
 
 @given(deployments())
@@ -95,12 +95,14 @@
 
     with caplog.at_level(logging.INFO, "hazelbend"):
         asyncio.run(run())
-    messages = [each.getMessage() for each in caplog.records]
-    lines = [json.loads(each[len("understood ") :]) for each in messages if each.startswith("understood ")]
-    assert [each["goes_by"]["dispatchers"] for each in lines] == [1, 7], (
+    messages = [record.getMessage() for record in caplog.records]
+    lines = [
+        json.loads(message[len("understood ") :]) for message in messages if message.startswith("understood ")
+    ]
+    assert [line["goes_by"]["dispatchers"] for line in lines] == [1, 7], (
         "a reload without changed settings logs no report"
     )
-    assert [each for each in messages if each.startswith("settings: membership_mode: 'pull'")]
+    assert [message for message in messages if message.startswith("settings: membership_mode: 'pull'")]
 
 
 def check(tmp_path, conf, *options):
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -87,14 +87,14 @@
     """Discovery whose list the test changes; a watch gets each change at once."""
 
     def __init__(self, *hosts):
-        self.seq, self.hosts, self.deltas = 1, {each["host"]: each for each in hosts}, []
+        self.seq, self.hosts, self.deltas = 1, {host["host"]: host for host in hosts}, []
         self._changed = asyncio.Event()
 
     def publish(self, *hosts):
         self.seq += 1
         self.deltas.append((self.seq, hosts))
-        for each in hosts:
-            self.hosts[each["host"]] = each
+        for host in hosts:
+            self.hosts[host["host"]] = host
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -104,13 +104,13 @@
                 path = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
                 known = int(path.partition("from=")[2].partition("&")[0] or -1)
                 if known < 0:
-                    hosts = [each for each in self.hosts.values() if each["health"] != "DELETED"]
+                    hosts = [host for host in self.hosts.values() if host["health"] != "DELETED"]
                     body = {"seq": self.seq, "whole": True, "hosts": hosts}
                 else:
                     if known == self.seq:
                         with contextlib.suppress(TimeoutError):
                             await asyncio.wait_for(self._changed.wait(), 1.0)
-                    hosts = [each for seq, changes in self.deltas if seq > known for each in changes]
+                    hosts = [host for seq, changes in self.deltas if seq > known for host in changes]
                     body = {"seq": self.seq, "whole": False, "hosts": hosts}
                 text = orjson.dumps(body)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)
@@ -126,9 +126,9 @@
 
     async def run():
         toys = [ToyServer(f"toy-{number}") for number in range(2)]
-        ports = [port_of(await each.listen()) for each in toys]
-        for each in toys:
-            each.targets = TimestampedList()
+        ports = [port_of(await toy.listen()) for toy in toys]
+        for toy in toys:
+            toy.targets = TimestampedList()
         host = "toy-0.konya-1.example.org"
 
         def entry(health):
@@ -143,8 +143,8 @@
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
                 await wait_until(lambda: len(app.router.table.servers) == 2)
                 latest_request_s, changes_seen = 0.0, []
-                app.router.table.on_accepts_work_changed = lambda each, up: changes_seen.append(
-                    (time.monotonic(), each, up)
+                app.router.table.on_accepts_work_changed = lambda changed_server, up: changes_seen.append(
+                    (time.monotonic(), changed_server, up)
                 )
                 # The other endpoint has a lower weight, so it is the second choice.
                 async with http_load(app, b"14") as statuses:
@@ -154,13 +154,16 @@
                         changes_seen.clear()
                         service.publish(entry("DELETED"))
                         await wait_until(lambda: changes_seen)
-                        [(at, gone, up)] = changes_seen
-                        assert gone.entry.host == host and not up
+                        [(learned_at, deleted_server, is_up)] = changes_seen
+                        assert deleted_server.entry.host == host and not is_up
                         assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
                         assert server.zones and host in app.extensions["srv"].merger.tombstones
                         await asyncio.sleep(0.01)
                         latest_request_s = max(
-                            [latest_request_s, *(when - at for when, _ in toys[0].targets[had:])]
+                            [
+                                latest_request_s,
+                                *(arrived_at - learned_at for arrived_at, _ in toys[0].targets[had:]),
+                            ]
                         )
                         changes_seen.clear()
                         service.publish(entry("SERVING"))
@@ -171,8 +174,8 @@
                     "the SRV name still lists it"
                 )
         listener.close()
-        for each in toys:
-            await each.close()
+        for toy in toys:
+            await toy.close()
 
     asyncio.run(run())
 
@@ -184,8 +187,8 @@
             endpoints = await boxes_of(app)
             async with http_load(app) as statuses:
                 for fault in ("servfail", "silent", "refused"):
-                    for each in servers:
-                        each.faults = [Fault(fault)]
+                    for server in servers:
+                        server.faults = [Fault(fault)]
                     before = time.monotonic()
                     await wait_until(
                         lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
@@ -194,13 +197,13 @@
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == endpoints, fault
                 back = asyncio.get_running_loop().time()
-                for each in servers:
-                    each.faults = []
+                for server in servers:
+                    server.faults = []
                 await wait_until(
                     lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
                 )
                 await asyncio.sleep(0.5)
-                asked = [query for each in servers for query in each.queries if query.at > back]
+                asked = [query for server in servers for query in server.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: one round with a quorum for the name and for each target"
             assert set(statuses) == {200} and await boxes_of(app) == endpoints
 
@@ -231,7 +234,7 @@
                         wrong_server.faults = [Fault(wrong_answer)]
                     asked = len(wrong_server.queries)
                     await asyncio.sleep(0.5)
-                    assert sum(len(each.queries) for each in servers) > asked
+                    assert sum(len(server.queries) for server in servers) > asked
                     wrong_server.faults = []
                     if wrong_answer == "old zone":
                         wrong_server.zones.by_origin = correct_zones
@@ -252,8 +255,8 @@
             [server],
         ):
             await wait_until(lambda: len(app.router.table.servers) == 3)
-            ports = {each.entry.host.partition(".")[0]: port_of(each.entry.dial)
-                     for each in app.router.table.servers.values()}  # fmt: skip
+            ports = {endpoint.entry.host.partition(".")[0]: port_of(endpoint.entry.dial)
+                     for endpoint in app.router.table.servers.values()}  # fmt: skip
             rows = sorted(ports.items())
             async with http_load(app) as statuses:
                 for turn in range(6):
@@ -274,14 +277,14 @@
         async with srv_site(tmp_path, toys=3, lifetimes=lifetimes, budgets=patient) as (app, _, [server]):
             await wait_until(lambda: len(app.router.table.servers) == 3)
             rows = sorted(
-                (each.entry.host.partition(".")[0], port_of(each.entry.dial))
-                for each in app.router.table.servers.values()
+                (endpoint.entry.host.partition(".")[0], port_of(endpoint.entry.dial))
+                for endpoint in app.router.table.servers.values()
             )
             many = [(f"b{number}", 9, 10) for number in range(500)]
             server.serve_zone(zone(*rows, *many))
             async with http_load(app) as statuses:
                 await wait_until(lambda: len(app.router.table.servers) == 503)
-            assert set(statuses) == {200} and any(each.tcp for each in server.queries)
+            assert set(statuses) == {200} and any(query.tcp for query in server.queries)
             assert len(await boxes_of(app)) == 3, "the five hundred are spare"
             server.serve_zone(zone(*rows))
             await wait_until(lambda: len(app.router.table.servers) == 3)
@@ -335,8 +338,8 @@
             [server],
         ):
             await wait_until(lambda: len(app.router.table.servers) == 2)
-            first, spare = sorted(app.router.table.servers.values(), key=lambda each: each.entry.host)
-            ports = [port_of(each.entry.dial) for each in (first, spare)]
+            first, spare = sorted(app.router.table.servers.values(), key=lambda endpoint: endpoint.entry.host)
+            ports = [port_of(endpoint.entry.dial) for endpoint in (first, spare)]
             both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
             await wait_until(lambda: not spare.accepts_work)
@@ -428,14 +431,18 @@
         async with srv_site(tmp_path, snapshot=snapshot) as (app, _, [server]):
             await wait_until(lambda: len(app.router.table.servers) == 2 and path.exists())
             endpoints, conf = await boxes_of(app), app.conf
-            started = {each.entry.host: each.entry.started_at for each in app.router.table.servers.values()}
+            started = {
+                endpoint.entry.host: endpoint.entry.started_at
+                for endpoint in app.router.table.servers.values()
+            }
             await app.extensions["srv"].close()
             await server.stop()
             second = App(conf)
             await second.start()
             assert await boxes_of(second) == endpoints, "before any query was answered"
             assert started == {
-                each.entry.host: each.entry.started_at for each in second.router.table.servers.values()
+                endpoint.entry.host: endpoint.entry.started_at
+                for endpoint in second.router.table.servers.values()
             }, "the servers have not restarted"
             assert b" 200 " in await send_and_receive(
                 second.client_listener.port, request(more="Connection: close\r\n")
@@ -529,7 +536,7 @@
     done = subprocess.run([*words, "--json"], capture_output=True, text=True)
     [report] = orjson.loads(done.stdout)["nameservers"]
     assert report["records"][0]["addresses"] == ["127.0.0.1"] and report["lifetime"] == 1
-    other = ["_arama._tcp.adana-1.example.org" if each == NAME else each for each in words]
+    other = ["_arama._tcp.adana-1.example.org" if word == NAME else word for word in words]
     done = subprocess.run(other, capture_output=True, text=True)
     assert done.returncode == 1 and "nothing: NXDOMAIN" in done.stdout
     done = subprocess.run([*words[:-1], "nowhere"], capture_output=True, text=True)
--- a/tests/dispatcher/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -55,9 +55,9 @@
             child = post(app, "plan", b"5", After="n1, n2", Take_Results="1")
             await wait_until(lambda: app.extensions["waiting"].gate.rows())
             assert app.router.is_open("plan") and not toy.ran
-            parents = [post(app, each, b"20") for each in ("n1", "n2")]
+            parents = [post(app, parent_id, b"20") for parent_id in ("n1", "n2")]
             answers = await asyncio.gather(child, *parents)
-            assert [status(each) for each in answers] == [200] * 3 and toy.ran == ["n1", "n2", "plan"]
+            assert [status(answer) for answer in answers] == [200] * 3 and toy.ran == ["n1", "n2", "plan"]
             assert status(await post(app, "later", After="n1;ended")) == 200, "its parent has ended already"
             peer = await stomp_client(app)
             peer.job("c", b"5", after="p", **{"take-results": "1"})
@@ -135,7 +135,7 @@
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
             past = post(app, "past", Not_Before=at - 10**6)
             assert status(await past) == 200 and [job for toy in toys for job in toy.ran] == ["past"]
-            assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
+            assert [status(answer) for answer in await asyncio.gather(*jobs)] == [200] * 4
             assert time.time() * 1e3 >= at
 
     asyncio.run(run())
@@ -194,10 +194,10 @@
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
             assert status(tight) in (200, 503)
             most_in_service = 0
-            while not all(each.done() for each in jobs):
+            while not all(job.done() for job in jobs):
                 most_in_service = max(most_in_service, toy.holds)
                 await asyncio.sleep(0.005)
-            assert most_in_service == 2 and [status(each.result()) for each in jobs] == [200] * 8
+            assert most_in_service == 2 and [status(job.result()) for job in jobs] == [200] * 8
             now = await post(app, "now", b"5")
             assert status(now) == 200
 
@@ -213,7 +213,7 @@
             (tmp_path / "waiting.toml").write_text(text.replace("in_service = 1", "in_service = 4"))
             app.apply(changed(app, tmp_path))
             await wait_until(lambda: toy.holds == 4)
-            assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
+            assert [status(answer) for answer in await asyncio.gather(*jobs)] == [200] * 4
             waiting_job = post(app, "waits", After="never")
             await wait_until(lambda: app.extensions["waiting"].gate.rows())
             (tmp_path / "waiting.toml").write_text("enabled = false\n")
@@ -256,8 +256,8 @@
         )
         program.send_signal(signal.SIGTERM)
         at = time.monotonic()
-        for each in (far, never):
-            assert b"X-Reason: the dispatcher ends" in await each
+        for refused_job in (far, never):
+            assert b"X-Reason: the dispatcher ends" in await refused_job
         assert time.monotonic() - at < 0.5, "refused at once"
         assert (await asyncio.to_thread(send_request, toy, "POST", "/let-go"))[0] == 204
         assert status(await parent) == 200 and status(await child) == 200, "these jobs can still run"
