--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -132,7 +132,7 @@
             reader, writer = await open_keep_alive(app.client_listener.port)
             await asyncio.sleep(drain.WINDOW_END_S)
             writer.write(request("on"))
-            async with asyncio.timeout(30):  # a refusal would not hold these words
+            async with asyncio.timeout(30):  # a refusal does not contain this text
                 answer = await reader.readuntil(b"did on")
             assert b" 200 " in answer, "the stopped drains have no effect any more"
             assert app._final_deadlines == {} and app.accepts_clients
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -149,8 +149,10 @@
                 # The other endpoint has a lower weight, so it is the second choice.
                 async with http_load(app, b"14") as statuses:
                     for _ in range(200):
-                        had = len(toys[0].targets)
-                        await wait_until(lambda had=had: len(toys[0].targets) > had)
+                        previous_count = len(toys[0].targets)
+                        await wait_until(
+                            lambda previous_count=previous_count: len(toys[0].targets) > previous_count
+                        )
                         changes_seen.clear()
                         service.publish(entry("DELETED"))
                         await wait_until(lambda: changes_seen)
@@ -162,7 +164,10 @@
                         latest_request_s = max(
                             [
                                 latest_request_s,
-                                *(arrived_at - learned_at for arrived_at, _ in toys[0].targets[had:]),
+                                *(
+                                    arrived_at - learned_at
+                                    for arrived_at, _ in toys[0].targets[previous_count:]
+                                ),
                             ]
                         )
                         changes_seen.clear()
@@ -196,14 +201,14 @@
                     await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == endpoints, fault
-                back = asyncio.get_running_loop().time()
+                recovered_at = asyncio.get_running_loop().time()
                 for server in servers:
                     server.faults = []
                 await wait_until(
                     lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
                 )
                 await asyncio.sleep(0.5)
-                asked = [query for server in servers for query in server.queries if query.at > back]
+                asked = [query for server in servers for query in server.queries if query.at > recovered_at]
                 assert len(asked) <= 12, "no burst: one round with a quorum for the name and for each target"
             assert set(statuses) == {200} and await boxes_of(app) == endpoints
 
@@ -301,8 +306,8 @@
             [server],
         ):
             await wait_until(lambda: app.router.table.servers)
-            [box] = app.router.table.servers.values()
-            started_at, port = box.entry.started_at, port_of(box.entry.dial)
+            [endpoint] = app.router.table.servers.values()
+            started_at, port = endpoint.entry.started_at, port_of(endpoint.entry.dial)
             long = asyncio.create_task(
                 send_and_receive(
                     app.client_listener.port, request("long", b"1200", more="Connection: close\r\n")
@@ -312,8 +317,8 @@
             assert toy.ran, f"the job has a response but never ran: {long.result()!r}"
             assert (await other.listen("127.0.0.2", port)) == f"127.0.0.2:{port}"
             server.serve_zone(zone(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
-            await wait_until(lambda: box.entry.dial == f"127.0.0.2:{port}")
-            assert box.entry.started_at > started_at, "another process, so it starts cold"
+            await wait_until(lambda: endpoint.entry.dial == f"127.0.0.2:{port}")
+            assert endpoint.entry.started_at > started_at, "another process, so it starts cold"
             answer = await send_and_receive(
                 app.client_listener.port, request("new", b"1", more="Connection: close\r\n")
             )
@@ -347,10 +352,10 @@
                 app.router.set_manual_drain(first.entry.host, True)
                 await wait_until(lambda: spare.accepts_work)
                 app.router.set_manual_drain(first.entry.host, False)
-                back = time.monotonic()
+                recovered_at = time.monotonic()
                 assert first.accepts_work and spare.accepts_work
                 await wait_until(lambda: not spare.accepts_work)
-                assert time.monotonic() - back > 0.29, "the failback delay"
+                assert time.monotonic() - recovered_at > 0.29, "the failback delay"
                 app.module.workers_in_backoff = lambda now: {first.id}
                 await wait_until(lambda: spare.accepts_work)
                 del app.module.workers_in_backoff
