--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -288,7 +288,7 @@
             suspect(worker, self.random, now)
         if request.key:
             worker.use_key(request.key, max(worker.slots, 1.0))  # it caches at least the data its slots need
-        if worker.lottery_number:
+        if worker.slow_start_draw:
             spend_budget(attempt, now)
         self._actions.append(Send(request.id, worker.entry.worker))
 
@@ -305,7 +305,7 @@
         if not still_allows_attempt(attempt, self.settings, now):
             return False
         is_late = now > attempt.sent_at + self.settings.tick
-        if not is_late or not worker.lottery_number:
+        if not is_late or not worker.slow_start_draw:
             return True
         return self._move_budget(attempt, now)
 
--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -87,7 +87,7 @@
     value_per_work: bool = False  # a class's worth is that of a unit of work, not of a request
     list_is_polled: bool = False
     list_is_pushed: bool = False  # on a watch that this dispatcher opens; else it comes by itself or is asked
-    poll_interval: int = 10_000_000
+    max_poll_interval: int = 10_000_000
     weights_enabled: bool = True  # whether a listed weight stands for anything
     weights_fall_with_load: bool = False
     reports_by_probe: bool = False
@@ -99,7 +99,7 @@
     probe_charge: float = 0.0
     cross_zone_charge: float = 0.0
     handshake_charge: float = 0.0
-    keepalive: int = 60_000_000  # an idle connection closes after this
+    keepalive_timeout: int = 60_000_000  # an idle connection closes after this
     tick: int = 1_000
     collapse_multiple: float = 2.0
     collapse_window: int = 1_000_000
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -52,7 +52,7 @@
         "means": {key: _export_mean(getattr(dispatcher.load_model, name)) for key, name in MEANS.items()},
         "share": _export_mean(dispatcher.slow_start.own_traffic),
         "runs": [_export_mean(mean) for mean in dispatcher.load_model.run_times],
-        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.usual_levels.items()],
+        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.peer_load_levels.items()],
         "paces": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.kind_run_ratios.items()],
         "misses": dispatcher.load_model.report_lag.errors,
         "part": dispatcher.slow_start.share,
@@ -69,7 +69,7 @@
         "spent": [(attempt.at, attempt.cost) for attempt in worker.cold_attempts],
         "ratio": _export_mean(worker.run_time_ratio),
         **{key: getattr(worker, name) for key, name in (WORKER_NUMBERS | WORKER_TIMES).items()},
-        "usual": _export_mean(worker.usual_level),
+        "usual": _export_mean(worker.peer_load_level),
         "size": worker.size,
         "soundness": astuple(worker.reliability),
     }
@@ -106,7 +106,7 @@
     for name, mean in means.items():
         setattr(model, name, mean)
     model.run_times = runs
-    model.usual_levels = usuals
+    model.peer_load_levels = usuals
     model.kind_run_ratios = paces
     model.report_lag.errors = lag_errors
     dispatcher.slow_start.own_traffic = own_traffic
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -53,7 +53,7 @@
         self.rates = Mean(1.0, 1.0)
         self.weights = Mean(1.0, 1.0)
         # By machine kind.
-        self.usual_levels: dict[int, Mean] = {}  # jobs of peers over the size
+        self.peer_load_levels: dict[int, Mean] = {}  # jobs of peers over the size
         self.full_weights: dict[int, float] = {}  # the highest weight listed
         self.kind_run_ratios: dict[int, Mean] = {}
         self.report_period = ReportPeriod()
@@ -104,8 +104,8 @@
         worker.observe_slots(jobs - queued + (load.free_slots or 0.0))
         self.update_rate(worker, now)  # the level is counted in the size by this report
         level = worker.peer_jobs / worker.size
-        self.usual_levels.setdefault(worker.entry.machine_kind, Mean()).add(level, MEMORY_SAMPLES)
-        worker.usual_level.add(level, LEVEL_MEMORY_REPORTS)
+        self.peer_load_levels.setdefault(worker.entry.machine_kind, Mean()).add(level, MEMORY_SAMPLES)
+        worker.peer_load_level.add(level, LEVEL_MEMORY_REPORTS)
         self.update_rate(worker, now)
 
     def learn_run_time(self, attempt: Attempt, now: int) -> None:
@@ -140,7 +140,7 @@
         typical = self.rates.value * self.run_ratio.value  # jobs at once, of a worker without reports
         worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
         worker.rate = worker.concurrency / (ratio * self.work.value)
-        is_cold = bool(worker.lottery_number)  # a cold worker is not as full as its kind
-        kind_level = self.usual_levels.get(kind, Mean()).value * (not is_cold)
-        level = worker.usual_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
+        is_cold = bool(worker.slow_start_draw)  # a cold worker is not as full as its kind
+        kind_level = self.peer_load_levels.get(kind, Mean()).value * (not is_cold)
+        level = worker.peer_load_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
         worker.background_load = level * worker.size / worker.rate
--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -45,7 +45,7 @@
         settings = self._load_model.settings
         is_cold = settings.capacity_fraction(entry.started_at, now) < 1.0
         # The highest number: it wins nothing until `SlowStart` draws one.
-        worker.lottery_number = float(is_cold and not self._load_model.uses_plan)
+        worker.slow_start_draw = float(is_cold and not self._load_model.uses_plan)
         if settings.weights_fall_with_load:
             self._load_model.apply_weight(worker, now)
         self._load_model.update_rate(worker, now)
--- a/hazelbend/decisions/probing.py
+++ b/hazelbend/decisions/probing.py
@@ -86,7 +86,7 @@
         return old[: self._probes_per_request]
 
     def _choose_sample(self, request: Request, eligible: list[Worker], now: int) -> list[Worker]:
-        closes_at = now - self._settings.keepalive  # connections idle since then are closed
+        closes_at = now - self._settings.keepalive_timeout  # connections idle since then are closed
         cheap = [
             worker
             for worker in eligible
@@ -94,7 +94,7 @@
             and not worker.attempts
             and worker.entry.zone == self._settings.zone
         ]
-        cold = [worker for worker in eligible if worker.lottery_number]
+        cold = [worker for worker in eligible if worker.slow_start_draw]
         drawn: list[Worker] = []
         for workers, size in ((cheap, SAMPLE_SIZE // 2), (eligible, SAMPLE_SIZE), (cold, SAMPLE_SIZE)):
             drawn += self._random.sample(workers, min(size, len(workers)))
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -105,7 +105,7 @@
             if now > worker.rated_at + RATE_LIFETIME_US:
                 model.update_rate(worker, now)
             rate = worker.rate * settings.capacity_fraction(worker.entry.started_at, now)
-            if worker.lottery_number and not self.has_budget(worker, request.cost, rate, now):
+            if worker.slow_start_draw and not self.has_budget(worker, request.cost, rate, now):
                 continue
             # An error loses what can't be retried; else it takes the time of an error, again and again.
             risk = worker.reliability.risk(now)
@@ -132,5 +132,5 @@
     def _charge(worker: Worker, settings: Settings, now: int) -> float:
         """Return the charge of a send, as a part of the value: another zone, a connection to be opened."""
         is_remote = worker.entry.zone != settings.zone
-        opens = worker.attempts or now >= worker.connection_idle_at + settings.keepalive
+        opens = worker.attempts or now >= worker.connection_idle_at + settings.keepalive_timeout
         return is_remote * settings.cross_zone_charge + (settings.handshake_charge if opens else 0.0)
--- a/hazelbend/decisions/slow_start.py
+++ b/hazelbend/decisions/slow_start.py
@@ -49,11 +49,11 @@
         self.share = safe_budget(settings) * min(self.own_traffic.value, largest, 1.0)
         for worker in workers:
             is_cold = settings.capacity_fraction(worker.entry.started_at, now) < 1.0
-            worker.lottery_number = rng.random() if is_cold else 0.0
+            worker.slow_start_draw = rng.random() if is_cold else 0.0
 
     def may_use(self, worker: Worker) -> bool:
         """Whether a worker is warm, the share there is a job or more, or its number of this window wins."""
-        return worker.lottery_number <= self.share * worker.rate
+        return worker.slow_start_draw <= self.share * worker.rate
 
     def allows(
         self, worker: Worker, cost: float, rate: float, settings: Settings, born: int, now: int
@@ -77,7 +77,7 @@
             return worker.cold_cost_since(since) + cost <= share
         # Chance is bounded by the last report, which shows what all have sent and is still there.
         capacity = safe_budget(settings) * rate - worker.peer_jobs - worker.own_load
-        return worker.lottery_number * cost < share and cost <= capacity and not worker.cold_cost_since(since)
+        return worker.slow_start_draw * cost < share and cost <= capacity and not worker.cold_cost_since(since)
 
 
 def spend_budget(attempt: Attempt, now: int) -> None:
--- a/hazelbend/decisions/worker.py
+++ b/hazelbend/decisions/worker.py
@@ -39,7 +39,7 @@
     peer_jobs: int = 0
     peer_jobs_at: int = 0
     own_jobs: CountHistory = field(default_factory=CountHistory)
-    usual_level: Mean = field(default_factory=Mean)  # jobs of peers over the size, by reports
+    peer_load_level: Mean = field(default_factory=Mean)  # jobs of peers over the size, by reports
     background_load: float = 0.0  # usual jobs of peers over the rate
     # The rate: most jobs running at once over their mean run time, the latter as a ratio to the expected.
     slots: float = 0.0
@@ -65,7 +65,7 @@
     reliability: FailureEstimate = field(default_factory=FailureEstimate)
     # Slow start, keys, probes.
     cold_attempts: deque[ColdAttempt] = field(default_factory=deque)
-    lottery_number: float = 0.0  # drawn for this window while it warms up; 0: it is warm
+    slow_start_draw: float = 0.0  # drawn for this window while it warms up; 0: it is warm
     cached_keys: dict[int, None] = field(default_factory=dict)  # used by own attempts, oldest use first
     waiting_requests: list[Request] = field(default_factory=list)  # that wait for its answer to a probe
 
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -37,7 +37,7 @@
         self.gate = JobGate(
             context.router,
             self._bounds(),
-            self.settings.ordinary,
+            self.settings.admission_for_all,
             lambda index: context.conf.settings.classes[index].late_value_fraction,
             lambda index: context.conf.settings.classes[index].objective,
         )
@@ -52,7 +52,7 @@
         return self.settings.bounds(tuple(row.name for row in catalogue.classes), catalogue.tenants)
 
     def _attach_to_listeners(self) -> None:
-        http_uses_gate = self.settings.http_headers or self.settings.ordinary
+        http_uses_gate = self.settings.http_headers or self.settings.admission_for_all
         self._context.client_listener.gate = self._submit_from_http if http_uses_gate else None
         if self._context.stomp is not None:
             self._context.stomp.gate = self._submit_from_stomp
@@ -61,7 +61,7 @@
     def change(self) -> None:
         """Apply reloaded settings."""
         self.settings = self._configured()
-        self.gate.change(self._bounds(), self.settings.ordinary)
+        self.gate.change(self._bounds(), self.settings.admission_for_all)
         self._attach_to_listeners()
 
     def stop(self) -> None:
@@ -74,7 +74,7 @@
 
     async def leave(self, seconds: float) -> None:
         """Refuse at once the jobs that can't start within these seconds."""
-        self.gate.leave(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
+        self.gate.begin_shutdown(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
 
     async def finish(self, seconds: float) -> None:
         """Let waiting jobs start for this many seconds, then refuse the rest in time for their responses."""
--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -37,7 +37,7 @@
     def start(self, request: RequestContext, send: decisions.Send) -> None:
         """Start the attempt that the module has decided on, unless its backend may get no work by now."""
         now = self._clock.now()
-        backend = self._table.servers.get(send.worker)
+        backend = self._table.backends.get(send.worker)
         remaining = request.deadline - now
         timeout = min(send.timeout or remaining, remaining)
         client = backend.client if backend is not None else None
--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -54,7 +54,7 @@
     def answered(self) -> asyncio.Future[Answer]:
         """Done with the one final answer."""
 
-    def leave(self) -> None:
+    def on_client_disconnected(self) -> None:
         """The client has disconnected."""
 
     def reply(self) -> asyncio.Future[Answer]:
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -54,7 +54,7 @@
     def __init__(self, connect: Callable[[Endpoint], BackendClient]) -> None:
         """`connect` makes the client of a listed backend."""
         self._connect = connect
-        self.servers: dict[int, Backend] = {}
+        self.backends: dict[int, Backend] = {}
         self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = (
             None  # gets changes of `accepts_work`
         )
@@ -72,15 +72,15 @@
             return MembershipUpdate(ListKind.DELTA, tuple(self._apply_entries(endpoints.entries)))
         listed = list(self._apply_entries(endpoints.entries))
         present = {entry.worker for entry in listed} | self._registered
-        absent = [number for number in self.servers if number not in present]
+        absent = [number for number in self.backends if number not in present]
         for number in absent:
-            self._remove(self.servers[number])
-        registered = [self.servers[number].worker_entry() for number in sorted(self._registered)]
+            self._remove(self.backends[number])
+        registered = [self.backends[number].worker_entry() for number in sorted(self._registered)]
         return MembershipUpdate(kind, (*listed, *registered))
 
     def _apply_entries(self, entries: Iterable[Endpoint]) -> Iterable[WorkerEntry]:
         for entry in entries:
-            backend = self.servers.get(stable_id(entry.host))
+            backend = self.backends.get(stable_id(entry.host))
             if backend is None:
                 if entry.state is WorkerState.GONE:
                     continue
@@ -103,7 +103,7 @@
 
     def change_registered(self, host: str, state: WorkerState) -> MembershipUpdate:
         """A registered backend has changed its state."""
-        backend = self.servers[stable_id(host)]
+        backend = self.backends[stable_id(host)]
         self._replace_entry(backend, replace(backend.entry, state=state))
         update = MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
         if state is WorkerState.GONE:
@@ -115,7 +115,7 @@
 
     def set_manual_drain(self, host: str, is_drained: bool) -> MembershipUpdate | None:
         """Drain or undrain a backend by hand; None if no such backend is listed."""
-        backend = self.servers.get(stable_id(host))
+        backend = self.backends.get(stable_id(host))
         if backend is None:
             return None
         accepted_work = backend.accepts_work
@@ -137,22 +137,22 @@
 
     def by_host(self, host: str) -> Backend | None:
         """Return the listed backend of this name."""
-        return self.servers.get(stable_id(host))
+        return self.backends.get(stable_id(host))
 
     def registered(self) -> tuple[Backend, ...]:
         """Return the backends that have connected by themselves."""
-        return tuple(self.servers[number] for number in sorted(self._registered))
+        return tuple(self.backends[number] for number in sorted(self._registered))
 
     def listed(self) -> EndpointList:
         """Return the backends that lists have named, as they are now."""
         entries = (
-            backend.entry for number, backend in self.servers.items() if number not in self._registered
+            backend.entry for number, backend in self.backends.items() if number not in self._registered
         )
         return EndpointList(tuple(entries), is_complete=True)
 
     def manually_drained(self) -> tuple[str, ...]:
         """Return the names of those that are drained by hand."""
-        return tuple(backend.entry.host for backend in self.servers.values() if backend.is_manually_drained)
+        return tuple(backend.entry.host for backend in self.backends.values() if backend.is_manually_drained)
 
     # --- changes of one backend ---
 
@@ -161,7 +161,7 @@
         index = self._indexes.setdefault(number, len(self._indexes) + 1)
         is_drained = number in self._manually_drained
         backend = Backend(number, index, entry, client, is_manually_drained=is_drained)
-        self.servers[number] = backend
+        self.backends[number] = backend
         self._notify_watcher(backend, False)
         return backend
 
@@ -174,7 +174,7 @@
         """It gets nothing new; attempts in flight end by themselves."""
         accepted_work = backend.accepts_work
         backend.is_listed = False
-        self.servers.pop(backend.id, None)
+        self.backends.pop(backend.id, None)
         self._notify_watcher(backend, accepted_work)
         backend.client.close()
 
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -87,7 +87,7 @@
         try:
             return _http_response(await pending.reply())
         except asyncio.CancelledError:
-            pending.leave()  # the client has closed the connection
+            pending.on_client_disconnected()  # the client has closed the connection
             raise
 
     def _accept_job(self, request: web.BaseRequest, body: bytes, queueing_time_s: float) -> PendingJob:
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -7,7 +7,7 @@
 
 from hazelbend.console import client
 from hazelbend.dispatcher.console_server import LINE_LIMIT
-from tests.support.site_kit import site, wait_until
+from tests.support.site_kit import running_app, wait_until
 
 
 def run_on_site(folder, scenario):
@@ -16,7 +16,7 @@
     (folder / "console.toml").write_text(f'enabled = true\nsocket = "{path}"\n')
 
     async def run():
-        async with site(folder, stomp="") as (app, toys):
+        async with running_app(folder, stomp="") as (app, toys):
 
             async def console(*commands: str) -> int:
                 words = [word for command in commands for word in ("-c", command)]
@@ -50,7 +50,7 @@
 
 def test_drain_command_stops_new_requests_and_undrain_allows_them(tmp_path, capsys):
     async def scenario(app, toys, console, path):
-        [server] = app.router.table.servers.values()
+        [server] = app.router.table.backends.values()
         assert await console("drain toy-0", "show servers") == 0 and not server.accepts_work
         assert await console("undrain toy-0") == 0 and server.accepts_work
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -33,7 +33,7 @@
     for worker in probes:
         held = busy.get(worker, 0)
         load = dy.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, load))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, load))
 
 
 def test_workers_that_may_win_are_asked_before_the_pick():
@@ -233,11 +233,11 @@
     """Guards dispatchers that counted as told and had not asked: 200 spread their first calls over 20 s
     where 10 were allowed, and waited for up to 120 s after failed ones, where one counts as told after 40."""
     settings = dy.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
-    assert max(first_call(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
+    assert max(first_call(fleet, seed) for seed in range(40)) <= settings.max_poll_interval // 2
     chance, retry = random.Random(1), DiscoveryRetry()
     waits = [retry.retry_delay(settings, chance) for _ in range(2_000)]
-    assert max(waits) <= settings.poll_interval // 2
-    assert min(waits[20:]) >= settings.poll_interval // 16, (
+    assert max(waits) <= settings.max_poll_interval // 2
+    assert min(waits[20:]) >= settings.max_poll_interval // 16, (
         "a service that is down is not asked again and again"
     )
 
@@ -260,7 +260,7 @@
     """Guards the operators' term: a change counts as told 6 s after discovery had it and could be reached.
     From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
     besides."""
-    settings = dy.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=ask_within)
+    settings = dy.Settings(fleet_size=fleet, list_is_polled=True, max_poll_interval=ask_within)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
@@ -320,10 +320,10 @@
     model.advance(200_000)
     probes, model.probes = model.probes, []
     for worker in probes:
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 0.0)))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 0.0)))
     worker = model.dispatcher.workers[1]
     assert not worker.reported_at and worker.slots == 0.0
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 5.0)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 5.0)))
     assert worker.reported_at and worker.slots == 5.0, "an idle server has free slots"
 
 
@@ -405,7 +405,7 @@
         probes, model.probes = model.probes, []
         for worker in probes:
             outcome = dy.Outcome.SERVED if answers or worker != where else dy.Outcome.TIMED_OUT
-            model.tell(dy.ProbeEnded(worker, outcome, 1_000))
+            model.handle_event(dy.ProbeEnded(worker, outcome, 1_000))
     return model
 
 
@@ -445,10 +445,10 @@
     worker = model.dispatcher.workers[1]
     since = worker.peer_jobs_at
     model.advance(600_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
     assert worker.peer_jobs_at == since, "what has come since goes on being reckoned with"
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > model.now - 2_000_000, "an idle server may say the same for long"
--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -11,7 +11,7 @@
 from hazelbend.transport.http import client_connection, http_listener
 from tests.dispatcher.test_program import free_port, send_request, start, start_with_toy_server, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
-from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.support.site_kit import FakeStompClient, running_app, wait_until
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 from tests.transport.test_client_listener import open_keep_alive, request, send_and_receive
 
@@ -34,7 +34,7 @@
 
 def test_drain_fails_health_checks_serves_requests_and_closes_idle_connections(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             reader, writer = await open_keep_alive(app.client_listener.port)
             idle, _ = await open_keep_alive(app.client_listener.port, "idle")
             long = asyncio.create_task(send_and_receive(app.client_listener.port, request("long", b"2500")))
@@ -67,7 +67,7 @@
     """Guards the rule that 4 s after the start of a drain no connection has a request of the last 2 s."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             loop = asyncio.get_running_loop()
             app.drain()
             began = loop.time()
@@ -98,7 +98,7 @@
     """
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.drain()
             await wait_until(lambda: "drain" in app._final_deadlines)
             await wait_until(lambda: "drain" not in app._final_deadlines)
@@ -121,7 +121,7 @@
 
 def test_drain_can_be_restarted_and_survives_a_reload(tmp_path, short_drain):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for _ in range(3):
                 app.drain()
                 assert app.undrain() and app.undrain()
@@ -145,7 +145,7 @@
     monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 0.01)
 
     async def run():
-        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, ops=OPS_ADDRESS) as (app, _):
             idle = await FakeStompClient.connect(app.stomp.port, client_id="idle")
             busy = await FakeStompClient.connect(app.stomp.port, client_id="busy")
             worker = await FakeStompClient.connect(app.stomp.port, login="box-1")
@@ -154,9 +154,9 @@
             await wait_until(lambda: app.router.requests)
             app.drain()
             await wait_until(lambda: idle.closed)
-            assert "emptied" in idle.of("ERROR")[0].headers["message"] and not busy.closed
+            assert "emptied" in idle.frames_with_command("ERROR")[0].headers["message"] and not busy.closed
             await wait_until(lambda: busy.closed)
-            assert busy.answers() == {"b": ["served"]} and not worker.closed
+            assert busy.statuses_by_request() == {"b": ["served"]} and not worker.closed
             # A client that connects in the window has a final deadline, on STOMP too.
             await asyncio.sleep(drain.WINDOW_END_S)
             # Time to send its frames: a busy machine needs more than the clients before had.
@@ -165,7 +165,7 @@
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
             await wait_until(lambda: late.closed)
-            assert late.answers() == {"l": ["served"]}
+            assert late.statuses_by_request() == {"l": ["served"]}
             app.undrain()
 
     asyncio.run(run())
@@ -176,7 +176,7 @@
     monkeypatch.setattr("hazelbend.dispatcher.shutdown.FIRST_REQUESTS_S", 0.3)
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.conf = replace(app.conf, passed_socket=3)
             _, first = await open_keep_alive(app.client_listener.port, "first")
             _reader, writer = await open_keep_alive(app.client_listener.port)
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -7,7 +7,7 @@
 from hazelbend.decisions.interface import Outcome
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
-from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.support.site_kit import FakeStompClient, running_app, wait_until
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 from tests.transport.test_client_listener import request, send_and_receive
 
@@ -26,7 +26,7 @@
 
 def test_each_job_is_counted_once_in_its_class(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             assert set((await stats(app)).values()) == {0, 1}, "every class has figures from the start"
             reserve = closing_request("f", b"1 fail", more="Idempotency-Key: k\r\n").replace(
                 b"/nearby", b"/reserve"
@@ -36,7 +36,7 @@
             running = asyncio.create_task(
                 send_and_receive(app.client_listener.port, closing_request("run", b"1500"))
             )
-            await wait_until(lambda: toy.holds)
+            await wait_until(lambda: toy.jobs_in_flight)
             await send_and_receive(
                 app.client_listener.port, closing_request("bad", b"1").replace(b"/nearby", b"/bogus")
             )
@@ -59,7 +59,7 @@
 
 def test_exception_is_counted_once_and_an_abandoned_request_is_not_outstanding(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             handle = app.router.module.handle
 
             def faulty(event, now):
@@ -74,7 +74,7 @@
             app.router.module.handle = handle
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("gone", b"hang"))
-            await wait_until(lambda: toy.holds == 1)
+            await wait_until(lambda: toy.jobs_in_flight == 1)
             writer.close()
             await wait_until(lambda: not app.router.requests)
             figures = await stats(app)
@@ -86,15 +86,15 @@
 
 def test_http_and_stomp_jobs_are_counted_alike_also_with_a_full_mailbox(tmp_path):
     async def run():
-        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, ops=OPS_ADDRESS) as (app, _):
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             worker = await FakeStompClient.connect(app.stomp.port, login="box-1")
             worker.send("SUBSCRIBE", id="w", destination="/hazelbend/work")
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             app.router.set_manual_drain("toy-0", True)
             peer.job("to the box", b"1")
-            await wait_until(lambda: worker.of("MESSAGE"))
+            await wait_until(lambda: worker.frames_with_command("MESSAGE"))
             figures = await stats(app)
             assert (figures["forwards"], figures["outstanding"]) == (1, 1)
             assert (figures["discovered"], figures["ejected"]) == (2, 1), (
@@ -102,7 +102,7 @@
             )
             app.stomp.settings.mailbox_limits.waiting = 1
             peer.job("too many", b"1")
-            await wait_until(lambda: peer.answers() == {"too many": ["refused"]})
+            await wait_until(lambda: peer.statuses_by_request() == {"too many": ["refused"]})
             assert (await stats(app))["declined.nearby"] == 1
             assert app.router.counters.received == 2
 
@@ -111,7 +111,7 @@
 
 def test_unreachable_server_is_counted_as_ejected(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             await toy.close()
             await send_and_receive(app.client_listener.port, closing_request("a", b"1", 300))
             figures = await stats(app)
@@ -122,7 +122,7 @@
 
 def test_admin_listener_console_and_snmp_show_the_same_figures(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for number in range(3):
                 await send_and_receive(app.client_listener.port, closing_request(f"r{number}", b"1"))
             app.router.set_manual_drain("toy-0", True)
--- a/tests/dispatcher/test_fleet_site.py
+++ b/tests/dispatcher/test_fleet_site.py
@@ -12,8 +12,8 @@
 import click
 import pytest
 
-from benchmarks.fleet_faults import LEASES, FakeStore, FaultRun
-from benchmarks.fleet_rig import ACT_SCRIPT, Site, read_acts, wait_for
+from benchmarks.fleet_faults import LEASE_NAMES, FakeStore, FaultRun
+from benchmarks.fleet_rig import ACT_SCRIPT, LocalFleet, read_acts, wait_for
 from benchmarks.loopback_ports import free_port
 from hazelbend.cli.main import Duration
 from hazelbend.dispatcher.console_server import CommandError, Commands
@@ -21,12 +21,12 @@
 from hazelbend.leases.fencing import TOKEN_BITS
 from hazelbend.leases.operations import Acquire
 from hazelbend.transport.peer.peer_links import PeerLinks
-from tests.support.site_kit import site
+from tests.support.site_kit import running_app
 
 
 @pytest.fixture
 def three(tmp_path):
-    with Site(tmp_path, 3, longest=6.0) as fleet_site:
+    with LocalFleet(tmp_path, 3, max_ttl_s=6.0) as fleet_site:
         fleet_site.bootstrap()
         yield fleet_site
 
@@ -98,7 +98,7 @@
 def test_drain_and_shutdown_transfer_leadership_at_once(three):
     """The leader transfers leadership without an election timeout, and the others know that it has left."""
     first = three.leader()
-    connection = http.client.HTTPConnection(first.ops)
+    connection = http.client.HTTPConnection(first.ops_address)
     connection.request("POST", "/ops/drain/start")
     assert connection.getresponse().status == 200
     connection.close()
@@ -140,8 +140,8 @@
 
 def test_members_with_stores_recover_their_state_after_all_crash_at_once(tmp_path):
     """No operator needs to start a new epoch."""
-    with Site(tmp_path, 3, longest=30.0, store=True) as fleet_site:
-        fleet_site.bootstrap(opens=False)
+    with LocalFleet(tmp_path, 3, max_ttl_s=30.0, store=True) as fleet_site:
+        fleet_site.bootstrap(wait_until_open=False)
         before = fleet_site.machines[0].view()
         for machine in fleet_site.machines:
             machine.stop(signal.SIGKILL)
@@ -178,14 +178,14 @@
     """The console and the figures show the fleet if there is one, and nothing of it otherwise."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             with pytest.raises(CommandError, match="there is no fleet"):
                 Commands(app).run("show fleet")
         port = free_port()
         (tmp_path / "fleet.toml").write_text(
             f'enabled = true\nid = "f"\nlisten = "127.0.0.1:{port}"\n[leases]\nlongest_s = 1.0\n'
         )
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             [part] = app.extensions.values()
             assert "nobody leads" in Commands(app).run("show fleet")
             links = PeerLinks("127.0.0.1")
@@ -252,7 +252,7 @@
             f'url = "http://127.0.0.1:{store.server_address[1]}/f"\n'
             "every_s = 0.1\nttl_s = 2.0\ntimeout_s = 1.0\n"
         )
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             [part] = app.extensions.values()
             task, leases = part.snapshot, part.node.leases
             part.driver.start_new_epoch(False)
@@ -268,7 +268,9 @@
             store.put("/f", token + 1)  # as if another holder had written: the next write has a lower token
             await wait_until(lambda: task.rejected)
             await wait_until(lambda: store.highest["/f"] == token + 1 and task.written > 6)
-            assert store.took_lower == 0, "the next lease has the same token as that write, not a lower one"
+            assert store.accepted_stale_writes == 0, (
+                "the next lease has the same token as that write, not a lower one"
+            )
             await part.leave(1.0)
             assert leases.state.leases == {}, "another member need not wait until the lease expires"
         store.shutdown()
@@ -280,15 +282,15 @@
 def test_fake_store_and_fault_run_detect_violations(tmp_path):
     store = FakeStore()
     assert [store.put("a", token) for token in (2, 3, 2, 3)] == [True, True, False, True]
-    assert (store.rejected, store.took_lower) == (1, 0)
-    unchecked = FakeStore(checks=False)
-    assert unchecked.put("a", 3) and unchecked.put("a", 2) and unchecked.took_lower == 1
+    assert (store.rejected, store.accepted_stale_writes) == (1, 0)
+    unchecked = FakeStore(checks_tokens=False)
+    assert unchecked.put("a", 3) and unchecked.put("a", 2) and unchecked.accepted_stale_writes == 1
     for fake_store in (store, unchecked):
         fake_store.shutdown()
         fake_store.server_close()
     fault_run = FaultRun(1, 3, 1.0, "", tmp_path)
-    name = LEASES[0]
+    name = LEASE_NAMES[0]
     fault_run.path.write_text(f"1000 {name} 5 71\n2000 {name} 6 72\n3000 {name} 5 71\n4000 {name} 5 73\n")
-    fault_run.stopped = {73}
+    fault_run.stopped_pids = {73}
     found = fault_run.result()
     assert (found["overlaps"], found["late_by_stopped"], found["grants"]) == (1, 1, 2) and found["broken"]
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -11,7 +11,15 @@
 from hazelbend.dispatcher import config
 from hazelbend.protocol.discovery import EndpointListCodec
 from tests.dispatcher.test_program import send_request, start, start_with_toy_server, wait_for  # noqa: F401
-from tests.support.site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, wait_until
+from tests.support.site_kit import (
+    SETTINGS,
+    STOMP_TOML,
+    FakeStompClient,
+    ToyServer,
+    host_entry,
+    running_app,
+    wait_until,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 
@@ -61,7 +69,7 @@
         async with (
             run_discovery(old) as first,
             run_discovery(new) as second,
-            site(tmp_path, toys=0, discovery=first, membership_mode="ask") as (app, _),
+            running_app(tmp_path, server_count=0, discovery=first, membership_mode="ask") as (app, _),
         ):
             await wait_until(lambda: len(old.paths) == 2)
             running = asyncio.create_task(
@@ -69,14 +77,14 @@
             )
             await wait_until(lambda: app.router.requests)
             app.apply(changed(app, tmp_path, {"membership_mode": "ask"}, discovery=second))
-            assert app.router.table.servers, "the list is kept until the new address has answered"
+            assert app.router.table.backends, "the list is kept until the new address has answered"
             await wait_until(lambda: len(new.paths) == 2 and old.open == 0)
             assert new.paths[0] == "/v1/servers", (
                 "another service: versions of the old one mean nothing there"
             )
             assert len(old.paths) == 2, "nothing more goes to the old address"
             assert b" 200 " in await running
-            assert app.router.counters.received == 1 and app.router.table.servers
+            assert app.router.counters.received == 1 and app.router.table.backends
         await toy.close()
 
     asyncio.run(run())
@@ -84,7 +92,7 @@
 
 def test_reload_applies_settings_and_keeps_stomp_connections(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             lanes = [*SETTINGS["lanes"], {"name": "plan", "deadline_us": 3_000_000, "semantics": "read_like"}]
@@ -93,7 +101,7 @@
             before = app.pool.session
             data = request("running", b"200", more="Connection: close\r\n")
             running = asyncio.create_task(send_and_receive(app.client_listener.port, data))
-            await wait_until(lambda: toy.ran)
+            await wait_until(lambda: toy.started_job_ids)
             app.apply(changed(app, tmp_path, changes, limits={"sockets": 256}, name="n9"))
             assert app.conf.name == "n9" and app.client_listener.connection_limit < 128
             assert app.pool.settings.keepalive_s == 2.0 and app.pool.settings.connect_timeout_s == 0.1
@@ -104,7 +112,7 @@
                 app.client_listener.port, plan.replace(b"ege-volt", b"new")
             )
             peer.job("s", b"1", job_class="plan", tenant="new")
-            await wait_until(lambda: peer.answers() == {"s": ["served"]})
+            await wait_until(lambda: peer.statuses_by_request() == {"s": ["served"]})
             assert not peer.closed
 
     asyncio.run(run())
@@ -112,10 +120,10 @@
 
 def test_reload_logs_what_needs_a_restart_and_applies_the_rest(tmp_path, caplog):
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             listen, settings = app.conf.listen, app.conf.settings
             lanes = list(reversed(SETTINGS["lanes"]))  # open requests refer to their classes by index
-            (tmp_path / "stomp.toml").write_text(STOMP.replace("toros-sarj", "ege-volt"))
+            (tmp_path / "stomp.toml").write_text(STOMP_TOML.replace("toros-sarj", "ege-volt"))
             with caplog.at_level(logging.INFO, "hazelbend"):
                 app.apply(changed(app, tmp_path, {"lanes": lanes}, listen="127.0.0.1:1", name="n9"))
             assert app.conf.listen == listen and app.conf.settings is settings and app.conf.name == "n9"
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -21,18 +21,25 @@
 from tests.dispatcher.test_program import free_port, send_request, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import is_ready, start_on_listener
-from tests.support.pace import pace
 from tests.support.site_kit import (
     ROOT,
     SETTINGS,
-    STOMP,
+    STOMP_TOML,
     FakeStompClient,
     ToyServer,
     host_entry,
-    site,
+    running_app,
     wait_until,
 )
-from tests.support.srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
+from tests.support.slowdown_factor import slowdown_factor
+from tests.support.srv_kit import (
+    SRV_NAME,
+    hosts_accepting_work,
+    running_nameservers,
+    running_srv_app,
+    srv_toml,
+    zone_file_text,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
@@ -137,11 +144,13 @@
         service = PushingDiscovery(entry("SERVING"))
         listener = await asyncio.start_server(service.serve, "127.0.0.1", 0)
         discovery = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-        async with nameservers(1, zone(("toy-0", ports[0]), ("toy-1", ports[1], 0, 0))) as [server]:
+        async with running_nameservers(1, zone_file_text(("toy-0", ports[0]), ("toy-1", ports[1], 0, 0))) as [
+            server
+        ]:
             (tmp_path / "srv.toml").write_text(srv_toml([server.address]))
             more = {"discovery": discovery, "membership_mode": "ask"}
-            async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
-                await wait_until(lambda: len(app.router.table.servers) == 2)
+            async with running_app(tmp_path, server_count=0, stomp="", **more) as (app, _):
+                await wait_until(lambda: len(app.router.table.backends) == 2)
                 latest_request_s, changes_seen = 0.0, []
                 app.router.table.on_accepts_work_changed = lambda changed_server, up: changes_seen.append(
                     (time.monotonic(), changed_server, up)
@@ -158,7 +167,7 @@
                         await wait_until(lambda: changes_seen)
                         [(learned_at, deleted_server, is_up)] = changes_seen
                         assert deleted_server.entry.host == host and not is_up
-                        assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
+                        assert await hosts_accepting_work(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
                         assert server.zones and host in app.extensions["srv"].merger.tombstones
                         await asyncio.sleep(0.01)
                         latest_request_s = max(
@@ -175,9 +184,9 @@
                         await wait_until(lambda: changes_seen)
                 assert set(statuses) <= {200, 503} and statuses.count(200) > 500
                 assert latest_request_s < 0.3, latest_request_s
-                assert {name for name, _ in app.extensions["srv"].resolver.names.endpoints(NAME).items()}, (
-                    "the SRV name still lists it"
-                )
+                assert {
+                    name for name, _ in app.extensions["srv"].resolver.names.endpoints(SRV_NAME).items()
+                }, "the SRV name still lists it"
         listener.close()
         for toy in toys:
             await toy.close()
@@ -187,30 +196,30 @@
 
 def test_endpoints_stay_while_all_nameservers_fail_for_longer_than_all_ttls(tmp_path):
     async def run():
-        async with srv_site(tmp_path, count=3) as (app, _, servers):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
-            endpoints = await boxes_of(app)
+        async with running_srv_app(tmp_path, count=3) as (app, _, servers):
+            await wait_until(lambda: len(app.router.table.backends) == 2)
+            endpoints = await hosts_accepting_work(app)
             async with http_load(app) as statuses:
                 for fault in ("servfail", "silent", "refused"):
                     for server in servers:
                         server.faults = [Fault(fault)]
                     before = time.monotonic()
                     await wait_until(
-                        lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                        lambda: app.extensions["srv"].resolver.names.by_srv_name[SRV_NAME].failing_since
                     )
                     await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
-                    assert await boxes_of(app) == endpoints, fault
+                    assert await hosts_accepting_work(app) == endpoints, fault
                 recovered_at = asyncio.get_running_loop().time()
                 for server in servers:
                     server.faults = []
                 await wait_until(
-                    lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                    lambda: not app.extensions["srv"].resolver.names.by_srv_name[SRV_NAME].failing_since
                 )
                 await asyncio.sleep(0.5)
                 asked = [query for server in servers for query in server.queries if query.at > recovered_at]
                 assert len(asked) <= 12, "no burst: one round with a quorum for the name and for each target"
-            assert set(statuses) == {200} and await boxes_of(app) == endpoints
+            assert set(statuses) == {200} and await hosts_accepting_work(app) == endpoints
 
     asyncio.run(run())
 
@@ -223,9 +232,9 @@
     lifetimes = f"least_s = {ANSWER_TTL_S}\nmost_s = {ANSWER_TTL_S}"
 
     async def run():
-        async with srv_site(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
-            endpoints = await boxes_of(app)
+        async with running_srv_app(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
+            await wait_until(lambda: len(app.router.table.backends) == 2)
+            endpoints = await hosts_accepting_work(app)
             changes = []
             app.router.table.on_accepts_work_changed = lambda server, up: changes.append(
                 (server.entry.host, up)
@@ -234,7 +243,9 @@
                 for wrong_server in servers:
                     if wrong_answer == "old zone":
                         correct_zones = dict(wrong_server.zones.by_origin)
-                        wrong_server.serve_zone(zone(("toy-0", port_of(min(endpoints))), ("old", 9)))
+                        wrong_server.serve_zone(
+                            zone_file_text(("toy-0", port_of(min(endpoints))), ("old", 9))
+                        )
                     else:
                         wrong_server.faults = [Fault(wrong_answer)]
                     asked = len(wrong_server.queries)
@@ -245,7 +256,7 @@
                         wrong_server.zones.by_origin = correct_zones
                     # Otherwise its last wrong answer and the first one of the next server may be a majority.
                     await asyncio.sleep(2 * ANSWER_TTL_S)
-            assert set(statuses) == {200} and not changes and await boxes_of(app) == endpoints
+            assert set(statuses) == {200} and not changes and await hosts_accepting_work(app) == endpoints
 
     asyncio.run(run())
 
@@ -254,20 +265,20 @@
     """An endpoint that comes and goes is cold each time, and no request fails."""
 
     async def run():
-        async with srv_site(tmp_path, toys=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             _toys,
             [server],
         ):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             ports = {endpoint.entry.host.partition(".")[0]: port_of(endpoint.entry.dial)
-                     for endpoint in app.router.table.servers.values()}  # fmt: skip
+                     for endpoint in app.router.table.backends.values()}  # fmt: skip
             rows = sorted(ports.items())
             async with http_load(app) as statuses:
                 for turn in range(6):
-                    server.serve_zone(zone(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
+                    server.serve_zone(zone_file_text(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
                     want = 2 if turn % 2 == 0 else 3
-                    await wait_until(lambda want=want: len(app.router.table.servers) == want)
+                    await wait_until(lambda want=want: len(app.router.table.backends) == want)
             assert set(statuses) == {200}
 
     asyncio.run(run())
@@ -277,22 +288,26 @@
     """The 500 endpoints of a lower priority are spare: they are known but get no requests."""
 
     async def run():
-        patient = f"start_spread_s = 0.0\ntimeout_s = {pace():.1f}\nrest_s = 0.1\nper_s = 2000"
+        patient = f"start_spread_s = 0.0\ntimeout_s = {slowdown_factor():.1f}\nrest_s = 0.1\nper_s = 2000"
         lifetimes = "least_s = 1.0\nmost_s = 1.0"
-        async with srv_site(tmp_path, toys=3, lifetimes=lifetimes, budgets=patient) as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+        async with running_srv_app(tmp_path, server_count=3, lifetimes=lifetimes, budgets=patient) as (
+            app,
+            _,
+            [server],
+        ):
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             rows = sorted(
                 (endpoint.entry.host.partition(".")[0], port_of(endpoint.entry.dial))
-                for endpoint in app.router.table.servers.values()
+                for endpoint in app.router.table.backends.values()
             )
             many = [(f"b{number}", 9, 10) for number in range(500)]
-            server.serve_zone(zone(*rows, *many))
+            server.serve_zone(zone_file_text(*rows, *many))
             async with http_load(app) as statuses:
-                await wait_until(lambda: len(app.router.table.servers) == 503)
+                await wait_until(lambda: len(app.router.table.backends) == 503)
             assert set(statuses) == {200} and any(query.tcp for query in server.queries)
-            assert len(await boxes_of(app)) == 3, "the five hundred are spare"
-            server.serve_zone(zone(*rows))
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            assert len(await hosts_accepting_work(app)) == 3, "the five hundred are spare"
+            server.serve_zone(zone_file_text(*rows))
+            await wait_until(lambda: len(app.router.table.backends) == 3)
 
     asyncio.run(run())
 
@@ -300,23 +315,23 @@
 def test_running_job_completes_after_its_target_has_moved_to_another_address(tmp_path):
     async def run():
         other = ToyServer("moved")
-        async with srv_site(tmp_path, toys=1, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=1, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             [toy],
             [server],
         ):
-            await wait_until(lambda: app.router.table.servers)
-            [endpoint] = app.router.table.servers.values()
+            await wait_until(lambda: app.router.table.backends)
+            [endpoint] = app.router.table.backends.values()
             started_at, port = endpoint.entry.started_at, port_of(endpoint.entry.dial)
             long = asyncio.create_task(
                 send_and_receive(
                     app.client_listener.port, request("long", b"1200", more="Connection: close\r\n")
                 )
             )
-            await wait_until(lambda: toy.ran or long.done())
-            assert toy.ran, f"the job has a response but never ran: {long.result()!r}"
+            await wait_until(lambda: toy.started_job_ids or long.done())
+            assert toy.started_job_ids, f"the job has a response but never ran: {long.result()!r}"
             assert (await other.listen("127.0.0.2", port)) == f"127.0.0.2:{port}"
-            server.serve_zone(zone(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
+            server.serve_zone(zone_file_text(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
             await wait_until(lambda: endpoint.entry.dial == f"127.0.0.2:{port}")
             assert endpoint.entry.started_at > started_at, "another process, so it starts cold"
             answer = await send_and_receive(
@@ -337,15 +352,17 @@
     """
 
     async def run():
-        async with srv_site(tmp_path, toys=2, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=2, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             toys,
             [server],
         ):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
-            first, spare = sorted(app.router.table.servers.values(), key=lambda endpoint: endpoint.entry.host)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
+            first, spare = sorted(
+                app.router.table.backends.values(), key=lambda endpoint: endpoint.entry.host
+            )
             ports = [port_of(endpoint.entry.dial) for endpoint in (first, spare)]
-            both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
+            both = zone_file_text(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
             await wait_until(lambda: not spare.accepts_work)
             async with http_load(app) as statuses:
@@ -360,25 +377,25 @@
                 await wait_until(lambda: spare.accepts_work)
                 del app.module.workers_in_backoff
                 await wait_until(lambda: not spare.accepts_work)
-                server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
-                await wait_until(lambda: len(app.router.table.servers) == 1)
-                assert await boxes_of(app) == {spare.entry.host}
-            assert set(statuses) == {200} and len(toys[1].ran) > 0
+                server.serve_zone(zone_file_text(("toy-1", ports[1], 10), ttl=0))
+                await wait_until(lambda: len(app.router.table.backends) == 1)
+                assert await hosts_accepting_work(app) == {spare.entry.host}
+            assert set(statuses) == {200} and len(toys[1].started_job_ids) > 0
 
     asyncio.run(run())
 
 
 def test_http_and_stomp_are_served_during_queries_reloads_and_drains(tmp_path):
     async def run():
-        async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+        async with running_srv_app(tmp_path, stomp=STOMP_TOML, ops="127.0.0.1:0") as (app, _toys, [server]):
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             server.faults = [Fault("silent")]
             await wait_until(lambda: app.extensions["srv"].queries_in_flight)
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with http_load(app) as statuses:
                 peer.job("over-stomp", b"5")
-                await wait_until(lambda: peer.answers().get("over-stomp") == ["served"])
+                await wait_until(lambda: peer.statuses_by_request().get("over-stomp") == ["served"])
                 # SIGHUP with other names, other bounds, off and on again; an invalid file changes nothing.
                 toml = srv_toml([server.address])
                 for text, endpoint_count in (
@@ -391,7 +408,7 @@
                     (tmp_path / "srv.toml").write_text(text)
                     server.faults = [] if endpoint_count else [Fault("silent")]
                     app.apply(changed(app, tmp_path))
-                    await wait_until(lambda count=endpoint_count: len(app.router.table.servers) == count)
+                    await wait_until(lambda count=endpoint_count: len(app.router.table.backends) == count)
                     if not endpoint_count:
                         # Without any endpoint the module queues jobs, and refuses none before its deadline.
                         await asyncio.sleep(0.05)
@@ -409,12 +426,12 @@
 
 def test_console_and_figures_show_srv_names(tmp_path):
     async def run():
-        async with srv_site(tmp_path, listed=1, ops="127.0.0.1:0") as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+        async with running_srv_app(tmp_path, listed_count=1, ops="127.0.0.1:0") as (app, _, [server]):
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             commands = Commands(app)
             shown = commands.run("show names")
-            assert NAME in shown and "listed" in shown and " 2 " in shown
-            assert "toy-0.konya-1.example.org" in commands.run(f"show names {NAME}")
+            assert SRV_NAME in shown and "listed" in shown and " 2 " in shown
+            assert "toy-0.konya-1.example.org" in commands.run(f"show names {SRV_NAME}")
             assert "1 followed" in commands.run("show sources") and server.address in commands.run(
                 "show sources"
             )
@@ -433,21 +450,21 @@
         (tmp_path / "disk").mkdir()
         path = tmp_path / "disk" / "names.json"
         snapshot = f'path = "{path}"\nevery_s = 0.05'
-        async with srv_site(tmp_path, snapshot=snapshot) as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 2 and path.exists())
-            endpoints, conf = await boxes_of(app), app.conf
+        async with running_srv_app(tmp_path, snapshot=snapshot) as (app, _, [server]):
+            await wait_until(lambda: len(app.router.table.backends) == 2 and path.exists())
+            endpoints, conf = await hosts_accepting_work(app), app.conf
             started = {
                 endpoint.entry.host: endpoint.entry.started_at
-                for endpoint in app.router.table.servers.values()
+                for endpoint in app.router.table.backends.values()
             }
             await app.extensions["srv"].close()
             await server.stop()
             second = App(conf)
             await second.start()
-            assert await boxes_of(second) == endpoints, "before any query was answered"
+            assert await hosts_accepting_work(second) == endpoints, "before any query was answered"
             assert started == {
                 endpoint.entry.host: endpoint.entry.started_at
-                for endpoint in second.router.table.servers.values()
+                for endpoint in second.router.table.backends.values()
             }, "the servers have not restarted"
             assert b" 200 " in await send_and_receive(
                 second.client_listener.port, request(more="Connection: close\r\n")
@@ -456,7 +473,10 @@
             path.write_bytes(path.read_bytes()[:-9])
             third = App(conf)
             await third.start()
-            assert await boxes_of(third) == set() and "torn" in third.extensions["srv"].snapshot_error
+            assert (
+                await hosts_accepting_work(third) == set()
+                and "torn" in third.extensions["srv"].snapshot_error
+            )
             await third.close()
 
     asyncio.run(run())
@@ -485,7 +505,7 @@
     """Start a toy server, and a nameserver that lists it, as processes."""
     toy, dns = free_port(), free_port()
     start(str(ROOT / "example/toy_server.py"), f"127.0.0.1:{toy}")
-    (tmp_path / "zone").write_text(zone(("toy-0", toy), ttl=1))
+    (tmp_path / "zone").write_text(zone_file_text(("toy-0", toy), ttl=1))
     start("-m", "hazelbend.fakes.nameserver", str(tmp_path / "zone"), "--listen", f"127.0.0.1:{dns}")
     return toy, f"127.0.0.1:{dns}"
 
@@ -535,13 +555,13 @@
     program.send_signal(signal.SIGHUP)
     wait_for(lambda: "names.boxes=1" in send_request(admin_port, "GET", "/ops/stats")[2])
     wait_for(lambda: send_request(port)[0] == 200)
-    words = [sys.executable, "-m", "hazelbend", "resolve", NAME, "--nameserver", dns]
+    words = [sys.executable, "-m", "hazelbend", "resolve", SRV_NAME, "--nameserver", dns]
     done = subprocess.run(words, capture_output=True, text=True)
     assert done.returncode == 0 and f"toy-0.konya-1.example.org  {toy}" in done.stdout, done.stderr
     done = subprocess.run([*words, "--json"], capture_output=True, text=True)
     [report] = orjson.loads(done.stdout)["nameservers"]
     assert report["records"][0]["addresses"] == ["127.0.0.1"] and report["lifetime"] == 1
-    other = ["_arama._tcp.adana-1.example.org" if word == NAME else word for word in words]
+    other = ["_arama._tcp.adana-1.example.org" if word == SRV_NAME else word for word in words]
     done = subprocess.run(other, capture_output=True, text=True)
     assert done.returncode == 1 and "nothing: NXDOMAIN" in done.stdout
     done = subprocess.run([*words[:-1], "nowhere"], capture_output=True, text=True)
--- a/tests/dispatcher/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -13,7 +13,15 @@
 from tests.dispatcher.test_program import free_port, send_request, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import is_ready, start_on_listener
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, wait_until
+from tests.support.site_kit import (
+    ROOT,
+    SETTINGS,
+    STOMP_TOML,
+    FakeStompClient,
+    host_entry,
+    running_app,
+    wait_until,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 TOY_SERVER_SCRIPT = ROOT / "example/toy_server.py"
@@ -26,7 +34,7 @@
 
 def waiting_site(folder, text=WAITING, **more):
     (folder / "waiting.toml").write_text(text)
-    return site(folder, **more)
+    return running_app(folder, **more)
 
 
 def post(app, job_id, body=b"5", timeout=4_000, **more):
@@ -46,7 +54,7 @@
 
 
 def frames_of(peer, job_id):
-    return [frame for frame in peer.of("MESSAGE") if frame.headers["request-id"] == job_id]
+    return [frame for frame in peer.frames_with_command("MESSAGE") if frame.headers["request-id"] == job_id]
 
 
 def test_children_run_after_their_parents_with_their_results(tmp_path):
@@ -54,15 +62,19 @@
         async with waiting_site(tmp_path) as (app, [toy]):
             child = post(app, "plan", b"5", After="n1, n2", Take_Results="1")
             await wait_until(lambda: app.extensions["waiting"].gate.rows())
-            assert app.router.is_open("plan") and not toy.ran
+            assert app.router.is_open("plan") and not toy.started_job_ids
             parents = [post(app, parent_id, b"20") for parent_id in ("n1", "n2")]
             answers = await asyncio.gather(child, *parents)
-            assert [status(answer) for answer in answers] == [200] * 3 and toy.ran == ["n1", "n2", "plan"]
+            assert [status(answer) for answer in answers] == [200] * 3 and toy.started_job_ids == [
+                "n1",
+                "n2",
+                "plan",
+            ]
             assert status(await post(app, "later", After="n1;ended")) == 200, "its parent has ended already"
             peer = await stomp_client(app)
             peer.job("c", b"5", after="p", **{"take-results": "1"})
             peer.job("p", b"5")
-            await wait_until(lambda: peer.answers().get("c") == ["served"])
+            await wait_until(lambda: peer.statuses_by_request().get("c") == ["served"])
             assert (
                 app.router.counters.received == 6
                 and not app.extensions["waiting"].gate.pending
@@ -111,7 +123,7 @@
             names = {key.lower().removesuffix("_ms").replace("_", "-"): value for key, value in more.items()}
             peer.job("a", b"5", **names)
             await wait_until(lambda: peer.closed)
-            assert words in peer.of("ERROR")[0].headers["message"]
+            assert words in peer.frames_with_command("ERROR")[0].headers["message"]
             assert not app.extensions["waiting"].gate.pending and not app.router.open_ids
             assert status(await post(app, "a")) == 200, "the id is free, and the listener still serves"
 
@@ -129,12 +141,14 @@
 
 def test_job_does_not_start_before_its_time(tmp_path):
     async def run():
-        async with waiting_site(tmp_path, toys=4) as (app, toys):
+        async with waiting_site(tmp_path, server_count=4) as (app, toys):
             at = int(time.time() * 1e3) + 400
             jobs = [post(app, f"t{number}", Not_Before=at) for number in range(4)]
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
             past = post(app, "past", Not_Before=at - 10**6)
-            assert status(await past) == 200 and [job for toy in toys for job in toy.ran] == ["past"]
+            assert status(await past) == 200 and [job for toy in toys for job in toy.started_job_ids] == [
+                "past"
+            ]
             assert [status(answer) for answer in await asyncio.gather(*jobs)] == [200] * 4
             assert time.time() * 1e3 >= at
 
@@ -150,7 +164,7 @@
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             writer.close()
             assert status(await child) == 200, "it needs only the end of its parent, which was cancelled"
-            assert app.router.counters.abandoned == 1 and "gone" not in toy.ran
+            assert app.router.counters.abandoned == 1 and "gone" not in toy.started_job_ids
             peer = await stomp_client(app)
             peer.job("s", b"5", after="p2")
             await wait_until(lambda: app.extensions["waiting"].gate.rows())
@@ -158,7 +172,7 @@
             await wait_until(lambda: app.stomp.connections == 0)
             again = await stomp_client(app)
             again.job("p2", b"5")
-            await wait_until(lambda: again.answers().get("s") == ["served"])
+            await wait_until(lambda: again.statuses_by_request().get("s") == ["served"])
 
     asyncio.run(run())
 
@@ -172,10 +186,10 @@
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             assert "the end of never" in commands.run("show waiting")
             peer.send("SEND", destination="/hazelbend/cancel", request_id="one")
-            await wait_until(lambda: peer.answers().get("one") == ["refused"])
+            await wait_until(lambda: peer.statuses_by_request().get("one") == ["refused"])
             assert frames_of(peer, "one")[0].headers["reason"] == "cancelled"
             commands.run("cancel dashboard two")
-            await wait_until(lambda: peer.answers().get("two") == ["refused"])
+            await wait_until(lambda: peer.statuses_by_request().get("two") == ["refused"])
             with pytest.raises(CommandError):
                 commands.run("cancel dashboard two")
             assert app.figures().named()["waiting.cancelled"] == 2
@@ -190,12 +204,12 @@
         async with waiting_site(tmp_path, text) as (app, [toy]):
             app.extensions["waiting"].gate.engine.admission.mean_run_us[0] = 100_000.0
             jobs = [post(app, f"j{number}", b"100") for number in range(8)]
-            await wait_until(lambda: toy.holds == 2)
+            await wait_until(lambda: toy.jobs_in_flight == 2)
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
             assert status(tight) in (200, 503)
             most_in_service = 0
             while not all(job.done() for job in jobs):
-                most_in_service = max(most_in_service, toy.holds)
+                most_in_service = max(most_in_service, toy.jobs_in_flight)
                 await asyncio.sleep(0.005)
             assert most_in_service == 2 and [status(job.result()) for job in jobs] == [200] * 8
             now = await post(app, "now", b"5")
@@ -207,12 +221,14 @@
 def test_reload_changes_limits_with_a_full_queue_and_disables_waiting(tmp_path):
     async def run():
         text = WAITING + "[admission]\nin_service = 1\naged = 0\nordinary = true\n"
-        async with waiting_site(tmp_path, text, stomp=STOMP) as (app, [toy]):
+        async with waiting_site(tmp_path, text, stomp=STOMP_TOML) as (app, [toy]):
             jobs = [post(app, f"j{number}", b"150") for number in range(4)]
-            await wait_until(lambda: toy.holds == 1 and len(app.extensions["waiting"].gate.rows()) == 3)
+            await wait_until(
+                lambda: toy.jobs_in_flight == 1 and len(app.extensions["waiting"].gate.rows()) == 3
+            )
             (tmp_path / "waiting.toml").write_text(text.replace("in_service = 1", "in_service = 4"))
             app.apply(changed(app, tmp_path))
-            await wait_until(lambda: toy.holds == 4)
+            await wait_until(lambda: toy.jobs_in_flight == 4)
             assert [status(answer) for answer in await asyncio.gather(*jobs)] == [200] * 4
             waiting_job = post(app, "waits", After="never")
             await wait_until(lambda: app.extensions["waiting"].gate.rows())
--- a/tests/dns_discovery/test_dns_discovery.py
+++ b/tests/dns_discovery/test_dns_discovery.py
@@ -24,10 +24,10 @@
 from hazelbend.dns_discovery.quorum import AnswerQuorum
 from hazelbend.dns_discovery.resolver import Resolver
 from hazelbend.dns_discovery.settings import read_settings
-from tests.support.srv_kit import NAME, SECOND, settings
+from tests.support.srv_kit import SRV_NAME, SECOND_US, settings
 
 A, B, C = (EndpointKey(f"{each}.konya-1.example.org", 7101) for each in "abc")
-ROOT = Question(NAME, RecordType.SRV)
+ROOT = Question(SRV_NAME, RecordType.SRV)
 TIMED_OUT = QueryFailure("no answer in time", server_unreachable=True)
 RECORDS = {A: SrvPreference(0, 1), B: SrvPreference(0, 1)}
 
@@ -45,7 +45,7 @@
 class Run:
     """A resolver, nameservers that answer by a script after `delay`, and the time."""
 
-    def __init__(self, answer, count=1, names=(NAME,), dispatcher="d-1", delay=1_000, **more):
+    def __init__(self, answer, count=1, names=(SRV_NAME,), dispatcher="d-1", delay=1_000, **more):
         self.resolver = Resolver(settings(count, **more), dispatcher)
         self.answer, self.delay, self.now = answer, delay, 10**15
         self.out, self.asked = [], []
@@ -53,7 +53,7 @@
 
     def until(self, seconds):
         """Let this much time go by."""
-        end = self.now + round(seconds * SECOND)
+        end = self.now + round(seconds * SECOND_US)
         while True:
             self.send(self.resolver.take_due_queries(self.now))
             times = [at for at, _ in self.out]
@@ -84,7 +84,7 @@
 
     @property
     def endpoints(self):
-        return set(self.resolver.names.endpoints(NAME))
+        return set(self.resolver.names.endpoints(SRV_NAME))
 
     def count(self, kind=None):
         return sum(kind in (None, query.question.record_type) for _, query in self.asked)
@@ -228,14 +228,14 @@
         firsts.append(run.asked[0][0] - 10**15)
         later.append(run.asked[1][0] - run.asked[0][0])
     assert max(sum(at // 100_000 == slot for at in firsts) for slot in range(10)) <= 20
-    assert max(later) - min(later) > 2 * SECOND
+    assert max(later) - min(later) > 2 * SECOND_US
 
 
 def test_a_truncated_answer_is_retried_over_tcp_and_then_fails():
     run = Run(lambda query: srv_answer(RECORDS) if query.over_tcp else TruncatedAnswer()).until(1)
     assert run.endpoints == {A, B} and [query.over_tcp for _, query in run.asked] == [False, True]
     run = Run(lambda query: TruncatedAnswer(), budgets={"tries": 1}).until(0.5)
-    assert run.resolver.names.by_srv_name[NAME].last_error.endswith("truncated over TCP")
+    assert run.resolver.names.by_srv_name[SRV_NAME].last_error.endswith("truncated over TCP")
 
 
 def test_cname_chains_are_followed_to_a_bound():
@@ -243,7 +243,7 @@
     run = Run(lambda query: srv_answer(RECORDS) if query.name == away else CnameAlias(away)).until(1)
     assert run.endpoints == {A, B}
     run = Run(lambda query: CnameAlias(f"x{query.id}.example"), budgets={"tries": 1}).until(0.5)
-    assert run.count() == MAX_CNAME_CHAIN + 1 and "aliases" in run.resolver.names.by_srv_name[NAME].last_error
+    assert run.count() == MAX_CNAME_CHAIN + 1 and "aliases" in run.resolver.names.by_srv_name[SRV_NAME].last_error
 
 
 def test_a_server_without_edns_is_queried_without_it():
@@ -263,18 +263,18 @@
     ).until(10)
     bad.append(True)
     run.until(600)
-    assert run.endpoints == {A, B} and run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and run.resolver.names.by_srv_name[SRV_NAME].failing_since
     asked = run.count()
     run.until(100)
     assert run.endpoints == set() and run.count() - asked < 30, "it backs off between rounds"
     bad.clear()
     run.until(60)
-    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[SRV_NAME].failing_since
 
 
 def test_the_next_nameserver_is_queried_and_a_failing_one_backs_off():
     run = Run(lambda query: TIMED_OUT if query.server == 0 else srv_answer(RECORDS, 5), count=3).until(600)
-    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[SRV_NAME].failing_since
     assert run.resolver.nameservers.health[0].queries < 30
 
 
@@ -316,7 +316,7 @@
         EndpointKey(f"b{number}.konya-1.example.org", 1): SrvPreference(number % 3, 1)
         for number in range(500)
     }
-    conf = [{"name": NAME, "zone": "konya-1", "kind": "big-box", "most_targets": 100}]
+    conf = [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box", "most_targets": 100}]
     shuffled = list(items.items())
     random.Random(1).shuffle(shuffled)
     found = [
@@ -341,7 +341,7 @@
     run.until(60)
     dead.append(True)
     run.until(300)
-    in_outage = [at for at, _ in run.asked if at > 10**15 + 100 * SECOND]
+    in_outage = [at for at, _ in run.asked if at > 10**15 + 100 * SECOND_US]
     assert len(in_outage) < 60, "one query tries the nameserver now and then"
     dead.clear()
     back = run.now
@@ -349,7 +349,7 @@
     slots = [0] * 61
     for at, _ in run.asked:
         if at >= back:
-            slots[(at - back) // SECOND] += 1
+            slots[(at - back) // SECOND_US] += 1
     assert max(slots) <= 111, "the budget, and a tenth of a second's worth at once"
     assert all(run.resolver.names.endpoints(each) for each in names)
 
@@ -377,9 +377,9 @@
     assert run.endpoints == {A, B} and {query.server for _, query in run.asked} - {0}
     run.resolver.track_only([], run.now)
     assert (
-        run.resolver.names.changed == {NAME}
+        run.resolver.names.changed == {SRV_NAME}
         and not run.resolver.names.by_question
-        and not run.resolver.names.endpoints(NAME)
+        and not run.resolver.names.endpoints(SRV_NAME)
     )
     assert run.until(500).count() < 10
 
@@ -396,7 +396,7 @@
     snapshot.write_file(tmp_path / "names.json", data)
     for later, boxes in ((3_600, {A, B}), (86_300, {A, B}), (86_500, set())):
         run = Run(lambda query: TIMED_OUT)
-        run.now += later * SECOND
+        run.now += later * SECOND_US
         body = snapshot.read_file(tmp_path / "names.json")
         snapshot.restore(run.resolver, body, run.now)
         assert run.endpoints == boxes and body.started == {"x:1": 5}
@@ -449,7 +449,7 @@
     table = {
         "enabled": True,
         "nameserver": [{"address": "127.0.0.1:53"}],
-        "name": [{"name": NAME, "zone": "konya-1", "kind": "big-box"}],
+        "name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box"}],
     }
     return read_settings(table | change, ("konya-1",), ("big-box",))
 
@@ -462,14 +462,14 @@
         ({"nameserver": [{"address": "127.0.0.1:0"}]}, r"nameserver\[0\].address"),
         ({"nameserver": [{"address": "127.0.0.1:53"}] * 2}, r"nameserver\[1\].address: .* twice"),
         ({"nameserver": [{"port": 1}]}, r"nameserver\[0\]: Object"),
-        ({"name": [{"name": NAME, "zone": "izmir", "kind": "big-box"}]}, r"name\[0\].zone: 'izmir'"),
-        ({"name": [{"name": NAME, "zone": "konya-1", "kind": "x"}]}, r"name\[0\].kind: 'x'"),
+        ({"name": [{"name": SRV_NAME, "zone": "izmir", "kind": "big-box"}]}, r"name\[0\].zone: 'izmir'"),
+        ({"name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "x"}]}, r"name\[0\].kind: 'x'"),
         ({"name": [{"name": "konya.example.org", "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
         ({"name": [{"name": "_a." + "x" * 64, "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
         ({"name": [{"name": "_a..b", "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
-        ({"name": [{"name": n, "zone": "konya-1", "kind": "big-box"} for n in (NAME, NAME.upper() + ".")]},
+        ({"name": [{"name": n, "zone": "konya-1", "kind": "big-box"} for n in (SRV_NAME, SRV_NAME.upper() + ".")]},
          r"name\[1\].name: .* twice"),
-        ({"name": [{"name": NAME, "zone": "konya-1", "kind": "big-box", "weight_scale": 0}]},
+        ({"name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box", "weight_scale": 0}]},
          r"name\[0\].weight_scale"),
         ({"lifetimes": {"least_s": 10, "most_s": 5}}, "lifetimes.least_s"),
         ({"lifetimes": {"least_s": "x"}}, "lifetimes.least_s: Expected"),
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -478,7 +478,7 @@
     """Jobs that wait on each other, on a clock and on admission."""
     trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
-        in_service=5,
+        slots=5,
         by_class=((1, 2),),
         shares=((0, 0.4),),
         aged=2,
--- a/tests/protocol/test_dns_wire.py
+++ b/tests/protocol/test_dns_wire.py
@@ -18,10 +18,10 @@
     TruncatedAnswer,
 )
 from hazelbend.protocol.dns import MismatchError, decode_answer, encode_query
-from tests.support.parser_kit import SEEDS, garbage
-from tests.support.srv_kit import NAME
+from tests.support.parser_kit import SEEDS, malformed_bytes
+from tests.support.srv_kit import SRV_NAME
 
-QUESTION = Question(NAME, RecordType.SRV)
+QUESTION = Question(SRV_NAME, RecordType.SRV)
 
 
 def answer(*rows, number=7, case=0, extra=(), flags="QR AA", question=QUESTION):
@@ -40,7 +40,7 @@
     return decode_answer(data, 7, asked, question, over_tcp=tcp)
 
 
-SRV = (f"{NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
+SRV = (f"{SRV_NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
 
 
 def test_additional_addresses_are_accepted_only_in_bailiwick():
@@ -52,26 +52,26 @@
 
 
 def test_the_ttl_is_the_least_along_a_cname_chain():
-    rows = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
+    rows = [(f"{SRV_NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
     assert read(*answer(*rows)).ttl_s == 10
 
 
 def test_cname_chains_without_end_are_failures():
-    loop = [("x.example.", 30, "CNAME", f"{NAME}."), (f"{NAME}.", 30, "CNAME", "x.example.")]
+    loop = [("x.example.", 30, "CNAME", f"{SRV_NAME}."), (f"{SRV_NAME}.", 30, "CNAME", "x.example.")]
     assert "loop" in read(*answer(*loop)).reason
     chain = [(f"n{number}.", 30, "CNAME", f"n{number + 1}.") for number in range(20)]
-    assert "over the bound" in read(*answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).reason
+    assert "over the bound" in read(*answer((f"{SRV_NAME}.", 30, "CNAME", "n0."), *chain)).reason
 
 
 def test_the_root_as_target_means_no_such_service():
-    assert isinstance(read(*answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
+    assert isinstance(read(*answer((f"{SRV_NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
 
 
 def test_case_is_mixed_by_its_bits_and_must_come_back():
     data, asked = answer(SRV, case=0b1011010101)
     assert asked.to_text() != asked.to_text().lower() and isinstance(read(data, asked), PositiveAnswer)
     try:
-        read(data, dns.name.from_text(NAME))
+        read(data, dns.name.from_text(SRV_NAME))
     except MismatchError as error:
         assert "case" in str(error)
     else:
@@ -79,7 +79,7 @@
 
 
 def test_a_query_is_not_an_answer():
-    data, asked = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
+    data, asked = encode_query(SRV_NAME, RecordType.SRV, 7, 0, edns=True)
     try:
         read(data, asked)
     except MismatchError:
@@ -98,8 +98,8 @@
 @given(SEEDS, st.booleans())
 def test_garbage_is_a_failure_or_a_mismatch(seed, tcp):
     data, asked = answer(SRV, extra=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    check_any_result(garbage(data, seed), asked, tcp)
-    check_any_result(data[:4] + garbage(data[4:], seed), asked, tcp)
+    check_any_result(malformed_bytes(data, seed), asked, tcp)
+    check_any_result(data[:4] + malformed_bytes(data[4:], seed), asked, tcp)
 
 
 @given(st.integers(0, 400), st.integers(0, 400), st.integers(0, 255))
--- a/tests/protocol/test_parsers.py
+++ b/tests/protocol/test_parsers.py
@@ -16,7 +16,7 @@
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
 from hazelbend.protocol.worker_lines import LoadReportFields, read_line
 from hazelbend.routing.ports import AttemptResult, ProgressReport
-from tests.support.parser_kit import SEEDS, garbage, pieces, survives
+from tests.support.parser_kit import SEEDS, malformed_bytes, random_chunks, assert_raises_only
 from tests.support.site_kit import SETTINGS, host_entry
 
 FIELDS = LoadReportFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
@@ -109,7 +109,7 @@
 
     @given(SEEDS)
     def survive(seed):
-        survives(parse, garbage(valid, seed), *getattr(no, "__args__", (no,)))
+        assert_raises_only(parse, malformed_bytes(valid, seed), *getattr(no, "__args__", (no,)))
 
     survive()
 
@@ -127,7 +127,7 @@
     reader = stomp.FrameReader()
     reader.version = version
     data = b"\n".join(stomp.encode(frame, version) for frame in frames) + b"\r\n"
-    items = [item for piece in pieces(data, seed) for item in reader.feed(piece)]
+    items = [item for piece in random_chunks(data, seed) for item in reader.feed(piece)]
     assert sum(isinstance(item, stomp.HeartBeat) for item in items) == len(frames)
     got = [item for item in items if isinstance(item, stomp.Frame)]
     for frame, back in zip(frames, got, strict=True):
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -194,7 +194,7 @@
     def leave(self, data, turns):
         """At any of the first turns after what came before: the rest is done in the next step."""
         held = data.draw(st.sampled_from(self.out()))
-        self.do(self.flows[held.job.id].leave, turns)
+        self.do(self.flows[held.job.id].on_client_disconnected, turns)
 
     @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), turns=st.integers(0, 6))
     def arrive_and_leave(self, job_class, turns):
@@ -205,7 +205,7 @@
             self.flows[name] = self.router.accept(Job(name, job_class, 0, 1_000_000))
 
         self.do(take, turns)
-        self.do(self.flows[name].leave)
+        self.do(self.flows[name].on_client_disconnected)
 
     @precondition(lambda self: self.connecting())
     @rule(data=st.data(), together=st.booleans(), late=st.sampled_from([0.0, 0.05, 0.4, 0.9]))
@@ -229,7 +229,7 @@
             if first:
                 held.connected.set()
             if what == "leave":
-                self.flows[held.job.id].leave()
+                self.flows[held.job.id].on_client_disconnected()
             elif what == "drain":
                 self.states[held.backend] = WorkerState.DRAINING
                 self.tell(held.backend)
@@ -249,7 +249,7 @@
             if not held.ending.done():
                 held.ending.set_result(AttemptResult(outcome, b"r"))
             if again:  # a client that goes in the turn of the answer
-                self.flows[held.job.id].leave()
+                self.flows[held.job.id].on_client_disconnected()
 
         self.do(finish)
 
@@ -342,9 +342,9 @@
         )
         assert sum(out.values()) == self.running, "attempts out and attempts counted"
         for number, worker in self.dispatcher.workers.items():
-            counted = self.router.table.servers[number].in_flight
+            counted = self.router.table.backends[number].in_flight
             mine = sum(
-                each.backend is self.router.table.servers[number]
+                each.backend is self.router.table.backends[number]
                 for flow in self.flows.values()
                 for each in flow.attempts
                 if not each.is_finished
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -18,7 +18,7 @@
 )
 from hazelbend.routing.ports import Verdict
 from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
-from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
+from tests.support.crossing_kit import BlockedConnects, ScriptedBackend, router_with_backend, yield_to_event_loop
 from tests.support.model import Model
 from tests.support.site_kit import wait_until
 
@@ -35,13 +35,13 @@
     async def run():
         decider = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
-            with HeldConnects(backend.port).held() as connects:
+        async with router_with_backend(decider, ENTRY, backend) as site:
+            with BlockedConnects(backend.port).installed() as connects:
                 flow = site.router.accept(job)
                 await wait_until(lambda: connects.waiting)
                 await change(site, flow)
-                await turns()
-                connects.let_go()
+                await yield_to_event_loop()
+                connects.release()
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
             again = site.router.accept(replace(LONG, id="again"))
@@ -53,15 +53,15 @@
 
 
 async def drain(site, flow):
-    site.tell(replace(site.entry, state=WorkerState.DRAINING))
+    site.update_list(replace(site.entry, state=WorkerState.DRAINING))
 
 
 async def drop(site, flow):
-    site.tell(whole=True)
+    site.update_list(is_complete=True)
 
 
 async def move(site, flow):
-    site.tell(replace(site.entry, dial="127.0.0.1:1"))
+    site.update_list(replace(site.entry, dial="127.0.0.1:1"))
 
 
 async def drain_by_hand(site, flow):
@@ -114,9 +114,9 @@
     async def run():
         decider = ScriptedModule()
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
+        async with router_with_backend(decider, ENTRY, backend) as site:
             flow = site.router.accept(LONG)
-            await turns()
+            await yield_to_event_loop()
             flow.inbox.put_nowait(face.Send(flow.number, ID))
             flow.leave()
             async with asyncio.timeout(10):
@@ -147,8 +147,8 @@
     async def run():
         decider = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
-            with HeldConnects(backend.port).held():
+        async with router_with_backend(decider, ENTRY, backend) as site:
+            with BlockedConnects(backend.port).installed():
                 flow = site.router.accept(replace(JOB, timeout_us=100_000))
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
@@ -175,7 +175,7 @@
     model = one_worker(Settings(classes=(JobClass(),)))
     model.arrive(1)
     [job] = model.jobs.values()
-    worker = job.tries[0].worker.worker
+    worker = job.attempts[0].worker.worker
     assert model.dispatcher.may_still_send(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=face.ListKind.DELTA)
     assert not model.dispatcher.may_still_send(1, 0, model.now), "its process is another one: it is cold now"
@@ -190,8 +190,8 @@
     model = one_worker(Settings(classes=(job,)))
     model.arrive(1)
     first = model.now
-    model.end(1, Outcome.RESET)
-    assert len(model.jobs[1].tries) == 2, (
+    model.end_attempt(1, Outcome.RESET)
+    assert len(model.jobs[1].attempts) == 2, (
         "a window shorter than the usual pause of a worker still has a repeat"
     )
     assert model.dispatcher.may_still_send(1, 1, first + window // 2)
@@ -202,7 +202,7 @@
     model = one_worker(Settings(classes=(JobClass(idempotency=Idempotency.SAFE),), max_attempts=4))
     model.arrive(1)
     request = model.dispatcher.requests[1]
-    model.end(1, Outcome.NOT_SENT)
+    model.end_attempt(1, Outcome.NOT_SENT)
     request.attempts[0].outcome = None
     assert not model.dispatcher.may_still_send(1, 1, model.now), "the first is out"
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -126,7 +126,7 @@
         flow = router.accept(JOB)
         while not link.calls:
             await asyncio.sleep(0)
-        flow.leave()
+        flow.on_client_disconnected()
         await asyncio.wait_for(router.wait_idle(), 10)
         return router
 
@@ -151,7 +151,7 @@
     assert answer.verdict is Verdict.REFUSED and link.calls == 0
     [ended] = module.of(face.AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT, "not a byte went out"
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
     assert not router.is_open(JOB.id)
 
 
@@ -169,14 +169,14 @@
                 flow = router.accept(replace(JOB, id=f"{turns}-{number}"))
                 for _ in range(turns):
                     await asyncio.sleep(0)
-                flow.leave()
+                flow.on_client_disconnected()
         async with asyncio.timeout(10):
             await router.wait_idle()
         return router, module
 
     router, module = asyncio.run(run())
     assert len(module.of(face.AttemptEnded)) == 2 * 32, "each send and its end, once"
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
     assert router.counters.abandoned == 32 and not router.open_ids
 
 
@@ -254,7 +254,7 @@
         [answer], router = play(module, FakeBackendClient(news=[ProgressReport()]), JOB)
     [ended] = module.of(face.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
 
 
 def test_a_fault_in_a_link_is_an_error_of_that_attempt(caplog):
@@ -299,7 +299,7 @@
     assert [entry.worker for entry in update.entries] == [stable_id("box")]
     assert table.change_registered("box", WorkerState.GONE).entries[0].state is WorkerState.GONE
     assert changes == [("box", True), ("s-1", True), ("s-1", False), ("box", False)]
-    assert not table.servers
+    assert not table.backends
 
 
 def test_a_drain_by_hand_outlasts_an_absence_from_the_list():
@@ -378,7 +378,7 @@
         left = hangs.reply()
         await asyncio.sleep(0)
         left.cancel()
-        hangs.leave()
+        hangs.on_client_disconnected()
         await asyncio.wait_for(router.wait_idle(), 10)
         return in_the_same_turn, reply.result(), hangs.answered.result()
 
--- a/tests/support/crossing_kit.py
+++ b/tests/support/crossing_kit.py
@@ -1,6 +1,6 @@
 """Peers that hold a step until the test lets it go, on real sockets: a crossing is made here, not awaited.
 
-`HeldConnects` keeps connections from coming up; `ScriptedBackend` does with each request what the test says,
+`BlockedConnects` keeps connections from coming up; `ScriptedBackend` does with each request what the test says,
 and keeps what came; `turns` lets the event loop go round.
 """
 
@@ -41,7 +41,7 @@
         await asyncio.sleep(0)
 
 
-class HeldConnects:
+class BlockedConnects:
     """New connections to a port wait, before their first packet, until they are let go."""
 
     def __init__(self, port: int) -> None:
