--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -23,7 +23,7 @@
 from hazelbend.dispatcher.shutdown import GracefulShutdown
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
-from hazelbend.routing.overview import Figures, Overview, take_figures, take_overview
+from hazelbend.routing.overview import Figures, Overview, build_overview, collect_figures
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
@@ -91,7 +91,7 @@
 
             snmp = conf.snmp
             self.agent = SnmpAgent(snmp.host, snmp.port, snmp.community, snmp.notify, self.overview)
-        table.watcher = self._server_changed
+        table.on_accepts_work_changed = self._server_changed
         for name in EXTENSION_CLASSES:
             if getattr(conf, name) is not None:
                 self.extensions[name] = load_extension(name, self)
@@ -102,7 +102,10 @@
         self.handover: Handover | None = None
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
-            self.router.is_open_elsewhere, self.router.on_id_changed = self.handover.holds, self.handover.tell
+            self.router.is_open_elsewhere, self.router.on_open_ids_changed = (
+                self.handover.holds,
+                self.handover.tell,
+            )
         self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
 
     # --- what operators see and do ---
@@ -115,7 +118,7 @@
     def figures(self) -> Figures:
         """Counters and gauges, for the admin listener."""
         return replace(
-            take_figures(self.router, self._class_names), component_figures=self._component_figures()
+            collect_figures(self.router, self._class_names), component_figures=self._component_figures()
         )
 
     def _component_figures(self) -> dict[str, int]:
@@ -161,7 +164,7 @@
             "boxes": self.stomp_workers.connected,
         }
         state = "leaving" if self.leaving else "draining" if self._drain.is_on else "serving"
-        view = take_overview(self.router, self.conf.name, state, self._class_names, connections)
+        view = build_overview(self.router, self.conf.name, state, self._class_names, connections)
         return replace(view, figures=replace(view.figures, component_figures=self._component_figures()))
 
     @property
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -18,8 +18,8 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     MAX_LINE_BYTES,
-    FlowIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
@@ -62,7 +62,7 @@
             if writer.transport.get_write_buffer_size() > UNREAD:
                 self._part(writer)
             else:
-                writer.write(encode_update(FlowIdUpdate(job_id, taken)))
+                writer.write(encode_update(JobIdUpdate(job_id, taken)))
 
     async def fetch(self) -> HandoverState | None:
         """The state of the process before, if there is one; from then on the two are siblings."""
@@ -78,7 +78,7 @@
             if writer is not None:
                 writer.close()
             return None
-        self._join(reader, writer, set(state.flow_ids))
+        self._join(reader, writer, set(state.open_job_ids))
         return state
 
     async def listen(self) -> None:
@@ -131,7 +131,7 @@
         try:
             while line := await reader.readline():
                 if (update := decode_update(line)) is not None:
-                    (ids.add if update.is_open else ids.discard)(update.flow_id)
+                    (ids.add if update.is_open else ids.discard)(update.job_id)
         except (OSError, ValueError) as error:
             log.warning("the other process: %s", error)
         finally:
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -125,7 +125,9 @@
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
                 await until(lambda: len(app.router.table.servers) == 2)
                 worst, learned = 0.0, []
-                app.router.table.watcher = lambda each, up: learned.append((time.monotonic(), each, up))
+                app.router.table.on_accepts_work_changed = lambda each, up: learned.append(
+                    (time.monotonic(), each, up)
+                )
                 # By its weight the other box is the second choice.
                 async with load(app, b"14") as statuses:
                     for _ in range(200):
@@ -165,14 +167,14 @@
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
-                    await until(lambda: app.extensions["srv"].resolver.names.roots[NAME].failing_since)
+                    await until(lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
                     await until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
-                await until(lambda: not app.extensions["srv"].resolver.names.roots[NAME].failing_since)
+                await until(lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
@@ -193,7 +195,9 @@
             await until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             changes = []
-            app.router.table.watcher = lambda server, up: changes.append((server.entry.host, up))
+            app.router.table.on_accepts_work_changed = lambda server, up: changes.append(
+                (server.entry.host, up)
+            )
             async with load(app) as statuses:
                 for liar in servers:
                     if lie == "old zone":
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -15,8 +15,8 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    FlowIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
@@ -142,7 +142,7 @@
 @given(SEEDS)
 def test_any_line_is_read_or_refused(seed):
     survives(lambda line: decode_state(line, READER), garbage(encode_state(STATE, READER), seed), ValueError)
-    survives(decode_update, garbage(encode_update(FlowIdUpdate("9b", True)), seed), ValueError)
+    survives(decode_update, garbage(encode_update(JobIdUpdate("9b", True)), seed), ValueError)
 
 
 def test_a_state_and_news_are_read_as_they_were_written():
@@ -153,8 +153,8 @@
         == 1
     ), "zones go by name: the next process may have them in another order"
     assert decode_state(encode_state(STATE, READER), READER) == STATE
-    assert [decode_update(encode_update(FlowIdUpdate("9b", taken))) for taken in (True, False)] == [
-        FlowIdUpdate("9b", True), FlowIdUpdate("9b", False)
+    assert [decode_update(encode_update(JobIdUpdate("9b", taken))) for taken in (True, False)] == [
+        JobIdUpdate("9b", True), JobIdUpdate("9b", False)
     ]  # fmt: skip
     assert decode_update(b'{"something": "later versions say"}') is None
 
@@ -261,7 +261,7 @@
         async with site(tmp_path) as (app, [toy]):
             whole = app.client_listener.connection_limit
             here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
-            app.router.is_open_elsewhere, app.router.on_id_changed = here.holds, here.tell
+            app.router.is_open_elsewhere, app.router.on_open_ids_changed = here.holds, here.tell
             await here.listen()
             other = Told()
             there = Handover(tmp_path / "next", other, lambda: app.conf.reader)
@@ -270,7 +270,9 @@
             )
             await until(lambda: toy.holds)
             state = await there.fetch()
-            assert state.flow_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
+            assert state.open_job_ids == ("a",) and [each.host for each in state.endpoints.entries] == [
+                "toy-0"
+            ]
             assert (
                 app.client_listener.connection_limit < whole / 2 and app.pool.settings.connections < whole / 2
             )
