--- a/hazelbend/endpoints/host_index.py
+++ b/hazelbend/endpoints/host_index.py
@@ -1,4 +1,4 @@
-"""An index of hosts by their SRV key and by their address."""
+"""An index of hosts by SRV key and by address."""
 
 from __future__ import annotations
 
@@ -11,35 +11,38 @@
 
 
 class HostIndex:
-    """Finds the host for an endpoint of SRV. For a while several hosts may have the same key or address."""
+    """Finds the host for an endpoint of an SRV record.
+
+    Several hosts may have the same key or the same address for some time.
+    """
 
     def __init__(self) -> None:
         self._by_key: dict[EndpointKey, set[str]] = {}
         self._by_dial: dict[str, set[str]] = {}
 
     def add(self, host: str, key: EndpointKey | None, dial: str) -> None:
-        """Index a host."""
+        """Add a host."""
         if key is not None:
             self._by_key.setdefault(key, set()).add(host)
         self._by_dial.setdefault(dial, set()).add(host)
 
     def remove(self, host: str, key: EndpointKey | None, dial: str) -> None:
-        """Take a host out, which was added with this key and address."""
+        """Remove a host that was added with this key and this address."""
         if key is not None:
             _discard(self._by_key, key, host)
         _discard(self._by_dial, dial, host)
 
     def hosts(self, key: EndpointKey | None, dial: str) -> set[str]:
-        """All hosts with this key or address."""
+        """Return all hosts with this key or this address."""
         found = set(self._by_dial.get(dial, ()))
         if key is not None:
             found |= self._by_key.get(key, set())
         return found
 
     def find(self, key: EndpointKey, dial_addresses: Iterable[str]) -> str | None:
-        """The host with this key, else the one with one of these addresses.
+        """Return the host with this key, otherwise the one with one of these addresses; None if none matches.
 
-        Of several it is the first by name, so that all dispatchers find the same.
+        Of several hosts it returns the first by name, so that all dispatchers find the same one.
         """
         if hosts := self._by_key.get(key):
             return min(hosts)
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -1,27 +1,29 @@
-"""One view of all endpoints, from the endpoint list, SRV names and endpoints that connected over STOMP.
+"""Merges the endpoint list, SRV names and endpoints that connected over STOMP into one view of all endpoints.
 
-Identity. The endpoint list names an endpoint by its host name, SRV by a target and a port. They are the same
-endpoint if the host name is the target (apart from case and a final dot) and the ports are equal, or if the
-list's address and port are among the target's. Its host in the view is the list's if the list has it, and
-`target:port` otherwise. That depends only on the present reports, so all dispatchers use the same one. If the
-host of an endpoint changes between the two, then for the rest of the program one endpoint has left and
-another has joined. `renamed` carries over that it is drained by hand.
+Identity. The endpoint list names an endpoint by its host name, SRV by a target and a port. Both name the same
+endpoint if the host name equals the target (apart from case and a final dot) and the ports are equal, or if
+the address and port in the list are among those of the target. The endpoint's host in the view is the host
+name in the list if the list has the endpoint, otherwise `target:port`. That depends only on the present
+reports, so all dispatchers use the same host. If the host of an endpoint changes from one form to the other,
+the rest of the program sees one endpoint leave and another one join. `renamed` reports such changes, so that
+a manual drain can be carried over.
 
-Who wins within the endpoint list: an endpoint that is listed now has its key and its address, whoever was
-removed with them, in the same report or in an earlier one. Of two rows of one host the last one counts; else
-the order of rows means nothing.
+Conflicts within the endpoint list. A key or an address belongs to the endpoint that is listed with it now,
+even if another endpoint with the same key or address was removed in the same report or in an earlier one. Of
+two rows for one host the last one counts; apart from that the order of rows has no meaning.
 
-An endpoint that only SRV lists counts as just started when it appears, when it returns, and when its address
-changes, as that is another process. Of several addresses it keeps the one it has while that is listed.
+Start times. An endpoint that only SRV lists counts as just started when it appears, when it returns, and when
+its address changes, because a new address means another process. If SRV lists several addresses, the endpoint
+keeps its present one as long as that is listed.
 
-Each method takes the report of one source and returns the changes of the view, in time proportional to the
-endpoints of the report, not to all endpoints (a whole list reports all endpoints).
+Cost. Each method takes the report of one source and returns the changes to the view, in time proportional to
+the endpoints in the report, not to all endpoints (a complete list reports all endpoints).
 
 Invariants after each method, which tests/endpoints/test_endpoints.py checks:
     1. An endpoint that the list drains or has removed is not ready, whatever SRV reports.
-    2. The serving endpoints of the list are in the view as it reports them.
-    3. Any other endpoint is in the view if, and only if, an SRV name lists it; none is in it twice.
-    4. The returned changes add up to the view.
+    2. The serving endpoints of the list are in the view as the list reports them.
+    3. Any other endpoint is in the view if, and only if, an SRV name lists it. No endpoint is in it twice.
+    4. Applied one after another, the returned changes give the view.
 """
 
 from __future__ import annotations
@@ -53,25 +55,25 @@
 
 
 class EndpointMerger:
-    """The reports of all sources, and the view that results from them. Times are microseconds."""
+    """Holds the reports of all sources and the view that results from them. Times are microseconds."""
 
     def __init__(self, tombstone_us: int) -> None:
         self.tombstone_us = tombstone_us  # how long a removal is remembered
         self.view = EndpointView()
         self.list_failed = False
         self.tombstones: dict[str, Tombstone] = {}  # by host
-        self.renamed: list[tuple[str, str]] = []  # old and new host; the reader clears it
+        self.renamed: list[tuple[str, str]] = []  # old and new host; the caller reads and clears it
         self._listed: dict[str, Endpoint] = {}  # by host
         self._listed_index = HostIndex()
         self._tombstone_index = HostIndex()
         self._claims = SrvClaims()
-        self._open_priorities: dict[str, int] = {}  # of an SRV name: the highest number that is open
+        self._open_priorities: dict[str, int] = {}  # by SRV name: the highest priority number that is open
         self._restored_start_times: dict[str, int] = {}
 
     # --- reports of sources ---
 
     def apply_list(self, update: EndpointList, now: int) -> EndpointList:
-        """Apply an update of the endpoint list. Returns the update for the router."""
+        """Apply an update of the endpoint list. Returns the update to pass to the router."""
         self.list_failed = update.failed
         if update.failed:
             return update
@@ -80,7 +82,7 @@
         removed = {host for host, entry in rows.items() if entry.state is WorkerState.GONE}
         if update.is_complete:
             removed |= self._listed.keys() - rows.keys()
-        # Most of a complete list is known already.
+        # Only the changed entries are processed, because most of a complete list is known already.
         changed = [
             entry for host, entry in rows.items() if host not in removed and self._listed.get(host) != entry
         ]
@@ -92,7 +94,7 @@
             keys |= self._unindex(entry)
         for entry in changed:
             keys |= self._set_listed(entry)
-        # Last: a removed endpoint's address may be that of one that is listed now.
+        # This comes last because an endpoint that is listed now may have the address of a removed one.
         for entry in gone:
             self._add_tombstone(entry.host, Tombstone(now, _srv_key(entry), entry.dial))
         self._recompute(hosts, keys, now)
@@ -101,7 +103,7 @@
         return EndpointList(self._changes(before, hosts, keys), seq=update.seq)
 
     def apply_srv(self, name: str, claims: Mapping[EndpointKey, SrvClaim], now: int) -> EndpointList:
-        """Set the endpoints that an SRV name lists. Returns the changes."""
+        """Set the endpoints that an SRV name lists. Returns the changes to the view."""
         before = self.view.members
         keys = self._claims.changed_keys(name, claims)
         hosts = {host for host in map(self._listed_host, keys) if host is not None}
@@ -110,7 +112,10 @@
         return EndpointList(self._changes(before, hosts, keys))
 
     def apply_connected(self, entry: Endpoint) -> None:
-        """An endpoint connected over STOMP, or left. No other source reports about it."""
+        """Add an endpoint that connected over STOMP, or remove it if its entry is `GONE`.
+
+        No other source reports on such an endpoint.
+        """
         members = self.view.members
         if entry.state is not WorkerState.GONE:
             members = members.set(entry.host, MergedEndpoint(entry, (STOMP_SOURCE,)))
@@ -119,31 +124,33 @@
         self._publish(members)
 
     def open_priorities(self, name: str, highest: int | None, now: int) -> EndpointList:
-        """Open the SRV name's endpoints up to this priority; the others are spare. Returns the changes.
+        """Open the SRV name's endpoints up to this priority number; the others become spare.
 
-        None: all are open, as the name has no endpoints with several priorities.
+        None opens all endpoints, for a name whose endpoints do not differ in priority. Returns the changes to
+        the view.
         """
-        was = self._open_priorities.get(name)
-        if was == highest:
+        previous = self._open_priorities.get(name)
+        if previous == highest:
             return EndpointList()
         before = self.view.members
         if highest is None:
             self._open_priorities.pop(name, None)
         else:
             self._open_priorities[name] = highest
-        low, high = sorted(NONE_OPEN if level is None else level for level in (was, highest))
+        low, high = sorted(NONE_OPEN if level is None else level for level in (previous, highest))
         keys = {
             key
             for key, claim in self._claims.claims_of_name(name).items()
-            if low < claim.preference.priority <= high or was is None or highest is None
+            if low < claim.preference.priority <= high or previous is None or highest is None
         }
         self._recompute((), keys, now)
         return EndpointList(self._changes(before, (), keys))
 
     def expire_tombstones(self, now: int) -> EndpointList:
-        """Forget old removals, so that SRV may bring the endpoints back. Returns the changes.
+        """Drop expired tombstones, so that SRV may list the endpoints again. Returns the changes to the view.
 
-        While the endpoint list fails nothing is forgotten, as it could not remove them again.
+        While calls for the endpoint list fail no tombstone is dropped, because the list could not remove the
+        endpoint again.
         """
         if self.list_failed:
             return EndpointList()
@@ -158,7 +165,7 @@
         return EndpointList(self._changes(before, (), keys))
 
     def restore(self, tombstones: Mapping[str, Tombstone], start_times: Mapping[str, int]) -> None:
-        """Take removals, and start times of endpoints that only SRV lists, from a snapshot."""
+        """Restore tombstones, and the start times of endpoints that only SRV lists, from a snapshot."""
         for host, tombstone in tombstones.items():
             known = self.tombstones.get(host)
             if host not in self._listed and (known is None or known.removed_at < tombstone.removed_at):
@@ -168,21 +175,24 @@
     # --- queries ---
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """All endpoints but those that connected over STOMP, which the router has from their connections."""
+        """Return all endpoints except those that connected over STOMP.
+
+        The router knows the latter from their connections.
+        """
         return tuple(member.entry for member in self.view.members.values() if not member.is_connected)
 
     def listed(self) -> tuple[Endpoint, ...]:
-        """The endpoint list, as it was last reported."""
+        """Return the entries of the endpoint list as last reported."""
         return tuple(self._listed.values())
 
     def srv_start_times(self) -> dict[str, int]:
-        """The endpoints that only SRV lists, and when they started."""
+        """Return the start times of the endpoints that only SRV lists, by host."""
         return {
             host: member.entry.started_at for host, member in self.view.members.items() if member.is_srv_only
         }
 
     def list_report(self, key: EndpointKey) -> ListReport:
-        """What the endpoint list reports about an endpoint of SRV."""
+        """Return what the endpoint list reports about an SRV endpoint."""
         host = self._listed_host(key)
         if host is not None:
             ready = self._listed[host].state is WorkerState.READY
@@ -191,14 +201,14 @@
         return ListReport.REMOVED if removed else ListReport.NEVER_LISTED
 
     def host_of(self, key: EndpointKey) -> str | None:
-        """The host in the view of an endpoint of SRV; None if it is not in the view."""
+        """Return the host of an SRV endpoint in the view; None if it is not in the view."""
         host = self._listed_host(key) or str(key)
         return host if host in self.view.members else None
 
     def priorities(self, name: str) -> dict[str, int]:
-        """The hosts of an SRV name that are in the view, and their priorities.
+        """Return the hosts of an SRV name that are in the view, with their priorities.
 
-        Of several targets at one host, the one that clients prefer counts: the lowest number (RFC 2782).
+        If several targets are on one host, the lowest number counts, which clients prefer (RFC 2782).
         """
         found: dict[str, int] = {}
         for key, claim in self._claims.claims_of_name(name).items():
@@ -207,7 +217,7 @@
                 found[host] = min(found.get(host, priority), priority)
         return found
 
-    # --- the endpoint list. Each method returns the endpoints of SRV that may be concerned ---
+    # --- the endpoint list. Methods that return a set return the SRV endpoints that may be affected ---
 
     def _set_listed(self, entry: Endpoint) -> set[EndpointKey]:
         key = _srv_key(entry)
@@ -219,7 +229,7 @@
         self._listed_index.add(entry.host, key, entry.dial)
         if entry.host in self.tombstones:
             affected |= self._remove_tombstone(entry.host)
-        # An endpoint that the list removed had this key or address, which is another's now.
+        # A removed endpoint may have had this key or address, which now belongs to the listed one.
         for host in self._tombstone_index.hosts(key, entry.dial):
             affected |= self._remove_tombstone(host)
         return affected | self._claims.matching_keys(key, entry.dial)
@@ -230,7 +240,7 @@
         return self._claims.matching_keys(key, entry.dial)
 
     def _add_tombstone(self, host: str, tombstone: Tombstone) -> None:
-        """Remember a removal, unless a listed endpoint has its key or its address."""
+        """Add a tombstone, unless a listed endpoint has its key or its address."""
         if self._listed_index.hosts(tombstone.key, tombstone.dial):
             return
         if host in self.tombstones:
@@ -249,7 +259,7 @@
     # --- the view ---
 
     def _recompute(self, hosts: Iterable[str], keys: Iterable[EndpointKey], now: int) -> None:
-        """Bring these hosts of the list, and these endpoints of SRV, up to date in the view."""
+        """Update these hosts of the list and these SRV endpoints in the view."""
         listed_hosts = {host for host in map(self._listed_host, keys) if host is not None}
         members = self.view.members
         with members.mutate() as mutation:
@@ -289,7 +299,10 @@
             del mutation[host]
 
     def _srv_member(self, key: EndpointKey, before: MergedEndpoint | None, now: int) -> MergedEndpoint:
-        """An endpoint that only SRV lists. Of several names the first sets its zone, kind and weight."""
+        """Return the member for an endpoint that only SRV lists.
+
+        If several SRV names list it, the first one by name sets its zone, kind and weight.
+        """
         claims = self._claims.claims_of_endpoint(key)
         names = tuple(sorted(claims))
         claim = claims[names[0]]
@@ -314,8 +327,8 @@
     def _changes(
         self, before: Map[str, MergedEndpoint], hosts: Iterable[str], keys: Iterable[EndpointKey]
     ) -> tuple[Endpoint, ...]:
-        """What has changed of these, as entries of an endpoint list: those that left, then the others."""
-        left = []
+        """Return the changes to these endpoints as list entries: first the removed, then the changed ones."""
+        removed = []
         changed = []
         for host in dict.fromkeys(hosts) | dict.fromkeys(map(str, keys)):
             old = before.get(host)
@@ -324,8 +337,8 @@
                 if old is None or old.entry != new.entry:
                     changed.append(new.entry)
             elif old is not None:
-                left.append(replace(old.entry, state=WorkerState.GONE))
-        return (*left, *changed)
+                removed.append(replace(old.entry, state=WorkerState.GONE))
+        return (*removed, *changed)
 
     def _publish(self, members: Map[str, MergedEndpoint]) -> None:
         if members is not self.view.members:
@@ -333,7 +346,7 @@
 
 
 def _srv_key(entry: Endpoint) -> EndpointKey | None:
-    """The key by which SRV would list this endpoint; None if its host or address is of no such form."""
+    """Return the key by which SRV would list this endpoint; None if its host and address do not give one."""
     _, _, port = entry.dial.rpartition(":")
     if not port.isdecimal():
         return None
--- a/hazelbend/endpoints/precedence.py
+++ b/hazelbend/endpoints/precedence.py
@@ -1,4 +1,4 @@
-"""The rule for when the endpoint list and SRV disagree about an endpoint.
+"""Which source takes precedence if the endpoint list and SRV records disagree about an endpoint.
 
     endpoint list     SRV: listed, unknown or stale    SRV: not listed
     -------------     -----------------------------    ---------------
@@ -7,12 +7,15 @@
     removed           no new jobs                      no new jobs
     never listed      serves, as just started          absent
 
-The site's own list is nearer to the process than a partner's DNS zone, so it takes precedence for each
-endpoint that it has ever listed. "Unknown" (the last round of queries gave no answer) and "stale" (nor did
-any within the TTL) leave the accepted records in place; past the stale bound the endpoint is "not listed".
-While the call for the endpoint list fails, each endpoint is as the last list reported it, and "removed"
-stays; otherwise a removal is forgotten after `tombstone_s`, so that a partner may move from one source to the
-other.
+The site's own list is closer to the process than a partner's DNS zone, so it takes precedence for each
+endpoint that it has ever listed.
+
+"Unknown" means that the last round of queries gave no answer, "stale" that the TTL of the last answer has
+expired as well. Both leave the accepted records in place; past the stale bound the endpoint is "not listed".
+
+While the call for the endpoint list fails, each endpoint keeps its state from the last list, and "removed"
+does not expire. Otherwise a removal is forgotten after `tombstone_s`, so that a partner may move an endpoint
+from one source to the other.
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 
 
 class ListReport(Enum):
-    """What the endpoint list reports about an endpoint. The values are words of the console."""
+    """What the endpoint list reports about an endpoint. The console shows the values."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -30,7 +33,7 @@
 
 
 class SrvReport(Enum):
-    """How an endpoint, or an SRV name, stands with DNS. The values are words of the console."""
+    """What DNS reports about an endpoint or an SRV name. The console shows the values."""
 
     LISTED = "listed"
     UNKNOWN = "unknown"
@@ -39,7 +42,7 @@
 
 
 class PrecedenceResult(Enum):
-    """What becomes of an endpoint."""
+    """The state of an endpoint that results from both reports."""
 
     AS_LISTED = "as the box list says"
     REMOVED = "nothing new goes there"
@@ -48,7 +51,7 @@
 
 
 def apply_precedence(by_list: ListReport, by_srv: SrvReport) -> PrecedenceResult:
-    """Apply the rule to one endpoint."""
+    """Return the result for one endpoint, by the table above."""
     if by_list in (ListReport.SERVING, ListReport.DRAINING):
         return PrecedenceResult.AS_LISTED
     if by_list is ListReport.REMOVED:
@@ -57,7 +60,11 @@
 
 
 def srv_report(*, listed: bool, failing: bool, ttl_expired: bool) -> SrvReport:
-    """By whether the accepted records list it, the last round of queries failed, and the TTL is over."""
+    """Return the report on an endpoint or a name.
+
+    `listed`: the accepted records list it. `failing`: the last round of queries gave no answer.
+    `ttl_expired`: the TTL of the last answer has expired.
+    """
     if not listed:
         return SrvReport.NOT_LISTED
     if not failing:
--- a/hazelbend/endpoints/priority_pool.py
+++ b/hazelbend/endpoints/priority_pool.py
@@ -1,14 +1,14 @@
 """SRV priorities (RFC 2782): which endpoints of an SRV name are open, and which are spare.
 
-The endpoints of the lowest priority number serve. Those of a higher one serve only while no endpoint before
-them is available: each is not ready, drained, or ejected by the decision module, which selects among all that
-are open.
-
-Hysteresis. Failover is immediate: when no open endpoint is available, the best priority that has an available
-one opens at once (all priorities, if none has). Failback is delayed: a better priority gets work as soon as
-it has an available endpoint, and the spare ones close only when it has had one for the failback delay without
-a break. So an endpoint that flaps keeps the spare ones open, and never leaves a name without an open
-endpoint.
+The endpoints with the lowest priority number are open, which means that the decision module may select them.
+Endpoints with a higher number are spare: they open only while no endpoint with a lower number is available.
+An endpoint is not available if it is not ready, drained, or ejected by the decision module.
+
+Failover is immediate: if no open endpoint is available, the best priority that has an available endpoint
+opens at once, or all priorities if none has one. Failback is delayed: a better priority gets work as soon as
+it has an available endpoint, but the spare endpoints close only after it has had one without interruption
+for the failback delay. With this hysteresis an endpoint that flaps keeps the spare ones open, and a name is
+never without an open endpoint.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PriorityPool:
-    """The priorities of one SRV name. Times are microseconds."""
+    """The open priorities of one SRV name. Times are microseconds."""
 
     __slots__ = ("_available_since", "level")
 
@@ -26,8 +26,8 @@
         self._available_since: dict[int, int] = {}
 
     def update(self, available: Mapping[int, bool], now: int, failback_delay_us: int) -> int | None:
-        """The level from now on, given for each priority whether an endpoint of it is available."""
-        self._note_available(available, now)
+        """Return the new level. `available`: for each priority, whether one of its endpoints is available."""
+        self._record_available(available, now)
         if not available:
             self.level = None
             return None
@@ -38,13 +38,13 @@
         return self.level
 
     def failback_at(self, failback_delay_us: int) -> int | None:
-        """When the level may fall by time alone; None: it is the lowest that is available."""
+        """Return when the level may fall without a further event; None if no better priority is available."""
         times = [
             since for priority, since in self._available_since.items() if self.level and priority < self.level
         ]
         return min(times) + failback_delay_us if times else None
 
-    def _note_available(self, available: Mapping[int, bool], now: int) -> None:
+    def _record_available(self, available: Mapping[int, bool], now: int) -> None:
         for priority in [priority for priority in self._available_since if not available.get(priority)]:
             del self._available_since[priority]
         for priority, is_available in available.items():
--- a/hazelbend/endpoints/srv_claims.py
+++ b/hazelbend/endpoints/srv_claims.py
@@ -1,4 +1,4 @@
-"""What the SRV names report about endpoints."""
+"""What SRV names report about endpoints: one claim for each name and endpoint."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SrvClaim:
-    """What one SRV name reports about an endpoint, and what the settings say of the name's endpoints."""
+    """What one SRV name reports about an endpoint, and the settings for the name's endpoints."""
 
     preference: SrvPreference
     addresses: tuple[str, ...]  # at least one
@@ -20,14 +20,14 @@
     weight: float
 
     def dial_addresses(self, port: int) -> tuple[str, ...]:
-        """The addresses with the port, as the endpoint list writes them."""
+        """Return the addresses with the port, in the format of the endpoint list."""
         return tuple(
             f"[{address}]:{port}" if ":" in address else f"{address}:{port}" for address in self.addresses
         )
 
 
 class SrvClaims:
-    """All claims: by SRV name, by endpoint, and by address."""
+    """All claims, indexed by SRV name, by endpoint and by address."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, dict[EndpointKey, SrvClaim]] = {}
@@ -38,33 +38,33 @@
         return key in self._by_key
 
     def claims_of_name(self, name: str) -> Mapping[EndpointKey, SrvClaim]:
-        """The claims of an SRV name, by endpoint."""
+        """Return the claims of an SRV name, by endpoint."""
         return self._by_name.get(name, {})
 
     def claims_of_endpoint(self, key: EndpointKey) -> Mapping[str, SrvClaim]:
-        """The claims about an endpoint, by SRV name."""
+        """Return the claims about an endpoint, by SRV name."""
         return self._by_key.get(key, {})
 
     def dial_addresses(self, key: EndpointKey) -> Iterator[str]:
-        """All addresses that are claimed for an endpoint. One may come several times."""
+        """Yield all addresses that are claimed for an endpoint. An address may be repeated."""
         for claim in self.claims_of_endpoint(key).values():
             yield from claim.dial_addresses(key.port)
 
     def matching_keys(self, key: EndpointKey | None, dial: str) -> set[EndpointKey]:
-        """The claimed endpoints that have this key or this address."""
+        """Return the claimed endpoints that have this key or this address."""
         found = set(self._keys_by_dial.get(dial, ()))
         if key is not None and key in self._by_key:
             found.add(key)
         return found
 
     def changed_keys(self, name: str, claims: Mapping[EndpointKey, SrvClaim]) -> set[EndpointKey]:
-        """The endpoints for which these differ from the SRV name's claims."""
+        """Return the endpoints for which `claims` differ from the present claims of the SRV name."""
         before = self.claims_of_name(name)
         removed = {key for key in before if key not in claims}
         return removed | {key for key, claim in claims.items() if before.get(key) != claim}
 
     def replace(self, name: str, claims: Mapping[EndpointKey, SrvClaim], changed: set[EndpointKey]) -> None:
-        """Set the claims of an SRV name. `changed` are the endpoints for which they differ."""
+        """Set the claims of an SRV name. `changed` is the result of `changed_keys` for them."""
         claims_of_name = self._by_name.setdefault(name, {})
         for key in changed:
             self._unindex_dials(key)
--- a/hazelbend/endpoints/view.py
+++ b/hazelbend/endpoints/view.py
@@ -1,4 +1,4 @@
-"""The merged view of all endpoints. Its versions are immutable: a reader that holds one sees all of it."""
+"""The merged view of all endpoints. Each version is immutable, so a reader never sees a partial update."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hazelbend.dns_discovery.answers import EndpointKey
 from hazelbend.routing.ports import Endpoint
 
-# Sources of endpoints, beside the SRV names. They are words of the console.
+# Sources of endpoints, in addition to the SRV names. The console shows these texts.
 LIST_SOURCE = "box list"
 STOMP_SOURCE = "stomp"
 
@@ -20,23 +20,23 @@
 
     entry: Endpoint
     sources: tuple[str, ...]  # LIST_SOURCE or STOMP_SOURCE, and SRV names
-    key: EndpointKey | None = None  # how SRV names it
-    spare: bool = False  # its SRV priority is not open
+    key: EndpointKey | None = None  # the key by which SRV lists it; None: it has no such key
+    spare: bool = False  # its SRV priority is not open, so it gets no jobs
 
     @property
     def is_srv_only(self) -> bool:
-        """Whether no source but SRV has it."""
+        """Whether SRV is its only source."""
         return self.key is not None and LIST_SOURCE not in self.sources
 
     @property
     def is_connected(self) -> bool:
-        """Whether it connected by itself over STOMP."""
+        """Whether it connected to the dispatcher over STOMP."""
         return self.sources == (STOMP_SOURCE,)
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointView:
-    """One version of the view, by host."""
+    """One version of the view."""
 
     version: int = 0
-    members: Map[str, MergedEndpoint] = field(default_factory=Map)
+    members: Map[str, MergedEndpoint] = field(default_factory=Map)  # by host
--- a/hazelbend/routing/__init__.py
+++ b/hazelbend/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The core: flows, attempts, the table of real servers. It knows no wire."""
+"""Request routing: requests, their attempts and the table of backends, independent of any wire protocol."""
--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -1,4 +1,7 @@
-"""Runs attempts: starts them, checks them again before the first byte, and puts their ends into the inbox."""
+"""Runs attempts: starts them, checks them again before the first byte, and reports their results.
+
+Results go into the inbox of the attempt's request.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class AttemptRunner:
-    """Each attempt is a task of its own. Times are microseconds."""
+    """Runs each attempt in its own task. Times are microseconds."""
 
     def __init__(
         self, module: DecisionModule, clock: Clock, table: BackendTable, counters: RequestCounters
@@ -35,7 +38,10 @@
         self._counters = counters
 
     def start(self, request: RequestContext, send: decisions.Send) -> None:
-        """Start the attempt that the module has decided on, unless its backend may get no work by now."""
+        """Start the attempt that the module has decided on.
+
+        It ends as `NOT_SENT` at once if its backend no longer accepts work, or if the request has ended.
+        """
         now = self._clock.now()
         backend = self._table.servers.get(send.worker)
         remaining = request.deadline - now
@@ -50,13 +56,14 @@
             return
         backend.in_flight += 1
         attempt.task = asyncio.create_task(self._run(request, number, client))
-        # A task that is cancelled before it first runs never runs `_run`: its callback reports the end.
-        attempt.task.add_done_callback(lambda task: _report_unreported(request, number, task))
+        # A task that is cancelled before it first runs never enters `_run`: the callback reports its result.
+        attempt.task.add_done_callback(lambda task: _report_if_unreported(request, number, task))
 
     async def _run(self, request: RequestContext, number: int, client: BackendClient) -> AttemptResult:
-        """Run the attempt and report its end.
+        """Run the attempt and report its result.
 
-        By the task's callback the request would get it, and the client its answer, a turn of the loop later.
+        If only the task's done callback reported it, the request would get the result, and the client its
+        answer, one iteration of the event loop later.
         """
         result = await self._attempt(request, number, client)
         request.attempts[number].is_reported = True
@@ -64,7 +71,10 @@
         return result
 
     async def _attempt(self, request: RequestContext, number: int, client: BackendClient) -> AttemptResult:
-        """All ends are an AttemptResult. What was not written completely was not executed."""
+        """Make the attempt and return its result, also after a timeout, a cancellation or an error.
+
+        An attempt that was not written completely was not executed by the backend.
+        """
         attempt = request.attempts[number]
         try:
             async with asyncio.timeout(max(attempt.deadline - self._clock.now(), 0) / 1e6):
@@ -78,14 +88,15 @@
         except asyncio.CancelledError:
             return AttemptResult(Outcome.CANCELLED if attempt.is_written else Outcome.NOT_SENT)
         except Exception:
-            log.exception("flow %s: attempt %d: fault in the client", request.job.id, number)
+            log.exception("request %s: attempt %d: unexpected error in the client", request.job.id, number)
             return AttemptResult(Outcome.ERROR)
 
     def _check_before_first_byte(self, request: RequestContext, number: int) -> int | None:
-        """The connection is there: return the remaining time, or None where nothing must be written.
+        """Check again, once the connection is established, whether the attempt may be sent.
 
-        While the connection came up, the request may have ended, and the backend may have been drained or
-        moved.
+        While the connection was being established, the request may have ended, and the backend may have been
+        drained or moved to another address. Returns the microseconds until the attempt's deadline, or None if
+        nothing may be written.
         """
         attempt = request.attempts[number]
         now = self._clock.now()
@@ -110,7 +121,8 @@
             request.inbox.put_nowait(AttemptProgressed(number, message))
 
 
-def _report_unreported(request: RequestContext, number: int, task: asyncio.Task[AttemptResult]) -> None:
+def _report_if_unreported(request: RequestContext, number: int, task: asyncio.Task[AttemptResult]) -> None:
+    """Report the result of an attempt whose task ended without doing so."""
     if not request.attempts[number].is_reported:
         result = AttemptResult(Outcome.NOT_SENT) if task.cancelled() else task.result()
         request.inbox.put_nowait(AttemptFinished(number, result))
--- a/hazelbend/routing/clock.py
+++ b/hazelbend/routing/clock.py
@@ -1,4 +1,4 @@
-"""The core's clock: monotonic, anchored once to Unix time, as service entries tell starts in Unix time."""
+"""The router's clock: monotonic, anchored once to Unix time, because endpoints report start times in it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Clock:
-    """Whole microseconds. A step of the system's clock after the start does not move it."""
+    """A clock in whole microseconds. It ignores changes of the system clock after its creation."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Microseconds of Unix time."""
+        """Return the Unix time in microseconds."""
         return (time.monotonic_ns() + self._offset) // 1_000
--- a/hazelbend/routing/decision_module.py
+++ b/hazelbend/routing/decision_module.py
@@ -1,4 +1,4 @@
-"""What the router needs of the decision module, which `hazelbend.decisions` implements."""
+"""The interface of the decision module as the router uses it. `hazelbend.decisions` implements it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 
 class DecisionModule(Protocol):
-    """Decides about requests; it does nothing itself. Times are microseconds."""
+    """Decides how requests are routed. It does no I/O: the router carries out its actions.
+
+    Times are microseconds.
+    """
 
     def handle(self, event: decisions.Event, now: int) -> list[decisions.Action]:
-        """Take an event in, and return what is to be done."""
+        """Handle an event and return the actions to carry out."""
 
     def may_begin(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
-        """Whether an attempt whose connection is established may still be sent."""
+        """Whether an attempt may still be sent, now that its connection is established."""
 
     def avoided(self, now: int) -> set[decisions.WorkerId]:
-        """Return the listed workers that get no requests now."""
+        """Return the listed workers to which no requests are sent at present."""
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -1,6 +1,7 @@
-"""A snapshot of the dispatcher's state for the console, the operators' HTTP address and SNMP.
+"""A snapshot of the dispatcher's state for the console, the admin endpoint and SNMP.
 
-Counts run from the start of the process; all other values are as of the snapshot.
+Counts run from the start of the process; all other values are as of the snapshot. Operators' interfaces call
+an open request a flow, and the metrics here figures.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerRow:
-    """A backend server."""
+    """One backend server."""
 
-    index: int  # from 1, in order of first appearance; a server that comes back keeps its index
+    index: int  # from 1, in order of first appearance; a server that returns keeps its index
     host: str
     dial: str
     zone: int
     kind: int
-    state: str  # a word of `state_label`
+    state: str  # as `state_label` returns it
     in_flight: int  # attempts
     served: int
     failed: int
@@ -35,18 +36,18 @@
 
 @dataclass(slots=True, frozen=True)
 class FlowRow:
-    """An open request."""
+    """One open request."""
 
     id: str
     class_index: int
     age_us: int
-    remaining_us: int  # until the client gives up; 0 where that has passed
+    remaining_us: int  # until its deadline; 0 if that has passed
     servers: tuple[str, ...]  # hosts of its attempts in flight
 
 
 @dataclass(slots=True, frozen=True)
 class ClassFigures:
-    """Final answers of one request class."""
+    """Counts of the final answers to one request class."""
 
     name: str
     succeeded: int  # `Verdict.SERVED`
@@ -56,17 +57,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Figures:
-    """The figures that operators monitor."""
+    """The metrics that operators monitor."""
 
     classes: tuple[ClassFigures, ...]
     forwards: int  # attempts written completely to servers
     outstanding: int  # jobs received and not yet answered
     discovered: int  # servers on the endpoint list
-    ejected: int  # of those, the ones avoided now: ejected by the decision module, or drained by hand
-    component_figures: Mapping[str, int] = field(default_factory=dict)  # of optional components, by name
+    ejected: int  # of those, the ones that are avoided: ejected by the decision module, or manually drained
+    component_figures: Mapping[str, int] = field(
+        default_factory=dict
+    )  # metrics of optional components, by name
 
     def named(self) -> dict[str, int]:
-        """Return all figures by the names under which they are published."""
+        """Return all metrics by the names under which they are published."""
         figures = {}
         for row in self.classes:
             figures[f"succeeded.{row.name}"] = row.succeeded
@@ -87,7 +90,7 @@
     uptime_us: int
     state: str  # serving, draining or leaving
     received: int  # jobs
-    abandoned: int  # jobs whose client left before the answer
+    abandoned: int  # jobs whose client disconnected before the answer
     verdicts: dict[Verdict, int]
     figures: Figures
     outcomes: dict[Outcome, int]  # of attempts
@@ -97,14 +100,14 @@
 
 
 def state_label(server: Backend) -> str:
-    """Return the state of a backend as operators read it."""
+    """Return the state of a backend as it is shown to operators."""
     if server.is_manually_drained:
         return MANUALLY_DRAINED
     return STATE_LABELS[server.entry.state]
 
 
 def collect_figures(router: Router, classes: Iterable[str]) -> Figures:
-    """Take the figures of a router, without those of optional components. `classes`: names by index."""
+    """Collect a router's metrics, without those of optional components. `classes`: names by class index."""
     answers = router.counters.answers
     servers = router.table.servers
     avoided = router.module.avoided(router.clock.now())
@@ -128,7 +131,7 @@
 def build_overview(
     router: Router, name: str, state: str, classes: Iterable[str], fronts: dict[str, int]
 ) -> Overview:
-    """Take a snapshot of a router. `name`, `state` and `fronts` go into it as they are."""
+    """Take a snapshot of a router. `name`, `state` and `fronts` are copied into it unchanged."""
     now = router.clock.now()
     servers = sorted(router.table.servers.values(), key=lambda server: server.index)
     return Overview(
--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -1,4 +1,4 @@
-"""The values that cross the core's border, and the Protocols that clients and discovery implement."""
+"""The router's interface to its surroundings: value types, and Protocols for clients and discovery."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """What a client requests. Routing goes by the numbers; the rest is forwarded unchanged."""
+    """A client's job. Routing uses the numeric fields; the other fields are forwarded unchanged."""
 
     id: str
     class_index: int
     tenant: int
-    timeout_us: int  # until the client gives up
-    key: int = 0
+    timeout_us: int  # from its arrival until the client gives up
+    key: int = 0  # affinity key; 0: none
     slots: float = 1.0
-    expected_work: int = 0
+    expected_work: int = 0  # the client's estimate of the cost; 0: not given
     target: str = "/"
     body: bytes = b""
     idempotency_key: str | None = None
@@ -38,62 +38,63 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer of a flow."""
+    """The final answer to a job."""
 
     verdict: Verdict
     result: bytes = b""
     retry_after: int = 0  # microseconds
-    is_expired: bool = False  # failed because its time was over
-    reason: str = ""  # for the client, where there is more to say
+    is_expired: bool = False  # it failed because its deadline passed
+    reason: str = ""  # further explanation for the client, if there is any
 
 
 class PendingJob(Protocol):
-    """A job that was accepted: it is routed, or waits to be."""
+    """An accepted job that is being routed, or is queued for routing."""
 
     @property
     def answered(self) -> asyncio.Future[Answer]:
-        """Done with the one final answer."""
+        """A future that is done once the final answer is set."""
 
     def leave(self) -> None:
-        """The client has disconnected."""
+        """Report that the client has disconnected."""
 
     def reply(self) -> asyncio.Future[Answer]:
-        """Return the answer in a future that the caller may cancel."""
+        """Return a new future of the final answer, which the caller may cancel."""
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """How an attempt ended, as its client saw it."""
+    """The result of an attempt, as reported by the backend's client."""
 
     outcome: Outcome
     result: bytes = b""
     load: LoadReport | None = None
-    stale: bool = False  # reset on a reused connection before a byte of the answer came
+    stale: bool = False  # a reused connection was reset before any byte of the response arrived
 
 
 @dataclass(slots=True, frozen=True)
 class ProgressReport:
-    """A job has started (no fraction yet) or got on."""
+    """A backend's report that a job has started, or how much of it is done."""
 
-    fraction: float | None = None
+    fraction: float | None = None  # from 0 to 1; None: the job has just started
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptWritten:
-    """The last byte of an attempt was written to its server: from now on it may run."""
+    """The last byte of an attempt was written to its backend: from now on the backend may execute it."""
 
 
 BeforeFirstByte: TypeAlias = Callable[[], int | None]
-"""Called in the turn of the loop in which an attempt can be written. Returns the microseconds that remain
-for it, which go into its head, or None where it may no longer be sent and ends as `NOT_SENT`."""
+"""Called as soon as an attempt can be written, in the same iteration of the event loop as the write. Returns
+the microseconds that remain for the attempt, which are sent in its header, or None if it may no longer be
+sent and must end as `NOT_SENT`."""
 
 
 AttemptCallback: TypeAlias = Callable[[ProgressReport | AttemptWritten], None]
-"""Called with `AttemptWritten` once, then with the progress reports."""
+"""Called once with `AttemptWritten`, then with each progress report."""
 
 
 class BackendClient(Protocol):
-    """The client of one backend. To cancel a call aborts the attempt, so that the backend stops it."""
+    """The client of one backend."""
 
     async def attempt(
         self,
@@ -101,23 +102,26 @@
         before_first_byte: BeforeFirstByte,
         on_progress: AttemptCallback,
     ) -> AttemptResult:
-        """Connect, call `before_first_byte`, write, and read the answer."""
+        """Connect, call `before_first_byte`, write the job, and read the response.
+
+        Cancelling the call aborts the attempt, so that the backend stops it.
+        """
 
     async def probe(self, timeout_us: int) -> AttemptResult:
-        """Ask for the load report; give up after `timeout_us`."""
+        """Request a load report; give up after `timeout_us`."""
 
     def close(self) -> None:
-        """The backend is no longer listed."""
+        """Release the client of a backend that is no longer listed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the list of backend servers."""
+    """One entry of an endpoint list: a backend server."""
 
     host: str
-    dial: str
+    dial: str  # the address to connect to
     zone: int
-    kind: int
+    kind: int  # of machine
     cell: int
     state: WorkerState
     weight: float
@@ -126,28 +130,28 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """A complete list, or the entries that changed; no entries and `failed` when a call gave nothing."""
+    """A complete endpoint list, or the changed entries of one."""
 
     entries: tuple[Endpoint, ...] = ()
     is_complete: bool = False
-    failed: bool = False
-    seq: int = 0
+    failed: bool = False  # the call for a list failed; there are no entries
+    seq: int = 0  # sequence number of the list
 
 
 class Discovery(Protocol):
-    """Where lists come from. Each `subscribe` brings exactly one list, then its changes."""
+    """A source of endpoint lists."""
 
     def subscribe(self, on_list: Callable[[EndpointList], None]) -> None:
-        """Call `on_list` with one list, then with its changes, until one is `failed`."""
+        """Call `on_list` with exactly one list, then with its changes, until one of them is `failed`."""
 
 
 @dataclass(slots=True)
 class RequestCounters:
-    """Counts since the start of the process; all that shows counts reads them here."""
+    """Counters since the start of the process. Every interface that shows counts reads them here."""
 
     received: int = 0
-    abandoned: int = 0  # the client left before the answer
-    answers: Counter[tuple[int, Verdict]] = field(default_factory=Counter)  # by class
+    abandoned: int = 0  # the client disconnected before the answer
+    answers: Counter[tuple[int, Verdict]] = field(default_factory=Counter)  # by class index and verdict
     forwards: int = 0  # attempts written completely
     outcomes: dict[Outcome, int] = field(default_factory=lambda: dict.fromkeys(Outcome, 0))
 
--- a/hazelbend/routing/request_events.py
+++ b/hazelbend/routing/request_events.py
@@ -1,6 +1,6 @@
-"""What happens to one request: the messages in its inbox, each handled in its turn.
+"""The events in a request's inbox, which its task handles one after another.
 
-Those of the decision module are its own actions: `Send`, `Refuse`, `Fail` and `Cancel`.
+The decision module's events are its actions themselves: `Send`, `Refuse`, `Fail` and `Cancel`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptFinished:
-    """An attempt has ended. `number` counts the request's attempts from 0."""
+    """An attempt has ended. `number` is its index among the request's attempts."""
 
     number: int
     result: AttemptResult
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgressed:
-    """A backend has reported on an attempt."""
+    """A backend has reported progress on an attempt. `number` is as in `AttemptFinished`."""
 
     number: int
     report: ProgressReport
 
 
 class ClientDisconnected:
-    """The client has gone."""
+    """The client has disconnected."""
 
 
 class DeadlinePassed:
-    """The time of the request is over, with a grace for the decision module."""
+    """The request's deadline and the decision module's grace period after it have passed."""
 
 
 RequestEvent: TypeAlias = (
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -1,7 +1,7 @@
-"""Routes jobs: it tells the decision module what happens, and does what the module decides.
+"""Routes jobs: passes events to the decision module and carries out the actions that it returns.
 
-Each request has a task, `Router._serve`, and an inbox. What the module decides about a request, and what
-happens to its attempts, is put into the inbox and handled there in order.
+Each request has a task, `Router._serve`, and an inbox. The module's actions for the request and the events of
+its attempts are put into the inbox, and the task handles them in order.
 """
 
 from __future__ import annotations
@@ -39,30 +39,31 @@
 
 log = logging.getLogger("hazelbend.routing")
 
-DECISION_GRACE_S = 0.025  # after a request's deadline, in which the module may still decide
-TIMER_RETRY_S = 0.5  # until a timer of the module whose handling failed fires again
-EXPIRY_TOLERANCE_US = 50_000  # before its deadline a failed request counts as one whose time is over
+DECISION_GRACE_S = 0.025  # after a request's deadline, the module may still decide for this long
+TIMER_RETRY_S = 0.5  # delay before a module timer whose handling raised an error fires again
+EXPIRY_TOLERANCE_US = 50_000  # a request that fails this close to its deadline counts as expired
 PROBE_TIMEOUT_US = 300_000
 NOT_BACKEND_FAILURES = (Outcome.CANCELLED, Outcome.FULL, Outcome.NOT_SENT)
 
 
 class Router:
-    """Gives each job one final answer. Times are microseconds."""
+    """Gives each accepted job exactly one final answer. Times are microseconds."""
 
     def __init__(self, module: DecisionModule, clock: Clock, table: BackendTable) -> None:
         self.module = module
         self.clock = clock
         self.table = table
         self.discovery: Discovery | None = None
-        self.requests: dict[int, RequestContext] = {}  # open ones, by number
+        self.requests: dict[int, RequestContext] = {}  # the open requests, by number
         self._open_ids: set[str] = set()
-        # Another process of this dispatcher, in an upgrade: what is open there, and who reports what is here.
+        # During an upgrade two processes of one dispatcher run. `is_open_elsewhere` returns whether a job id
+        # is open in the other process; `on_open_ids_changed` reports this process's ids to it.
         self.is_open_elsewhere: Callable[[str], bool] = lambda job_id: False
         self.on_open_ids_changed: Callable[[str, bool], None] = lambda job_id, is_open: None
         self.on_registered_changed: Callable[[Endpoint], None] = lambda entry: None
         self.counters = RequestCounters()
         self.started_at = clock.now()
-        self.list_received = asyncio.Event()  # discovery has sent its list
+        self.list_received = asyncio.Event()  # set once discovery has sent a list
         self._known_list = EndpointList()
         self._next_number = 1
         self._is_closed = False
@@ -71,7 +72,7 @@
         self._is_idle = asyncio.Event()
         self._is_idle.set()
         self._attempts = AttemptRunner(module, clock, table, self.counters)
-        # By type, as a table costs no more for the last case than for the first.
+        # A table by type, because the last case in it costs no more than the first.
         self._event_handlers: Mapping[type, Callable[[RequestContext, Any], None]] = {
             decisions.Send: self._attempts.start,
             decisions.Cancel: self._cancel_attempt,
@@ -86,7 +87,7 @@
     # --- jobs ---
 
     def accept(self, job: Job) -> RequestContext:
-        """Accept a job: from here on it gets exactly one final answer."""
+        """Accept a job. From now on it is certain to get exactly one final answer."""
         now = self.clock.now()
         if self._final_deadline is not None:
             job = replace(job, timeout_us=min(job.timeout_us, max(self._final_deadline - now, 1)))
@@ -98,64 +99,70 @@
         self.counters.received += 1
         self._is_idle.clear()
         request.task = asyncio.create_task(self._serve(request))
-        request.task.add_done_callback(lambda task: self._on_over(request))
+        request.task.add_done_callback(lambda task: self._on_task_done(request))
         return request
 
     def reject(self, job: Job, retry_after: int, reason: str = "") -> Answer:
-        """Count a job for which a front has no capacity, and return its answer."""
+        """Count a job that a listener rejects for lack of capacity, and return its answer.
+
+        `retry_after` is in microseconds.
+        """
         self.counters.received += 1
         self.counters.answers[job.class_index, Verdict.REFUSED] += 1
         return Answer(Verdict.REFUSED, retry_after=retry_after, reason=reason)
 
     def count_abandoned(self) -> None:
-        """Count a job whose client has gone before it was accepted."""
+        """Count a job whose client disconnected before the job was accepted."""
         self.counters.received += 1
         self.counters.abandoned += 1
 
     def reserve_id(self, job_id: str) -> None:
-        """A job of this id is open, though not accepted yet."""
+        """Mark a job id as open before the job is accepted."""
         self._open_ids.add(job_id)
         self.on_open_ids_changed(job_id, True)
 
     def release_id(self, job_id: str) -> None:
-        """The request of this id is over, or was never accepted."""
+        """Mark a job id as closed: its request has ended, or was never accepted."""
         self._open_ids.discard(job_id)
         self.on_open_ids_changed(job_id, False)
 
     def is_open(self, job_id: str) -> bool:
-        """Whether a request of this id is open: backends know a job by it, so there must not be two."""
+        """Whether a request with this job id is open, here or in the other process of this dispatcher.
+
+        Backends identify a job by its id, so two open requests must not share one.
+        """
         return job_id in self._open_ids or self.is_open_elsewhere(job_id)
 
     @property
     def open_ids(self) -> tuple[str, ...]:
-        """The ids of the open requests."""
+        """The job ids that are open in this process."""
         return tuple(self._open_ids)
 
     # --- backends ---
 
     def start(self, known_list: EndpointList) -> None:
-        """Start from the list as last known; the module subscribes to a newer one."""
+        """Start from the last known list. The module subscribes to a newer one."""
         self._known_list = known_list
         self._notify(self.table.apply(known_list, ListKind.CACHED))
 
     def apply_list(self, endpoints: EndpointList) -> None:
-        """Take in a list, or changes of one."""
+        """Apply an endpoint list, or changes to one."""
         self._notify(self.table.apply(endpoints))
 
     def register(self, entry: Endpoint, client: BackendClient) -> None:
-        """A backend has connected by itself."""
+        """Add a backend that has connected to the dispatcher itself, over STOMP."""
         self._notify(self.table.register(entry, client))
         self.on_registered_changed(entry)
 
     def change_registered(self, host: str, state: decisions.WorkerState) -> None:
-        """A backend that connected by itself drains, is back, or is gone."""
+        """Set the state of a registered backend: draining, ready again, or gone."""
         backend = self.table.by_host(host)
         self._notify(self.table.change_registered(host, state))
         if backend is not None:
             self.on_registered_changed(backend.entry)
 
     def set_manual_drain(self, host: str, is_drained: bool) -> bool:
-        """Drain or undrain a backend by hand; return False if none of that name is listed."""
+        """Drain or undrain a backend on an operator's command; return False if the host is not listed."""
         update = self.table.set_manual_drain(host, is_drained)
         if update is not None:
             self._notify(update)
@@ -164,15 +171,18 @@
     # --- lifecycle ---
 
     def apply_settings(self, settings: decisions.Settings) -> None:
-        """Use new settings for new requests; open ones keep those that they came under."""
+        """Use new settings for new requests. Open requests keep the settings under which they arrived."""
         self._notify(decisions.SettingsChanged(settings))
 
     def set_final_deadline(self, deadline: int | None) -> None:
-        """New requests must be over by then: the program ends, or drains its clients."""
+        """Limit the deadlines of new requests to this time, because the program ends or drains its clients.
+
+        None removes the limit.
+        """
         self._final_deadline = deadline
 
     def close(self) -> None:
-        """Cancel all tasks; timers that still fire do nothing."""
+        """Cancel all tasks. Timers that fire later have no effect."""
         self._is_closed = True
         for task in [*self._tasks, *(request.task for request in self.requests.values() if request.task)]:
             task.cancel()
@@ -184,7 +194,7 @@
     # --- one request ---
 
     async def _serve(self, request: RequestContext) -> None:
-        """Announce the request to the module, and handle its inbox until it is over."""
+        """Report the request's arrival to the module, and handle its inbox until the request has ended."""
         job = request.job
         deadline_timer = asyncio.get_running_loop().call_later(
             job.timeout_us / 1e6 + DECISION_GRACE_S, request.inbox.put_nowait, DeadlinePassed()
@@ -200,13 +210,13 @@
                 job.key,
             )
             self._notify(arrival, request)
-            # To the end: the module waits for the outcome of each `Send`, even of one that came too late.
+            # Until all attempts have ended: the module expects an outcome for each `Send`, even a late one.
             while not request.is_closed or request.has_pending_events:
                 event = await request.inbox.get()
                 self._event_handlers[type(event)](request, event)
         except Exception:
-            # An error in one request ends that request alone: the others and the program go on.
-            log.exception("flow %s: fault; failed", job.id)
+            # An error in one request ends only that request; the other requests and the program continue.
+            log.exception("request %s: internal error; failing the request", job.id)
             self._answer(request, Answer(Verdict.FAILED))
             self._forget_attempts(request)
         finally:
@@ -214,9 +224,9 @@
             request.cancel_attempts()
             self._answer(request, Answer(Verdict.FAILED))
 
-    def _on_over(self, request: RequestContext) -> None:
-        """The request's task has ended: nothing is kept of it."""
-        if not request.answered.done():  # the task was cancelled before it first ran
+    def _on_task_done(self, request: RequestContext) -> None:
+        """Remove a request whose task has ended."""
+        if not request.answered.done():  # the task was cancelled before it ran for the first time
             self._answer(request, Answer(Verdict.FAILED))
         self.requests.pop(request.number, None)
         self._open_ids.discard(request.job.id)
@@ -225,7 +235,7 @@
             self._is_idle.set()
 
     def _answer(self, request: RequestContext, answer: Answer) -> None:
-        """Give the one final answer; any later one is dropped."""
+        """Set the final answer. Any later answer is dropped."""
         if request.answered.done():
             return
         request.answered.set_result(answer)
@@ -238,7 +248,10 @@
             self.counters.answers[request.job.class_index, answer.verdict] += 1
 
     def _forget_attempts(self, request: RequestContext) -> None:
-        """After an error, let the module end the attempts that it counts as load on their backends."""
+        """After an error, report to the module that the request's open attempts have ended.
+
+        Otherwise the module would count them as load on their backends for ever.
+        """
         events: list[decisions.Event] = [decisions.ClientGone(request.number)]
         for number, attempt in enumerate(request.attempts):
             if attempt.is_finished:
@@ -253,7 +266,10 @@
             try:
                 self.module.handle(event, self.clock.now())
             except Exception:
-                log.exception("flow %s: the module could not let it go", request.job.id)
+                log.exception(
+                    "request %s: the decision module failed to end its attempts after an error",
+                    request.job.id,
+                )
 
     # --- handlers of a request's events ---
 
@@ -316,16 +332,16 @@
     def _on_deadline_passed(self, request: RequestContext, event: DeadlinePassed) -> None:
         if request.is_closed:
             return
-        log.error("flow %s: no decision by its deadline; failed", request.job.id)
+        log.error("request %s: no decision before its deadline; failing the request", request.job.id)
         self._answer(request, Answer(Verdict.FAILED, is_expired=True))
         self._notify(decisions.ClientGone(request.number), request)
 
     # --- the decision module ---
 
     def _notify(self, event: decisions.Event, request: RequestContext | None = None) -> None:
-        """Tell the module about an event, and do what it decides.
+        """Pass an event to the module and carry out the actions that it returns.
 
-        An error over an event of a request is raised, and so ends that request.
+        If the module raises an error on an event of a request, it is raised here and ends that request.
         """
         if self._is_closed:
             return
@@ -334,8 +350,8 @@
         except Exception:
             if request is not None:
                 raise
-            log.exception("the decision module failed on %s", type(event).__name__)
-            # The module's timers carry its upkeep and its subscriptions: one error must not end them.
+            log.exception("the decision module raised an error on %s", type(event).__name__)
+            # The module's timers drive its periodic work and its subscriptions: one error must not stop them.
             if isinstance(event, decisions.TimerFired):
                 self._notify_later(TIMER_RETRY_S, event)
             return
@@ -348,9 +364,9 @@
                 case decisions.Subscribe():
                     self._subscribe()
                 case _:
-                    concerned = self.requests.get(action.request)
-                    if concerned is not None:
-                        concerned.inbox.put_nowait(action)
+                    target = self.requests.get(action.request)
+                    if target is not None:
+                        target.inbox.put_nowait(action)
 
     def _notify_later(self, delay_s: float, event: decisions.Event) -> None:
         asyncio.get_running_loop().call_later(delay_s, self._notify, event)
@@ -368,14 +384,14 @@
             try:
                 result = await backend.client.probe(PROBE_TIMEOUT_US)
             except Exception:
-                log.exception("probe of %s: fault in the client", backend.entry.host)
+                log.exception("probe of %s: unexpected error in its client", backend.entry.host)
         elapsed = self.clock.now() - started_at
         self._notify(decisions.ProbeEnded(worker, result.outcome, elapsed, result.load))
 
     def _subscribe(self) -> None:
         if self.discovery is not None:
             self.discovery.subscribe(self._on_list)
-        else:  # without discovery the known list stays in force
+        else:  # without discovery the known list remains valid
             asyncio.get_running_loop().call_soon(self._on_list, self._known_list)
 
     def _on_list(self, endpoints: EndpointList) -> None:
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -1,4 +1,7 @@
-"""The table of backends: what lists have named or has connected by itself, and the client of each."""
+"""The table of backends, listed or registered, with a client for each.
+
+A listed backend comes from an endpoint list. A registered backend has connected to the dispatcher itself.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 
 
 def stable_id(host: str) -> int:
-    """Return the same number for a name at every dispatcher and after every restart; never 0."""
+    """Return an id for a host name that is the same on all dispatchers and after a restart; never 0."""
     return int.from_bytes(blake2b(host.encode(), digest_size=ID_BYTES).digest()) or 1
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """A backend, and the client for it."""
+    """A backend with its client and its counters."""
 
     id: int
-    index: int  # from 1, in order of first appearance; the same again after an absence
+    index: int  # from 1, in order of first appearance; a backend that returns keeps its index
     entry: Endpoint
     client: BackendClient
     is_listed: bool = True
@@ -33,11 +36,11 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether it may get new requests."""
+        """Whether new attempts may be sent to it."""
         return self.is_listed and not self.is_manually_drained and self.entry.state is WorkerState.READY
 
     def worker_entry(self) -> WorkerEntry:
-        """Return the entry as the decision module gets it."""
+        """Return the entry for the decision module. A manually drained backend is `DRAINING` there."""
         entry = self.entry
         state = entry.state
         if self.is_manually_drained and state is WorkerState.READY:
@@ -46,26 +49,25 @@
 
 
 class BackendTable:
-    """The backends by id. A complete list replaces what lists have named, not what has connected by itself.
+    """The backends by id. A complete list replaces the listed backends, not the registered ones.
 
-    Methods that change the table return the update for the decision module.
+    Methods that change the table return the update to pass to the decision module.
     """
 
     def __init__(self, connect: Callable[[Endpoint], BackendClient]) -> None:
-        """`connect` makes the client of a listed backend."""
+        """Create an empty table. `connect` creates the client of a listed backend."""
         self._connect = connect
         self.servers: dict[int, Backend] = {}
-        self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = (
-            None  # gets changes of `accepts_work`
-        )
-        self._registered: set[int] = set()  # have connected by themselves
+        # Called with a backend and the new value of its `accepts_work` when that changes.
+        self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = None
+        self._registered: set[int] = set()
         self._indexes: dict[int, int] = {}
-        self._manually_drained: set[int] = set()  # kept while a backend is absent from the list
+        self._manually_drained: set[int] = set()  # also ids of backends that are not listed at present
 
     # --- lists ---
 
     def apply(self, endpoints: EndpointList, kind: ListKind = ListKind.FULL) -> MembershipUpdate:
-        """Take in a list, or changes of one."""
+        """Apply an endpoint list, or changes to one."""
         if endpoints.failed:
             return MembershipUpdate(ListKind.FAILED)
         if not endpoints.is_complete:
@@ -93,16 +95,16 @@
             if entry.state is WorkerState.GONE:
                 self._remove(backend)
 
-    # --- backends that connect by themselves ---
+    # --- registered backends ---
 
     def register(self, entry: Endpoint, client: BackendClient) -> MembershipUpdate:
-        """A backend has connected."""
+        """Add a backend that has connected to the dispatcher itself."""
         backend = self._add(entry, client)
         self._registered.add(backend.id)
         return MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
 
     def change_registered(self, host: str, state: WorkerState) -> MembershipUpdate:
-        """A registered backend has changed its state."""
+        """Set the state of a registered backend; `GONE` removes it."""
         backend = self.servers[stable_id(host)]
         self._replace_entry(backend, replace(backend.entry, state=state))
         update = MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
@@ -111,10 +113,10 @@
             self._remove(backend)
         return update
 
-    # --- drains by hand ---
+    # --- manual drains ---
 
     def set_manual_drain(self, host: str, is_drained: bool) -> MembershipUpdate | None:
-        """Drain or undrain a backend by hand; None if no such backend is listed."""
+        """Drain or undrain a backend on an operator's command; return None if the host is not listed."""
         backend = self.servers.get(stable_id(host))
         if backend is None:
             return None
@@ -124,11 +126,11 @@
             self._manually_drained.add(backend.id)
         else:
             self._manually_drained.discard(backend.id)
-        self._notify_watcher(backend, accepted_work)
+        self._report_accepts_work(backend, accepted_work)
         return MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
 
     def rename_manual_drain(self, old_host: str, new_host: str) -> None:
-        """A backend will be known by another name: its drain by hand stays."""
+        """Carry over the manual drain of a backend whose host name changes."""
         if stable_id(old_host) in self._manually_drained:
             self._manually_drained.discard(stable_id(old_host))
             self._manually_drained.add(stable_id(new_host))
@@ -136,25 +138,25 @@
     # --- queries ---
 
     def by_host(self, host: str) -> Backend | None:
-        """Return the listed backend of this name."""
+        """Return the backend with this host name; None if the table has none."""
         return self.servers.get(stable_id(host))
 
     def registered(self) -> tuple[Backend, ...]:
-        """Return the backends that have connected by themselves."""
+        """Return the registered backends."""
         return tuple(self.servers[number] for number in sorted(self._registered))
 
     def listed(self) -> EndpointList:
-        """Return the backends that lists have named, as they are now."""
+        """Return the listed backends with their present entries."""
         entries = (
             backend.entry for number, backend in self.servers.items() if number not in self._registered
         )
         return EndpointList(tuple(entries), is_complete=True)
 
     def manually_drained(self) -> tuple[str, ...]:
-        """Return the names of those that are drained by hand."""
+        """Return the host names of the backends that an operator has drained."""
         return tuple(backend.entry.host for backend in self.servers.values() if backend.is_manually_drained)
 
-    # --- changes of one backend ---
+    # --- changes to one backend ---
 
     def _add(self, entry: Endpoint, client: BackendClient) -> Backend:
         number = stable_id(entry.host)
@@ -162,22 +164,23 @@
         is_drained = number in self._manually_drained
         backend = Backend(number, index, entry, client, is_manually_drained=is_drained)
         self.servers[number] = backend
-        self._notify_watcher(backend, False)
+        self._report_accepts_work(backend, False)
         return backend
 
     def _replace_entry(self, backend: Backend, entry: Endpoint) -> None:
         accepted_work = backend.accepts_work
         backend.entry = entry
-        self._notify_watcher(backend, accepted_work)
+        self._report_accepts_work(backend, accepted_work)
 
     def _remove(self, backend: Backend) -> None:
-        """It gets nothing new; attempts in flight end by themselves."""
+        """Remove a backend. It gets no new attempts; those in flight continue to their end."""
         accepted_work = backend.accepts_work
         backend.is_listed = False
         self.servers.pop(backend.id, None)
-        self._notify_watcher(backend, accepted_work)
+        self._report_accepts_work(backend, accepted_work)
         backend.client.close()
 
-    def _notify_watcher(self, backend: Backend, accepted_work: bool) -> None:
+    def _report_accepts_work(self, backend: Backend, accepted_work: bool) -> None:
+        """Call the callback if `accepts_work` differs from `accepted_work`, its value before the change."""
         if self.on_accepts_work_changed is not None and backend.accepts_work is not accepted_work:
             self.on_accepts_work_changed(backend, backend.accepts_work)
