--- a/hazelbend/dns_discovery/answers.py
+++ b/hazelbend/dns_discovery/answers.py
@@ -2,13 +2,13 @@
 
 A query has one of these results:
 
-    PositiveAnswer    records, and their TTL
-    NegativeAnswer    the server reports that there are none: NXDOMAIN or NODATA (RFC 2308), or an SRV target
-                      of "." (RFC 2782). It counts as a vote like a positive answer, see `quorum`
-    CnameAlias        a CNAME that the server did not follow; the resolver asks for its target next
-    TruncatedAnswer   the resolver repeats the query over TCP (RFC 7766)
-    QueryFailure      anything else: SERVFAIL, REFUSED, FORMERR, a time-out, malformed messages, a lame
-                      server, a CNAME chain without an end. It says nothing about the records, so the last
+    PositiveAnswer    records and their TTL
+    NegativeAnswer    the server reports that there are no records: NXDOMAIN or NODATA (RFC 2308), or an SRV
+                      target of "." (RFC 2782). It counts as a vote like a positive answer, see `quorum`
+    CnameAlias        a CNAME that the server did not follow; the resolver queries its target next
+    TruncatedAnswer   the answer was truncated; the resolver repeats the query over TCP (RFC 7766)
+    QueryFailure      anything else: SERVFAIL, REFUSED, FORMERR, a timeout, a malformed message, a lame
+                      server or an endless CNAME chain. It gives no information about the records, so the
                       accepted ones stay
 """
 
@@ -28,7 +28,7 @@
 
 
 class RecordType(Enum):
-    """Types of records that are queried, with their numbers (RFC 1035, RFC 3596, RFC 2782)."""
+    """The record types that are queried, with their numbers (RFC 1035, RFC 3596, RFC 2782)."""
 
     SRV = 33
     A = 1
@@ -40,10 +40,10 @@
 
 @lru_cache(CANONICAL_NAME_CACHE_SIZE)
 def canonical_name(name: str) -> str:
-    """The name in lower case, without the final dot.
+    """Return the name in lower case, without the final dot.
 
     Raises:
-        ValueError: it is not a domain name.
+        ValueError: the text is not a domain name.
     """
     try:
         parsed = dns.name.from_text(name)
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """A name and the type of record that is asked for."""
+    """A name and the record type that is queried for it."""
 
     name: str  # canonical
     record_type: RecordType
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class EndpointKey:
-    """An endpoint as an SRV record names it."""
+    """The target and port by which an SRV record identifies an endpoint."""
 
     target: str  # canonical
     port: int
@@ -76,23 +76,26 @@
 
 @dataclass(slots=True, frozen=True)
 class SrvPreference:
-    """Priority and weight of an SRV record (RFC 2782): the lowest priority first, then shares by weight."""
+    """Priority and weight of an SRV record (RFC 2782).
+
+    The lowest priority number is preferred. Endpoints with the same priority share the load by weight.
+    """
 
     priority: int
     weight: int
 
 
-# SRV: an EndpointKey to its SrvPreference. A and AAAA: an address to None.
+# For SRV: from EndpointKey to SrvPreference. For A and AAAA: from address to None.
 Records: TypeAlias = Mapping[EndpointKey, SrvPreference] | Mapping[str, None]
 
 
 @dataclass(slots=True, frozen=True)
 class PositiveAnswer:
-    """Records. `additional` has the addresses of targets, from the additional section and in bailiwick."""
+    """Records, and the addresses of their targets if the additional section has them."""
 
     records: Records
     ttl_s: int  # as the server sent it
-    additional: Mapping[Question, PositiveAnswer] = field(default_factory=dict)
+    additional: Mapping[Question, PositiveAnswer] = field(default_factory=dict)  # only in-bailiwick addresses
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CnameAlias:
-    """The name is an alias of another, for which the server sent no records."""
+    """The name is an alias of another name, for which the server sent no records."""
 
     target: str
 
@@ -117,10 +120,10 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryFailure:
-    """The query gave no answer that says anything about the records."""
+    """The query gave no information about the records."""
 
     reason: str
-    server_unreachable: bool = False  # it did not respond, or refuses to serve us
+    server_unreachable: bool = False  # the server did not respond, or refused to serve this client
     edns_suspected: bool = False  # the server may not support EDNS (RFC 6891, section 7)
 
 
--- a/hazelbend/dns_discovery/quorum.py
+++ b/hazelbend/dns_discovery/quorum.py
@@ -1,19 +1,21 @@
-"""Which records are accepted, by the answers of several nameservers.
+"""Decides from the answers of several nameservers which records are accepted.
 
-A nameserver may be wrong: it answers NXDOMAIN for a zone that it has lost, or serves an old version of the
-zone. So each answer is a vote, valid for its TTL, and a record is
+A nameserver may be wrong: it may answer NXDOMAIN for a zone that it has lost, or serve an old version of the
+zone. Therefore each answer is a vote, which is valid for its TTL, and a record is
 
-    accepted    if a valid vote has it, or it was accepted before, unless it is outvoted
-    outvoted    if at least QUORUM valid votes lack it, and more lack it than have it
+    accepted    if a valid vote lists it, or if it was accepted before, unless it is outvoted
+    outvoted    if at least QUORUM valid votes lack it, and more votes lack it than list it
 
-The quorum is two nameservers, or, where only one is configured, two answers in a row. So one wrong nameserver
-of several removes no record and, once the others are queried, adds none.
+The quorum is two nameservers or, if only one is configured, two answers in a row. One wrong nameserver of
+several therefore removes no record and, once the others have been queried, adds none.
 
-The votes are in dispute while they have not decided about a record. They are also in dispute if a single vote
-has a record that no other nameserver has ever listed, or says that there are none (for AAAA that is usual,
-and accepted). The resolver then queries the other nameservers at once, and new records wait for the answers.
-A tie changes nothing. A record that no vote has renewed within its TTL and the stale bound (RFC 8767) is
-dropped: by then its address may belong to somebody else.
+The votes are in dispute as long as they do not decide about a record. They are also in dispute if the only
+vote lists a record that no other nameserver has ever listed, or if the only vote is empty (an empty answer is
+usual for AAAA and is accepted there). The resolver then queries the other nameservers at once, and new
+records wait for their answers. A tie changes nothing.
+
+A record that no vote has renewed within its TTL and the stale bound (RFC 8767) is dropped, because its
+address may belong to another party by then.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerVote(Generic[K, V]):
-    """The last answer of one nameserver."""
+    """The last answer of one nameserver, as a vote on which records exist."""
 
     records: Mapping[K, V]
     expires_at: int  # microseconds
@@ -43,18 +45,21 @@
     """A record that is accepted now."""
 
     value: V
-    expires_at: int  # end of the TTL of the last vote that had it, microseconds
-    listed_by: set[Hashable] = field(default_factory=set)  # nameservers, up to the quorum
+    expires_at: int  # end of the TTL of the last vote that listed it, in microseconds
+    listed_by: set[Hashable] = field(default_factory=set)  # nameservers that have listed it; at most QUORUM
 
 
 class AnswerQuorum(Generic[K, V]):
-    """Votes and accepted records of one question. A record is a key with a value, such as the SRV weight."""
+    """The votes and the accepted records of one question.
+
+    A record is a key with a value, such as an SRV endpoint with its priority and weight.
+    """
 
     __slots__ = ("_confirm_empty", "_missed", "_sequence", "accepted", "server_count", "votes")
 
     def __init__(self, server_count: int, *, confirm_empty: bool = True) -> None:
-        self.server_count = server_count  # nameservers that are configured
-        self._confirm_empty = confirm_empty  # whether a single answer without records is in dispute
+        self.server_count = server_count  # number of configured nameservers
+        self._confirm_empty = confirm_empty  # whether a single empty answer is in dispute
         self.votes: dict[Hashable, AnswerVote[K, V]] = {}
         self.accepted: dict[K, AcceptedRecord[V]] = {}
         self._missed: dict[K, int] = {}  # with one nameserver: answers in a row that lack the key
@@ -62,7 +67,7 @@
 
     @property
     def values(self) -> dict[K, V]:
-        """The accepted records."""
+        """The accepted records with their values."""
         return {key: record.value for key, record in self.accepted.items()}
 
     @property
@@ -76,7 +81,7 @@
         }
 
     def add_vote(self, server: Hashable, records: Mapping[K, V], expires_at: int, now: int) -> bool:
-        """Count a nameserver's answer. True if the accepted records have changed."""
+        """Count a nameserver's answer; return whether the accepted records have changed."""
         self._sequence += 1
         self.votes[server] = AnswerVote(records, expires_at, self._sequence)
         if self.server_count == 1:
@@ -85,13 +90,13 @@
         for key in records:
             if (record := self.accepted.get(key)) is not None:
                 record.expires_at = max(record.expires_at, expires_at)
-                self._note_listing(record, server)
+                self._record_listing(record, server)
         return self.tally(now, final=False)
 
     def tally(self, now: int, *, final: bool) -> bool:
-        """Apply the rule. True if the accepted records have changed.
+        """Count the votes again; return whether the accepted records have changed.
 
-        With `final`, no more answers are expected, so new records no longer wait for a dispute to end.
+        `final`: no more answers are expected, so new records do not wait for the end of a dispute.
         """
         self._drop_expired_votes(now)
         before = self.values
@@ -106,7 +111,7 @@
         return self.values != before
 
     def is_disputed(self, now: int) -> bool:
-        """Whether the answers of further nameservers would decide about a record."""
+        """Whether the votes are in dispute, so that further nameservers should be queried."""
         self._drop_expired_votes(now)
         if self.server_count == 1:
             return False
@@ -122,15 +127,18 @@
         return self._confirm_empty and empty and 0 < len(self.votes) < QUORUM
 
     def drop_stale(self, now: int, stale_us: int) -> bool:
-        """Drop records that no vote has renewed within the stale bound. True if there were any."""
+        """Drop records that no vote has renewed within the stale bound; return whether there were any."""
         stale = [key for key, record in self.accepted.items() if record.expires_at + stale_us <= now]
         for key in stale:
             del self.accepted[key]
         return bool(stale)
 
     def restore(self, records: Mapping[K, tuple[V, int]]) -> None:
-        """Accept records of a snapshot, given as (value, expires_at). The quorum confirmed them then."""
-        confirmed = set(range(-QUORUM, 0))  # stands for nameservers, whose indexes are not negative
+        """Accept the records of a snapshot, given as (value, expires_at).
+
+        They count as confirmed, because a quorum confirmed them before the snapshot was written.
+        """
+        confirmed = set(range(-QUORUM, 0))  # placeholders: indexes of nameservers are not negative
         self.accepted = {
             key: AcceptedRecord(value, expires_at, set(confirmed))
             for key, (value, expires_at) in records.items()
@@ -142,15 +150,15 @@
         self.accepted[key] = record
         for server, vote in self.votes.items():
             if key in vote.records:
-                self._note_listing(record, server)
+                self._record_listing(record, server)
 
     @staticmethod
-    def _note_listing(record: AcceptedRecord[V], server: Hashable) -> None:
+    def _record_listing(record: AcceptedRecord[V], server: Hashable) -> None:
         if len(record.listed_by) < QUORUM:
             record.listed_by.add(server)
 
     def _count_votes(self, key: K) -> tuple[int, int]:
-        """How many votes list the key, and how many lack it."""
+        """Return how many votes list the key, and how many lack it."""
         listing = sum(key in vote.records for vote in self.votes.values())
         return listing, len(self.votes) - listing
 
@@ -165,7 +173,7 @@
         return lacking >= QUORUM and lacking > listing
 
     def _majority_value(self, key: K) -> V:
-        """The value in most votes; of equally many, in the newest."""
+        """Return the value that most votes have; in a tie, that of the newest vote."""
         values = Counter(vote.records[key] for vote in self._votes_newest_first() if key in vote.records)
         return values.most_common(1)[0][0]
 
--- a/hazelbend/dns_discovery/resolver.py
+++ b/hazelbend/dns_discovery/resolver.py
@@ -44,9 +44,9 @@
 from hazelbend.dns_discovery.stable_hash import stable_fraction
 from hazelbend.dns_discovery.tracked_names import AdditionalAnswer, TrackedName, TrackedNames
 
-REFRESH_AT = 0.90  # of a TTL, at the earliest
-REFRESH_SPREAD = 0.08  # of a TTL
-# Addresses from the additional section come again with the next answer to the SRV question, before this.
+REFRESH_AT = 0.90  # earliest refresh, as a fraction of the TTL
+REFRESH_SPREAD = 0.08  # range of refresh times, as a fraction of the TTL
+# Later than the refresh of the SRV question, whose answer renews the addresses by its additional section.
 ADDITIONAL_REFRESH_AT = 0.995
 BACKOFF_JITTER_MIN = 0.75
 BACKOFF_JITTER_SPREAD = 0.5
@@ -60,14 +60,14 @@
     id: int
     server: int  # index of the nameserver
     question: Question
-    name: str  # the name to ask for: the question's, or the target of a CNAME of it
+    name: str  # the name to query: that of the question, or the target of a CNAME chain from it
     over_tcp: bool = field(kw_only=True)
     edns: bool = field(kw_only=True)
 
 
 @dataclass(slots=True)
 class ResolverCounters:
-    """Counts since the start."""
+    """Counters since the start of the process."""
 
     queries: int = 0
     retries: int = 0
@@ -75,12 +75,12 @@
     over_tcp: int = 0
     answers: int = 0
     failures: int = 0
-    # Microseconds from the scheduled time of a refresh to its query. None: not collected.
+    # Delay from the scheduled time of each refresh to its query, in microseconds. None: not collected.
     refresh_delays_us: list[int] | None = None
 
 
 class Resolver:
-    """The queries of one dispatcher."""
+    """Schedules the queries of one dispatcher and handles their results."""
 
     def __init__(self, settings: SrvSettings, dispatcher: str) -> None:
         self.counters = ResolverCounters()
@@ -104,27 +104,30 @@
         self.names.track_only(names, now)
 
     def reconfigure(self, settings: SrvSettings, now: int) -> None:
-        """Use new settings; the accepted records stay. Other nameservers begin without a state of health."""
+        """Use new settings. The accepted records stay; health is reset if the nameservers have changed."""
         same_nameservers = settings.nameservers == self.settings.nameservers
         nameservers = self.nameservers
         self._apply(settings)
         if same_nameservers:
             self.nameservers = nameservers
             return
-        self._in_flight.clear()  # their results would be counted for other nameservers
+        self._in_flight.clear()  # their results would be attributed to the new nameservers
         self._waiting.clear()
         self.names.change_nameservers(now)
 
     def restore(self, question: Question, records: Mapping[Any, tuple[Any, int]], now: int) -> None:
-        """Accept the records of a snapshot, as (value, expires_at)."""
+        """Accept the records of a snapshot, given as (value, expires_at)."""
         self.names.restore(question, records, now)
 
     def take_due_queries(self, now: int) -> list[Query]:
-        """The queries to send now. The result of each must be given to `handle_result`, exactly once."""
+        """Return the queries to send now.
+
+        The caller must pass the result of each one to `handle_result` exactly once.
+        """
         self.names.drop_stale(now)
         self._waiting.extend(self.names.pop_due(now))
         queries: list[Query] = []
-        while self._waiting and self._has_room_in_flight():
+        while self._waiting and self._may_send_more():
             tracked = self._waiting[0]
             if not tracked.active:
                 self._waiting.popleft()
@@ -142,18 +145,18 @@
         return queries
 
     def next_due_at(self, now: int) -> int | None:
-        """When `take_due_queries` may have queries; None: not before a result."""
+        """Return when `take_due_queries` may have queries; None: not before a result arrives."""
         times = self.names.event_times()
-        if self._waiting and self._has_room_in_flight():
+        if self._waiting and self._may_send_more():
             available_at = self.nameservers.available_at(now)
             times.append(max(available_at, self._budget.next_token_at(now)))
         return min(times, default=None)
 
     def handle_result(self, query_id: int, result: QueryResult, now: int) -> list[Query]:
-        """Take the result of a query. The queries that follow from it at once."""
+        """Handle the result of a query. Returns the queries that must be sent next because of it."""
         query, tracked = self._in_flight.pop(query_id, (None, None))
         if query is None or tracked is None:
-            return []  # of nameservers that are no longer configured
+            return []  # the query was to a nameserver that is no longer configured
         server = self.nameservers.health[query.server]
         if isinstance(result, QueryFailure) and result.server_unreachable:
             server.record_failure(result.reason, now)
@@ -165,7 +168,7 @@
             self._budget.acquire_in_debt(now)
             return [follow_up]
         tracked.cname_chain = ()
-        self._take_result(query, tracked, result, now)
+        self._apply_result(query, tracked, result, now)
         self._continue_round(tracked, now)
         return []
 
@@ -174,21 +177,21 @@
     def _follow_up(
         self, query: Query, tracked: TrackedName, result: QueryResult, server: NameserverHealth
     ) -> Query | None:
-        """The query to the same nameserver that the result asks for; None if it is final."""
+        """Return the further query to the same nameserver that the result requires; None if it is final."""
         match result:
             case TruncatedAnswer() if not query.over_tcp:
                 self.counters.over_tcp += 1
-                return self._query(tracked, query.server, over_tcp=True, ask_for=query.name)
+                return self._query(tracked, query.server, over_tcp=True, query_name=query.name)
             case CnameAlias(target=target):
                 tracked.cname_chain = (*tracked.cname_chain, query.name)
                 if target not in tracked.cname_chain and len(tracked.cname_chain) <= MAX_CNAME_CHAIN:
-                    return self._query(tracked, query.server, over_tcp=False, ask_for=target)
+                    return self._query(tracked, query.server, over_tcp=False, query_name=target)
             case QueryFailure(edns_suspected=True) if query.edns:
                 server.supports_edns = False
-                return self._query(tracked, query.server, over_tcp=query.over_tcp, ask_for=query.name)
+                return self._query(tracked, query.server, over_tcp=query.over_tcp, query_name=query.name)
         return None
 
-    def _take_result(self, query: Query, tracked: TrackedName, result: QueryResult, now: int) -> None:
+    def _apply_result(self, query: Query, tracked: TrackedName, result: QueryResult, now: int) -> None:
         match result:
             case PositiveAnswer():
                 self._add_vote(tracked, query.server, result.records, result.ttl_s, now)
@@ -200,11 +203,11 @@
                 self._add_vote(tracked, query.server, {}, result.ttl_s, now)
                 tracked.last_error = result.reason
             case TruncatedAnswer():
-                self._note_failure(tracked, query, "truncated over TCP")
+                self._record_failure(tracked, query, "truncated over TCP")
             case CnameAlias(target=target):
-                self._note_failure(tracked, query, f"a chain of aliases without an end, at {target}")
+                self._record_failure(tracked, query, f"a chain of aliases without an end, at {target}")
             case QueryFailure(reason=reason):
-                self._note_failure(tracked, query, reason)
+                self._record_failure(tracked, query, reason)
 
     def _add_vote(self, tracked: TrackedName, server: int, records: Records, ttl_s: int, now: int) -> None:
         self.counters.answers += 1
@@ -216,15 +219,15 @@
             self.names.mark_changed(tracked)
         self.names.schedule_expiry(tracked)
 
-    def _note_failure(self, tracked: TrackedName, query: Query, reason: str) -> None:
+    def _record_failure(self, tracked: TrackedName, query: Query, reason: str) -> None:
         self.counters.failures += 1
         tracked.last_error = f"nameserver {query.server + 1}: {reason}"
 
-    def _take_additional(self, additional: AdditionalAnswer, now: int) -> None:
-        """Count addresses from the additional section as an answer to the question for the address."""
+    def _apply_additional(self, additional: AdditionalAnswer, now: int) -> None:
+        """Count addresses from an additional section as an answer to the address question of the target."""
         tracked = self.names.address_question(additional.question, now)
         if tracked is None or tracked.in_round:
-            return  # no SRV name lists the target now, or the question has a query of its own
+            return  # no SRV name lists the target now, or the address question has a round of its own
         answer = additional.answer
         self._add_vote(tracked, additional.server, answer.records, answer.ttl_s, now)
         tracked.failing_since = 0
@@ -260,14 +263,14 @@
             if tracked.quorum.tally(now, final=True):
                 self.names.mark_changed(tracked)
             if not tracked.quorum.is_disputed(now):
-                self._note_dissent(tracked, now)
+                self._record_outvoted(tracked, now)
         tracked.failed_rounds = 0
         tracked.failing_since = 0
         fraction = REFRESH_AT + REFRESH_SPREAD * stable_fraction(self._dispatcher, tracked.question)
         self.names.schedule(tracked, now + round(tracked.ttl_us * fraction))
         additional_answers, tracked.additional = tracked.additional, []
         for additional in additional_answers:
-            self._take_additional(additional, additional.received_at)
+            self._apply_additional(additional, additional.received_at)
         self.names.track_new_targets(now)
 
     def _end_failed_round(self, tracked: TrackedName, now: int) -> None:
@@ -280,15 +283,15 @@
         factor = BACKOFF_JITTER_MIN + BACKOFF_JITTER_SPREAD * jitter
         self.names.schedule(tracked, now + round(backoff_us * factor))
 
-    def _note_dissent(self, tracked: TrackedName, now: int) -> None:
+    def _record_outvoted(self, tracked: TrackedName, now: int) -> None:
         for server in tracked.quorum.outvoted_servers:
-            # The votes of a snapshot have no nameserver, and a reload may have removed one.
+            # Votes from a snapshot have no nameserver, and a reload may have removed a nameserver.
             if isinstance(server, int) and server < len(self.nameservers.health):
                 self.nameservers.health[server].outvoted_at = now
 
     # --- queries ---
 
-    def _has_room_in_flight(self) -> bool:
+    def _may_send_more(self) -> bool:
         return len(self._in_flight) < self.settings.budgets.max_in_flight
 
     def _count_attempt(self, tracked: TrackedName, now: int) -> None:
@@ -298,8 +301,8 @@
                 self.counters.refresh_delays_us.append(now - tracked.scheduled_at)
         tracked.attempts += 1
 
-    def _query(self, tracked: TrackedName, server: int, *, over_tcp: bool, ask_for: str = "") -> Query:
-        """Count a query in, for the name of the question unless `ask_for` says otherwise."""
+    def _query(self, tracked: TrackedName, server: int, *, over_tcp: bool, query_name: str = "") -> Query:
+        """Create a query and record it as in flight. `query_name` defaults to the name of the question."""
         tracked.queried.add(server)
         self._last_id += 1
         health = self.nameservers.health[server]
@@ -308,7 +311,7 @@
             self._last_id,
             server,
             tracked.question,
-            ask_for or tracked.question.name,
+            query_name or tracked.question.name,
             over_tcp=over_tcp,
             edns=health.supports_edns,
         )
--- a/hazelbend/dns_discovery/settings.py
+++ b/hazelbend/dns_discovery/settings.py
@@ -1,6 +1,6 @@
-"""The schema of `deploy/srv.toml`, and what a schema cannot say. Times are seconds here.
+"""The schema of `deploy/srv.toml`, and the checks that a schema cannot express. Times are in seconds.
 
-The fields have the keys of the file by `msgspec.field(name=...)` where their names differ.
+Where a field's name differs from its key in the file, `msgspec.field(name=...)` gives the key.
 """
 
 from __future__ import annotations
@@ -20,70 +20,70 @@
 
 
 class Nameserver(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Address of a nameserver, `host:port` or `[host]:port`."""
+    """The address of a nameserver, as `host:port` or `[host]:port` with an IP address as host."""
 
     address: str
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """IP address and port."""
+        """The IP address and the port."""
         host, _, port = self.address.rpartition(":")
         return host.strip("[]"), int(port)
 
 
 class SrvName(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An SRV name to track, and the zone and kind of its endpoints, which DNS does not tell."""
+    """An SRV name to track, with the properties of its endpoints that DNS does not provide."""
 
     name: str
     zone: str
     kind: str
     cell: Annotated[int, Meta(ge=0, le=65_535)] = 0
-    weight_scale: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # a server's weight for an SRV weight of 1
+    weight_scale: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # an endpoint's weight per unit of SRV weight
     max_targets: Annotated[int, Meta(ge=1, le=10_000)] = msgspec.field(default=1_000, name="most_targets")
 
 
 class TtlBounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of TTLs, and how long records and tombstones last."""
+    """Bounds for TTLs, and how long unrenewed records and tombstones are kept."""
 
     min_s: Seconds = msgspec.field(default=5.0, name="least_s")
     max_s: Seconds = msgspec.field(default=3_600.0, name="most_s")
-    stale_s: Seconds = 86_400.0  # how long past its TTL a record that is not renewed is used (RFC 8767)
-    # How long SRV cannot bring back an endpoint that the endpoint list removed.
+    stale_s: Seconds = 86_400.0  # how long an unrenewed record is used past its TTL (RFC 8767)
+    # For this long SRV cannot add an endpoint again that the endpoint list has removed.
     tombstone_s: Seconds = msgspec.field(default=3_600.0, name="gone_s")
 
 
 class QueryBudgets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits on queries, their time-out and their retries."""
+    """Limits on queries and retries, and the query timeout."""
 
     queries_per_s: Annotated[float, Meta(gt=0, le=1e6)] = msgspec.field(default=100.0, name="per_s")
     max_in_flight: Annotated[int, Meta(ge=1, le=1_000_000)] = msgspec.field(default=64, name="at_once")
     timeout_s: Annotated[float, Meta(ge=0.01, le=30)] = 1.0
-    max_attempts: Annotated[int, Meta(ge=1, le=10)] = msgspec.field(default=3, name="tries")  # in a round
-    # Retries as a ratio of first attempts.
+    max_attempts: Annotated[int, Meta(ge=1, le=10)] = msgspec.field(default=3, name="tries")  # per round
+    # The retry budget, as a ratio of first attempts.
     retry_ratio: Annotated[float, Meta(ge=0, le=10)] = msgspec.field(default=0.2, name="retry_part")
-    # After a round that failed; it doubles with each.
+    # Backoff after a failed round; it doubles with each further failure.
     backoff_s: Seconds = msgspec.field(default=1.0, name="rest_s")
     max_backoff_s: Seconds = msgspec.field(default=30.0, name="longest_rest_s")
-    start_spread_s: Annotated[float, Meta(ge=0, le=600)] = 1.0  # first queries are spread over this
+    start_spread_s: Annotated[float, Meta(ge=0, le=600)] = 1.0  # first queries are spread over this time
 
 
 class PriorityPools(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When endpoints of another SRV priority take over."""
+    """When endpoints of another SRV priority open or close."""
 
-    # A better priority must be able to take work for this long.
+    # A better priority must be available without interruption for this long before spare endpoints close.
     failback_delay_s: Annotated[float, Meta(ge=0, le=86_400)] = msgspec.field(default=5.0, name="return_s")
     check_interval_s: Annotated[float, Meta(ge=0.01, le=10)] = msgspec.field(default=0.1, name="look_s")
 
 
 class SnapshotFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the last known records are kept."""
+    """Where and how often the last known records are saved."""
 
     path: str
-    interval_s: Seconds = msgspec.field(default=5.0, name="every_s")  # between writes, at least
+    interval_s: Seconds = msgspec.field(default=5.0, name="every_s")  # minimum time between writes
 
 
 class SrvSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The contents of the file."""
 
     nameservers: tuple[Nameserver, ...] = msgspec.field(name="nameserver")
     names: tuple[SrvName, ...] = msgspec.field(default=(), name="name")
@@ -95,10 +95,10 @@
 
 
 def read_settings(table: dict[str, Any], zones: tuple[str, ...], kinds: tuple[str, ...]) -> SrvSettings:
-    """A decoded TOML table. Zones and kinds are the names in the site's settings.
+    """Convert and check a decoded TOML table. `zones` and `kinds` are the names in the site's settings.
 
     Raises:
-        ValueError: the table has a fault; the text names the key.
+        ValueError: the table is invalid; the text names the key.
     """
     settings = convert(table, SrvSettings)
     _check_nameservers(settings.nameservers)
--- a/hazelbend/dns_discovery/snapshot.py
+++ b/hazelbend/dns_discovery/snapshot.py
@@ -1,7 +1,8 @@
-"""The last known records as a file, for a start while no nameserver responds.
+"""A file with the last known records, for a start while no nameserver responds.
 
-The file is one JSON object: the name of the format, its version, a digest of the body, and the body. Fields
-have the keys of the file by `msgspec.field(name=...)` where their names differ. Times are Unix microseconds.
+The file is one JSON object: the name of the format, its version, a digest of the body, and the body. Where a
+field's name differs from its key in the file, `msgspec.field(name=...)` gives the key. Times are Unix time in
+microseconds.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class SnapshotError(Exception):
-    """The file cannot be used, nor any part of it; the text gives the reason."""
+    """The snapshot cannot be used, not even in part; the text gives the reason."""
 
 
 class SrvRecord(msgspec.Struct, array_like=True):
@@ -59,7 +60,7 @@
 
 
 class TombstoneRecord(msgspec.Struct):
-    """An endpoint that the endpoint list removed."""
+    """The tombstone of an endpoint that the endpoint list removed."""
 
     host: str
     removed_at: int = msgspec.field(name="at")
@@ -69,17 +70,17 @@
 
 
 class Snapshot(msgspec.Struct):
-    """All that is kept."""
+    """The body of the file."""
 
     written_at: int
     srv_records: list[SrvRecords] = msgspec.field(name="services")
     address_records: list[AddressRecords] = msgspec.field(name="addresses")
     tombstones: list[TombstoneRecord] = msgspec.field(default_factory=list, name="gone")
-    started: dict[str, int] = {}  # endpoints that only SRV lists: when they started
+    started: dict[str, int] = {}  # start times of endpoints that only SRV lists, by host
 
 
 class Envelope(msgspec.Struct):
-    """The file: what the body is, and its digest."""
+    """The file: the format and version of the body, its digest, and the body."""
 
     format: str
     version: int
@@ -90,7 +91,7 @@
 def capture(
     resolver: Resolver, tombstones: list[TombstoneRecord], started: dict[str, int], now: int
 ) -> Snapshot:
-    """What the resolver has accepted now, with the state of the endpoints."""
+    """Return a snapshot of the resolver's accepted records and of the given state of endpoints."""
     srv_records = []
     address_records = []
     for question, tracked in resolver.names.by_question.items():
@@ -115,9 +116,9 @@
 
 
 def restore(resolver: Resolver, snapshot: Snapshot, now: int) -> None:
-    """Accept the records that are within the stale bound.
+    """Give the resolver the snapshot's records; it accepts those within the stale bound.
 
-    A clock that was set back may make times lie ahead of the longest TTL; they are brought back to it.
+    If the clock was set back, expiry times may be further ahead than the longest TTL; they are limited to it.
     """
     latest = now + round(resolver.settings.ttl_bounds.max_s * 1e6)
     for srv in snapshot.srv_records:
@@ -137,16 +138,16 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The content of a file."""
+    """Return the contents of the file for a snapshot."""
     body = msgspec.json.encode(snapshot)
     return msgspec.json.encode(Envelope(FORMAT, VERSION, _digest(body), msgspec.Raw(body)))
 
 
 def decode(data: bytes) -> Snapshot:
-    """Read the content of a file.
+    """Return the snapshot in the contents of a file.
 
     Raises:
-        SnapshotError: it is torn, damaged, of another format or of another version.
+        SnapshotError: the contents are truncated, damaged, or of another format or version.
     """
     try:
         envelope = msgspec.json.decode(data, type=Envelope)
@@ -165,10 +166,10 @@
 
 
 def from_object(value: object) -> Snapshot:
-    """A snapshot that came within other JSON, from the process before in an upgrade.
+    """Return the snapshot in decoded JSON, as the previous process hands it over in an upgrade.
 
     Raises:
-        SnapshotError: it is none.
+        SnapshotError: the value is not a snapshot.
     """
     try:
         return msgspec.convert(value, Snapshot)
@@ -177,10 +178,10 @@
 
 
 def read_file(path: Path) -> Snapshot | None:
-    """The snapshot in a file; None if there is no file.
+    """Return the snapshot in a file; None if there is no file.
 
     Raises:
-        SnapshotError: it cannot be read or used.
+        SnapshotError: the file cannot be read or used.
     """
     try:
         with path.open("rb") as file:
@@ -195,10 +196,10 @@
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Replace the file in one step: a reader finds the old or the new one, also after a loss of power.
+    """Replace the file atomically: a reader finds the old or the new one, also after a power loss.
 
     Raises:
-        OSError: it cannot be written; the old file stays.
+        OSError: the file cannot be written; the old file stays.
     """
     new_file = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
@@ -215,7 +216,7 @@
 
 
 def _sync_directory(path: Path) -> None:
-    """Without it the new name may be lost in a loss of power."""
+    """Flush the directory, without which a power loss may undo the renaming of the file."""
     directory = os.open(path, os.O_RDONLY)
     try:
         os.fsync(directory)
--- a/hazelbend/dns_discovery/tracked_names.py
+++ b/hazelbend/dns_discovery/tracked_names.py
@@ -1,7 +1,7 @@
-"""The names that are tracked: their state, when each is refreshed, and when its records become too old.
+"""The tracked names: their state, when each is refreshed, and when its records become too old.
 
-Tracked are the SRV names of the settings, and the addresses of the targets that they list. A question is
-tracked once, however many SRV names need it. No I/O; the caller gives the time, in microseconds.
+The SRV names in the settings are tracked, and the addresses of the targets that they list. A question is
+tracked once, no matter how many SRV names need it. No I/O; the caller passes the time, in microseconds.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from hazelbend.dns_discovery.target_index import TargetIndex
 
 NOT_SCHEDULED = -1
-UNTRACKED = -1  # as a sequence number: its entries in the schedule are void
+UNTRACKED = -1  # as a sequence number: all entries in the schedule are void
 DEFAULT_MAX_TARGETS = 1_000
 
 
 @dataclass(slots=True, frozen=True)
 class AdditionalAnswer:
-    """Addresses that came in the additional section of an answer."""
+    """Addresses of one target from the additional section of an answer."""
 
     question: Question
     server: int
@@ -42,16 +42,14 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedName:
-    """State of one question. Its round: the queries from its refresh until it is scheduled again."""
+    """The state of one question. A round is the queries from a refresh until the next one is scheduled."""
 
     question: Question
     quorum: AnswerQuorum[Any, Any]
     active: bool = True  # False: it is no longer tracked
-    next_refresh_at: int = (
-        NOT_SCHEDULED  # of its refresh; NOT_SCHEDULED: it waits for a query or has one in flight
-    )
-    scheduled_at: int = 0  # when its current round was to begin
-    schedule_sequence: int = 0  # of its valid entry in the schedule
+    next_refresh_at: int = NOT_SCHEDULED  # NOT_SCHEDULED: it is in a round
+    scheduled_at: int = 0  # the scheduled start of its current round
+    schedule_sequence: int = 0  # sequence number of its valid entry in the schedule
     expiry_scheduled: bool = False
     ttl_us: int = 0  # of the last answer, within the bounds of the settings
     ttl_expires_at: int = 0  # end of the TTL of the last answer; 0: it was never answered
@@ -59,10 +57,10 @@
     failed_rounds: int = 0  # in a row
     last_error: str = ""
 
-    # Of its current round:
-    queried: set[int] = field(default_factory=set)  # nameservers
+    # State of the current round:
+    queried: set[int] = field(default_factory=set)  # indexes of nameservers
     answered: bool = False
-    confirming: bool = False  # other nameservers are queried because the votes are in dispute
+    confirming: bool = False  # further nameservers are queried because the votes are in dispute
     attempts: int = 0
     cname_chain: tuple[str, ...] = ()
     additional: list[AdditionalAnswer] = field(default_factory=list)
@@ -73,7 +71,7 @@
         return self.next_refresh_at < 0
 
     def begin_round(self) -> None:
-        """Its refresh is due."""
+        """Start a round, because its refresh is due."""
         self.scheduled_at = self.next_refresh_at
         self.next_refresh_at = NOT_SCHEDULED
         self.queried = set()
@@ -88,11 +86,12 @@
 
     def __init__(self, settings: SrvSettings, dispatcher: str) -> None:
         self.by_question: dict[Question, TrackedName] = {}
-        self.by_srv_name: dict[str, TrackedName] = {}  # the SRV names
-        self.changed: set[str] = set()  # SRV names whose endpoints may have changed; the reader clears it
+        self.by_srv_name: dict[str, TrackedName] = {}
+        # SRV names whose endpoints may have changed. The caller reads and clears the set.
+        self.changed: set[str] = set()
         self._dispatcher = dispatcher
         self._targets = TargetIndex()
-        # Their addresses are queried unless the additional section of the current round has brought one.
+        # Targets whose addresses are queried after the current round, unless its additional section has one.
         self._new_targets: set[str] = set()
         self._refreshes: list[tuple[int, int, TrackedName]] = []  # a heap by time
         self._expiries: list[tuple[int, int, TrackedName]] = []  # a heap by time
@@ -106,25 +105,28 @@
         self._start_spread_us = settings.budgets.start_spread_s * 1e6
         self._stale_us = round(settings.ttl_bounds.stale_s * 1e6)
 
-    # --- what is tracked ---
+    # --- which names are tracked ---
 
     def track_only(self, names: Iterable[str], now: int) -> None:
         """Track these SRV names (canonical) and no others. First queries are spread over `start_spread_s`."""
         wanted = set(names)
         for name in [name for name in self.by_srv_name if name not in wanted]:
-            self._untrack_root(name)
+            self._untrack_srv_name(name)
         for name in sorted(wanted - self.by_srv_name.keys()):
             self.by_srv_name[name] = self._track(Question(name, RecordType.SRV), now)
             self._targets.add_name(name)
 
     def address_question(self, question: Question, now: int) -> TrackedName | None:
-        """The question for an address of a target; None if no SRV name lists the target."""
+        """Return the tracked address question of a target; None if no SRV name lists the target."""
         if question.name not in self._targets:
             return None
         return self.by_question.get(question) or self._track(question, now)
 
     def track_new_targets(self, now: int) -> None:
-        """Query both address types of the new targets for which the additional section brought no address."""
+        """Track both address types of the new targets that still have no address.
+
+        The others got theirs from the additional section of an SRV answer.
+        """
         targets, self._new_targets = self._new_targets, set()
         for target in targets:
             if target in self._targets and not self.addresses(target):
@@ -132,7 +134,7 @@
                     self._track(Question(target, record_type), now)
 
     def restore(self, question: Question, records: Mapping[Any, tuple[Any, int]], now: int) -> None:
-        """Accept the records of a snapshot, as (value, expires_at). They are refreshed at once."""
+        """Accept the records of a snapshot, given as (value, expires_at), without delaying their refresh."""
         tracked = self.by_question.get(question)
         if tracked is None and question.record_type in ADDRESS_TYPES:
             tracked = self.address_question(question, now)
@@ -146,7 +148,7 @@
         self.track_new_targets(now)
 
     def change_nameservers(self, now: int) -> None:
-        """The votes are of nameservers that are no longer configured: refresh all names soon."""
+        """Drop all votes, because they are from other nameservers, and refresh all names soon."""
         for tracked in self.by_question.values():
             tracked.quorum.server_count = self._server_count
             tracked.quorum.votes.clear()
@@ -155,10 +157,10 @@
                 tracked, refresh_at if tracked.in_round else min(tracked.next_refresh_at, refresh_at)
             )
 
-    # --- what the records say ---
+    # --- endpoints from the records ---
 
     def endpoints(self, name: str) -> dict[EndpointKey, tuple[SrvPreference, tuple[str, ...]]]:
-        """The endpoints of an SRV name, with their addresses. Those without an address are left out."""
+        """Return the endpoints of an SRV name with their addresses, except those without an address."""
         records = self.by_srv_name[name].quorum.values if name in self.by_srv_name else {}
         found = {}
         for key, preference in records.items():
@@ -166,20 +168,20 @@
                 found[key] = preference, addresses
         max_targets = self._max_targets.get(name, DEFAULT_MAX_TARGETS)
         if len(found) > max_targets:
-            # All dispatchers choose the same: by priority, then by a stable hash.
+            # By priority, then by a stable hash, so that all dispatchers choose the same endpoints.
             order = sorted(found, key=lambda key: (found[key][0].priority, stable_fraction(key)))
             found = {key: found[key] for key in order[:max_targets]}
         return found
 
     def addresses(self, target: str) -> tuple[str, ...]:
-        """IPv4 addresses, then IPv6 addresses, each in order."""
+        """Return the IPv4 addresses, then the IPv6 addresses of a target, each in sorted order."""
         names = (self.by_question.get(Question(target, record_type)) for record_type in ADDRESS_TYPES)
         return tuple(
             address for tracked in names if tracked is not None for address in sorted(tracked.quorum.accepted)
         )
 
     def mark_changed(self, tracked: TrackedName) -> None:
-        """The accepted records of a question have changed."""
+        """Record that the accepted records of a question have changed."""
         question = tracked.question
         if question.record_type is RecordType.SRV:
             self.changed.add(question.name)
@@ -191,14 +193,14 @@
     # --- the schedule ---
 
     def schedule(self, tracked: TrackedName, at: int) -> None:
-        """Refresh the name at this time. An earlier entry becomes void."""
+        """Schedule the next refresh of the name. Its earlier entry in the schedule becomes void."""
         self._sequence += 1
         tracked.next_refresh_at = at
         tracked.schedule_sequence = self._sequence
         heappush(self._refreshes, (at, self._sequence, tracked))
 
     def pop_due(self, now: int) -> Iterator[TrackedName]:
-        """The names whose refresh is due; each is in its round then."""
+        """Remove the names whose refresh is due from the schedule, start their rounds, and yield them."""
         while self._refreshes and self._refreshes[0][0] <= now:
             _, sequence, tracked = heappop(self._refreshes)
             if sequence != tracked.schedule_sequence or tracked.in_round:
@@ -207,7 +209,10 @@
             yield tracked
 
     def schedule_expiry(self, tracked: TrackedName) -> None:
-        """Have `drop_stale` check the name when its first record may be too old, whatever its queries do."""
+        """Schedule a check by `drop_stale` for when the name's first record may be too old.
+
+        The check takes place whatever the results of the name's queries are.
+        """
         if tracked.quorum.accepted and not tracked.expiry_scheduled:
             tracked.expiry_scheduled = True
             self._sequence += 1
@@ -226,15 +231,15 @@
         self.track_new_targets(now)
 
     def event_times(self) -> list[int]:
-        """When the next refresh is due, and the next look for stale records, where there are any."""
+        """Return the times of the next refresh and of the next check for stale records, if there are any."""
         return [heap[0][0] for heap in (self._refreshes, self._expiries) if heap]
 
-    # --- steps ---
+    # --- steps of the above ---
 
     def _track(self, question: Question, now: int) -> TrackedName:
         tracked = self.by_question.get(question)
         if tracked is None:
-            # Most hosts have no IPv6 address, so one empty answer about it is enough.
+            # Most hosts have no IPv6 address, so a single empty answer is enough there.
             confirm_empty = question.record_type is not RecordType.AAAA
             tracked = TrackedName(question, AnswerQuorum(self._server_count, confirm_empty=confirm_empty))
             self.by_question[question] = tracked
@@ -246,13 +251,13 @@
         return round(self._start_spread_us * stable_fraction(self._dispatcher, question, "start"))
 
     def _update_targets(self, name: str) -> None:
-        """Track the addresses of the targets that are listed, and of no others."""
+        """Track the addresses of the targets that the SRV name lists, and of no others."""
         listed = {key.target for key in self.by_srv_name[name].quorum.accepted}
         added, orphaned = self._targets.replace(name, listed)
         self._new_targets |= added
         self._untrack_addresses(orphaned)
 
-    def _untrack_root(self, name: str) -> None:
+    def _untrack_srv_name(self, name: str) -> None:
         self._untrack_addresses(self._targets.remove_name(name))
         del self.by_srv_name[name]
         self._untrack(Question(name, RecordType.SRV))
--- a/hazelbend/fakes/__init__.py
+++ b/hazelbend/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes of outside systems, from their public specifications, for tests, benchmarks and examples.
+"""Fakes of external systems, built from their public specifications, for tests, benchmarks and examples.
 
-Each can be told to fail. The program itself imports none of them.
+Each can simulate failures. The program itself does not import them.
 """
--- a/hazelbend/fakes/dns_faults.py
+++ b/hazelbend/fakes/dns_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the fake nameserver can be told to show, and what those on the wire do to a response."""
+"""Faults that the fake nameserver can simulate, and the corruption of responses for faults on the wire."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 import dns.rrset
 
 HEADER_BYTES = 12  # of a DNS message (RFC 1035, section 4.1.1)
-TYPE_AND_CLASS_BYTES = 4  # behind the name of a question
+TYPE_AND_CLASS_BYTES = 4  # after the name in a question
 GARBAGE_BYTES = 60
 COMPRESSION_POINTER = 0xC000  # the two high bits of a pointer (RFC 1035, section 4.1.4)
 
 
 class FaultKind(StrEnum):
-    """What goes wrong."""
+    """The kinds of faults."""
 
     TRUNCATED = "truncated"
-    """Over UDP the TC flag and no records."""
+    """Over UDP a response with the TC flag and no records."""
     TRUNCATED_ALWAYS = "truncated-always"
-    """As TRUNCATED, and over TCP as well."""
+    """As TRUNCATED, but over TCP as well."""
     SERVFAIL = "servfail"
     REFUSED = "refused"
     FORMERR = "formerr"
     FORMERR_EDNS = "formerr-edns"
-    """FORMERR to queries with EDNS alone."""
+    """FORMERR, but only to queries with EDNS."""
     NXDOMAIN = "nxdomain"
     EMPTY = "empty"
-    """The name exists, without such records (NODATA)."""
+    """The name exists, but has no records of the queried type (NODATA)."""
     LAME = "lame"
-    """An answer that is not authoritative."""
+    """An answer without the AA flag."""
     REFERRAL = "referral"
     ALIAS_LOOP = "alias-loop"
     """A CNAME to the name itself."""
@@ -40,43 +40,47 @@
     WRONG_ID = "wrong-id"
     WRONG_QUESTION = "wrong-question"
     WRONG_CASE = "wrong-case"
-    """The question comes back in other letters than it was asked in (0x20 encoding)."""
+    """The response repeats the question with the case of its letters swapped (0x20 encoding)."""
     GARBAGE = "garbage"
     CUT = "cut"
     """The last third of the message is missing."""
     COMPRESSION_LOOP = "compression-loop"
     HALF_TCP = "half-tcp"
-    """Truncated over UDP; over TCP half of the message, then the connection closes."""
+    """Truncated over UDP. Over TCP half of the message is sent, then the connection is closed."""
     CLOSE_TCP = "close-tcp"
-    """Truncated over UDP; over TCP the connection closes without an answer."""
+    """Truncated over UDP. Over TCP the connection is closed without a response."""
     OVERSIZED = "oversized"
-    """More records than a UDP message holds."""
+    """More records than fit into a UDP message."""
 
 
 @dataclass(slots=True)
 class Fault:
-    """What goes wrong, and for which queries."""
+    """A fault, and the queries to which it applies."""
 
     kind: str
-    """A `FaultKind`, or its value; ValueError if it is none."""
+    """A `FaultKind`, or the value of one."""
     name: str = ""
-    """Name in the question, in lower case; "" for any."""
+    """The name in the question, in lower case; "" for any name."""
     record_type: str = ""
-    """Type in the question, such as "SRV"; "" for any."""
+    """The type in the question, such as "SRV"; "" for any type."""
     remaining: int | None = None
-    """How many more queries it is for; None for all."""
+    """The number of further queries to which it applies; None for no limit."""
     delay_s: float = 0.0
-    """Of `FaultKind.SLOW`."""
+    """The delay of a response for `FaultKind.SLOW`."""
     share: float = 1.0
-    """The part of the matching queries that it is for, evenly spread."""
+    """The fraction of the matching queries to which it applies, evenly spread."""
     _matches: int = 0
 
     def __post_init__(self) -> None:
-        """Check the kind."""
+        """Convert the kind.
+
+        Raises:
+            ValueError: the kind is not a `FaultKind`.
+        """
         self.kind = FaultKind(self.kind)
 
     def applies_to(self, name: str, record_type: str) -> bool:
-        """Whether it is for this query. The query is counted."""
+        """Count a query, and return whether the fault applies to it."""
         if self.remaining == 0 or self.name not in ("", name) or self.record_type not in ("", record_type):
             return False
         self._matches += 1
@@ -88,13 +92,13 @@
 
 
 def corrupt(message: bytes, kind: str | None, question: dns.rrset.RRset) -> bytes:
-    """The message as it goes out with this fault; unchanged if the fault is not one of the wire."""
+    """Return the message with this fault; unchanged if the fault does not corrupt messages."""
     question_end = HEADER_BYTES + len(question.name.to_wire() or b"")
     match kind:
         case FaultKind.WRONG_ID:
             message = ((int.from_bytes(message[:2]) + 1) % 65_536).to_bytes(2) + message[2:]
         case FaultKind.WRONG_QUESTION:
-            # One byte of the first label: another name of the same length.
+            # Change one byte of the first label, which gives another name of the same length.
             first = HEADER_BYTES + 1
             message = message[:first] + bytes([message[first] ^ 0x01]) + message[first + 1 :]
         case FaultKind.WRONG_CASE:
@@ -110,7 +114,7 @@
 
 
 def _with_compression_loop(message: bytes, answer_offset: int) -> bytes:
-    """One SRV record whose owner is a pointer to itself."""
+    """Return the message with one SRV record instead of its own, whose owner is a pointer to itself."""
     flags_and_counts = b"\x84\x00" + b"\x00\x01\x00\x01\x00\x00\x00\x00"  # authoritative, one answer
     owner = (COMPRESSION_POINTER | answer_offset).to_bytes(2)
     type_to_data = b"\x00\x21\x00\x01\x00\x00\x00\x1e\x00\x02\xc0\x0c"
--- a/hazelbend/fakes/dns_zones.py
+++ b/hazelbend/fakes/dns_zones.py
@@ -1,4 +1,4 @@
-"""The responses of an authoritative nameserver for its zones (RFC 1035, 2308, 2782), and faulty ones."""
+"""The responses of an authoritative nameserver (RFC 1035, 2308, 2782), correct ones and faulty ones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from hazelbend.fakes.dns_faults import FaultKind
 
-MAX_ALIASES = 8  # CNAMEs that are followed
+MAX_ALIASES = 8  # CNAME records that are followed for one response
 OVERSIZED_RECORDS = 1_500
 _RCODES = {
     FaultKind.SERVFAIL: dns.rcode.SERVFAIL,
@@ -27,7 +27,7 @@
 def empty_response(
     query: dns.message.Message, rcode: dns.rcode.Rcode = dns.rcode.NOERROR
 ) -> dns.message.Message:
-    """An authoritative response without records."""
+    """Return an authoritative response without records."""
     response = dns.message.make_response(query)
     response.flags |= dns.flags.AA
     response.set_rcode(dns.rcode.Rcode(rcode))
@@ -36,19 +36,19 @@
 
 @dataclass(slots=True)
 class Zones:
-    """The zones that a nameserver is authoritative for."""
+    """The zones for which a nameserver is authoritative."""
 
     by_origin: dict[dns.name.Name, dns.zone.Zone] = field(default_factory=dict)
     add_target_addresses: bool = True
-    """Whether the addresses of SRV targets come with the records (RFC 2782)."""
+    """Whether the additional section has the addresses of SRV targets (RFC 2782)."""
 
     def load(self, text: str, origin: str) -> None:
-        """Serve this master file (RFC 1035, section 5) in place of what the origin had before."""
+        """Serve this master file (RFC 1035, section 5) for the origin, replacing an earlier zone."""
         zone = dns.zone.from_text(text, origin, relativize=False, check_origin=False)
         self.by_origin[dns.name.from_text(origin)] = zone
 
     def response(self, query: dns.message.Message, fault: str | None = None) -> dns.message.Message:
-        """The response to a query, with the fault if it is one of the content."""
+        """Return the response to a query, with the fault if that changes the content of the response."""
         return self._faulty_response(query, fault) or self._true_response(query, fault)
 
     def _true_response(self, query: dns.message.Message, fault: str | None) -> dns.message.Message:
@@ -72,7 +72,7 @@
     def _add_answer(
         self, response: dns.message.Message, question: dns.rrset.RRset, zone: dns.zone.Zone
     ) -> None:
-        """The records of the name, behind the aliases that lead to them as long as they stay in the zone."""
+        """Add the CNAME chain of the name, as far as it stays in the zone, and the records at its end."""
         owner: dns.name.Name = question.name
         for _ in range(MAX_ALIASES):
             node = zone.get_node(owner)
@@ -105,7 +105,7 @@
         return self.by_origin[max(origins, key=len)] if origins else None
 
     def _faulty_response(self, query: dns.message.Message, fault: str | None) -> dns.message.Message | None:
-        """The response if the fault replaces its content, else None."""
+        """Return the response if the fault replaces its whole content, else None."""
         question = query.question[0]
         response: dns.message.Message | None = None
         match fault:
@@ -142,7 +142,7 @@
 
 
 def _add_soa(response: dns.message.Message, zone: dns.zone.Zone) -> None:
-    """What tells how long the absence may be cached (RFC 2308)."""
+    """Add the SOA record, which gives how long the negative answer may be cached (RFC 2308)."""
     origin = zone.origin or dns.name.root
     soa = zone.get_rdataset(origin, dns.rdatatype.SOA)
     if soa is not None:
--- a/hazelbend/fakes/model_worker.py
+++ b/hazelbend/fakes/model_worker.py
@@ -1,7 +1,7 @@
 """A fake model worker: prefill, KV cache handles, decode as an event stream, heartbeats to the control plane.
 
-For tests and the example fleet. It takes the time that its settings say and no more: it has no batches, and
-its memory has no bound.
+For tests and the example fleet. Each step takes exactly the time in its settings: the worker does not batch
+requests, and its memory is unlimited.
 """
 
 from __future__ import annotations
@@ -22,40 +22,40 @@
 
 @dataclass(slots=True)
 class FakeModelWorkerSettings:
-    """What one worker is."""
+    """The settings of one worker."""
 
     service: str
     host: str
     port: int
     zone: str
     phase: str = ""
-    """"prefill" or "decode"; "" for a worker that serves whole requests."""
+    """"prefill" or "decode"; "" for a worker that serves complete requests."""
     controls: tuple[str, ...] = ()
     """Addresses of control processes, in the order in which they are tried."""
     capacity: int = 8
     prefill_s: float = 0.02
     token_s: float = 0.01
     events: int = 5
-    """Events of an answer, one token each."""
+    """The number of events in a response, one token each."""
 
 
 @dataclass(slots=True)
 class ReceivedRequests:
-    """What has come, in order."""
+    """The requests that a worker has received, in order."""
 
     prefill: list[str] = field(default_factory=list)
-    """Request ids."""
+    """Ids of prefill requests."""
     decode: list[str] = field(default_factory=list)
-    """Request ids, also of a worker without a phase."""
+    """Ids of decode requests, or of complete requests for a worker without a phase."""
     orders: list[dict[str, object]] = field(default_factory=list)
-    """Orders of the control plane."""
+    """Orders from the control plane."""
 
 
 class FakeModelWorker:
     """One worker on a real socket."""
 
     def __init__(self, settings: FakeModelWorkerSettings) -> None:
-        """It does not serve yet."""
+        """Create a worker that does not serve yet."""
         self.settings = settings
         self.instance = f"i-{secrets.token_hex(5)}"
         self.state = "ready"
@@ -67,25 +67,25 @@
 
     @property
     def address(self) -> str:
-        """Where it serves."""
+        """The address at which it serves."""
         return f"{self.settings.host}:{self.settings.port}"
 
     async def start(self) -> None:
-        """Serve, and send heartbeats."""
+        """Start to serve and to send heartbeats."""
         self._runner = web.ServerRunner(web.Server(self._serve))
         await self._runner.setup()
         await web.TCPSite(self._runner, self.settings.host, self.settings.port).start()
         self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     async def leave(self) -> None:
-        """Report that it drains, deregister, stop."""
+        """Report that it is draining, deregister, and stop."""
         self.state = "draining"
         await self._call_control("heartbeat", self._heartbeat())
         await self._call_control("deregister", {})
         await self.crash()
 
     async def crash(self) -> None:
-        """Stop without telling the control plane."""
+        """Stop without notifying the control plane."""
         if self._heartbeats is not None:
             self._heartbeats.cancel()
         if self._runner is not None:
@@ -114,7 +114,7 @@
         }
 
     async def _call_control(self, call: str, body: dict[str, object]) -> None:
-        """Call the first control process that takes the call, if one does."""
+        """Call the control processes in turn until one accepts the call."""
         timeout = aiohttp.ClientTimeout(total=CONTROL_CALL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for control in self.settings.controls:
@@ -183,5 +183,8 @@
 
 
 def _misdirected(headers: dict[str, str]) -> web.Response:
-    """The request is for another worker (RFC 9110, section 15.5.20); it was not executed here."""
+    """Return status 421: the request is for another worker, and was not executed here.
+
+    See RFC 9110, section 15.5.20.
+    """
     return web.Response(status=HTTPStatus.MISDIRECTED_REQUEST, headers=headers | {"Not-Executed": "1"})
--- a/hazelbend/fakes/nameserver.py
+++ b/hazelbend/fakes/nameserver.py
@@ -1,9 +1,10 @@
-"""A fake nameserver on loopback, from RFC 1035, 2308, 2782, 6891 and 7766; it can be told to fail.
+"""A fake nameserver on loopback that can simulate faults (RFC 1035, 2308, 2782, 6891 and 7766).
 
     python -m hazelbend.fakes.nameserver example.zone --origin example.org --listen 127.0.0.1:5300
 
-It is authoritative for its zones, adds the addresses of SRV targets that it has, and truncates over UDP what
-the client has no room for. Faults are tried in order; the first that matches a query is shown.
+It is authoritative for its zones, adds the addresses of SRV targets that it knows, and truncates responses
+over UDP that are larger than the client accepts. Faults are tried in order; the first one that matches a
+query applies.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from hazelbend.fakes.dns_faults import Fault, FaultKind, corrupt
 from hazelbend.fakes.dns_zones import Zones, empty_response
 
-MAX_PORT_ATTEMPTS = 20  # for a port that is free over both UDP and TCP
+MAX_PORT_ATTEMPTS = 20  # to find a port that is free for both UDP and TCP
 BACKLOG = 512  # connections
 TCP_MAX_BYTES = 65_535
 UDP_MAX_BYTES = 512  # without EDNS (RFC 1035, section 2.3.4)
@@ -38,32 +39,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """A query that has come."""
+    """A received query."""
 
     at: float
-    """Time of the event loop."""
+    """The event loop's time when it was received."""
     name: str
     record_type: str
     tcp: bool
     port: int
-    """The client's."""
+    """The client's port."""
     id: int
 
 
 class Delivery(Enum):
-    """How much of a reply goes out."""
+    """How much of a reply is sent."""
 
     COMPLETE = auto()
     HALF_THEN_CLOSE = auto()
-    """Over TCP alone."""
+    """Only over TCP."""
     CLOSE = auto()
-    """Over TCP alone."""
+    """Only over TCP."""
     NONE = auto()
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """What the server does about a query."""
+    """How the server replies to a query."""
 
     message: bytes = b""
     delivery: Delivery = Delivery.COMPLETE
@@ -75,15 +76,15 @@
 
 @dataclass
 class FakeNameserver:
-    """One server, over UDP and TCP on the same port."""
+    """One nameserver, over UDP and TCP on the same port."""
 
     zones: Zones = field(default_factory=Zones)
     faults: list[Fault] = field(default_factory=list)
     record_queries: bool = True
-    """Whether `queries` is filled."""
+    """Whether received queries are recorded in `queries`."""
 
     def __post_init__(self) -> None:
-        """It does not listen yet."""
+        """Initialize the state of a server that does not listen yet."""
         self.queries: list[Query] = []
         self.counts: Counter[str] = Counter()  # of queries, by record type
         self.address = ""
@@ -92,14 +93,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def serve_zone(self, text: str, origin: str = "example.org") -> None:
-        """Serve this zone in place of what the origin had before."""
+        """Serve this zone for the origin, replacing an earlier one."""
         self.zones.load(text, origin)
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen, on any free port if it is 0; the address.
+        """Listen, on any free port if `port` is 0. Returns the address.
 
         Raises:
-            OSError: the port is taken, or none was free over both UDP and TCP.
+            OSError: the port is in use, or no port was free for both UDP and TCP.
         """
         loop = asyncio.get_running_loop()
         for _ in range(MAX_PORT_ATTEMPTS):
@@ -110,12 +111,12 @@
                     lambda: _Datagrams(self), local_addr=(host, number)
                 )
                 break
-            except OSError:  # another socket has that port over UDP
+            except OSError:  # another socket uses that UDP port
                 listener.close()
                 if port:
                     raise
         else:
-            raise OSError("no port that is free over UDP and TCP")
+            raise OSError("no port is free for both UDP and TCP")
         self._tcp = await asyncio.start_server(self._serve_tcp, sock=listener)
         self.address = f"{host}:{number}"
         return self.address
@@ -133,11 +134,11 @@
     # --- one query ---
 
     def reply(self, data: bytes, tcp: bool, port: int) -> Reply:
-        """What to do about these bytes from a client at this port."""
+        """Return the reply to these bytes from a client at this port."""
         try:
             query = dns.message.from_wire(data)
             [question] = query.question
-        except Exception:  # a query that cannot be read has no answer
+        except Exception:  # a malformed query gets no reply
             return NO_REPLY
         name = question.name.to_text(omit_final_dot=True).lower()
         record_type = dns.rdatatype.to_text(question.rdtype)
@@ -157,7 +158,7 @@
         return Reply(message, delay_s=fault.delay_s if fault is not None and kind == FaultKind.SLOW else 0.0)
 
     def _message(self, query: dns.message.Message, kind: str | None, tcp: bool) -> bytes:
-        """The response in wire format, truncated where it has to be or a fault says so."""
+        """Return the response in wire format, truncated if it is too large or if the fault requires it."""
         if kind == FaultKind.TRUNCATED_ALWAYS or (kind in _UDP_TRUNCATES and not tcp):
             return _truncated(query)
         max_bytes = TCP_MAX_BYTES if tcp else (query.payload or UDP_MAX_BYTES)
@@ -176,13 +177,13 @@
             while await self._serve_query(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, OSError):
-            pass  # the client has closed
+            pass  # the client has closed the connection
         finally:
             self._tasks.discard(task)
             writer.close()
 
     async def _serve_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Read a query and answer it. False if the connection is to be closed."""
+        """Read a query and reply to it; return False if the connection must be closed."""
         size = int.from_bytes(await reader.readexactly(2))
         client_port = writer.get_extra_info("peername")[1]
         reply = self.reply(await reader.readexactly(size), True, client_port)
--- a/hazelbend/protocol/__init__.py
+++ b/hazelbend/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Pure codecs: bytes in, values out. No sockets, no clock."""
+"""Codecs for wire formats: pure functions between bytes and values, without sockets or clocks."""
--- a/hazelbend/protocol/control_calls.py
+++ b/hazelbend/protocol/control_calls.py
@@ -1,4 +1,4 @@
-"""The JSON bodies of workers' heartbeats to a control process."""
+"""Parses the JSON bodies of the heartbeats that workers send to a control process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     """Parse the body of a worker's heartbeat into its record.
 
     Raises:
-        ValueError: the body is no heartbeat; the text names the fault.
+        ValueError: the body is not a valid heartbeat; the text names the fault.
     """
     try:
         heartbeat = _heartbeat_decoder.decode(body)
--- a/hazelbend/protocol/discovery.py
+++ b/hazelbend/protocol/discovery.py
@@ -1,8 +1,8 @@
 """The endpoint lists of service discovery: JSON to `EndpointList` and back.
 
-In JSON an entry names its zone, its machine kind and its state (`site`, `class`, `health`). In memory zones
-and kinds are numbers, which `EndpointListCodec` assigns: the place in the settings, then further numbers as
-unknown names turn up.
+In JSON an entry gives its zone, machine kind and state as names (`site`, `class`, `health`). In memory zones
+and kinds are numbers, which `EndpointListCodec` assigns: the index in the settings for a configured name, and
+further numbers for other names in the order in which they appear.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 
 
 class EndpointListError(ValueError):
-    """A list that cannot be read; the text names the faulty key."""
+    """An endpoint list is invalid; the text names the faulty key."""
 
 
 class NameTable:
-    """Numbers for names: those of the settings by their places, others in order of first appearance."""
+    """Assigns numbers to names: the index for configured names, the next free number for others."""
 
     def __init__(self, configured: tuple[str, ...]) -> None:
         self.configured = configured
         self._numbers = {name: number for number, name in enumerate(configured)}
 
     def number_of(self, name: str) -> int:
-        """The number of this name; an unknown name gets the next free one."""
+        """Return the number of a name. An unknown name gets the next free number."""
         return self._numbers.setdefault(name, len(self._numbers))
 
     def by_number(self) -> dict[int, str]:
-        """All known names by their numbers."""
+        """Return all known names by number."""
         return {number: name for name, number in self._numbers.items()}
 
     def merged_with(self, older: NameTable) -> NameTable | None:
-        """This table with the older one's numbers added.
+        """Return a table with the numbers of both tables.
 
-        None where a number would change its meaning.
+        Returns None if a number would change its meaning.
         """
         numbers = older._numbers | self._numbers
         keeps_older = older._numbers.items() <= numbers.items()
@@ -60,15 +60,15 @@
 
 
 class EndpointListCodec:
-    """Reads and writes endpoint lists. One that has read a list can write it."""
+    """Decodes and encodes endpoint lists. A codec can encode any list that it has decoded."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        """`zones`, `kinds`: names in the settings, in their order."""
+        """`zones`, `kinds`: the names in the settings, in order."""
         self._zones = NameTable(zones)
         self._kinds = NameTable(kinds)
 
     def __eq__(self, other: object) -> bool:
-        """Whether the settings named the same zones and kinds."""
+        """Whether both codecs were created with the same zones and kinds."""
         return isinstance(other, EndpointListCodec) and (self._zones.configured, self._kinds.configured) == (
             other._zones.configured,
             other._kinds.configured,
@@ -77,9 +77,9 @@
     __hash__ = None  # type: ignore[assignment]
 
     def adopt_numbers(self, older: EndpointListCodec) -> bool:
-        """Replace another codec, keeping the numbers that it assigned.
+        """Adopt the numbers that an older codec assigned, to replace it.
 
-        False, and nothing changed, where a number would change its meaning.
+        Returns False, and changes nothing, if a number would change its meaning.
         """
         zones = self._zones.merged_with(older._zones)
         kinds = self._kinds.merged_with(older._kinds)
@@ -90,14 +90,14 @@
         return True
 
     def zone_and_kind(self, zone: str, kind: str) -> tuple[int, int]:
-        """The numbers of a zone and a kind, as entries have them."""
+        """Return the numbers that entries have for a zone and a kind."""
         return self._zones.number_of(zone), self._kinds.number_of(kind)
 
     def decode(self, text: bytes) -> EndpointList:
-        """The list in this JSON text.
+        """Return the list in a JSON text.
 
         Raises:
-            EndpointListError: it is none.
+            EndpointListError: the text is not a valid list.
         """
         try:
             return self.from_object(orjson.loads(text))
@@ -105,10 +105,10 @@
             raise EndpointListError(f"list: not JSON ({error})") from None
 
     def from_object(self, value: object) -> EndpointList:
-        """The list in a decoded JSON object.
+        """Return the list in a decoded JSON value.
 
         Raises:
-            EndpointListError: it is none.
+            EndpointListError: the value is not a valid list.
         """
         if not isinstance(value, Mapping) or not isinstance(hosts := value.get("hosts"), list):
             raise EndpointListError("list: no object with 'hosts'")
@@ -116,7 +116,7 @@
         return EndpointList(tuple(self._entry(host) for host in hosts), value.get("whole") is True, seq=seq)
 
     def to_object(self, endpoints: EndpointList) -> dict[str, Any]:
-        """The list as `from_object` reads it."""
+        """Return the list as a JSON object, which `from_object` reads."""
         zones = self._zones.by_number()
         kinds = self._kinds.by_number()
         hosts = [
@@ -157,13 +157,13 @@
 
 
 def _is_dialable(address: str) -> bool:
-    """Whether it is `name:port` with a port that can be connected to."""
+    """Whether the address is `name:port` with a valid port."""
     name, _, port = address.rpartition(":")
     return bool(name) and port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
 
 
 def _typed(value: Mapping[str, object], key: str, kind: type[T], default: T | None = None) -> T:
-    """The value of a key, which must be of this type. A bool counts as no number."""
+    """Return the value of a key, which must be of this type. A bool does not count as a number."""
     found = value.get(key, default)
     if isinstance(found, bool) or not isinstance(found, kind):
         raise _wrong_type(key)
@@ -171,7 +171,7 @@
 
 
 def _number(value: Mapping[str, object], key: str, default: float) -> float:
-    """The value of a key, which must be a number."""
+    """Return the value of a key, which must be a number."""
     found = value.get(key, default)
     if isinstance(found, bool) or not isinstance(found, int | float):
         raise _wrong_type(key)
--- a/hazelbend/protocol/dns.py
+++ b/hazelbend/protocol/dns.py
@@ -1,8 +1,8 @@
-"""DNS messages: queries to bytes, and bytes to the results of queries, by dnspython's message codec.
+"""Encodes DNS queries and decodes answers into query results, with dnspython's message codec.
 
 RFC 1035 (messages), 2308 (negative answers), 2782 (SRV), 5452 (what an answer must match), 6891 (EDNS0), and
-draft-vixie-dnsext-dns0x20 (random case of letters). The caller draws the random numbers, so that all
-functions here depend on their arguments alone.
+draft-vixie-dnsext-dns0x20 (random case of letters). The caller draws the random numbers, so that the results
+of all functions depend only on their arguments.
 """
 
 from __future__ import annotations
@@ -35,44 +35,52 @@
     TruncatedAnswer,
 )
 
-EDNS_PAYLOAD_BYTES = 1_232  # UDP datagrams of this size are not fragmented on usual paths
+EDNS_PAYLOAD_BYTES = 1_232  # UDP datagrams up to this size are not fragmented on common paths
 HEADER_BYTES = 12
 MAX_REASON_LENGTH = 200
 ADDRESS_TYPE_NUMBERS = tuple(record_type.value for record_type in ADDRESS_TYPES)
-# Error codes of servers that may not know EDNS (RFC 6891, section 7).
+# Error codes with which a server may respond if it does not support EDNS (RFC 6891, section 7).
 EDNS_ERRORS = (dns.rcode.FORMERR, dns.rcode.NOTIMP, dns.rcode.BADVERS)
 
 
 class MismatchError(Exception):
-    """The bytes are not an answer to this query: another id, question, or case of letters (RFC 5452)."""
+    """The bytes are not an answer to this query: the id, the question or the case of its letters differs.
+
+    See RFC 5452.
+    """
 
 
 class CnameChainError(Exception):
-    """The CNAME records in an answer lead nowhere; the text gives the reason."""
+    """The CNAME records in an answer form a loop or too long a chain; the text gives the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class _ChainEnd:
-    """Where the CNAME records in an answer lead."""
+    """The end of the CNAME chain in an answer."""
 
-    owner: dns.name.Name
-    rrset: dns.rrset.RRset | None  # the records that were asked for, if the answer has them
-    cname_ttl_s: int | None  # the least TTL of the CNAME records; None: there are none
+    owner: dns.name.Name  # the last name in the chain
+    rrset: dns.rrset.RRset | None  # the records of the queried type, if the answer has them
+    cname_ttl_s: int | None  # the lowest TTL of the CNAME records; None: there are none
 
 
 def encode_query(
     name: str, record_type: RecordType, query_id: int, case_bits: int, *, edns: bool
 ) -> tuple[bytes, dns.name.Name]:
-    """The bytes of a query, and the name as it is written there: `case_bits` are the case of its letters."""
-    asked = _mix_case(dns.name.from_text(name), case_bits)
+    """Return the bytes of a query, and the name as written there.
+
+    Each bit of `case_bits` gives the case of one letter of the name.
+    """
+    queried_name = _mix_case(dns.name.from_text(name), case_bits)
     rdtype = dns.rdatatype.RdataType.make(record_type.value)
-    query = dns.message.make_query(asked, rdtype, use_edns=0 if edns else None, payload=EDNS_PAYLOAD_BYTES)
+    query = dns.message.make_query(
+        queried_name, rdtype, use_edns=0 if edns else None, payload=EDNS_PAYLOAD_BYTES
+    )
     query.id = query_id
-    return query.to_wire(), asked
+    return query.to_wire(), queried_name
 
 
 def _mix_case(name: dns.name.Name, case_bits: int) -> dns.name.Name:
-    """The name with each letter in upper case if its bit is set."""
+    """Return the name with each letter in upper case if its bit is set, else in lower case."""
     labels = []
     for label in name.labels:
         mixed = bytearray(label.lower())
@@ -85,12 +93,12 @@
 
 
 def decode_answer(
-    data: bytes, query_id: int, asked: dns.name.Name, question: Question, *, over_tcp: bool
+    data: bytes, query_id: int, queried_name: dns.name.Name, question: Question, *, over_tcp: bool
 ) -> QueryResult:
-    """The result of the query that has this id and this name.
+    """Return the result of a query. `queried_name` is the name as `encode_query` returned it.
 
     Raises:
-        MismatchError: these bytes are not an answer to it.
+        MismatchError: the bytes are not an answer to that query.
     """
     if len(data) < HEADER_BYTES:
         raise MismatchError("cut short")
@@ -98,19 +106,19 @@
         raise MismatchError("wrong id")
     try:
         message = dns.message.from_wire(data, ignore_trailing=False)
-        _check_question(message, asked, question)
-        return _result(message, asked, question, over_tcp)
+        _check_question(message, queried_name, question)
+        return _result(message, queried_name, question, over_tcp)
     except MismatchError:
         raise
     except dns.message.Truncated as error:
         message = error.message()  # type: ignore[no-untyped-call]
-        _check_question(message, asked, question)
+        _check_question(message, queried_name, question)
         return _truncated(over_tcp)
-    except Exception as error:  # the codec raises many types on malformed messages
+    except Exception as error:  # dnspython raises many types of errors on malformed messages
         return QueryFailure(f"malformed: {str(error) or type(error).__name__}"[:MAX_REASON_LENGTH])
 
 
-def _check_question(message: dns.message.Message, asked: dns.name.Name, question: Question) -> None:
+def _check_question(message: dns.message.Message, queried_name: dns.name.Name, question: Question) -> None:
     if not message.flags & dns.flags.QR:
         raise MismatchError("no answer")
     if message.rcode() == dns.rcode.FORMERR and not message.question:
@@ -119,15 +127,15 @@
         raise MismatchError("wrong question")
     [found] = message.question
     same_type = found.rdtype == question.record_type.value and found.rdclass == dns.rdataclass.IN
-    if not same_type or found.name != asked:
+    if not same_type or found.name != queried_name:
         raise MismatchError("wrong question")
-    # Names are equal in any case; here the case must come back as well.
-    if found.name.labels != asked.labels:
+    # dnspython compares names without case, but the answer must repeat the case of each letter.
+    if found.name.labels != queried_name.labels:
         raise MismatchError("wrong case of the question")
 
 
 def _result(
-    message: dns.message.Message, asked: dns.name.Name, question: Question, over_tcp: bool
+    message: dns.message.Message, queried_name: dns.name.Name, question: Question, over_tcp: bool
 ) -> QueryResult:
     if message.flags & dns.flags.TC:
         return _truncated(over_tcp)
@@ -138,7 +146,7 @@
     except CnameChainError as error:
         return QueryFailure(str(error))
     if end.rrset is None:
-        return _result_without_records(message, asked, end.owner)
+        return _result_without_records(message, queried_name, end.owner)
     ttl_s = end.rrset.ttl if end.cname_ttl_s is None else min(end.cname_ttl_s, end.rrset.ttl)
     if question.record_type is RecordType.SRV:
         return _srv_answer(message, question, end.rrset, ttl_s)
@@ -150,7 +158,7 @@
 
 
 def _failure(message: dns.message.Message) -> QueryFailure | None:
-    """What the response code and the flags say against the answer."""
+    """Return the failure that the response code and the flags report; None if there is none."""
     rcode = message.rcode()
     if rcode in EDNS_ERRORS:
         return QueryFailure(dns.rcode.to_text(rcode), edns_suspected=True)
@@ -164,15 +172,15 @@
 
 
 def _result_without_records(
-    message: dns.message.Message, asked: dns.name.Name, owner: dns.name.Name
+    message: dns.message.Message, queried_name: dns.name.Name, owner: dns.name.Name
 ) -> QueryResult:
-    """A negative answer, or an alias or a referral that the server did not follow."""
+    """Return a negative answer, or the alias or referral that the server did not follow."""
     ttl_s = _negative_ttl(message)
     if message.rcode() == dns.rcode.NXDOMAIN:
         return NegativeAnswer("NXDOMAIN", ttl_s or 0)
     if ttl_s is not None:
         return NegativeAnswer("NODATA", ttl_s)
-    if owner != asked:
+    if owner != queried_name:
         return CnameAlias(_canonical(owner))
     if any(rrset.rdtype == dns.rdatatype.NS for rrset in message.authority):
         return QueryFailure("lame: a referral")
@@ -185,7 +193,7 @@
     if len(rrset) == 1 and rrset[0].target == dns.name.root:
         return NegativeAnswer("no such service: the target is the root", ttl_s)
     records: dict[EndpointKey, SrvPreference] = {}
-    # Of several records of one endpoint the lowest priority, then the highest weight, comes last and wins.
+    # If several records have the same endpoint, the lowest priority, then the highest weight, is stored last.
     for rdata in sorted(rrset, key=lambda rdata: (-rdata.priority, rdata.weight)):
         if rdata.target != dns.name.root and rdata.port:
             key = EndpointKey(_canonical(rdata.target), rdata.port)
@@ -197,7 +205,7 @@
     """Follow the CNAME records in the answer section.
 
     Raises:
-        CnameChainError: they are a loop, or too many.
+        CnameChainError: they form a loop, or there are too many.
     """
     owner = message.question[0].name if message.question else dns.name.from_text(question.name)
     ttl_s: int | None = None
@@ -226,7 +234,10 @@
 
 
 def _negative_ttl(message: dns.message.Message) -> int | None:
-    """TTL of a negative answer in seconds, by its SOA record (RFC 2308, section 5); None without one."""
+    """Return the TTL of a negative answer in seconds from its SOA record; None if it has none.
+
+    See RFC 2308, section 5.
+    """
     for rrset in message.authority:
         if rrset.rdtype == dns.rdatatype.SOA:
             return int(min(rrset.ttl, rrset[0].minimum))
@@ -236,9 +247,9 @@
 def _additional_addresses(
     message: dns.message.Message, question: Question, records: Records
 ) -> dict[Question, PositiveAnswer]:
-    """Addresses of the targets, from the additional section and in bailiwick.
+    """Return the in-bailiwick addresses of the targets in the additional section.
 
-    In bailiwick is a target in the domain that was asked about: `site.example.org` for
+    A target is in bailiwick if it is in the domain of the question: `site.example.org` for
     `_jobs._tcp.site.example.org`. Other addresses may be forged.
     """
     labels = dns.name.from_text(question.name).labels
--- a/hazelbend/protocol/handover.py
+++ b/hazelbend/protocol/handover.py
@@ -1,7 +1,7 @@
-"""What two processes of one dispatcher tell each other during an upgrade: JSON, one object a line.
+"""The messages between two processes of one dispatcher during an upgrade: JSON, one object per line.
 
-The older process sends its state first. After that each side sends the ids of the flows that it takes on and
-ends. Keys that are not known are skipped, since the other process may be of another version.
+The older process sends its state first. After that each process sends the ids of the jobs that it opens and
+closes. Unknown keys are skipped, because the other process may be of another version.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 
 
 class HandoverError(ValueError):
-    """A line that cannot be read; the text says why."""
+    """A line cannot be decoded; the text gives the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class HandoverState:
-    """A dispatcher at one moment, for the process that replaces it."""
+    """The state of a dispatcher process, for the process that replaces it."""
 
     class_names: tuple[str, ...]  # in the order of the settings
     endpoints: EndpointList
-    drained_hosts: tuple[str, ...] = ()  # that an operator drains
-    open_job_ids: tuple[str, ...] = ()  # of open flows
-    learned: dict[str, Any] = field(default_factory=dict)  # the decision module's state
-    component_states: dict[str, dict[str, Any]] = field(default_factory=dict)  # by name of the component
+    drained_hosts: tuple[str, ...] = ()  # manually drained by an operator
+    open_job_ids: tuple[str, ...] = ()
+    learned: dict[str, Any] = field(default_factory=dict)  # what the decision module has learned
+    component_states: dict[str, dict[str, Any]] = field(default_factory=dict)  # by component name
 
 
 @dataclass(slots=True, frozen=True)
 class JobIdUpdate:
-    """A flow of this id was opened, or has ended."""
+    """A job with this id was opened, or has ended."""
 
     job_id: str
     is_open: bool
 
 
 def encode_state(state: HandoverState, codec: EndpointListCodec) -> bytes:
-    """The line with a process's state."""
+    """Return the line that reports a process's state."""
     components = {"parts": state.component_states} if state.component_states else {}
     return orjson.dumps(
         {
@@ -59,19 +59,19 @@
 
 
 def decode_state(line: bytes, codec: EndpointListCodec) -> HandoverState:
-    """The state in a line.
+    """Return the state in a line.
 
     Raises:
-        HandoverError: it holds none.
-        EndpointListError: its endpoint list cannot be read.
+        HandoverError: the line does not contain a valid state.
+        EndpointListError: the endpoint list in the state is invalid.
     """
     value = _object(line)
     learned = value.get("learnt", {})
     components = value.get("parts", {})
     if not isinstance(learned, dict) or not isinstance(components, dict):
-        raise HandoverError("state: 'learnt' or 'parts' is no object")
+        raise HandoverError("state: 'learnt' or 'parts' is not an object")
     if not all(isinstance(component, dict) for component in components.values()):
-        raise HandoverError("state: 'parts' has something that is no object")
+        raise HandoverError("state: a value in 'parts' is not an object")
     return HandoverState(
         class_names=_texts(value, "classes"),
         endpoints=codec.from_object(value.get("known")),
@@ -83,16 +83,16 @@
 
 
 def encode_update(update: JobIdUpdate) -> bytes:
-    """The line with an update."""
+    """Return the line that reports an update."""
     key = "taken" if update.is_open else "over"
     return orjson.dumps({key: update.job_id}, option=orjson.OPT_APPEND_NEWLINE)
 
 
 def decode_update(line: bytes) -> JobIdUpdate | None:
-    """The update in a line; None if it holds none that is known.
+    """Return the update in a line; None if it contains no known update.
 
     Raises:
-        HandoverError: it is no JSON object.
+        HandoverError: the line is not a JSON object.
     """
     value = _object(line)
     for key in ("taken", "over"):
@@ -106,14 +106,14 @@
     try:
         value = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise HandoverError(f"handover: not JSON ({error})") from None
+        raise HandoverError(f"handover: invalid JSON ({error})") from None
     if not isinstance(value, dict):
-        raise HandoverError("handover: no object")
+        raise HandoverError("handover: not an object")
     return value
 
 
 def _texts(value: dict[str, Any], key: str) -> tuple[str, ...]:
     found = value.get(key, [])
     if not isinstance(found, list) or not all(isinstance(text, str) for text in found):
-        raise HandoverError(f"state: {key!r} is no list of texts")
+        raise HandoverError(f"state: {key!r} is not a list of strings")
     return tuple(found)
--- a/hazelbend/protocol/http_fields.py
+++ b/hazelbend/protocol/http_fields.py
@@ -1,7 +1,7 @@
 """Reads a job from the header fields of a client's HTTP request.
 
 The fields are X-Request-ID, X-Priority-Class, X-Tenant-Id, X-Timeout-Ms, X-Attrs, X-Cost and Idempotency-Key
-(draft-ietf-httpapi-idempotency-key-header). What cannot be used raises BadRequestError.
+(draft-ietf-httpapi-idempotency-key-header). Unusable fields raise BadRequestError.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 MAX_TIMEOUT_DIGITS = 9
 MAX_COST_DIGITS = 9
 MAX_SLOTS = 1_000
-MAX_QUOTED_LENGTH = 40  # characters of a client's own text in an error
+MAX_QUOTED_LENGTH = 40  # characters of a client's text that an error message quotes
 ANSWER_MARGIN_US = 25_000
-ANSWER_MARGIN_DIVISOR = 10  # the margin is at most this part of the timeout
+ANSWER_MARGIN_DIVISOR = 10  # the margin is at most the timeout divided by this
 US_PER_MS = 1_000
 AFFINITY_KEY_BYTES = 8
 
 
 class BadRequestError(Exception):
-    """A client's request cannot be accepted; the text tells the client why."""
+    """A client's request cannot be accepted; the text is the reason that the client gets."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What a front needs to know of a request class."""
+    """The properties of a request class that a client listener needs."""
 
     name: str
     deadline_ms: int
@@ -46,10 +46,10 @@
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[str, ...]
-    margin_us: int = ANSWER_MARGIN_US  # kept of a client's timeout for the way there and back
+    margin_us: int = ANSWER_MARGIN_US  # reserved from a client's timeout for transmission in both directions
 
     def extends(self, older: Catalogue) -> bool:
-        """Whether every name of the older catalogue keeps its place."""
+        """Whether every name in the older catalogue has the same index here."""
         names = tuple(row.name for row in self.classes)
         older_names = tuple(row.name for row in older.classes)
         older_tenants = older.tenants
@@ -58,10 +58,10 @@
         )
 
     def class_index(self, name: str) -> int:
-        """The place of a class.
+        """Return the index of a class.
 
         Raises:
-            BadRequestError: there is none of this name.
+            BadRequestError: there is no class with this name.
         """
         for index, row in enumerate(self.classes):
             if row.name == name:
@@ -69,10 +69,10 @@
         raise BadRequestError(f"unknown class {name[:MAX_QUOTED_LENGTH]!r}")
 
     def tenant_index(self, name: str | None) -> int:
-        """The place of a tenant; 0 where the settings name none.
+        """Return the index of a tenant; 0 if the settings have no tenants.
 
         Raises:
-            BadRequestError: there is none of this name.
+            BadRequestError: there is no tenant with this name.
         """
         if not self.tenants:
             return 0
@@ -82,20 +82,21 @@
 
 
 def affinity_key(text: str) -> int:
-    """A 64-bit number for what a request is about, the same on all dispatchers; 0 for an empty text."""
+    """Return a 64-bit hash of a request's key, the same on all dispatchers; 0 for an empty text."""
     if not text:
         return 0
     return int.from_bytes(blake2b(text.encode(), digest_size=AFFINITY_KEY_BYTES).digest()) or 1
 
 
 def timeout_us(text: str | None, class_deadline_ms: int, margin_us: int) -> int:
-    """Microseconds until an answer is due, for a client's timeout in milliseconds.
+    """Return the microseconds within which an answer is due, for a client's timeout in milliseconds.
 
-    A margin for the way there and back is taken off. The class's deadline is the most, so that a planned
-    shutdown never waits longer for one flow. It also counts where the client says nothing (None).
+    The timeout is limited to the class's deadline, so that a planned shutdown never waits longer for one
+    request. The class's deadline also applies if the client gives no timeout (None). A margin for
+    transmission in both directions is subtracted.
 
     Raises:
-        BadRequestError: the text is no whole number of milliseconds.
+        BadRequestError: the text is not a whole number of milliseconds.
     """
     if text is None:
         milliseconds = class_deadline_ms
@@ -108,10 +109,10 @@
 
 
 def parse_slots(text: str | None) -> float:
-    """The job's slots from `name=value,name=value`; 1 where it has no `slots`.
+    """Return the job's slots from `name=value,name=value`; 1 if there is no `slots`.
 
     Raises:
-        BadRequestError: it is no number of slots.
+        BadRequestError: the value is not a valid number of slots.
     """
     for attribute in (text or "").split(","):
         name, _, value = attribute.partition("=")
@@ -127,10 +128,10 @@
 
 
 def read_job(target: str, headers: MultiMapping[str], body: bytes, catalogue: Catalogue) -> Job:
-    """The job of a request for `target` (path and query as they came).
+    """Return the job in a request for `target`, which is the path and query as received.
 
     Raises:
-        BadRequestError: it cannot be accepted.
+        BadRequestError: the request cannot be accepted.
     """
     if not target.startswith("/") or not _is_forwardable(target, MAX_TARGET_LENGTH) or "#" in target:
         raise BadRequestError("the target is no plain path")
@@ -142,7 +143,7 @@
     index = catalogue.class_index(segments[1] if class_name is None else class_name)
     request_class = catalogue.classes[index]
     if segments[1] != request_class.name:
-        raise BadRequestError("the path is of another class")  # servers go by the path
+        raise BadRequestError("the path is of another class")  # backends determine the class by the path
     idempotency_key = _single_value(headers, "Idempotency-Key")
     if request_class.needs_idempotency_key and not idempotency_key:
         raise BadRequestError("Idempotency-Key is missing")
@@ -167,7 +168,10 @@
 
 
 def _single_value(headers: MultiMapping[str], name: str) -> str | None:
-    """A field's value, None without it. Of two values a server might go by the other one: rejected."""
+    """Return the value of a field; None if the request does not have it.
+
+    Several values are rejected, because a backend might use a different one.
+    """
     values = headers.getall(name, [])
     if len(values) > 1:
         raise BadRequestError(f"{name} stands there more than once")
@@ -175,5 +179,5 @@
 
 
 def _is_forwardable(text: str, max_length: int) -> bool:
-    """Whether it can go on to a server in a header field as it came."""
+    """Whether the text can be forwarded unchanged to a backend in a header field."""
     return 0 < len(text) <= max_length and text.isascii() and text.isprintable()
--- a/hazelbend/protocol/stomp.py
+++ b/hazelbend/protocol/stomp.py
@@ -1,7 +1,7 @@
-"""STOMP 1.1 and 1.2 frames: bytes to frames and back, without sockets (https://stomp.github.io).
+"""Decodes and encodes STOMP 1.1 and 1.2 frames, without sockets (https://stomp.github.io).
 
-`FrameReader` takes bytes in pieces of any size, and keeps no more of them than its limits allow. What the
-headers of a frame mean is said in stomp_jobs.py.
+`FrameReader` takes bytes in pieces of any size, and buffers no more of them than its limits allow.
+`stomp_jobs` defines the meaning of the headers.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 MAX_HEADERS = 64
 MAX_BODY_BYTES = 64 * 1024
 MAX_DIGITS = 9  # of a number in a header
-COMMAND_BYTES = 16  # more than any command has
-MAX_QUOTED_LENGTH = 40  # characters of a peer's own text in an error
+COMMAND_BYTES = 16  # longer than any command
+MAX_QUOTED_LENGTH = 40  # characters of a peer's text that an error message quotes
 DEFAULT_VERSION = "1.2"
-VERSIONS = ("1.2", "1.1")  # the newest first
+VERSIONS = ("1.2", "1.1")  # newest first
 
 CLIENT_COMMANDS = frozenset(
     [
@@ -36,7 +36,7 @@
 )
 SERVER_COMMANDS = frozenset(["CONNECTED", "MESSAGE", "RECEIPT", "ERROR"])
 BODY_ALLOWED = frozenset({"SEND", "MESSAGE", "ERROR"})
-# The specification leaves their headers unescaped, so that clients of version 1.0 read them alike.
+# The specification leaves the headers of these unescaped, for compatibility with STOMP 1.0.
 UNESCAPED_COMMANDS = frozenset({"CONNECT", "CONNECTED"})
 
 _UNESCAPED = {"\\n": "\n", "\\c": ":", "\\\\": "\\", "\\r": "\r"}
@@ -46,7 +46,7 @@
 
 
 class StompError(Exception):
-    """What came is no frame; the text says why. Nothing after it can be read."""
+    """The bytes are not a valid frame; the text gives the reason. Later bytes cannot be decoded either."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,12 +58,12 @@
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
-        """The value of a header."""
+        """Return the value of a header, or `default` without it."""
         return self.headers.get(name, default)
 
 
 class HeartBeat:
-    """A heart-beat: an end of line between frames."""
+    """A heart-beat, which is an end-of-line between frames."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,7 +74,7 @@
 
 
 class FrameReader:
-    """Decodes a stream of bytes. `version` is to be set once it is negotiated."""
+    """Decodes a stream of bytes. The caller sets `version` once it is negotiated."""
 
     def __init__(
         self, commands: frozenset[str] = CLIENT_COMMANDS, max_body_bytes: int = MAX_BODY_BYTES
@@ -82,15 +82,15 @@
         self._commands = commands
         self._max_body_bytes = max_body_bytes
         self._data = bytearray()
-        self._head: _Head | None = None  # of the frame whose body is to come
-        self._searched = 0  # bytes of `_data` that hold no end of the head or body
+        self._head: _Head | None = None  # of the frame whose body is not complete yet
+        self._searched = 0  # bytes of `_data` that were searched for the end of the head or body in vain
         self.version = DEFAULT_VERSION
 
     def feed(self, data: bytes) -> Iterator[Frame | HeartBeat]:
-        """Take bytes, and give the frames and heart-beats that they complete.
+        """Add received bytes, and yield the frames and heart-beats that they complete.
 
         Raises:
-            StompError: the bytes are no frame.
+            StompError: the bytes are not a valid frame.
         """
         self._data += data
         while (item := self._next()) is not None:
@@ -109,8 +109,8 @@
         return self._read_body()
 
     def _read_head(self) -> bool:
-        """Whether the head is complete."""
-        # A blank line ends the head; lines may end in \r\n, so the blank one may hold a \r.
+        """Read the head if it is complete; return whether it is."""
+        # A blank line ends the head. Lines may end in \r\n, so the blank line may contain a \r.
         ends = [at for mark in (b"\n\n", b"\n\r\n") if (at := self._data.find(mark, self._searched)) >= 0]
         size = min(ends, default=len(self._data))
         if size > MAX_HEAD_BYTES:
@@ -133,7 +133,11 @@
         return True
 
     def _check_start(self) -> None:
-        """Reject bytes that cannot become a command at once, not after the limit is full."""
+        """Reject bytes that cannot become a command at once, rather than when the size limit is reached.
+
+        Raises:
+            StompError: no command starts with the bytes.
+        """
         start = bytes(self._data[:COMMAND_BYTES]).partition(b"\n")[0].removesuffix(b"\r")
         if not any(command.encode().startswith(start) for command in self._commands):
             raise StompError("no STOMP frame begins like this")
@@ -149,17 +153,17 @@
             if command not in UNESCAPED_COMMANDS:
                 name = self._unescape(name)
                 value = self._unescape(value)
-            headers.setdefault(name, value)  # of repeated headers the first counts
+            headers.setdefault(name, value)  # the first of repeated headers counts
         return headers
 
     def _unescape(self, text: str) -> str:
-        def plain(match: re.Match[str]) -> str:
+        def unescaped(match: re.Match[str]) -> str:
             escape = match.group()
             if escape not in _UNESCAPED or (escape == "\\r" and self.version == "1.1"):
                 raise StompError(f"undefined escape {escape!r} in a header")
             return _UNESCAPED[escape]
 
-        return _ESCAPE.sub(plain, text) if "\\" in text else text
+        return _ESCAPE.sub(unescaped, text) if "\\" in text else text
 
     def _content_length(self, headers: Mapping[str, str]) -> int | None:
         text = headers.get("content-length")
@@ -172,7 +176,10 @@
         return int(text)
 
     def _read_body(self) -> Frame | None:
-        """The frame, once its body is complete: by its content-length, else up to a NUL byte."""
+        """Return the frame if its body is complete, else None.
+
+        The content-length gives the size of the body; without it the body ends at a NUL byte.
+        """
         assert self._head is not None
         head = self._head
         length = head.content_length
@@ -198,7 +205,10 @@
 
 
 def encode(frame: Frame, version: str = DEFAULT_VERSION) -> bytes:
-    """A frame's bytes. Version 1.1 cannot say a carriage return in a header: it is left out."""
+    """Return a frame's bytes.
+
+    Version 1.1 has no escape for a carriage return in a header, so it is omitted there.
+    """
 
     def escape(text: str) -> str:
         if frame.command in UNESCAPED_COMMANDS:
@@ -215,18 +225,22 @@
 
 
 def choose_version(accept_version: str) -> str | None:
-    """The newest version that both sides know; None without one. See CONNECT's `accept-version`."""
+    """Return the newest version that both sides support; None if there is none.
+
+    `accept_version`: the header of the CONNECT frame.
+    """
     accepted = {version.strip() for version in accept_version.split(",")}
     return next((version for version in VERSIONS if version in accepted), None)
 
 
 def heart_beat_intervals(header: str, own: tuple[int, int]) -> tuple[int, int]:
-    """The intervals in which to send and to expect heart-beats, in milliseconds; 0: none.
+    """Return the intervals at which to send and to expect heart-beats, in milliseconds; 0: no heart-beats.
 
-    `header`: the peer's `heart-beat`; `own`: the least interval to send in, and the interval wanted.
+    `header`: the peer's `heart-beat` header. `own`: the shortest interval at which this side can send, and
+    the interval at which it wants to receive.
 
     Raises:
-        StompError: the header is no pair of whole numbers.
+        StompError: the header is not a pair of whole numbers.
     """
     numbers = header.split(",") if header else ["0", "0"]
     if len(numbers) != 2 or not all(
--- a/hazelbend/protocol/stomp_jobs.py
+++ b/hazelbend/protocol/stomp_jobs.py
@@ -1,4 +1,4 @@
-"""The STOMP front's destinations, and the headers of the frames that go over them."""
+"""The destinations of the STOMP listener, and the headers of the frames that are sent to them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from hazelbend.protocol.stomp import Frame
 from hazelbend.routing.ports import Answer, Job, Verdict
 
-JOBS_DESTINATION = "/hazelbend/jobs"  # a client sends jobs here
-ANSWERS_DESTINATION = "/hazelbend/answers"  # and subscribes here for their answers
-CANCEL_DESTINATION = "/hazelbend/cancel"  # and sends the request-id of a waiting job here to take it back
-WORK_DESTINATION = "/hazelbend/work"  # a server subscribes here for jobs
-UPDATES_DESTINATION = "/hazelbend/news"  # and sends their progress and ends here
+JOBS_DESTINATION = "/hazelbend/jobs"  # clients send jobs here
+ANSWERS_DESTINATION = "/hazelbend/answers"  # clients subscribe to the answers to their jobs
+CANCEL_DESTINATION = "/hazelbend/cancel"  # clients send the request-id of a waiting job here to cancel it
+WORK_DESTINATION = "/hazelbend/work"  # servers subscribe to jobs
+UPDATES_DESTINATION = "/hazelbend/news"  # servers report the progress and the end of jobs here
 
 MAX_REQUEST_ID_LENGTH = 128  # characters
 MAX_KEY_LENGTH = 256
@@ -24,10 +24,10 @@
 
 
 def request_id(frame: Frame) -> str:
-    """The client's own id of a job.
+    """Return the client's own id for a job.
 
     Raises:
-        BadRequestError: it has none, or one that cannot be used.
+        BadRequestError: the id is missing or unusable.
     """
     text = frame.get("request-id")
     if not text or len(text) > MAX_REQUEST_ID_LENGTH or not text.isprintable():
@@ -36,10 +36,12 @@
 
 
 def read_job(frame: Frame, identity: str, catalogue: Catalogue) -> Job:
-    """The job of a client's SEND. Its id towards servers is a digest of the client and the client's own id.
+    """Return the job in a client's SEND frame.
+
+    Its id is a digest of the client's identity and the client's own id for the job.
 
     Raises:
-        BadRequestError: it cannot be accepted.
+        BadRequestError: the job cannot be accepted.
     """
     own_id = request_id(frame)
     key = frame.get("key")
@@ -64,7 +66,7 @@
 
 
 def answer_headers(answer: Answer) -> dict[str, str]:
-    """What a client is told of its job's answer; `retry-after` is in seconds."""
+    """Return the headers of the MESSAGE with an answer for a client; `retry-after` is in seconds."""
     headers = {"status": answer.verdict.value}
     if answer.verdict is Verdict.REFUSED and answer.retry_after > 0:
         milliseconds = math.ceil(answer.retry_after / US_PER_MS)
@@ -77,7 +79,10 @@
 
 
 def work_headers(job: Job, remaining_us: int, catalogue: Catalogue) -> dict[str, str]:
-    """What a server is told of a job. `remaining_us`: until the client gives up."""
+    """Return the headers of the MESSAGE with a job for a server.
+
+    `remaining_us`: microseconds until the client gives up.
+    """
     headers = {
         "request-id": job.id,
         "class": catalogue.classes[job.class_index].name,
--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -1,11 +1,12 @@
-"""Reads the terms of a waiting job, which are written alike on both fronts.
+"""Reads the terms of a waiting job, which have the same form over STOMP and HTTP.
 
-    after         `id, id;ended`: ids of the same client's jobs; each must be served, or only have ended
+    after         `id, id;ended`: ids of jobs of the same client on which the job depends; each must have been
+                  served, or with `;ended` must only have ended
     not-before    Unix time in milliseconds before which the job does not start
     wanted        milliseconds from now until the answer is wanted
-    take-results  `1`: the results of the jobs in `after` go with the job
+    take-results  `1`: the results of the jobs in `after` are sent with the job
 
-Over HTTP they are X-After, X-Not-Before, X-Wanted-Ms and X-Take-Results.
+The HTTP header fields are X-After, X-Not-Before, X-Wanted-Ms and X-Take-Results.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 MAX_ID_LENGTH = 128
 MAX_UNIX_TIME_DIGITS = 15
 MAX_WANTED_DIGITS = 9
-MAX_QUOTED_LENGTH = 40  # characters of a client's own text in an error
+MAX_QUOTED_LENGTH = 40  # characters of a client's text that an error message quotes
 US_PER_MS = 1_000
 
 
 def read_terms(after: str, not_before: str, wanted: str, take_results: str, now: int) -> JobTerms:
-    """The terms in these texts; an empty text is a term that is not given.
+    """Return the terms in these texts. An empty text means that the term is not given.
 
     `now`: microseconds of the monotonic clock.
 
     Raises:
-        BadRequestError: a text cannot be read.
+        BadRequestError: a text is not valid.
     """
     starts_at = None
     if not_before:
--- a/hazelbend/protocol/worker_lines.py
+++ b/hazelbend/protocol/worker_lines.py
@@ -1,4 +1,4 @@
-"""What a server reports of a job, one JSON object a line, and its load reports."""
+"""Reads a server's reports on a job, which are one JSON object per line, and its load reports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hazelbend.decisions.interface import LoadReport, Outcome
 from hazelbend.routing.ports import AttemptResult, ProgressReport
 
-MAX_LINE_BYTES = 128 * 1024  # a result is at most 64 KiB, and JSON may double what it holds
+MAX_LINE_BYTES = 128 * 1024  # a result is at most 64 KiB, and JSON may double its size
 RETRYABLE_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 _ENDINGS = {
@@ -24,17 +24,20 @@
 
 
 class WorkerLineError(ValueError):
-    """A line that does not report on the job, or leaves out what it must have."""
+    """A line does not report on the job, or lacks a required field."""
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReportFields:
-    """Reads load reports. `names`: the field of `LoadReport` that each JSON key stands for."""
+    """Reads load reports. `names` maps each JSON key to its field of `LoadReport`."""
 
     names: Mapping[str, str]
 
     def read(self, value: object) -> LoadReport | None:
-        """The report in a decoded value; None where it holds nothing known. What is no number is skipped."""
+        """Return the report in a decoded value; None if it has no known field.
+
+        Fields whose value is not a number are skipped.
+        """
         if not isinstance(value, Mapping):
             return None
         known: dict[str, float] = {}
@@ -45,7 +48,7 @@
         return LoadReport(**known) if known else None
 
     def read_text(self, text: str | None) -> LoadReport | None:
-        """The report in a JSON text, as in a header field; None where it holds nothing known."""
+        """Return the report in a JSON text, as in a header field; None if it has no known field."""
         if not text:
             return None
         try:
@@ -55,14 +58,14 @@
 
 
 def read_line(line: bytes, job_id: str, fields: LoadReportFields) -> ProgressReport | AttemptResult | None:
-    """What a line says of the job: its progress or its end. None for a state that is not known.
+    """Return a job's progress or its end from a line; None if the state is unknown.
 
     Raises:
-        ValueError: the line is no JSON, or no line on this job (`WorkerLineError`).
+        ValueError: the line is not JSON, or not a valid line about this job (`WorkerLineError`).
     """
     value = orjson.loads(line)
     if not isinstance(value, dict) or value.get("id") != job_id:
-        raise WorkerLineError("a line that does not speak of this job")
+        raise WorkerLineError("the line is not about this job")
     state = value.get("state")
     if state == "started":
         return ProgressReport()
@@ -74,14 +77,14 @@
         return None
     result = value.get("result")
     if outcome is Outcome.SERVED and result is None:
-        raise WorkerLineError("done, but without a result")
+        raise WorkerLineError("the state is done, but there is no result")
     body = result.encode() if isinstance(result, str) else orjson.dumps(result)
     return AttemptResult(outcome, body if outcome is Outcome.SERVED else b"", fields.read(value.get("load")))
 
 
 def outcome_of_status(status: int, not_executed: bool) -> Outcome:
-    """How an attempt ended whose HTTP status is not 200.
+    """Return the outcome of an attempt whose HTTP status is not 200.
 
-    Only the server's own mark (`not_executed`) proves that the job never ran there.
+    Only `not_executed`, which the server states itself, proves that the job did not run there.
     """
     return Outcome.FULL if status in RETRYABLE_STATUSES and not_executed else Outcome.ERROR
--- a/hazelbend/schema/__init__.py
+++ b/hazelbend/schema/__init__.py
@@ -1,6 +1,6 @@
-"""Decoded TOML tables to typed settings, by msgspec.
+"""Converts decoded TOML tables to typed settings, with msgspec.
 
-A package of its own, so that msgspec is imported only where a settings file needs it.
+This is a separate package, so that msgspec is imported only where a settings file needs it.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class SchemaError(ValueError):
-    """A table that does not fit its schema; the text names the faulty key with its path."""
+    """A table does not match its schema; the text gives the path of the faulty key."""
 
 
 def convert(table: dict[str, Any], kind: type[T]) -> T:
-    """A decoded TOML table as a value of this type.
+    """Return a decoded TOML table as a value of type `kind`.
 
     Raises:
-        SchemaError: it does not fit.
+        SchemaError: the table does not match the type.
     """
     try:
         return msgspec.convert(table, kind)
