--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -1,11 +1,11 @@
-"""Between the decision to send and the first byte: whatever changes while a connection comes up is seen."""
+"""Changes between the decision to send and the first byte, while the connection is being established."""
 
 import asyncio
 from dataclasses import replace
 
 import pytest
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
 from hazelbend.routing.ports import Verdict
@@ -18,20 +18,20 @@
 
 
 def refuse(event):
-    return [face.Refuse(event.request)]
+    return [decisions.Refuse(event.request)]
 
 
-def hold_and(change, module=None, job=LONG):
-    """Play one job whose connection is held until `change` is made, then one more."""
+def change_during_connect(change, module=None, job=LONG):
+    """Run one job and make `change` before its connection is established, then run a second job."""
 
     async def run():
-        decider = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
+        decision_module = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
+        async with core(decision_module, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
-                flow = site.router.accept(job)
+                request = site.router.accept(job)
                 await until(lambda: connects.waiting)
-                await change(site, flow)
+                await change(site, request)
                 await turns()
                 connects.let_go()
                 async with asyncio.timeout(10):
@@ -39,197 +39,206 @@
             again = site.router.accept(replace(LONG, id="again"))
             async with asyncio.timeout(10):
                 await again.answered
-            return decider, site, flow
+            return decision_module, site, request
 
     return asyncio.run(run())
 
 
-async def drain(site, flow):
+async def drain(site, request):
     site.tell(replace(site.entry, state=WorkerState.DRAINING))
 
 
-async def drop(site, flow):
+async def remove(site, request):
     site.tell(whole=True)
 
 
-async def move(site, flow):
+async def move(site, request):
     site.tell(replace(site.entry, dial="127.0.0.1:1"))
 
 
-async def drain_by_hand(site, flow):
+async def drain_manually(site, request):
     assert site.router.set_manual_drain(site.entry.host, True)
 
 
-@pytest.mark.parametrize("change", [drain, drop, move, drain_by_hand])
-def test_a_backend_that_stops_taking_work_while_its_connection_comes_up_gets_nothing(change):
-    """Guards the drain rule: connections come up as late as 1.5 s, and a drain's grace is shorter."""
-    decider, site, flow = hold_and(change)
-    assert flow.answered.result().verdict is Verdict.REFUSED
-    assert decider.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
+@pytest.mark.parametrize("change", [drain, remove, move, drain_manually])
+def test_backend_that_stops_accepting_work_during_the_connect_gets_no_request(change):
+    """Connecting may take up to 1.5 s, which is longer than the grace period of a drain."""
+    module, site, request = change_during_connect(change)
+    assert request.answered.result().verdict is Verdict.REFUSED
+    assert module.of(decisions.AttemptEnded)[0].outcome is Outcome.NOT_SENT
     assert site.backend.requests == []
 
 
-def test_the_connection_of_an_attempt_that_may_not_be_sent_serves_the_next():
-    """Guards the price of connections: the check comes before anything is written, so this one is unused."""
+def test_connection_of_an_attempt_that_may_not_be_sent_is_reused_by_the_next():
+    """The check comes before anything is written, so the connection is unused and need not be closed."""
 
-    class Once(ScriptedModule):
-        asked = 0
+    class RejectsFirstAttempt(ScriptedModule):
+        checks = 0
 
         def may_begin(self, request, attempt, now):
-            self.asked += 1
-            return self.asked > 1
+            self.checks += 1
+            return self.checks > 1
 
-    async def nothing(site, flow):
+    async def change_nothing(site, request):
         pass
 
-    decider, site, _flow = hold_and(nothing, Once(RequestArrived=send, AttemptEnded=refuse))
-    assert [each.field("X-Request-ID") for each in site.backend.requests] == ["again"]
-    assert site.backend.connections == 1 and decider.asked == 2
+    module, site, _request = change_during_connect(
+        change_nothing, RejectsFirstAttempt(RequestArrived=send, AttemptEnded=refuse)
+    )
+    assert [received.field("X-Request-ID") for received in site.backend.requests] == ["again"]
+    assert site.backend.connections == 1 and module.checks == 2
+
 
+async def disconnect_client(site, request):
+    request.leave()
 
-async def leave(site, flow):
-    flow.leave()
 
+def test_client_disconnect_during_the_connect_withdraws_the_attempt():
+    """A module that must not cancel attempts does not withdraw this one, so the router has to.
 
-def test_a_client_that_leaves_while_a_connection_comes_up_withdraws_the_attempt():
-    """Seen on the bench, with cancel not allowed: `sent request on 0.16 s after its client had gone`, 13
-    times on one day. A module that may not cancel calls nothing back, so the core has to."""
-    decider, site, _flow = hold_and(leave)
-    assert [each.field("X-Request-ID") for each in site.backend.requests] == ["again"]
-    assert decider.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
+    A benchmark with cancel not allowed reported `sent request on 0.16 s after its client had gone`, 13 times
+    on one day.
+    """
+    module, site, _request = change_during_connect(disconnect_client)
+    assert [received.field("X-Request-ID") for received in site.backend.requests] == ["again"]
+    assert module.of(decisions.AttemptEnded)[0].outcome is Outcome.NOT_SENT
     assert site.router.counters.abandoned == 1
 
 
-def test_a_send_that_was_queued_before_the_client_left_is_not_written():
-    """Guards the order of the inbox: the Send stands there before the word that the client has gone."""
+def test_send_queued_before_the_client_disconnects_is_not_written():
+    """In the inbox the Send precedes the event that the client has disconnected."""
 
     async def run():
-        decider = ScriptedModule()
+        module = ScriptedModule()
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
-            flow = site.router.accept(LONG)
+        async with core(module, ENTRY, backend) as site:
+            request = site.router.accept(LONG)
             await turns()
-            flow.inbox.put_nowait(face.Send(flow.number, ID))
-            flow.leave()
+            request.inbox.put_nowait(decisions.Send(request.number, ID))
+            request.leave()
             async with asyncio.timeout(10):
                 await site.router.wait_idle()
-            return decider, backend
+            return module, backend
 
-    decider, backend = asyncio.run(run())
-    assert [each.outcome for each in decider.of(face.AttemptEnded)] == [Outcome.NOT_SENT]
-    assert backend.requests == [] and len(decider.of(face.ClientGone)) == 1
+    module, backend = asyncio.run(run())
+    assert [event.outcome for event in module.of(decisions.AttemptEnded)] == [Outcome.NOT_SENT]
+    assert backend.requests == [] and len(module.of(decisions.ClientGone)) == 1
 
 
-def test_the_time_that_an_attempt_tells_is_what_is_left_when_its_head_is_built():
-    """Seen on the bench: `9 of 24 further attempts told more time than was left`. The head was built before
-    the connection, which came up late."""
+def test_timeout_header_gives_the_time_that_remains_after_the_connect():
+    """Guards against a request header that is built before a slow connect and gives too long a timeout.
 
-    async def wait(site, flow):
-        while site.router.clock.now() < flow.arrived_at + 300_000:
+    A benchmark reported `9 of 24 further attempts told more time than was left`.
+    """
+
+    async def wait(site, request):
+        while site.router.clock.now() < request.arrived_at + 300_000:
             await asyncio.sleep(0.01)
 
-    _, site, flow = hold_and(wait, ScriptedModule(RequestArrived=send))
-    told = [int(each.field("X-Timeout-Ms")) for each in site.backend.requests]
-    assert told[0] <= (flow.job.timeout_us - 300_000) // 1_000 < told[1]
+    _, site, request = change_during_connect(wait, ScriptedModule(RequestArrived=send))
+    timeouts_ms = [int(received.field("X-Timeout-Ms")) for received in site.backend.requests]
+    assert timeouts_ms[0] <= (request.job.timeout_us - 300_000) // 1_000 < timeouts_ms[1]
 
 
-def test_an_attempt_of_which_nothing_was_written_is_no_time_out():
-    """Guards requests of an unsafe class: one that never left this process can be refused without harm."""
+def test_attempt_that_times_out_before_it_is_written_ends_as_not_sent():
+    """A request of an unsafe class that never left this process can be refused, as it was not executed."""
 
     async def run():
-        decider = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
+        module = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(decider, ENTRY, backend) as site:
+        async with core(module, ENTRY, backend) as site:
             with HeldConnects(backend.port).held():
-                flow = site.router.accept(replace(JOB, timeout_us=100_000))
+                request = site.router.accept(replace(JOB, timeout_us=100_000))
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
-        return decider, flow
+        return module, request
 
-    decider, flow = asyncio.run(run())
-    assert decider.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
-    assert flow.answered.result().verdict is Verdict.REFUSED
+    module, request = asyncio.run(run())
+    assert module.of(decisions.AttemptEnded)[0].outcome is Outcome.NOT_SENT
+    assert request.answered.result().verdict is Verdict.REFUSED
 
 
-# --- what the decision module says in that moment ---
+# --- the decision module's check before the first byte ---
 
 KEYED = JobClass(effect=Effect.KEYED, group=Group.ALL, repeat_window=1_000_000)
 
 
-def one_worker(settings: Settings, **entry: int) -> Model:
+def model_with_two_workers(settings: Settings, **entry: int) -> Model:
     model = Model(settings)
     model.list_workers(WorkerEntry(1, **entry), WorkerEntry(2, **entry))
     model.now += 20_000_000
     return model
 
 
-def test_an_attempt_may_begin_as_long_as_what_allowed_it_holds():
-    model = one_worker(Settings(classes=(JobClass(),)))
+def test_attempt_may_not_begin_after_its_worker_restarts_or_its_client_disconnects():
+    model = model_with_two_workers(Settings(classes=(JobClass(),)))
     model.arrive(1)
     [job] = model.jobs.values()
     worker = job.tries[0].worker.worker
     assert model.dispatcher.may_begin(1, 0, model.now + 1_000)
-    model.list_workers(WorkerEntry(worker, started_at=model.now), kind=face.ListKind.DELTA)
-    assert not model.dispatcher.may_begin(1, 0, model.now), "its process is another one: it is cold now"
+    model.list_workers(WorkerEntry(worker, started_at=model.now), kind=decisions.ListKind.DELTA)
+    assert not model.dispatcher.may_begin(1, 0, model.now), "a new process serves there, which is cold"
     model.leave(1)
     assert not model.dispatcher.may_begin(1, 0, model.now)
 
 
 @pytest.mark.parametrize("window", [100_000, 400_000, 1_000_000])
-def test_a_repeat_is_checked_against_its_window_at_the_first_byte(window):
-    """Guards against a second run: workers forget a key some time after its first send."""
+def test_retry_may_not_begin_after_its_repeat_window(window):
+    """Guards against a second execution: workers forget an idempotency key some time after its first send."""
     job = replace(KEYED, repeat_window=window)
-    model = one_worker(Settings(classes=(job,)))
+    model = model_with_two_workers(Settings(classes=(job,)))
     model.arrive(1)
     first = model.now
     model.end(1, Outcome.RESET)
     assert len(model.jobs[1].tries) == 2, (
-        "a window shorter than the usual pause of a worker still has a repeat"
+        "a window shorter than the usual pause of a worker still allows a retry"
     )
     assert model.dispatcher.may_begin(1, 1, first + window // 2)
     assert not model.dispatcher.may_begin(1, 1, first + window)
 
 
-def test_no_second_copy_begins_where_none_is_allowed():
-    model = one_worker(Settings(classes=(JobClass(effect=Effect.SAFE),), max_attempts=4))
+def test_second_attempt_may_not_begin_while_the_first_is_open_if_copies_are_not_allowed():
+    model = model_with_two_workers(Settings(classes=(JobClass(effect=Effect.SAFE),), max_attempts=4))
     model.arrive(1)
     request = model.dispatcher.requests[1]
     model.end(1, Outcome.NOT_SENT)
     request.attempts[0].outcome = None
-    assert not model.dispatcher.may_begin(1, 1, model.now), "the first is out"
+    assert not model.dispatcher.may_begin(1, 1, model.now), "the first attempt is in flight"
 
 
-def cold(now: int) -> tuple[Dispatcher, int]:
-    """A dispatcher with one cold worker, and one attempt sent there."""
+def dispatcher_with_cold_worker(now: int) -> tuple[Dispatcher, int]:
+    """Return a dispatcher with one cold worker that has one attempt, and the present time."""
     settings = Settings(
         classes=(JobClass(effect=Effect.SAFE),), warm_after=60_000_000, start_capacity=0.5, fall_multiple=4.0
     )
     dispatcher = Dispatcher(settings, 1)
-    dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, (WorkerEntry(1, started_at=now),)), now)
+    dispatcher.handle(
+        decisions.MembershipUpdate(decisions.ListKind.FULL, (WorkerEntry(1, started_at=now),)), now
+    )
     now += 2 * settings.fall_window
     dispatcher.slow_start.draw(dispatcher.workers.values(), settings, dispatcher.random, now)
-    dispatcher.handle(face.RequestArrived(1, 5_000_000), now)
+    dispatcher.handle(decisions.RequestArrived(1, 5_000_000), now)
     return dispatcher, now
 
 
-def test_a_cold_workers_budget_is_spent_in_the_window_of_the_first_byte():
-    """Guards a cold worker: sends of a second whose connections all come up late arrive together."""
-    dispatcher, now = cold(10**9)
+def test_cold_worker_budget_is_spent_in_the_window_of_the_first_byte():
+    """Guards a cold worker: the sends of a second arrive together if all their connections are slow."""
+    dispatcher, now = dispatcher_with_cold_worker(10**9)
     [worker] = dispatcher.workers.values()
-    assert [each.at for each in worker.cold_attempts] == [now]
+    assert [attempt.at for attempt in worker.cold_attempts] == [now]
     late = now + 900_000
-    assert dispatcher.may_begin(1, 0, late) and [each.at for each in worker.cold_attempts] == [late]
+    assert dispatcher.may_begin(1, 0, late) and [attempt.at for attempt in worker.cold_attempts] == [late]
     worker.cold_attempts.append(type(worker.cold_attempts[0])(late, 10**6))
-    assert not dispatcher.may_begin(1, 0, late + 10_000), "others have spent the window by now"
+    assert not dispatcher.may_begin(1, 0, late + 10_000), "another attempt has spent the window's budget"
 
 
-def test_what_was_not_sent_spends_nothing():
+def test_attempt_that_was_not_sent_spends_no_budget_of_a_cold_worker():
     for outcome in (Outcome.NOT_SENT, Outcome.CONNECT_FAILED):
-        dispatcher, now = cold(10**9)
+        dispatcher, now = dispatcher_with_cold_worker(10**9)
         [worker] = dispatcher.workers.values()
-        dispatcher.handle(face.AttemptEnded(1, 1, 0, outcome, closed=True), now + 1_000)
+        dispatcher.handle(decisions.AttemptEnded(1, 1, 0, outcome, closed=True), now + 1_000)
         assert not worker.cold_attempts
-    dispatcher, now = cold(10**9)
+    dispatcher, now = dispatcher_with_cold_worker(10**9)
     [worker] = dispatcher.workers.values()
-    dispatcher.handle(face.AttemptEnded(1, 1, 0, Outcome.FULL, closed=True), now + 1_000)
-    assert worker.cold_attempts, "what a worker turned away was work for it"
+    dispatcher.handle(decisions.AttemptEnded(1, 1, 0, Outcome.FULL, closed=True), now + 1_000)
+    assert worker.cold_attempts, "rejecting an attempt also costs the worker"
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,10 +1,10 @@
-"""The core alone: a scripted module and links without wires."""
+"""The router alone, with a scripted decision module and fake backend clients without sockets."""
 
 import asyncio
 import logging
 from dataclasses import replace
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface as decisions
 from hazelbend.decisions.interface import Outcome, WorkerState
 from hazelbend.routing.clock import Clock
 from hazelbend.routing.ports import (
@@ -25,7 +25,7 @@
 
 
 class ScriptedModule:
-    """Does what a test says on each kind of event; keeps the events."""
+    """A decision module that returns scripted actions for each type of event, and records the events."""
 
     def __init__(self, **script):
         self.script, self.events = script, []
@@ -46,36 +46,38 @@
 
 
 class FakeBackendClient:
-    def __init__(self, ending=None, news=()):
-        self.ending, self.news, self.calls = ending, news, 0
+    """Returns `result` for each attempt, raises it if it is an exception, and never returns if it is None."""
+
+    def __init__(self, result=None, progress=()):
+        self.result, self.progress, self.calls = result, progress, 0
 
     async def attempt(self, job, before_first_byte, on_progress):
         if before_first_byte() is None:
             return AttemptResult(Outcome.NOT_SENT)
         self.calls += 1
         on_progress(AttemptWritten())
-        for each in self.news:
-            on_progress(each)
-        if self.ending is None:
+        for report in self.progress:
+            on_progress(report)
+        if self.result is None:
             await asyncio.Event().wait()
-        if isinstance(self.ending, Exception):
-            raise self.ending
-        return self.ending
+        if isinstance(self.result, Exception):
+            raise self.result
+        return self.result
 
     def close(self):
         pass
 
 
-def play(module, link, *jobs, before=None):
-    """The answers to these jobs, and the router."""
+def run_jobs(module, client, *jobs, before=None):
+    """Run these jobs to their end; return their answers and the router."""
 
     async def run():
-        router = Router(module, Clock(), BackendTable(lambda entry: link))
+        router = Router(module, Clock(), BackendTable(lambda entry: client))
         router.start(EndpointList((ENTRY,), is_complete=True))
-        flows = [router.accept(job) for job in jobs]
+        requests = [router.accept(job) for job in jobs]
         if before:
             before(router)
-        answers = [await asyncio.wait_for(flow.answered, 10) for flow in flows]
+        answers = [await asyncio.wait_for(request.answered, 10) for request in requests]
         await asyncio.wait_for(router.wait_idle(), 10)
         return answers, router
 
@@ -83,215 +85,226 @@
 
 
 def send(event):
-    return [face.Send(event.request, ID)]
+    return [decisions.Send(event.request, ID)]
 
 
-def test_a_flow_from_its_arrival_to_its_one_answer():
+def test_served_request_sends_each_event_to_the_module_in_order():
     module = ScriptedModule(RequestArrived=send)
-    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"), [ProgressReport(), ProgressReport(0.5)])
-    [answer], router = play(module, link, JOB)
+    client = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"), [ProgressReport(), ProgressReport(0.5)])
+    [answer], router = run_jobs(module, client, JOB)
     assert (answer.verdict, answer.result) == (Verdict.SERVED, b"r")
     assert [type(event).__name__ for event in module.events] == [
         "MembershipUpdate", "RequestArrived", "JobStarted", "JobProgress", "AttemptEnded"
     ]  # fmt: skip
-    [ended] = module.of(face.AttemptEnded)
+    [ended] = module.of(decisions.AttemptEnded)
     assert ended.closed and ended.outcome is Outcome.SERVED and router.requests == {}
 
 
-def test_a_server_that_drains_between_decision_and_first_byte_gets_nothing():
-    """Guards the drain rule: the module's Send is an intention."""
-    for state, held in ((WorkerState.DRAINING, False), (WorkerState.GONE, False), (WorkerState.READY, True)):
-        module = ScriptedModule(RequestArrived=send, AttemptEnded=lambda event: [face.Refuse(event.request)])
-        link = FakeBackendClient(AttemptResult(Outcome.SERVED))
+def test_backend_drained_between_decision_and_first_byte_gets_no_request():
+    """A backend may stop accepting work after the module has decided on a Send, and must get nothing then."""
+    for state, is_manually_drained in (
+        (WorkerState.DRAINING, False),
+        (WorkerState.GONE, False),
+        (WorkerState.READY, True),
+    ):
+        module = ScriptedModule(
+            RequestArrived=send, AttemptEnded=lambda event: [decisions.Refuse(event.request)]
+        )
+        client = FakeBackendClient(AttemptResult(Outcome.SERVED))
 
-        def change(router, state=state, held=held):
+        def change(router, state=state, is_manually_drained=is_manually_drained):
             entry = Endpoint("s-1", "h:1", 0, 0, 0, state, 1.0, 0)
             router.table.apply(EndpointList((entry,)))
-            router.set_manual_drain("s-1", held)
+            router.set_manual_drain("s-1", is_manually_drained)
 
-        [answer], _ = play(module, link, JOB, before=change)
-        assert answer.verdict is Verdict.REFUSED and link.calls == 0
-        assert module.of(face.AttemptEnded)[0].outcome is Outcome.NOT_SENT
+        [answer], _ = run_jobs(module, client, JOB, before=change)
+        assert answer.verdict is Verdict.REFUSED and client.calls == 0
+        assert module.of(decisions.AttemptEnded)[0].outcome is Outcome.NOT_SENT
 
 
-def test_nothing_is_sent_once_the_client_has_left_and_what_is_out_is_called_back():
+def test_client_disconnect_cancels_the_attempt_in_flight_and_prevents_further_ones():
     module = ScriptedModule(
-        RequestArrived=send, ClientGone=lambda event: [face.Cancel(event.request, 0), *send(event)]
+        RequestArrived=send, ClientGone=lambda event: [decisions.Cancel(event.request, 0), *send(event)]
     )
-    link = FakeBackendClient()
+    client = FakeBackendClient()
 
     async def run():
-        router = Router(module, Clock(), BackendTable(lambda entry: link))
+        router = Router(module, Clock(), BackendTable(lambda entry: client))
         router.start(EndpointList((ENTRY,), is_complete=True))
-        flow = router.accept(JOB)
-        while not link.calls:
+        request = router.accept(JOB)
+        while not client.calls:
             await asyncio.sleep(0)
-        flow.leave()
+        request.leave()
         await asyncio.wait_for(router.wait_idle(), 10)
         return router
 
     router = asyncio.run(run())
-    assert sorted(event.outcome for event in module.of(face.AttemptEnded)) == [
+    assert sorted(event.outcome for event in module.of(decisions.AttemptEnded)) == [
         Outcome.CANCELLED,
         Outcome.NOT_SENT,
     ]
-    assert all(event.closed for event in module.of(face.AttemptEnded))
+    assert all(event.closed for event in module.of(decisions.AttemptEnded))
     assert router.counters.abandoned == 1 and not router.counters.answers.total()
 
 
-def test_a_scheduling_cancelled_before_its_task_first_runs_is_over_all_the_same():
-    """Guards the end of flows whose clients leave in the moment of a send: they stayed open for ever, and the
-    load on the server, the id and the end of the program hung on them."""
+def test_attempt_cancelled_before_its_task_first_runs_ends_as_not_sent():
+    """Guards requests whose clients disconnect just as an attempt is started.
+
+    Such requests stayed open for ever. The backend's load, the job id and the shutdown of the program depend
+    on their end.
+    """
     module = ScriptedModule(
-        RequestArrived=lambda event: [*send(event), face.Cancel(event.request, 0)],
-        AttemptEnded=lambda event: [face.Refuse(event.request)],
+        RequestArrived=lambda event: [*send(event), decisions.Cancel(event.request, 0)],
+        AttemptEnded=lambda event: [decisions.Refuse(event.request)],
     )
-    link = FakeBackendClient()
-    [answer], router = play(module, link, JOB)
-    assert answer.verdict is Verdict.REFUSED and link.calls == 0
-    [ended] = module.of(face.AttemptEnded)
-    assert ended.outcome is Outcome.NOT_SENT, "not a byte went out"
+    client = FakeBackendClient()
+    [answer], router = run_jobs(module, client, JOB)
+    assert answer.verdict is Verdict.REFUSED and client.calls == 0
+    [ended] = module.of(decisions.AttemptEnded)
+    assert ended.outcome is Outcome.NOT_SENT, "no byte was written"
     assert [server.in_flight for server in router.table.servers.values()] == [0]
     assert not router.is_open(JOB.id)
 
 
-def test_flows_whose_clients_leave_at_every_step_all_end():
-    """A storm of leaves, each so many turns of the loop after its job came: none may stay."""
+def test_requests_end_whenever_their_clients_disconnect():
+    """Clients disconnect after 0 to 7 iterations of the event loop; no request may stay open."""
 
     async def run():
         module = ScriptedModule(
-            RequestArrived=send, ClientGone=lambda event: [face.Cancel(event.request, 0), *send(event)]
+            RequestArrived=send, ClientGone=lambda event: [decisions.Cancel(event.request, 0), *send(event)]
         )
         router = Router(module, Clock(), BackendTable(lambda entry: FakeBackendClient()))
         router.start(EndpointList((ENTRY,), is_complete=True))
-        for turns in range(8):
+        for iterations in range(8):
             for number in range(4):
-                flow = router.accept(replace(JOB, id=f"{turns}-{number}"))
-                for _ in range(turns):
+                request = router.accept(replace(JOB, id=f"{iterations}-{number}"))
+                for _ in range(iterations):
                     await asyncio.sleep(0)
-                flow.leave()
+                request.leave()
         async with asyncio.timeout(10):
             await router.wait_idle()
         return router, module
 
     router, module = asyncio.run(run())
-    assert len(module.of(face.AttemptEnded)) == 2 * 32, "each send and its end, once"
+    assert len(module.of(decisions.AttemptEnded)) == 2 * 32, "one end for each of the two sends per request"
     assert [server.in_flight for server in router.table.servers.values()] == [0]
     assert router.counters.abandoned == 32 and not router.open_ids
 
 
-def test_a_flow_ended_before_its_task_first_runs_leaves_nothing():
+def test_request_cancelled_before_its_task_first_runs_is_removed():
     async def run():
         router = Router(ScriptedModule(), Clock(), BackendTable(lambda entry: FakeBackendClient()))
-        flow = router.accept(JOB)
+        request = router.accept(JOB)
         router.close()
         async with asyncio.timeout(10):
             await router.wait_idle()
-        return await flow.answered, router
+        return await request.answered, router
 
     answer, router = asyncio.run(run())
     assert answer.verdict is Verdict.FAILED and not router.is_open(JOB.id)
 
 
-def test_a_second_answer_is_dropped_and_a_late_attempt_still_reported():
-    """The attempt is under way by then: one of which nothing was written would be withdrawn."""
+def test_second_answer_is_dropped_and_late_attempt_result_is_reported_to_the_module():
+    """The attempt has been written by then. One of which nothing was written would be withdrawn."""
     answered = asyncio.Event()
 
     class LateLink(FakeBackendClient):
         async def attempt(self, job, before_first_byte, on_progress):
-            ending = await super().attempt(job, before_first_byte, on_progress)
+            result = await super().attempt(job, before_first_byte, on_progress)
             await answered.wait()
-            return ending
+            return result
 
     def started(event):
         asyncio.get_running_loop().call_soon(answered.set)
-        return [face.Refuse(event.request), face.Fail(event.request)]
+        return [decisions.Refuse(event.request), decisions.Fail(event.request)]
 
     module = ScriptedModule(RequestArrived=send, JobStarted=started)
-    [answer], router = play(module, LateLink(AttemptResult(Outcome.SERVED), [ProgressReport()]), JOB)
+    [answer], router = run_jobs(module, LateLink(AttemptResult(Outcome.SERVED), [ProgressReport()]), JOB)
     assert answer.verdict is Verdict.REFUSED and router.counters.verdicts[Verdict.REFUSED] == 1
-    assert [event.outcome for event in module.of(face.AttemptEnded)] == [Outcome.SERVED]
+    assert [event.outcome for event in module.of(decisions.AttemptEnded)] == [Outcome.SERVED]
 
 
-def test_an_attempt_ends_at_the_deadline_and_a_silent_module_is_overruled():
+def test_request_fails_after_its_deadline_if_the_module_makes_no_decision():
     module = ScriptedModule(RequestArrived=send)
-    [answer], _ = play(module, FakeBackendClient(), Job("9b", 0, 0, 50_000))
+    [answer], _ = run_jobs(module, FakeBackendClient(), Job("9b", 0, 0, 50_000))
     assert answer.verdict is Verdict.FAILED and answer.is_expired
-    assert module.of(face.AttemptEnded)[0].outcome is Outcome.TIMED_OUT
-    assert module.of(face.ClientGone), "the module is told, so that it lets go of the flow"
+    assert module.of(decisions.AttemptEnded)[0].outcome is Outcome.TIMED_OUT
+    assert module.of(decisions.ClientGone), "the module gets an event, so that it drops the request"
 
 
-def test_an_attempts_own_time_out_comes_first():
+def test_attempt_timeout_ends_the_attempt_before_the_request_deadline():
     module = ScriptedModule(
-        RequestArrived=lambda event: [face.Send(event.request, ID, timeout=20_000)],
-        AttemptEnded=lambda event: [face.Fail(event.request)],
+        RequestArrived=lambda event: [decisions.Send(event.request, ID, timeout=20_000)],
+        AttemptEnded=lambda event: [decisions.Fail(event.request)],
     )
-    [answer], _ = play(module, FakeBackendClient(), JOB)
+    [answer], _ = run_jobs(module, FakeBackendClient(), JOB)
     assert answer.verdict is Verdict.FAILED and not answer.is_expired
 
 
-def test_a_fault_in_one_flow_ends_that_flow_alone(caplog):
+def test_module_error_on_one_request_fails_only_that_request(caplog):
     def arrived(event):
         if event.request == 1:
-            raise RuntimeError("the module's fault")
+            raise RuntimeError("error in the module")
         return send(event)
 
     with caplog.at_level(logging.CRITICAL):
-        answers, _ = play(
+        answers, _ = run_jobs(
             ScriptedModule(RequestArrived=arrived), FakeBackendClient(AttemptResult(Outcome.SERVED)), JOB, JOB
         )
     assert [answer.verdict for answer in answers] == [Verdict.FAILED, Verdict.SERVED]
 
 
-def test_after_a_fault_the_module_hears_the_end_of_what_was_out(caplog):
-    """Guards against load that the module would count on a server for ever."""
+def test_after_a_module_error_the_attempt_in_flight_is_reported_as_cancelled(caplog):
+    """Otherwise the module would count the attempt as load on the backend for ever."""
 
     def started(event):
-        raise RuntimeError("the module's fault")
+        raise RuntimeError("error in the module")
 
     module = ScriptedModule(RequestArrived=send, JobStarted=started)
     with caplog.at_level(logging.CRITICAL):
-        [answer], router = play(module, FakeBackendClient(news=[ProgressReport()]), JOB)
-    [ended] = module.of(face.AttemptEnded)
+        [answer], router = run_jobs(module, FakeBackendClient(progress=[ProgressReport()]), JOB)
+    [ended] = module.of(decisions.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
     assert [server.in_flight for server in router.table.servers.values()] == [0]
 
 
-def test_a_fault_in_a_link_is_an_error_of_that_attempt(caplog):
-    module = ScriptedModule(RequestArrived=send, AttemptEnded=lambda event: [face.Fail(event.request)])
+def test_exception_in_a_backend_client_ends_the_attempt_with_an_error(caplog):
+    module = ScriptedModule(RequestArrived=send, AttemptEnded=lambda event: [decisions.Fail(event.request)])
     with caplog.at_level(logging.CRITICAL):
-        [answer], _ = play(module, FakeBackendClient(RuntimeError("fault")), JOB)
-    assert answer.verdict is Verdict.FAILED and module.of(face.AttemptEnded)[0].outcome is Outcome.ERROR
+        [answer], _ = run_jobs(module, FakeBackendClient(RuntimeError("error in the client")), JOB)
+    assert answer.verdict is Verdict.FAILED and module.of(decisions.AttemptEnded)[0].outcome is Outcome.ERROR
 
 
-def test_a_timer_whose_handling_failed_rings_again(caplog, monkeypatch):
-    """Guards the module's upkeep and its asking for lists, which live on timers that it sets itself."""
+def test_timer_fires_again_after_its_handling_failed(caplog, monkeypatch):
+    """The module's periodic work and its subscriptions to lists depend on timers that it sets itself."""
     monkeypatch.setattr("hazelbend.routing.router.TIMER_RETRY_S", 0.01)
-    rings = []
+    tokens = []
 
-    def ring(event):
-        rings.append(event.token)
-        if len(rings) == 1:
+    def fail_once(event):
+        tokens.append(event.token)
+        if len(tokens) == 1:
             raise RuntimeError("once")
-        return [face.Refuse(1)]
+        return [decisions.Refuse(1)]
 
-    script = {"RequestArrived": [face.StartTimer(1_000, 7)], "TimerFired": ring}
+    script = {"RequestArrived": [decisions.StartTimer(1_000, 7)], "TimerFired": fail_once}
     with caplog.at_level(logging.CRITICAL):
-        [answer], _ = play(ScriptedModule(**script), FakeBackendClient(), JOB)
-    assert rings == [7, 7] and answer.verdict is Verdict.REFUSED
+        [answer], _ = run_jobs(ScriptedModule(**script), FakeBackendClient(), JOB)
+    assert tokens == [7, 7] and answer.verdict is Verdict.REFUSED
 
 
-def test_without_discovery_a_subscription_is_answered_from_what_is_known():
-    module = ScriptedModule(RequestArrived=lambda event: [face.Subscribe(), face.Refuse(event.request)])
-    play(module, FakeBackendClient(), JOB)
-    kinds = [event.kind for event in module.of(face.MembershipUpdate)]
-    assert kinds == [face.ListKind.CACHED, face.ListKind.FULL]
+def test_subscription_without_discovery_gets_the_last_known_list():
+    module = ScriptedModule(
+        RequestArrived=lambda event: [decisions.Subscribe(), decisions.Refuse(event.request)]
+    )
+    run_jobs(module, FakeBackendClient(), JOB)
+    kinds = [event.kind for event in module.of(decisions.MembershipUpdate)]
+    assert kinds == [decisions.ListKind.CACHED, decisions.ListKind.FULL]
 
 
-def test_a_whole_list_keeps_boxes_that_connected_by_themselves():
+def test_complete_list_keeps_registered_backends():
     table = BackendTable(lambda entry: FakeBackendClient())
     changes = []
-    table.on_accepts_work_changed = lambda server, up: changes.append((server.entry.host, up))
+    table.on_accepts_work_changed = lambda backend, accepts: changes.append((backend.entry.host, accepts))
     table.register(Endpoint("box", "", 0, 0, 0, WorkerState.READY, 1.0, 9), FakeBackendClient())
     update = table.apply(EndpointList((ENTRY,), is_complete=True))
     assert {entry.worker for entry in update.entries} == {ID, stable_id("box")}
@@ -302,7 +315,7 @@
     assert not table.servers
 
 
-def test_a_drain_by_hand_outlasts_an_absence_from_the_list():
+def test_manual_drain_survives_absence_from_the_list():
     table = BackendTable(lambda entry: FakeBackendClient())
     table.apply(EndpointList((ENTRY,), is_complete=True))
     table.set_manual_drain("s-1", True)
@@ -311,11 +324,11 @@
     assert entry.state is WorkerState.DRAINING
 
 
-def test_ids_are_the_same_at_every_dispatcher():
+def test_stable_id_of_a_host_does_not_change():
     assert stable_id("s-5be2a07c") == 54_393_183_237_098
 
 
-def test_the_clock_is_unix_time_and_never_steps_back(monkeypatch):
+def test_clock_is_unix_time_and_ignores_steps_of_the_system_clock(monkeypatch):
     import time
 
     clock = Clock()
@@ -325,65 +338,72 @@
     assert clock.now() >= before
 
 
-def test_before_the_programs_end_a_flow_gets_no_more_time_than_there_is():
-    """Guards a planned restart: a flow that is still open when the program is killed is lost."""
-    module = ScriptedModule(RequestArrived=lambda event: [face.Fail(event.request)])
+def test_final_deadline_limits_the_timeouts_of_new_requests():
+    """Guards a planned restart: a request that is still open when the program is killed gets no answer."""
+    module = ScriptedModule(RequestArrived=lambda event: [decisions.Fail(event.request)])
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: FakeBackendClient()))
         await router.accept(JOB).answered
         router.set_final_deadline(router.clock.now() + 200_000)
-        for patience in (100_000, 500_000):
-            await router.accept(replace(JOB, timeout_us=patience)).answered
+        for timeout_us in (100_000, 500_000):
+            await router.accept(replace(JOB, timeout_us=timeout_us)).answered
         router.set_final_deadline(router.clock.now() - 1)
         await router.accept(JOB).answered
 
     asyncio.run(run())
-    before, short, long, after = (event.patience for event in module.of(face.RequestArrived))
+    before, short, long, after = (event.patience for event in module.of(decisions.RequestArrived))
     assert (before, short, after) == (500_000, 100_000, 1) and long <= 200_000
 
 
-def test_an_attempts_end_reaches_its_flow_in_the_turn_that_it_ends():
-    """Guards CPU and time per job: told by the task's done callback, the end waited a turn of the event
-    loop, which on the standing days is CPU that the client's answer waits for. Turns counted from the take:
-    the flow starts, the attempt starts and ends in its first, and the flow answers in the next."""
+def test_attempt_result_reaches_its_request_in_the_same_loop_iteration():
+    """Guards CPU and time per job.
+
+    When the task's done callback reported the result, it reached the request one iteration of the event loop
+    later. On the benchmark's standard days the client's answer waited for the CPU time of that iteration.
+    Counted from `accept`, the request starts in the first iteration, the attempt starts and ends in the
+    second, and the request answers in the third.
+    """
 
     async def run():
-        router = Router(ScriptedModule(RequestArrived=send), Clock(), BackendTable(lambda entry: link))
+        router = Router(ScriptedModule(RequestArrived=send), Clock(), BackendTable(lambda entry: client))
         router.start(EndpointList((ENTRY,), is_complete=True))
-        flow, turns = router.accept(JOB), 0
-        while not flow.answered.done():
+        request, iterations = router.accept(JOB), 0
+        while not request.answered.done():
             await asyncio.sleep(0)
-            turns += 1
-        return turns
+            iterations += 1
+        return iterations
 
-    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
+    client = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
     assert asyncio.run(run()) == 3
 
 
-def test_a_reply_comes_in_the_turn_of_the_answer_and_a_cancelled_one_leaves_the_flow_whole():
-    """Guards a turn of the event loop a job (a shield of `answered` is set a turn after it) and the one
-    answer: a front cancelled as its client leaves cancels its reply, and the flow still hears it left."""
+def test_reply_is_set_with_the_answer_and_cancelling_it_does_not_affect_the_request():
+    """Guards the time to an answer, and the handling of a disconnect.
+
+    A shield of `answered` would be set one iteration of the event loop after it. When a listener's task is
+    cancelled because its client disconnects, it cancels its reply, and the request must still get the event.
+    """
 
     async def run():
-        router = Router(module, Clock(), BackendTable(lambda entry: link))
+        router = Router(module, Clock(), BackendTable(lambda entry: client))
         router.start(EndpointList((ENTRY,), is_complete=True))
         served = router.accept(JOB)
         reply = served.reply()
         while not served.answered.done():
             await asyncio.sleep(0)
-        in_the_same_turn = reply.done()
-        link.ending = None
-        hangs = router.accept(replace(JOB, id="9c"))
-        left = hangs.reply()
+        in_same_iteration = reply.done()
+        client.result = None
+        pending = router.accept(replace(JOB, id="9c"))
+        pending_reply = pending.reply()
         await asyncio.sleep(0)
-        left.cancel()
-        hangs.leave()
+        pending_reply.cancel()
+        pending.leave()
         await asyncio.wait_for(router.wait_idle(), 10)
-        return in_the_same_turn, reply.result(), hangs.answered.result()
+        return in_same_iteration, reply.result(), pending.answered.result()
 
     module = ScriptedModule(RequestArrived=send)
-    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
-    in_the_same_turn, answer, other = asyncio.run(run())
-    assert in_the_same_turn and answer.verdict is Verdict.SERVED
-    assert other.verdict is Verdict.FAILED and len(module.of(face.ClientGone)) == 1
+    client = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
+    in_same_iteration, answer, other = asyncio.run(run())
+    assert in_same_iteration and answer.verdict is Verdict.SERVED
+    assert other.verdict is Verdict.FAILED and len(module.of(decisions.ClientGone)) == 1
