--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -1,8 +1,8 @@
-"""Every order of events in the life of requests: a state machine over the real core and the real decisions.
+"""Request lifecycles under random orders of events: a state machine over the real router and decision module.
 
-Requests come and go, connections come up, attempts end, backends drain, restart and vanish, and time
-passes, in orders that hypothesis draws from fixed seeds. What must hold is checked at each first byte and
-after each step.
+Requests arrive, clients disconnect, connections are established, attempts end, backends drain, restart and
+disappear from the list, and time passes, in orders that hypothesis draws from fixed seeds. The rules for
+sending are checked at the first byte of each attempt, the invariants after each step.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     JobClass(effect=Effect.UNSAFE, objective=2_000_000),
 )
 BACKENDS = 5
-ENDINGS = [Outcome.SERVED, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
-TURNS = 40  # rounds of the loop in which whatever an event leads to is over
+OUTCOMES = [Outcome.SERVED, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
+SETTLE_ITERATIONS = 40  # iterations of the event loop that are enough to handle all consequences of an event
 
 
 @dataclass
@@ -43,52 +43,53 @@
 
 
 @dataclass(eq=False)
-class Held:
-    """An attempt at a backend: it waits for its connection, then for its end, until the test lets it go
-    on."""
+class BlockedAttempt:
+    """An attempt at a backend that waits until the test sets `connected`, and then until it sets `result`."""
 
     job: Job
     backend: int
     connected: asyncio.Event = field(default_factory=asyncio.Event)
-    ending: asyncio.Future[AttemptResult] | None = None
+    result: asyncio.Future[AttemptResult] | None = None
     on_progress: object = None
-    begun_at: int | None = None
-    over: Outcome | None = None
+    first_byte_at: int | None = None
+    outcome: Outcome | None = None
 
     @property
-    def may_have_run(self) -> bool:
-        return self.begun_at is not None and self.over not in (Outcome.FULL, Outcome.CONNECT_FAILED)
+    def may_have_been_executed(self) -> bool:
+        return self.first_byte_at is not None and self.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
 class BlockedBackendClient:
-    def __init__(self, machine: CrossingMachine, entry: Endpoint) -> None:
+    """A backend client whose attempts are `BlockedAttempt`s."""
+
+    def __init__(self, machine: RequestLifecycleMachine, entry: Endpoint) -> None:
         self.machine, self.backend = machine, int(entry.host)
 
     async def attempt(self, job, before_first_byte, on_progress):
-        held = Held(job, self.backend, on_progress=on_progress)
-        self.machine.attempts.append(held)
-        self.machine.running += 1
+        attempt = BlockedAttempt(job, self.backend, on_progress=on_progress)
+        self.machine.attempts.append(attempt)
+        self.machine.running_attempts += 1
         try:
-            await held.connected.wait()
-            left = before_first_byte()
-            if left is None:
-                held.over = Outcome.NOT_SENT
+            await attempt.connected.wait()
+            remaining = before_first_byte()
+            if remaining is None:
+                attempt.outcome = Outcome.NOT_SENT
                 return AttemptResult(Outcome.NOT_SENT)
             try:
-                self.machine.first_byte(held, left)
-            except AssertionError as broken:  # the core would take it for the link's fault
-                self.machine.broken.append(str(broken))
+                self.machine.check_first_byte(attempt, remaining)
+            except AssertionError as violation:  # the router would handle it as an error in the client
+                self.machine.violations.append(str(violation))
             on_progress(AttemptWritten())
-            held.ending = asyncio.get_running_loop().create_future()
-            ending = await held.ending
-            held.over = ending.outcome
+            attempt.result = asyncio.get_running_loop().create_future()
+            result = await attempt.result
+            attempt.outcome = result.outcome
         except asyncio.CancelledError:
-            held.over = held.over or Outcome.CANCELLED
+            attempt.outcome = attempt.outcome or Outcome.CANCELLED
             raise
         else:
-            return ending
+            return result
         finally:
-            self.machine.running -= 1
+            self.machine.running_attempts -= 1
 
     async def probe(self, timeout_us):
         return AttemptResult(Outcome.CONNECT_FAILED)
@@ -97,39 +98,41 @@
         pass
 
 
-class CrossingMachine(RuleBasedStateMachine):
-    """Cancel may be allowed or not, and second copies; the rest is one site."""
+class RequestLifecycleMachine(RuleBasedStateMachine):
+    """One site. Cancelling attempts and second copies of a request may each be allowed or not."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = VirtualLoop()
-        self.attempts: list[Held] = []
-        self.flows: dict[str, RequestContext] = {}
+        self.attempts: list[BlockedAttempt] = []
+        self.requests: dict[str, RequestContext] = {}
         self.classes: dict[str, int] = {}
-        self.running = 0
-        self.broken: list[str] = []  # rules, at first bytes
+        self.running_attempts = 0
+        self.violations: list[str] = []  # of the rules that are checked at first bytes
         self.states = dict.fromkeys(range(BACKENDS), WorkerState.READY)
-        self.started = dict.fromkeys(range(BACKENDS), 0)
+        self.started_at = dict.fromkeys(range(BACKENDS), 0)
+
+    def do(self, action=None, iterations: int = SETTLE_ITERATIONS) -> None:
+        """Call `action` in the event loop, and run this many iterations of the loop."""
 
-    def do(self, what=None, turns: int = TURNS) -> None:
         async def run():
-            if what is not None:
-                what()
-            for _ in range(turns):
+            if action is not None:
+                action()
+            for _ in range(iterations):
                 await asyncio.sleep(0)
 
         self.loop.run_until_complete(run())
 
-    @initialize(cancel=st.booleans(), copies=st.booleans(), attempts=st.integers(1, 4))
-    def begin(self, cancel, copies, attempts):
+    @initialize(cancel_allowed=st.booleans(), copies_allowed=st.booleans(), max_attempts=st.integers(1, 4))
+    def start_router(self, cancel_allowed, copies_allowed, max_attempts):
         self.settings = Settings(
             classes=CLASSES,
-            cancel_allowed=cancel,
-            second_copies_allowed=copies,
-            max_attempts=attempts,
+            cancel_allowed=cancel_allowed,
+            second_copies_allowed=copies_allowed,
+            max_attempts=max_attempts,
             tells_start=True,
             progress_interval=200_000,
-            fall_multiple=100.0,  # so that a restart does not keep a backend out of the rest
+            fall_multiple=100.0,  # so that a restart does not exclude a backend from the rest of the run
             warm_after=500_000,
         )
 
@@ -146,182 +149,193 @@
 
     def entry(self, backend: int) -> Endpoint:
         return Endpoint(
-            str(backend), "h:1", backend % 2, 0, 0, self.states[backend], 1.0, self.started[backend]
+            str(backend), "h:1", backend % 2, 0, 0, self.states[backend], 1.0, self.started_at[backend]
         )
 
     def teardown(self) -> None:
         if hasattr(self, "router"):
-            for held in self.attempts:
-                held.connected.set()
+            for attempt in self.attempts:
+                attempt.connected.set()
             self.loop.run_until_complete(asyncio.sleep(20))
             self.check()
-            assert not self.router.requests and self.running == 0, "every request is over in the end"
+            assert not self.router.requests and self.running_attempts == 0, "all requests have ended"
             assert not self.dispatcher.requests and not self.router.open_ids
             self.router.close()
             self.do()
         self.loop.close()
 
-    # --- what may happen ---
+    # --- events ---
 
-    @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), patience=st.integers(20_000, 3_000_000))
-    def arrive(self, job_class, patience):
-        name = f"r{len(self.flows)}"
-        self.classes[name] = job_class
+    @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), timeout_us=st.integers(20_000, 3_000_000))
+    def request_arrives(self, job_class, timeout_us):
+        job_id = f"r{len(self.requests)}"
+        self.classes[job_id] = job_class
 
-        def take():
-            self.flows[name] = self.router.accept(Job(name, job_class, 0, patience))
+        def accept():
+            self.requests[job_id] = self.router.accept(Job(job_id, job_class, 0, timeout_us))
 
-        self.do(take)
+        self.do(accept)
 
     @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]))
-    def arrive_and_begin(self, job_class):
-        self.arrive(job_class, 3_000_000)
-        self.do(lambda: [held.connected.set() for held in self.connecting()])
-
-    @precondition(lambda self: self.out())
-    @rule(data=st.data(), outcome=st.sampled_from(ENDINGS[1:]), late=st.sampled_from([0.0, 0.3, 0.6, 1.0]))
-    def end_and_repeat(self, data, outcome, late):
-        """An attempt fails; what it leads to has its connection some time later."""
-        held = data.draw(st.sampled_from(self.out()))
-        self.do(lambda: held.ending.set_result(AttemptResult(outcome)))
-        self.loop.run_until_complete(asyncio.sleep(late))
-        self.do(lambda: [held.connected.set() for held in self.connecting()])
-
-    @precondition(lambda self: self.out())
-    @rule(data=st.data(), turns=st.integers(0, 4))
-    def leave(self, data, turns):
-        """At any of the first turns after what came before: the rest is done in the next step."""
-        held = data.draw(st.sampled_from(self.out()))
-        self.do(self.flows[held.job.id].leave, turns)
-
-    @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), turns=st.integers(0, 6))
-    def arrive_and_leave(self, job_class, turns):
-        name = f"r{len(self.flows)}"
-        self.classes[name] = job_class
-
-        def take():
-            self.flows[name] = self.router.accept(Job(name, job_class, 0, 1_000_000))
-
-        self.do(take, turns)
-        self.do(self.flows[name].leave)
+    def request_arrives_and_connects(self, job_class):
+        self.request_arrives(job_class, 3_000_000)
+        self.do(lambda: [attempt.connected.set() for attempt in self.connecting()])
+
+    @precondition(lambda self: self.in_flight())
+    @rule(
+        data=st.data(), outcome=st.sampled_from(OUTCOMES[1:]), delay_s=st.sampled_from([0.0, 0.3, 0.6, 1.0])
+    )
+    def attempt_fails_and_retry_connects(self, data, outcome, delay_s):
+        """An attempt fails. The attempts that follow from it are connected after a delay."""
+        attempt = data.draw(st.sampled_from(self.in_flight()))
+        self.do(lambda: attempt.result.set_result(AttemptResult(outcome)))
+        self.loop.run_until_complete(asyncio.sleep(delay_s))
+        self.do(lambda: [attempt.connected.set() for attempt in self.connecting()])
+
+    @precondition(lambda self: self.in_flight())
+    @rule(data=st.data(), iterations=st.integers(0, 4))
+    def client_disconnects(self, data, iterations):
+        """A client disconnects. Only a few loop iterations follow; the others run in the next step."""
+        attempt = data.draw(st.sampled_from(self.in_flight()))
+        self.do(self.requests[attempt.job.id].leave, iterations)
+
+    @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), iterations=st.integers(0, 6))
+    def request_arrives_and_client_disconnects(self, job_class, iterations):
+        job_id = f"r{len(self.requests)}"
+        self.classes[job_id] = job_class
+
+        def accept():
+            self.requests[job_id] = self.router.accept(Job(job_id, job_class, 0, 1_000_000))
+
+        self.do(accept, iterations)
+        self.do(self.requests[job_id].leave)
 
     @precondition(lambda self: self.connecting())
-    @rule(data=st.data(), together=st.booleans(), late=st.sampled_from([0.0, 0.05, 0.4, 0.9]))
-    def connect(self, data, together, late):
-        """After a while one connection comes up, or all that are awaited in the same turn."""
-        self.loop.run_until_complete(asyncio.sleep(late))
-        waiting = self.connecting()
-        if not waiting:
+    @rule(data=st.data(), all_at_once=st.booleans(), delay_s=st.sampled_from([0.0, 0.05, 0.4, 0.9]))
+    def attempt_connects(self, data, all_at_once, delay_s):
+        """After a delay one pending connection is established, or all of them in the same loop iteration."""
+        self.loop.run_until_complete(asyncio.sleep(delay_s))
+        connecting = self.connecting()
+        if not connecting:
             return
-        chosen = waiting if together else [data.draw(st.sampled_from(waiting))]
-        self.do(lambda: [held.connected.set() for held in chosen])
+        chosen = connecting if all_at_once else [data.draw(st.sampled_from(connecting))]
+        self.do(lambda: [attempt.connected.set() for attempt in chosen])
 
     @precondition(lambda self: self.connecting())
-    @rule(data=st.data(), what=st.sampled_from(["drain", "leave", "restart"]))
-    def connect_as_something_changes(self, data, what):
-        """In one turn, the change behind the connection and before it."""
-        held = data.draw(st.sampled_from(self.connecting()))
-        first = data.draw(st.booleans())
-
-        def cross():
-            if first:
-                held.connected.set()
-            if what == "leave":
-                self.flows[held.job.id].leave()
-            elif what == "drain":
-                self.states[held.backend] = WorkerState.DRAINING
-                self.tell(held.backend)
+    @rule(data=st.data(), change=st.sampled_from(["drain", "leave", "restart"]))
+    def attempt_connects_during_a_change(self, data, change):
+        """A connection is established immediately before or after a change, in the same loop iteration."""
+        attempt = data.draw(st.sampled_from(self.connecting()))
+        connects_first = data.draw(st.booleans())
+
+        def connect_and_change():
+            if connects_first:
+                attempt.connected.set()
+            if change == "leave":
+                self.requests[attempt.job.id].leave()
+            elif change == "drain":
+                self.states[attempt.backend] = WorkerState.DRAINING
+                self.apply_entry(attempt.backend)
             else:
-                self.started[held.backend] = self.router.clock.now()
-                self.tell(held.backend)
-            held.connected.set()
+                self.started_at[attempt.backend] = self.router.clock.now()
+                self.apply_entry(attempt.backend)
+            attempt.connected.set()
 
-        self.do(cross)
+        self.do(connect_and_change)
 
-    @precondition(lambda self: self.out())
-    @rule(data=st.data(), outcome=st.sampled_from(ENDINGS), again=st.booleans())
-    def end(self, data, outcome, again):
-        held = data.draw(st.sampled_from(self.out()))
+    @precondition(lambda self: self.in_flight())
+    @rule(data=st.data(), outcome=st.sampled_from(OUTCOMES), with_disconnect=st.booleans())
+    def attempt_ends(self, data, outcome, with_disconnect):
+        attempt = data.draw(st.sampled_from(self.in_flight()))
 
         def finish():
-            if not held.ending.done():
-                held.ending.set_result(AttemptResult(outcome, b"r"))
-            if again:  # a client that goes in the turn of the answer
-                self.flows[held.job.id].leave()
+            if not attempt.result.done():
+                attempt.result.set_result(AttemptResult(outcome, b"r"))
+            if with_disconnect:  # the client disconnects in the same loop iteration as the answer
+                self.requests[attempt.job.id].leave()
 
         self.do(finish)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.in_flight())
     @rule(outcome=st.sampled_from([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]))
-    def end_all(self, outcome):
-        """What a lost zone does: all that is out ends alike, and goes elsewhere where it may."""
-        self.do(lambda: [held.ending.set_result(AttemptResult(outcome)) for held in self.out()])
+    def all_attempts_end(self, outcome):
+        """All attempts in flight end alike, as on the loss of a zone; those that may be retried are."""
+        self.do(lambda: [attempt.result.set_result(AttemptResult(outcome)) for attempt in self.in_flight()])
 
     @precondition(lambda self: self.connecting())
     @rule()
-    def connect_all(self):
-        self.do(lambda: [held.connected.set() for held in self.connecting()])
+    def all_attempts_connect(self):
+        self.do(lambda: [attempt.connected.set() for attempt in self.connecting()])
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.in_flight())
     @rule(data=st.data(), fraction=st.sampled_from([None, 0.5]))
-    def speak(self, data, fraction):
-        held = data.draw(st.sampled_from(self.out()))
-        self.do(lambda: held.on_progress(ProgressReport(fraction)))
+    def attempt_reports_progress(self, data, fraction):
+        attempt = data.draw(st.sampled_from(self.in_flight()))
+        self.do(lambda: attempt.on_progress(ProgressReport(fraction)))
 
     @rule(
         backend=st.integers(0, BACKENDS - 1), state=st.sampled_from([WorkerState.READY, WorkerState.DRAINING])
     )
-    def list_changes(self, backend, state):
+    def backend_state_changes(self, backend, state):
         self.states[backend] = state
-        self.do(lambda: self.tell(backend))
+        self.do(lambda: self.apply_entry(backend))
 
     @rule(backend=st.integers(0, BACKENDS - 1))
-    def restart(self, backend):
-        def change():
-            self.started[backend] = self.router.clock.now()
-            self.tell(backend)
+    def backend_restarts(self, backend):
+        def restart():
+            self.started_at[backend] = self.router.clock.now()
+            self.apply_entry(backend)
 
-        self.do(change)
+        self.do(restart)
 
-    @rule(absent=st.sets(st.integers(0, BACKENDS - 1), max_size=BACKENDS - 1))
-    def whole_list(self, absent):
-        """Some are gone, and come back with a later list."""
-        rows = tuple(self.entry(each) for each in range(BACKENDS) if each not in absent)
-        self.do(lambda: self.router.apply_list(EndpointList(rows, is_complete=True)))
+    @rule(removed=st.sets(st.integers(0, BACKENDS - 1), max_size=BACKENDS - 1))
+    def complete_list_arrives(self, removed):
+        """A complete list lacks some backends; a later list has them again."""
+        entries = tuple(self.entry(backend) for backend in range(BACKENDS) if backend not in removed)
+        self.do(lambda: self.router.apply_list(EndpointList(entries, is_complete=True)))
 
     @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, 0.5, 2.0]))
-    def wait(self, seconds):
+    def time_passes(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
-    # --- what must hold ---
-
-    def first_byte(self, held: Held, left: int) -> None:
-        """The rules on sends, in the turn in which one begins."""
-        flow, server = self.flows[held.job.id], self.router.table.by_host(str(held.backend))
-        now, job = self.router.clock.now(), CLASSES[self.classes[held.job.id]]
-        assert not flow.client_disconnected, "its client has gone"
-        assert not flow.answered.done(), "it has its answer"
-        assert 0 < left <= flow.deadline - now, "more time than is left"
-        assert server is not None and server.accepts_work, "drained or gone"
-        earlier = [each for each in self.attempts if each.job.id == held.job.id and each.begun_at is not None]
-        ran = [each for each in earlier if each.may_have_run]
+    # --- rules and invariants ---
+
+    def check_first_byte(self, attempt: BlockedAttempt, remaining: int) -> None:
+        """Check the rules for sending, in the loop iteration in which an attempt is written."""
+        request, backend = self.requests[attempt.job.id], self.router.table.by_host(str(attempt.backend))
+        now, job_class = self.router.clock.now(), CLASSES[self.classes[attempt.job.id]]
+        assert not request.client_disconnected, "its client has disconnected"
+        assert not request.answered.done(), "it has its answer"
+        assert 0 < remaining <= request.deadline - now, "its timeout exceeds the remaining time"
+        assert backend is not None and backend.accepts_work, "the backend is drained or gone"
+        earlier = [
+            other
+            for other in self.attempts
+            if other.job.id == attempt.job.id and other.first_byte_at is not None
+        ]
+        executed = [other for other in earlier if other.may_have_been_executed]
         assert len(earlier) < self.settings.max_attempts
         if not self.settings.second_copies_allowed:
-            assert all(each.over is not None for each in earlier), "two attempts out"
-        if ran and job.effect is Effect.UNSAFE:
-            raise AssertionError("it may have run")
-        if ran and job.effect is Effect.KEYED:
-            assert now < ran[0].begun_at + job.repeat_window, "its window is over"
-            assert ran[0].backend % 2 == held.backend % 2, "in another zone"
-        held.begun_at = now
-
-    def connecting(self) -> list[Held]:
-        return [each for each in self.attempts if not each.connected.is_set() and each.over is None]
-
-    def out(self) -> list[Held]:
-        return [each for each in self.attempts if each.ending is not None and not each.ending.done()]
-
-    def tell(self, backend: int) -> None:
+            assert all(other.outcome is not None for other in earlier), "two attempts are in flight"
+        if executed and job_class.effect is Effect.UNSAFE:
+            raise AssertionError("it may have been executed")
+        if executed and job_class.effect is Effect.KEYED:
+            assert now < executed[0].first_byte_at + job_class.repeat_window, "its repeat window has ended"
+            assert executed[0].backend % 2 == attempt.backend % 2, "the retry is in another zone"
+        attempt.first_byte_at = now
+
+    def connecting(self) -> list[BlockedAttempt]:
+        return [
+            attempt for attempt in self.attempts if not attempt.connected.is_set() and attempt.outcome is None
+        ]
+
+    def in_flight(self) -> list[BlockedAttempt]:
+        return [
+            attempt for attempt in self.attempts if attempt.result is not None and not attempt.result.done()
+        ]
+
+    def apply_entry(self, backend: int) -> None:
+        """Apply a list that has changed the entry of this backend."""
         self.router.apply_list(EndpointList((self.entry(backend),)))
 
     @invariant()
@@ -329,28 +343,41 @@
         if not hasattr(self, "router"):
             return
         self.do()
-        assert not self.broken
-        tally, now = self.router.counters, self.router.clock.now()
-        open_flows = [flow for flow in self.flows.values() if not flow.answered.done() and not flow.abandoned]
-        assert tally.answers.total() + tally.abandoned + len(open_flows) == tally.received == len(self.flows)
-        for flow in open_flows:
-            assert now <= flow.deadline + round(DECISION_GRACE_S * 1e6) + 1_000, "no answer by its time"
-        out = Counter(
-            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_finished
+        assert not self.violations
+        counters, now = self.router.counters, self.router.clock.now()
+        open_requests = [
+            request
+            for request in self.requests.values()
+            if not request.answered.done() and not request.abandoned
+        ]
+        assert (
+            counters.answers.total() + counters.abandoned + len(open_requests)
+            == counters.received
+            == len(self.requests)
+        )
+        for request in open_requests:
+            assert now <= request.deadline + round(DECISION_GRACE_S * 1e6) + 1_000, (
+                "no answer by its deadline"
+            )
+        unfinished = Counter(
+            attempt.worker_id
+            for request in self.requests.values()
+            for attempt in request.attempts
+            if not attempt.is_finished
         )
-        assert sum(out.values()) == self.running, "attempts out and attempts counted"
-        for number, worker in self.dispatcher.workers.items():
-            counted = self.router.table.servers[number].in_flight
-            mine = sum(
-                each.backend is self.router.table.servers[number]
-                for flow in self.flows.values()
-                for each in flow.attempts
-                if not each.is_finished
+        assert sum(unfinished.values()) == self.running_attempts, "unfinished and running attempts differ"
+        for worker_id, worker in self.dispatcher.workers.items():
+            counted = self.router.table.servers[worker_id].in_flight
+            expected = sum(
+                attempt.backend is self.router.table.servers[worker_id]
+                for request in self.requests.values()
+                for attempt in request.attempts
+                if not attempt.is_finished
             )
-            assert counted == mine and len(worker.attempts) <= out[number]
+            assert counted == expected and len(worker.attempts) <= unfinished[worker_id]
 
 
-TestCrossings = CrossingMachine.TestCase
-TestCrossings.settings = settings(
+TestRequestLifecycle = RequestLifecycleMachine.TestCase
+TestRequestLifecycle.settings = settings(
     settings.get_profile("steady"), max_examples=200, stateful_step_count=50, deadline=None
 )
