--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -162,9 +162,7 @@
     claim, st.sampled_from([0, 10]), st.lists(st.sampled_from(ADDRESSES), min_size=1, max_size=2, unique=True)
 )
 events = st.one_of(
-    st.tuples(
-        st.just("list"), st.lists(entries, max_size=4, unique_by=lambda row: row.host), st.booleans()
-    ),
+    st.tuples(st.just("list"), st.lists(entries, max_size=4, unique_by=lambda row: row.host), st.booleans()),
     st.tuples(st.just("failed")),
     st.tuples(st.just("srv"), st.sampled_from(["n1", "n2"]), st.dictionaries(st.sampled_from(KEYS), claims)),
     st.tuples(st.just("connected"), st.sampled_from([READY, GONE])),
