--- a/tests/dns_discovery/test_dns_discovery.py
+++ b/tests/dns_discovery/test_dns_discovery.py
@@ -43,7 +43,7 @@
 
 
 class ResolverRun:
-    """A resolver on a simulated clock. Its nameservers answer by `answer(query)` after `delay` microseconds."""
+    """A resolver on a simulated clock. The nameservers answer by `answer` after `delay` microseconds."""
 
     def __init__(self, answer, count=1, names=(NAME,), dispatcher="d-1", delay=1_000, **more):
         self.resolver = Resolver(settings(count, **more), dispatcher)
--- a/tests/protocol/test_dns_wire.py
+++ b/tests/protocol/test_dns_wire.py
@@ -1,4 +1,4 @@
-"""The codec: any bytes are an answer, a mismatch or a failure; nothing else."""
+"""The DNS codec: any bytes give a query result or a MismatchError, and no other exception."""
 
 import contextlib
 
@@ -24,64 +24,66 @@
 QUESTION = Question(NAME, RecordType.SRV)
 
 
-def answer(*rows, number=7, case=0, extra=(), flags="QR AA", question=QUESTION):
-    """The bytes of an answer, and what it answers."""
-    data, asked = encode_query(question.name, question.record_type, number, case, edns=True)
+def encode_answer(*records, query_id=7, case_bits=0, additional=(), flags="QR AA", question=QUESTION):
+    """Return the bytes of an answer, and the name in the query."""
+    data, queried_name = encode_query(question.name, question.record_type, query_id, case_bits, edns=True)
     response = dns.message.make_response(dns.message.from_wire(data))
     response.flags = dns.flags.from_text(flags)
-    for owner, ttl, kind, *texts in rows:
-        response.answer.append(dns.rrset.from_text(owner, ttl, "IN", kind, *texts))
-    for owner, ttl, kind, *texts in extra:
-        response.additional.append(dns.rrset.from_text(owner, ttl, "IN", kind, *texts))
-    return response.to_wire(), asked
+    for owner, ttl, record_type, *texts in records:
+        response.answer.append(dns.rrset.from_text(owner, ttl, "IN", record_type, *texts))
+    for owner, ttl, record_type, *texts in additional:
+        response.additional.append(dns.rrset.from_text(owner, ttl, "IN", record_type, *texts))
+    return response.to_wire(), queried_name
 
 
-def read(data, asked, question=QUESTION, tcp=False):
-    return decode_answer(data, 7, asked, question, over_tcp=tcp)
+def decode(data, queried_name, question=QUESTION, over_tcp=False):
+    return decode_answer(data, 7, queried_name, question, over_tcp=over_tcp)
 
 
 SRV = (f"{NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
 
 
 def test_additional_addresses_are_accepted_only_in_bailiwick():
-    extra = [("a.konya-1.example.org.", 60, "A", "127.0.0.1"), ("b.else.example.", 60, "A", "127.0.0.9"),
-             ("c.konya-1.example.org.", 60, "A", "127.0.0.8")]  # fmt: skip
-    result = read(*answer(SRV, extra=extra))
+    additional = [("a.konya-1.example.org.", 60, "A", "127.0.0.1"), ("b.else.example.", 60, "A", "127.0.0.9"),
+                  ("c.konya-1.example.org.", 60, "A", "127.0.0.8")]  # fmt: skip
+    result = decode(*encode_answer(SRV, additional=additional))
     assert result.ttl_s == 30 and len(result.records) == 2
     assert set(result.additional) == {Question("a.konya-1.example.org", RecordType.A)}
 
 
-def test_the_ttl_is_the_least_along_a_cname_chain():
-    rows = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
-    assert read(*answer(*rows)).ttl_s == 10
+def test_ttl_is_the_lowest_along_a_cname_chain():
+    records = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
+    assert decode(*encode_answer(*records)).ttl_s == 10
 
 
-def test_cname_chains_without_end_are_failures():
+def test_cname_loops_and_long_cname_chains_are_failures():
     loop = [("x.example.", 30, "CNAME", f"{NAME}."), (f"{NAME}.", 30, "CNAME", "x.example.")]
-    assert "loop" in read(*answer(*loop)).reason
+    assert "loop" in decode(*encode_answer(*loop)).reason
     chain = [(f"n{number}.", 30, "CNAME", f"n{number + 1}.") for number in range(20)]
-    assert "over the bound" in read(*answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).reason
+    assert "over the bound" in decode(*encode_answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).reason
 
 
-def test_the_root_as_target_means_no_such_service():
-    assert isinstance(read(*answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
+def test_srv_record_with_the_root_as_target_is_a_negative_answer():
+    assert isinstance(decode(*encode_answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
 
 
-def test_case_is_mixed_by_its_bits_and_must_come_back():
-    data, asked = answer(SRV, case=0b1011010101)
-    assert asked.to_text() != asked.to_text().lower() and isinstance(read(data, asked), PositiveAnswer)
+def test_answer_must_repeat_the_mixed_case_of_the_query():
+    data, queried_name = encode_answer(SRV, case_bits=0b1011010101)
+    assert queried_name.to_text() != queried_name.to_text().lower() and isinstance(
+        decode(data, queried_name), PositiveAnswer
+    )
     try:
-        read(data, dns.name.from_text(NAME))
+        decode(data, dns.name.from_text(NAME))
     except MismatchError as error:
         assert "case" in str(error)
     else:
         raise AssertionError
 
 
-def test_a_query_is_not_an_answer():
-    data, asked = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
+def test_query_is_not_accepted_as_an_answer():
+    data, queried_name = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
     try:
-        read(data, asked)
+        decode(data, queried_name)
     except MismatchError:
         return
     raise AssertionError
@@ -90,21 +92,21 @@
 RESULT_TYPES = (PositiveAnswer, NegativeAnswer, QueryFailure, TruncatedAnswer)
 
 
-def check_any_result(data, asked, tcp):
+def check_result_or_mismatch(data, queried_name, over_tcp):
     with contextlib.suppress(MismatchError):
-        assert isinstance(read(data, asked, tcp=tcp), RESULT_TYPES)
+        assert isinstance(decode(data, queried_name, over_tcp=over_tcp), RESULT_TYPES)
 
 
 @given(SEEDS, st.booleans())
-def test_garbage_is_a_failure_or_a_mismatch(seed, tcp):
-    data, asked = answer(SRV, extra=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    check_any_result(garbage(data, seed), asked, tcp)
-    check_any_result(data[:4] + garbage(data[4:], seed), asked, tcp)
+def test_garbage_gives_a_result_or_a_mismatch(seed, over_tcp):
+    data, queried_name = encode_answer(SRV, additional=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
+    check_result_or_mismatch(garbage(data, seed), queried_name, over_tcp)
+    check_result_or_mismatch(data[:4] + garbage(data[4:], seed), queried_name, over_tcp)
 
 
 @given(st.integers(0, 400), st.integers(0, 400), st.integers(0, 255))
-def test_truncated_and_corrupted_messages(cut, place, byte):
-    data, asked = answer(SRV, extra=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    check_any_result(data[: cut % len(data)], asked, False)
-    place %= len(data)
-    check_any_result(data[:place] + bytes([byte]) + data[place + 1 :], asked, False)
+def test_truncated_or_corrupted_message_gives_a_result_or_a_mismatch(length, offset, byte):
+    data, queried_name = encode_answer(SRV, additional=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
+    check_result_or_mismatch(data[: length % len(data)], queried_name, False)
+    offset %= len(data)
+    check_result_or_mismatch(data[:offset] + bytes([byte]) + data[offset + 1 :], queried_name, False)
--- a/tests/protocol/test_parsers.py
+++ b/tests/protocol/test_parsers.py
@@ -1,4 +1,4 @@
-"""Every parser, by random cuts of valid messages and by garbage: a value or a plain no, nothing else."""
+"""Every parser returns a value or raises its documented error, for valid, cut, corrupted and random input."""
 
 from dataclasses import astuple
 
@@ -52,13 +52,15 @@
 
 
 def read_stomp_job(data: bytes) -> object:
-    rows = (row.partition(":") for row in data.decode("latin-1").split("\n"))
-    return stomp_jobs.read_job(stomp.Frame("SEND", {name: value for name, _, value in rows}), "me", CATALOGUE)
+    lines = (line.partition(":") for line in data.decode("latin-1").split("\n"))
+    return stomp_jobs.read_job(
+        stomp.Frame("SEND", {name: value for name, _, value in lines}), "me", CATALOGUE
+    )
 
 
-def read_http(data: bytes) -> object:
-    target, *rows = data.decode("latin-1").split("\n")
-    headers = CIMultiDict((name, value) for name, _, value in (row.partition(":") for row in rows))
+def read_http_job(data: bytes) -> object:
+    target, *lines = data.decode("latin-1").split("\n")
+    headers = CIMultiDict((name, value) for name, _, value in (line.partition(":") for line in lines))
     return read_job(target, headers, b"", CATALOGUE)
 
 
@@ -73,6 +75,7 @@
     "known": LIST,
     "limits": {"sockets": 500},
 }
+# For each parser: the function, valid input, and the errors that it may raise on invalid input.
 PARSERS = {
     "stomp frames": (
         read_frames,
@@ -89,7 +92,7 @@
         b"10,20",
         stomp.StompError,
     ),
-    "http fields": (read_http, HEAD, BadRequestError),
+    "http fields": (read_http_job, HEAD, BadRequestError),
     "lists": (EndpointListCodec(("a",), ("k",)).decode, orjson.dumps(LIST), ValueError),
     "worker lines": (lambda data: read_line(data, "9b", FIELDS), orjson.dumps(LINE), ValueError),
     "load reports": (
@@ -103,15 +106,15 @@
 
 
 @pytest.mark.parametrize("name", PARSERS)
-def test_garbage_gets_a_value_or_a_plain_no(name):
-    parse, valid, no = PARSERS[name]
+def test_parser_raises_only_its_own_errors_on_garbage(name):
+    parse, valid, errors = PARSERS[name]
     parse(valid)
 
     @given(SEEDS)
-    def survive(seed):
-        survives(parse, garbage(valid, seed), *getattr(no, "__args__", (no,)))
+    def parse_garbage(seed):
+        survives(parse, garbage(valid, seed), *getattr(errors, "__args__", (errors,)))
 
-    survive()
+    parse_garbage()
 
 
 @given(
@@ -119,25 +122,25 @@
     SEEDS,
     st.sampled_from(["1.1", "1.2"]),
 )
-def test_frames_are_the_same_however_they_are_cut(parts, seed, version):
+def test_frames_are_decoded_from_pieces_of_any_size(frames_and_bodies, seed, version):
     frames = [
         stomp.Frame(frame.command, frame.headers, body if frame.command == "SEND" else b"")
-        for frame, body in parts
+        for frame, body in frames_and_bodies
     ]
     reader = stomp.FrameReader()
     reader.version = version
     data = b"\n".join(stomp.encode(frame, version) for frame in frames) + b"\r\n"
     items = [item for piece in pieces(data, seed) for item in reader.feed(piece)]
     assert sum(isinstance(item, stomp.HeartBeat) for item in items) == len(frames)
-    got = [item for item in items if isinstance(item, stomp.Frame)]
-    for frame, back in zip(frames, got, strict=True):
-        headers = {name: back.headers[name] for name in back.headers if name != "content-length"}
-        clean = frame.headers if version == "1.2" else strip_returns(frame.headers)
-        assert (back.command, headers, back.body) == (frame.command, clean, frame.body)
+    decoded_frames = [item for item in items if isinstance(item, stomp.Frame)]
+    for frame, decoded in zip(frames, decoded_frames, strict=True):
+        headers = {name: decoded.headers[name] for name in decoded.headers if name != "content-length"}
+        expected = frame.headers if version == "1.2" else without_carriage_returns(frame.headers)
+        assert (decoded.command, headers, decoded.body) == (frame.command, expected, frame.body)
 
 
-def strip_returns(headers):
-    """Version 1.1 has no escape for a carriage return."""
+def without_carriage_returns(headers):
+    """Return the headers as version 1.1 encodes them: it has no escape for a carriage return."""
     found = {}
     for name, value in headers.items():
         found.setdefault(name.replace("\r", ""), value.replace("\r", ""))
@@ -145,7 +148,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (b"GET / HTTP/1.1\r\n", "begins"),
         (b"SEND\n" + b"a:" + b"b" * stomp.MAX_HEAD_BYTES, "over"),
@@ -159,27 +162,34 @@
         (b"SEND\n\xff:1\n\n\0", "UTF-8"),
     ],
 )
-def test_what_is_no_frame_is_told_by_its_fault(data, words):
-    with pytest.raises(stomp.StompError, match=words):
+def test_invalid_frame_raises_an_error_that_names_the_fault(data, message):
+    with pytest.raises(stomp.StompError, match=message):
         read_frames(data)
 
 
-def test_of_repeated_headers_the_first_counts_and_lines_may_end_in_crlf():
+def test_first_of_repeated_headers_counts_and_lines_may_end_in_crlf():
     [frame] = read_frames(b"SEND\r\na:1\r\na:2\r\n\r\n\0")
     assert frame.headers == {"a": "1"}
 
 
-def test_heart_beats_are_the_slower_of_both_sides_wishes():
+def test_heart_beat_interval_is_the_longer_of_both_sides():
     assert stomp.heart_beat_intervals("50,2000", (1_000, 1_000)) == (2_000, 1_000)
     assert stomp.heart_beat_intervals("0,0", (1_000, 1_000)) == (0, 0)
 
 
-def test_a_list_is_read_with_its_names_as_places():
-    news = EndpointListCodec(("konya-1", "ankara-1"), ("big-box",)).decode(orjson.dumps(LIST))
-    assert (news.seq, news.is_complete, news.entries[0].zone, news.entries[0].kind) == (41, True, 1, 0)
+def test_zone_and_kind_names_in_a_list_are_decoded_to_numbers():
+    endpoints = EndpointListCodec(("konya-1", "ankara-1"), ("big-box",)).decode(orjson.dumps(LIST))
+    assert (
+        endpoints.seq,
+        endpoints.is_complete,
+        endpoints.entries[0].zone,
+        endpoints.entries[0].kind,
+    ) == (41, True, 1, 0)
     other = LIST | {"hosts": [LIST["hosts"][0] | {"born_ms": 5, "site": "izmir-1"}]}
     [entry] = EndpointListCodec(("a", "b"), ()).decode(orjson.dumps(other)).entries
-    assert (entry.zone, entry.started_at) == (2, 5_000), "a zone that no setting names is a zone of its own"
+    assert (entry.zone, entry.started_at) == (2, 5_000), (
+        "a zone that is not in the settings gets a new number"
+    )
 
 
 @pytest.mark.parametrize(
@@ -193,29 +203,29 @@
         {"share": True},
     ],
 )
-def test_a_list_with_a_bad_entry_is_a_failed_list(change):
+def test_list_with_an_invalid_entry_is_rejected(change):
     with pytest.raises(ValueError, match="list"):
         EndpointListCodec((), ()).decode(orjson.dumps(LIST | {"hosts": [LIST["hosts"][0] | change]}))
 
 
-def test_lines_are_news_or_the_end():
-    def line(**fields):
+def test_worker_lines_are_decoded_to_progress_or_results():
+    def read_fields(**fields):
         return read_line(orjson.dumps({"id": "9b", **fields}), "9b", FIELDS)
 
-    assert line(state="started") == ProgressReport()
-    assert line(state="running", share=0.4) == ProgressReport(0.4)
-    assert line(state="dreaming") is None
-    assert line(**LINE) == AttemptResult(Outcome.SERVED, "ü".encode(), LoadReport(7.0, 2.0, 1.5))
-    outcomes = {state: line(state=state).outcome for state in ("failed", "returned", "lost")}
+    assert read_fields(state="started") == ProgressReport()
+    assert read_fields(state="running", share=0.4) == ProgressReport(0.4)
+    assert read_fields(state="dreaming") is None
+    assert read_fields(**LINE) == AttemptResult(Outcome.SERVED, "ü".encode(), LoadReport(7.0, 2.0, 1.5))
+    outcomes = {state: read_fields(state=state).outcome for state in ("failed", "returned", "lost")}
     assert list(outcomes.values()) == [Outcome.ERROR, Outcome.FULL, Outcome.RESET]
     with pytest.raises(ValueError, match="this job"):
-        line(id="another", state="done", result="x")
+        read_fields(id="another", state="done", result="x")
     with pytest.raises(ValueError, match="result"):
-        line(state="done")
+        read_fields(state="done")
 
 
-def test_a_job_is_read_from_its_fields():
-    job = read_http(HEAD)
+def test_job_is_read_from_the_header_fields():
+    job = read_http_job(HEAD)
     assert (job.id, job.class_index, job.slots, job.expected_work, job.target) == (
         "9b",
         0,
@@ -223,17 +233,17 @@
         9,
         "/nearby/17?x=%20",
     )
-    assert 0 < job.timeout_us < 480_000, "some of the client's time is kept for the way back"
-    assert job.key == read_http(HEAD.replace(b"?x=%20", b"")).key, (
-        "the key is the path's last part, not the query"
+    assert 0 < job.timeout_us < 480_000, "a margin of the client's timeout is reserved for transmission"
+    assert job.key == read_http_job(HEAD.replace(b"?x=%20", b"")).key, (
+        "the key is the last segment of the path, without the query"
     )
     assert len(astuple(job)) == 10
 
 
-def test_a_client_waits_no_longer_than_its_class_allows():
-    """Guards a planned end, which waits for every flow: none may ask for an hour."""
-    assert read_http(HEAD.replace(b":480", b":999999999")).timeout_us <= 5_000_000
-    assert read_http(HEAD.replace(b"X-Timeout-Ms:480\n", b"")).timeout_us <= 5_000_000
+def test_timeout_is_limited_to_the_deadline_of_the_class():
+    """A planned shutdown waits for every request, so none may have a timeout of an hour."""
+    assert read_http_job(HEAD.replace(b":480", b":999999999")).timeout_us <= 5_000_000
+    assert read_http_job(HEAD.replace(b"X-Timeout-Ms:480\n", b"")).timeout_us <= 5_000_000
 
 
 @pytest.mark.parametrize(
@@ -247,16 +257,16 @@
         (b"=2", b"=-2"),
     ],
 )
-def test_a_job_with_a_bad_field_is_refused(change):
+def test_job_with_an_invalid_field_is_rejected(change):
     with pytest.raises(BadRequestError):
-        read_http(HEAD.replace(*change))
+        read_http_job(HEAD.replace(*change))
 
 
-def test_a_keyed_job_needs_its_key():
+def test_keyed_job_without_an_idempotency_key_is_rejected():
     with pytest.raises(BadRequestError, match="Idempotency-Key"):
-        read_http(HEAD.replace(b"nearby", b"reserve"))
+        read_http_job(HEAD.replace(b"nearby", b"reserve"))
 
 
-def test_settings_that_are_no_object_are_refused():
+def test_settings_that_are_not_an_object_are_rejected():
     with pytest.raises(SettingsError):
         settings_from([])
