--- a/hazelbend/endpoints/precedence.py
+++ b/hazelbend/endpoints/precedence.py
@@ -44,10 +44,10 @@
 class PrecedenceResult(Enum):
     """The state of an endpoint that results from both reports."""
 
-    AS_LISTED = "as the box list says"
-    REMOVED = "nothing new goes there"
+    AS_LISTED = "as the endpoint list reports"
+    REMOVED = "no new jobs"
     BY_SRV = "serves, as just started"
-    ABSENT = "is not there"
+    ABSENT = "absent"
 
 
 def apply_precedence(by_list: ListReport, by_srv: SrvReport) -> PrecedenceResult:
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -259,7 +259,7 @@
     @precondition(lambda self: self.in_flight())
     @rule(outcome=st.sampled_from([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]))
     def all_attempts_end(self, outcome):
-        """All attempts in flight end alike, as on the loss of a zone; those that may be retried are."""
+        """All attempts in flight end with the same outcome, as when a zone fails; allowed retries follow."""
         self.do(lambda: [attempt.result.set_result(AttemptResult(outcome)) for attempt in self.in_flight()])
 
     @precondition(lambda self: self.connecting())
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -96,8 +96,8 @@
 def test_client_disconnect_during_the_connect_withdraws_the_attempt():
     """A module that must not cancel attempts does not withdraw this one, so the router has to.
 
-    A benchmark with cancel not allowed reported `sent request on 0.16 s after its client had gone`, 13 times
-    on one day.
+    In a benchmark with cancel not allowed, 13 requests of one day were sent after their clients had
+    disconnected, one of them 0.16 s later.
     """
     module, site, _request = change_during_connect(disconnect_client)
     assert [received.field("X-Request-ID") for received in site.backend.requests] == ["again"]
@@ -128,7 +128,7 @@
 def test_timeout_header_gives_the_time_that_remains_after_the_connect():
     """Guards against a request header that is built before a slow connect and gives too long a timeout.
 
-    A benchmark reported `9 of 24 further attempts told more time than was left`.
+    In a benchmark 9 of 24 further attempts gave more time than remained.
     """
 
     async def wait(site, request):
@@ -177,7 +177,7 @@
     worker = job.tries[0].worker.worker
     assert model.dispatcher.may_begin(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=decisions.ListKind.DELTA)
-    assert not model.dispatcher.may_begin(1, 0, model.now), "a new process serves there, which is cold"
+    assert not model.dispatcher.may_begin(1, 0, model.now), "the worker's process is a new one, and cold"
     model.leave(1)
     assert not model.dispatcher.may_begin(1, 0, model.now)
 
@@ -222,7 +222,7 @@
 
 
 def test_cold_worker_budget_is_spent_in_the_window_of_the_first_byte():
-    """Guards a cold worker: the sends of a second arrive together if all their connections are slow."""
+    """Attempts that are sent within a second reach a cold worker together if all their connects are slow."""
     dispatcher, now = dispatcher_with_cold_worker(10**9)
     [worker] = dispatcher.workers.values()
     assert [attempt.at for attempt in worker.cold_attempts] == [now]
