--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -54,7 +54,7 @@
     async def close(self) -> None:
         """Stop listening."""
 
-    def server_changed(self, server: Backend, takes_work: bool) -> None:
+    def server_changed(self, server: Backend, is_up: bool) -> None:
         """Notify that a server takes work, or no longer does."""
 
 
@@ -103,8 +103,8 @@
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
             self.router.is_open_elsewhere, self.router.on_open_ids_changed = (
-                self.handover.holds,
-                self.handover.tell,
+                self.handover.is_open_elsewhere,
+                self.handover.broadcast_update,
             )
         self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
 
@@ -181,22 +181,22 @@
 
         self.watch.subscribe(filter_update)
 
-    def _server_changed(self, server: Backend, takes_work: bool) -> None:
-        self._server_lines.info("server %s: %s", server.entry.host, "up" if takes_work else "down")
+    def _server_changed(self, server: Backend, is_up: bool) -> None:
+        self._server_lines.info("server %s: %s", server.entry.host, "up" if is_up else "down")
         for extension in self.extensions.values():
             extension.on_servers_changed()
         if self.agent is not None:
-            self.agent.server_changed(server, takes_work)
+            self.agent.server_changed(server, is_up)
 
     async def start(self) -> None:
         """Open all listeners, that for clients last: what can fail for want of an address comes before."""
         passed = self.conf.passed_socket
         listener = inherited_listener(passed) if passed is not None else None
-        state = await self.handover.fetch() if self.handover is not None else None
+        state = await self.handover.fetch_state() if self.handover is not None else None
         self._start_router(state)
         await self._open_listeners()
         settings = self.conf.settings
-        if settings.list_is_pushed or (listener is not None and settings.list_must_be_asked):
+        if settings.list_is_pushed or (listener is not None and settings.list_is_polled):
             await self._wait_for_first_list()
         await self.client_listener.listen(*self.conf.listen, listener)
         if self.handover is not None:
--- a/hazelbend/routing/decision_module.py
+++ b/hazelbend/routing/decision_module.py
@@ -16,8 +16,8 @@
     def handle(self, event: decisions.Event, now: int) -> list[decisions.Action]:
         """Handle an event and return the actions to carry out."""
 
-    def may_begin(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
+    def may_still_send(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
         """Whether an attempt may still be sent, now that its connection is established."""
 
-    def avoided(self, now: int) -> set[decisions.WorkerId]:
+    def workers_in_backoff(self, now: int) -> set[decisions.WorkerId]:
         """Return the listed workers to which no requests are sent at present."""
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -110,7 +110,7 @@
     """Collect a router's metrics, without those of optional components. `classes`: names by class index."""
     answers = router.counters.answers
     servers = router.table.servers
-    avoided = router.module.avoided(router.clock.now())
+    workers_in_backoff = router.module.workers_in_backoff(router.clock.now())
     return Figures(
         classes=tuple(
             ClassFigures(
@@ -124,7 +124,9 @@
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(server.is_manually_drained or number in avoided for number, server in servers.items()),
+        ejected=sum(
+            server.is_manually_drained or number in workers_in_backoff for number, server in servers.items()
+        ),
     )
 
 
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -52,11 +52,11 @@
         self._own = 0  # the inode of our socket
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def holds(self, job_id: str) -> bool:
+    def is_open_elsewhere(self, job_id: str) -> bool:
         """Whether a flow of this id is open in another process."""
         return any(job_id in ids for ids in self._siblings.values())
 
-    def tell(self, job_id: str, taken: bool) -> None:
+    def broadcast_update(self, job_id: str, taken: bool) -> None:
         """A flow was taken here, or is over."""
         for writer in list(self._siblings):
             if writer.transport.get_write_buffer_size() > UNREAD:
@@ -64,7 +64,7 @@
             else:
                 writer.write(encode_update(JobIdUpdate(job_id, taken)))
 
-    async def fetch(self) -> HandoverState | None:
+    async def fetch_state(self) -> HandoverState | None:
         """The state of the process before, if there is one; from then on the two are siblings."""
         writer = None
         try:
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -178,13 +178,13 @@
         if self._engine is not None:
             self._engine.close_dispatcher()
 
-    def server_changed(self, server: Backend, takes_work: bool) -> None:
-        """Notify the targets that a server went up (`takes_work`) or down."""
+    def server_changed(self, server: Backend, is_up: bool) -> None:
+        """Notify the targets that a server went up (`is_up`) or down."""
         if self._engine is None or not self._notify:
             return
         down_state = MANUALLY_DRAINED if server.is_manually_drained else "draining"
-        state = SERVER_STATES["ready" if takes_work else down_state]
-        notification = rfc1902.ObjectIdentifier(SERVER_UP if takes_work else SERVER_DOWN)
+        state = SERVER_STATES["ready" if is_up else down_state]
+        notification = rfc1902.ObjectIdentifier(SERVER_UP if is_up else SERVER_DOWN)
         objects = [
             (SNMP_TRAP_OID, notification),
             ((*SERVER_ENTRY, NAME_COLUMN, server.index), rfc1902.OctetString(server.entry.host)),
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
@@ -25,9 +25,11 @@
 
 SAFE, KEYED, UNSAFE = range(3)
 CLASSES = (
-    JobClass(effect=Effect.SAFE, objective=2_000_000),
-    JobClass(effect=Effect.KEYED, group=Group.ZONE, repeat_window=800_000, objective=2_000_000),
-    JobClass(effect=Effect.UNSAFE, objective=2_000_000),
+    JobClass(idempotency=Idempotency.SAFE, objective=2_000_000),
+    JobClass(
+        idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ZONE, dedup_window=800_000, objective=2_000_000
+    ),
+    JobClass(idempotency=Idempotency.UNSAFE, objective=2_000_000),
 )
 BACKENDS = 5
 OUTCOMES = [Outcome.SERVED, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
@@ -128,12 +130,12 @@
         self.settings = Settings(
             classes=CLASSES,
             cancel_allowed=cancel_allowed,
-            second_copies_allowed=copies_allowed,
+            hedging_allowed=copies_allowed,
             max_attempts=max_attempts,
-            tells_start=True,
+            reports_job_starts=True,
             progress_interval=200_000,
-            fall_multiple=100.0,  # so that a restart does not exclude a backend from the rest of the run
-            warm_after=500_000,
+            collapse_multiple=100.0,  # so that a restart does not exclude a backend from the rest of the run
+            warmup_duration=500_000,
         )
 
         def build():
@@ -315,12 +317,12 @@
         ]
         executed = [other for other in earlier if other.may_have_been_executed]
         assert len(earlier) < self.settings.max_attempts
-        if not self.settings.second_copies_allowed:
+        if not self.settings.hedging_allowed:
             assert all(other.outcome is not None for other in earlier), "two attempts are in flight"
-        if executed and job_class.effect is Effect.UNSAFE:
+        if executed and job_class.idempotency is Idempotency.UNSAFE:
             raise AssertionError("it may have been executed")
-        if executed and job_class.effect is Effect.KEYED:
-            assert now < executed[0].first_byte_at + job_class.repeat_window, "its repeat window has ended"
+        if executed and job_class.idempotency is Idempotency.KEYED:
+            assert now < executed[0].first_byte_at + job_class.dedup_window, "its repeat window has ended"
             assert executed[0].backend % 2 == attempt.backend % 2, "the retry is in another zone"
         attempt.first_byte_at = now
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -7,12 +7,20 @@
 
 from hazelbend.decisions import interface as decisions
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
+from hazelbend.decisions.interface import (
+    DedupScope,
+    Idempotency,
+    JobClass,
+    Outcome,
+    Settings,
+    WorkerEntry,
+    WorkerState,
+)
 from hazelbend.routing.ports import Verdict
 from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
 from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
 from tests.support.model import Model
-from tests.support.site_kit import until
+from tests.support.site_kit import wait_until
 
 LONG = replace(JOB, timeout_us=20_000_000)
 
@@ -30,7 +38,7 @@
         async with core(decision_module, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
                 request = site.router.accept(job)
-                await until(lambda: connects.waiting)
+                await wait_until(lambda: connects.waiting)
                 await change(site, request)
                 await turns()
                 connects.let_go()
@@ -75,7 +83,7 @@
     class RejectsFirstAttempt(ScriptedModule):
         checks = 0
 
-        def may_begin(self, request, attempt, now):
+        def may_still_send(self, request, attempt, now):
             self.checks += 1
             return self.checks > 1
 
@@ -160,7 +168,7 @@
 
 # --- the decision module's check before the first byte ---
 
-KEYED = JobClass(effect=Effect.KEYED, group=Group.ALL, repeat_window=1_000_000)
+KEYED = JobClass(idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ALL, dedup_window=1_000_000)
 
 
 def model_with_two_workers(settings: Settings, **entry: int) -> Model:
@@ -175,17 +183,17 @@
     model.arrive(1)
     [job] = model.jobs.values()
     worker = job.tries[0].worker.worker
-    assert model.dispatcher.may_begin(1, 0, model.now + 1_000)
+    assert model.dispatcher.may_still_send(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=decisions.ListKind.DELTA)
-    assert not model.dispatcher.may_begin(1, 0, model.now), "the worker's process is a new one, and cold"
+    assert not model.dispatcher.may_still_send(1, 0, model.now), "the worker's process is a new one, and cold"
     model.leave(1)
-    assert not model.dispatcher.may_begin(1, 0, model.now)
+    assert not model.dispatcher.may_still_send(1, 0, model.now)
 
 
 @pytest.mark.parametrize("window", [100_000, 400_000, 1_000_000])
 def test_retry_may_not_begin_after_its_repeat_window(window):
     """Guards against a second execution: workers forget an idempotency key some time after its first send."""
-    job = replace(KEYED, repeat_window=window)
+    job = replace(KEYED, dedup_window=window)
     model = model_with_two_workers(Settings(classes=(job,)))
     model.arrive(1)
     first = model.now
@@ -193,29 +201,34 @@
     assert len(model.jobs[1].tries) == 2, (
         "a window shorter than the usual pause of a worker still allows a retry"
     )
-    assert model.dispatcher.may_begin(1, 1, first + window // 2)
-    assert not model.dispatcher.may_begin(1, 1, first + window)
+    assert model.dispatcher.may_still_send(1, 1, first + window // 2)
+    assert not model.dispatcher.may_still_send(1, 1, first + window)
 
 
 def test_second_attempt_may_not_begin_while_the_first_is_open_if_copies_are_not_allowed():
-    model = model_with_two_workers(Settings(classes=(JobClass(effect=Effect.SAFE),), max_attempts=4))
+    model = model_with_two_workers(
+        Settings(classes=(JobClass(idempotency=Idempotency.SAFE),), max_attempts=4)
+    )
     model.arrive(1)
     request = model.dispatcher.requests[1]
     model.end(1, Outcome.NOT_SENT)
     request.attempts[0].outcome = None
-    assert not model.dispatcher.may_begin(1, 1, model.now), "the first attempt is in flight"
+    assert not model.dispatcher.may_still_send(1, 1, model.now), "the first attempt is in flight"
 
 
 def dispatcher_with_cold_worker(now: int) -> tuple[Dispatcher, int]:
     """Return a dispatcher with one cold worker that has one attempt, and the present time."""
     settings = Settings(
-        classes=(JobClass(effect=Effect.SAFE),), warm_after=60_000_000, start_capacity=0.5, fall_multiple=4.0
+        classes=(JobClass(idempotency=Idempotency.SAFE),),
+        warmup_duration=60_000_000,
+        initial_capacity=0.5,
+        collapse_multiple=4.0,
     )
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(
         decisions.MembershipUpdate(decisions.ListKind.FULL, (WorkerEntry(1, started_at=now),)), now
     )
-    now += 2 * settings.fall_window
+    now += 2 * settings.collapse_window
     dispatcher.slow_start.draw(dispatcher.workers.values(), settings, dispatcher.random, now)
     dispatcher.handle(decisions.RequestArrived(1, 5_000_000), now)
     return dispatcher, now
@@ -227,9 +240,11 @@
     [worker] = dispatcher.workers.values()
     assert [attempt.at for attempt in worker.cold_attempts] == [now]
     late = now + 900_000
-    assert dispatcher.may_begin(1, 0, late) and [attempt.at for attempt in worker.cold_attempts] == [late]
+    assert dispatcher.may_still_send(1, 0, late) and [attempt.at for attempt in worker.cold_attempts] == [
+        late
+    ]
     worker.cold_attempts.append(type(worker.cold_attempts[0])(late, 10**6))
-    assert not dispatcher.may_begin(1, 0, late + 10_000), "another attempt has spent the window's budget"
+    assert not dispatcher.may_still_send(1, 0, late + 10_000), "another attempt has spent the window's budget"
 
 
 def test_attempt_that_was_not_sent_spends_no_budget_of_a_cold_worker():
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -35,10 +35,10 @@
         answer = self.script.get(type(event).__name__, [])
         return answer(event) if callable(answer) else answer
 
-    def may_begin(self, request, attempt, now):
+    def may_still_send(self, request, attempt, now):
         return True
 
-    def avoided(self, now):
+    def workers_in_backoff(self, now):
         return set()
 
     def of(self, kind):
@@ -352,7 +352,7 @@
         await router.accept(JOB).answered
 
     asyncio.run(run())
-    before, short, long, after = (event.patience for event in module.of(decisions.RequestArrived))
+    before, short, long, after = (event.client_timeout for event in module.of(decisions.RequestArrived))
     assert (before, short, after) == (500_000, 100_000, 1) and long <= 200_000
 
 
