--- a/hazelbend/routing/decision_module.py
+++ b/hazelbend/routing/decision_module.py
@@ -20,4 +20,4 @@
         """Whether an attempt may still be sent, now that its connection is established."""
 
     def workers_in_backoff(self, now: int) -> set[decisions.WorkerId]:
-        """Return the listed workers to which no requests are sent at present."""
+        """Return the listed workers to which the module sends nothing until their backoff ends."""
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -63,7 +63,7 @@
     forwards: int  # attempts written completely to servers
     outstanding: int  # jobs received and not yet answered
     discovered: int  # servers on the endpoint list
-    ejected: int  # of those, the ones that are avoided: ejected by the decision module, or manually drained
+    ejected: int  # of those, the ones in backoff by the decision module or manually drained
     component_figures: Mapping[str, int] = field(
         default_factory=dict
     )  # metrics of optional components, by name
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -101,7 +101,7 @@
 
 
 class RequestLifecycleMachine(RuleBasedStateMachine):
-    """One site. Cancelling attempts and second copies of a request may each be allowed or not."""
+    """One site. Cancelling attempts and hedging (two attempts in flight) may each be allowed or not."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -125,12 +125,12 @@
 
         self.loop.run_until_complete(run())
 
-    @initialize(cancel_allowed=st.booleans(), copies_allowed=st.booleans(), max_attempts=st.integers(1, 4))
-    def start_router(self, cancel_allowed, copies_allowed, max_attempts):
+    @initialize(cancel_allowed=st.booleans(), hedging_allowed=st.booleans(), max_attempts=st.integers(1, 4))
+    def start_router(self, cancel_allowed, hedging_allowed, max_attempts):
         self.settings = Settings(
             classes=CLASSES,
             cancel_allowed=cancel_allowed,
-            hedging_allowed=copies_allowed,
+            hedging_allowed=hedging_allowed,
             max_attempts=max_attempts,
             reports_job_starts=True,
             progress_interval=200_000,
@@ -322,7 +322,9 @@
         if executed and job_class.idempotency is Idempotency.UNSAFE:
             raise AssertionError("it may have been executed")
         if executed and job_class.idempotency is Idempotency.KEYED:
-            assert now < executed[0].first_byte_at + job_class.dedup_window, "its repeat window has ended"
+            assert now < executed[0].first_byte_at + job_class.dedup_window, (
+                "its deduplication window has ended"
+            )
             assert executed[0].backend % 2 == attempt.backend % 2, "the retry is in another zone"
         attempt.first_byte_at = now
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -178,7 +178,7 @@
     return model
 
 
-def test_attempt_may_not_begin_after_its_worker_restarts_or_its_client_disconnects():
+def test_attempt_may_not_be_sent_after_its_worker_restarts_or_its_client_disconnects():
     model = model_with_two_workers(Settings(classes=(JobClass(),)))
     model.arrive(1)
     [job] = model.jobs.values()
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("window", [100_000, 400_000, 1_000_000])
-def test_retry_may_not_begin_after_its_repeat_window(window):
+def test_retry_may_not_be_sent_after_its_deduplication_window(window):
     """Guards against a second execution: workers forget an idempotency key some time after its first send."""
     job = replace(KEYED, dedup_window=window)
     model = model_with_two_workers(Settings(classes=(job,)))
@@ -205,7 +205,7 @@
     assert not model.dispatcher.may_still_send(1, 1, first + window)
 
 
-def test_second_attempt_may_not_begin_while_the_first_is_open_if_copies_are_not_allowed():
+def test_second_attempt_may_not_be_sent_while_the_first_is_in_flight_without_hedging():
     model = model_with_two_workers(
         Settings(classes=(JobClass(idempotency=Idempotency.SAFE),), max_attempts=4)
     )
