--- a/hazelbend/protocol/dns.py
+++ b/hazelbend/protocol/dns.py
@@ -95,7 +95,7 @@
 def decode_answer(
     data: bytes, query_id: int, queried_name: dns.name.Name, question: Question, *, over_tcp: bool
 ) -> QueryResult:
-    """Return the result of a query. `queried_name` is the name as `encode_query` returned it.
+    """Return the result of the query with this id; `queried_name` is the name that `encode_query` returned.
 
     Raises:
         MismatchError: the bytes are not an answer to that query.
