--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -193,7 +193,7 @@
         self._start_router(state)
         await self._open_listeners()
         settings = self.conf.settings
-        if settings.list_is_pushed or (listener is not None and settings.list_must_be_asked):
+        if settings.list_is_pushed or (listener is not None and settings.list_is_polled):
             await self._wait_for_first_list()
         await self.client_listener.listen(*self.conf.listen, listener)
         if self.handover is not None:
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -107,7 +107,7 @@
     """Take the figures of a router, without those of optional components. `classes`: names by index."""
     answers = router.counters.answers
     servers = router.table.servers
-    avoided = router.module.avoided(router.clock.now())
+    workers_in_backoff = router.module.workers_in_backoff(router.clock.now())
     return Figures(
         classes=tuple(
             ClassFigures(
@@ -121,7 +121,9 @@
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(server.is_manually_drained or number in avoided for number, server in servers.items()),
+        ejected=sum(
+            server.is_manually_drained or number in workers_in_backoff for number, server in servers.items()
+        ),
     )
 
 
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -313,9 +313,9 @@
                 assert first.accepts_work and spare.accepts_work
                 await until(lambda: not spare.accepts_work)
                 assert time.monotonic() - back > 0.29, "the hysteresis"
-                app.module.avoided = lambda now: {first.id}
+                app.module.workers_in_backoff = lambda now: {first.id}
                 await until(lambda: spare.accepts_work)
-                del app.module.avoided
+                del app.module.workers_in_backoff
                 await until(lambda: not spare.accepts_work)
                 server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
                 await until(lambda: len(app.router.table.servers) == 1)
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
@@ -25,9 +25,11 @@
 
 SAFE, KEYED, UNSAFE = range(3)
 CLASSES = (
-    JobClass(effect=Effect.SAFE, objective=2_000_000),
-    JobClass(effect=Effect.KEYED, group=Group.ZONE, repeat_window=800_000, objective=2_000_000),
-    JobClass(effect=Effect.UNSAFE, objective=2_000_000),
+    JobClass(idempotency=Idempotency.SAFE, objective=2_000_000),
+    JobClass(
+        idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ZONE, dedup_window=800_000, objective=2_000_000
+    ),
+    JobClass(idempotency=Idempotency.UNSAFE, objective=2_000_000),
 )
 BACKENDS = 5
 ENDINGS = [Outcome.SERVED, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
@@ -125,12 +127,12 @@
         self.settings = Settings(
             classes=CLASSES,
             cancel_allowed=cancel,
-            second_copies_allowed=copies,
+            hedging_allowed=copies,
             max_attempts=attempts,
-            tells_start=True,
+            reports_job_starts=True,
             progress_interval=200_000,
-            fall_multiple=100.0,  # so that a restart does not keep a backend out of the rest
-            warm_after=500_000,
+            collapse_multiple=100.0,  # so that a restart does not keep a backend out of the rest
+            warmup_duration=500_000,
         )
 
         def build():
@@ -304,12 +306,12 @@
         earlier = [each for each in self.attempts if each.job.id == held.job.id and each.begun_at is not None]
         ran = [each for each in earlier if each.may_have_run]
         assert len(earlier) < self.settings.max_attempts
-        if not self.settings.second_copies_allowed:
+        if not self.settings.hedging_allowed:
             assert all(each.over is not None for each in earlier), "two attempts out"
-        if ran and job.effect is Effect.UNSAFE:
+        if ran and job.idempotency is Idempotency.UNSAFE:
             raise AssertionError("it may have run")
-        if ran and job.effect is Effect.KEYED:
-            assert now < ran[0].begun_at + job.repeat_window, "its window is over"
+        if ran and job.idempotency is Idempotency.KEYED:
+            assert now < ran[0].begun_at + job.dedup_window, "its window is over"
             assert ran[0].backend % 2 == held.backend % 2, "in another zone"
         held.begun_at = now
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -35,10 +35,10 @@
         answer = self.script.get(type(event).__name__, [])
         return answer(event) if callable(answer) else answer
 
-    def may_begin(self, request, attempt, now):
+    def may_still_send(self, request, attempt, now):
         return True
 
-    def avoided(self, now):
+    def workers_in_backoff(self, now):
         return set()
 
     def of(self, kind):
@@ -337,7 +337,7 @@
         await router.accept(JOB).answered
 
     asyncio.run(run())
-    before, short, long, after = (event.patience for event in module.of(face.RequestArrived))
+    before, short, long, after = (event.client_timeout for event in module.of(face.RequestArrived))
     assert (before, short, after) == (500_000, 100_000, 1) and long <= 200_000
 
 
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -29,7 +29,7 @@
 from tests.transport.test_client_listener import request, talk
 
 ENTRIES = (face.WorkerEntry(1), face.WorkerEntry(2, started_at=900_000), face.WorkerEntry(3, machine_kind=1))
-SETTINGS = Settings(fall_window=1, warm_after=1)
+SETTINGS = Settings(collapse_window=1, warmup_duration=1)
 BUSY = face.LoadReport(in_flight=9.0, queued=5.0, free_slots=0.0)
 IDLE = face.LoadReport(in_flight=0.0, queued=0.0, free_slots=4.0)
 
@@ -62,9 +62,9 @@
 
 def test_what_was_learnt_goes_on():
     old, new, now = seasoned(), fresh(), 4_200_000
-    assert old.avoided(now) == {2} and new.avoided(now) == set()
+    assert old.workers_in_backoff(now) == {2} and new.workers_in_backoff(now) == set()
     import_state(new, passed(export_state(old, now)), now)
-    assert new.avoided(now) == {2}
+    assert new.workers_in_backoff(now) == {2}
     assert [each.value for each in new.load_model.run_times] == [
         each.value for each in old.load_model.run_times
     ]
@@ -88,7 +88,7 @@
     entries = (ENTRIES[0], face.WorkerEntry(2, started_at=4_000_000))
     new.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_150_000)
     import_state(new, passed(export_state(old, 4_200_000)), 4_200_000)
-    assert new.avoided(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
+    assert new.workers_in_backoff(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
 
 
 def test_levels_by_the_rate_that_an_earlier_version_passes_on_are_not_taken():
@@ -100,7 +100,7 @@
         each["level"] = each.pop("usual")
         del each["size"]
     import_state(new, memory, now)
-    assert new.load_model.usual_levels == {} and new.avoided(now) == {2}
+    assert new.load_model.usual_levels == {} and new.workers_in_backoff(now) == {2}
     for worker in new.workers.values():
         new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
