--- a/hazelbend/decisions/__init__.py
+++ b/hazelbend/decisions/__init__.py
@@ -1,6 +1,7 @@
 """The decision module of a dispatcher that pushes jobs to workers: SED_e on delayed information.
 
-Free of I/O and of clocks: `Dispatcher` is told of events and of the time, and answers with actions.
+It does no I/O and reads no clock: the caller passes events and the current time to `Dispatcher.handle`, which
+returns the actions to carry out.
 """
 
 from hazelbend.decisions.dispatcher import Dispatcher
--- a/hazelbend/decisions/admission.py
+++ b/hazelbend/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request may go to the best worker now, or has to wait or be rejected."""
+"""Admission control: whether a request may go to its best worker now, or has to wait or be rejected."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from hazelbend.decisions.selection import Option
 from hazelbend.decisions.worker import Worker
 
-WAIT_MARGIN = 2.0  # a wait may well be twice the expected one: waits are about exponential
+WAIT_SAFETY_FACTOR = 2.0  # waits are roughly exponential, so twice the expected wait is common
 
 
 class Admission:
-    """Compares waits with what requests can still wait. Times in microseconds."""
+    """Compares the expected wait of a request with the longest one it can afford. Times in microseconds."""
 
     def __init__(self, settings: Settings, load_model: LoadModel) -> None:
-        """Decide by the learnt run times."""
+        """Use the run times that `load_model` has learnt."""
         self.settings = settings
         self._load_model = load_model
 
     def is_too_late(self, request: Request, option: Option, now: int) -> bool:
-        """Whether the request would be late at its best worker, and so make the next one late too."""
+        """Whether the request would be late at its best worker, and so delay the next one as well."""
         is_queued = option.delay > option.run_time
         is_known = option.worker.slots > 0 or self._load_model.uses_plan
         if not (is_queued and is_known):
@@ -30,7 +30,11 @@
         return option.delay - option.run_time > self._max_wait(request, option, request.target - now)
 
     def retry_after(self, request: Request, option: Option | None, ready: Iterable[Worker], now: int) -> int:
-        """Return when another try may succeed: the best wait has drained, or a worker gets its trial."""
+        """Return the time until a retry may succeed.
+
+        That is when the queue of the best worker is short enough, or, without an option, when the first
+        worker in backoff may get a trial request.
+        """
         tick = self.settings.tick
         if option is None:
             trials = [worker.backoff_until - now for worker in ready if worker.backoff_until > now]
@@ -40,22 +44,24 @@
         return round(max(option.delay - option.run_time - max(max_wait, 0.0), tick))
 
     def _max_wait(self, request: Request, option: Option, time_left: float) -> float:
-        """Return the longest wait at the worker with which the request can be in time.
+        """Return the longest wait at the worker with which the request is admitted.
 
-        The less the request is worth for its work beside a class of more value, the nearer this is to the
-        wait that lets a job of that class be in time after it: in overload that one takes its place.
+        That is the longest wait with which it can still be in time, shortened where other classes have more
+        value per unit of work. The lower the request's own value is beside such a class, the nearer the
+        result is to the wait that lets a job of that class be in time after this request: in overload the job
+        of more value takes its place.
         """
         model = self._load_model
         pace = option.run_time / model.work.value
         added_wait = request.cost * option.run_time / option.worker.concurrency
-        own_wait = (time_left - pace * request.work) / WAIT_MARGIN
+        own_wait = (time_left - pace * request.work) / WAIT_SAFETY_FACTOR
         own_value = self.value_rate(request.job, request.class_index)
         waits = [own_wait]
         for index, job in enumerate(self.settings.classes):
             value = self.value_rate(job, index)
             if value > own_value:
                 run_time = model.run_times[index].value
-                wait = (job.objective + (job.stretch - pace) * run_time) / WAIT_MARGIN - added_wait
+                wait = (job.objective + (job.stretch - pace) * run_time) / WAIT_SAFETY_FACTOR - added_wait
                 waits.append(wait + (own_wait - wait) * own_value / value)
         return min(waits)
 
--- a/hazelbend/decisions/discovery_retry.py
+++ b/hazelbend/decisions/discovery_retry.py
@@ -1,29 +1,34 @@
-"""When discovery is called again: delays only; the calls are made elsewhere. Times in microseconds.
+"""Delays between calls to the discovery service. The calls themselves are made elsewhere.
 
-    not called yet --first_delay()--> calling, at once or, in a large fleet, spread
+    not called yet --first_delay()--> calling, at once or, in a large fleet, spread over time
     calling        --answer---------> watching
     watching       --failure--------> calling, after retry_delay()
     calling        --failure--------> calling, after retry_delay()
 
-What the delays have to keep to (the settings' `ask_within`, and the operators' terms):
+A watch is a call that discovery holds open until the list changes, for at most its "hold". A change "counts
+as notified" from the moment at which a dispatcher must obey it, whether or not it has learnt of it. Times are
+in microseconds.
 
-- A dispatcher that has not called for `ask_within` counts as notified of all that was listed so long ago,
-  and after any failure of discovery of what discovery had 6 s ago, also where the dispatcher has started
-  since. So first calls are spread over a small part of both, and no later delay is longer.
+Constraints on the delays, from the settings' `poll_interval` and the operators' requirements:
+
+- If a dispatcher has not called for `poll_interval`, everything that was listed that long ago counts as
+  notified. After any failure of discovery, so does everything that discovery had 6 s ago, even if the
+  dispatcher has started since. First calls are therefore spread over a small part of both times, and no later
+  delay is longer.
 - Whichever call failed, was rejected or timed out: a change counts as notified `NOTIFIED_AFTER_FAILURE_US`
-  after discovery had it and could be reached. In that time two calls fit, though the first of them fails
-  again: `MAX_RETRY_US`, a call that times out after `CALL_TIMEOUT_US`, `MAX_RETRY_US` again, and
-  `ANSWER_TIME_US` for the second.
-- Where lists are requested, one service answers the calls of all dispatchers one after another: delays
-  double from the third failure on, from the larger a start the larger the fleet is, and have jitter, so that
-  those that were cut off at the same moment come back at different ones.
-- A watch that has fallen silent has failed like any call, and is detected by its hold alone. 6 s apply there
-  too: so a hold is `WATCH_HOLD_US`, as long as discovery keeps up, and the first calls after it come within
-  `EARLY_RETRY_US`. Where discovery answers late, callers queue: then holds grow, up to
+  after discovery had it and could be reached. Two calls fit into that time even if the first of them fails
+  too: `MAX_RETRY_US`, a call that times out after `CALL_TIMEOUT_US`, `MAX_RETRY_US` again, and
+  `ANSWER_TIME_US` for the second call.
+- Where lists are polled, one service answers the calls of all dispatchers one after another. Delays double
+  from the third failure on, and start the larger, the larger the fleet is. They have jitter, so that
+  dispatchers that were cut off at the same moment do not return at the same moment.
+- A watch whose connection has gone silent has failed like any call, and only the end of its hold reveals it.
+  The 6 s apply there too, so a hold is `WATCH_HOLD_US` while discovery keeps up, and the first calls after it
+  come within `EARLY_RETRY_US`. Where discovery answers late, its callers queue: holds then grow, up to
   `HOLD_PER_DISPATCHER_US` for each dispatcher of the fleet, and shrink again with each answer in time. One
-  call without an answer may be a watch that fell silent, and says nothing of that; two in a row do.
-- A new watch of a large fleet waits longer (`FIRST_HOLD_PER_DISPATCHER_US`): discovery's queue is as long as
-  its fleet. Two calls in 6 s fit there only where the first is rejected and does not time out.
+  call without an answer may be a watch that has gone silent, and does not show a queue; two in a row do.
+- A new watch of a large fleet waits longer (`FIRST_HOLD_PER_DISPATCHER_US`), because discovery's queue grows
+  with the fleet. Two calls fit into 6 s there only if the first is rejected and does not time out.
 - Where lists are pushed, what the agent has counts as notified at once, whether or not a watch is open. The
   agent is called at once, and often, until it answers.
 """
@@ -35,33 +40,33 @@
 
 from hazelbend.decisions.interface import Settings
 
-LARGE_FLEET = 8  # dispatchers from which calls must not come at the same moment
-FIRST_CALL_SPREAD_US = 100_000  # of a large fleet, for each dispatcher
+LARGE_FLEET = 8  # dispatchers, from which on their calls must be spread over time
+FIRST_CALL_SPREAD_US = 100_000  # for each dispatcher of a large fleet
 MAX_FIRST_CALL_SPREAD_US = 2_000_000  # what discovery had before a start counts as notified too
-EARLY_RETRY_US = 250_000  # the longest delay of each early retry
-EARLY_RETRIES = 2  # the first failures in a row that have one
+EARLY_RETRY_US = 250_000  # the longest delay of an early retry
+EARLY_RETRIES = 2  # consecutive failures that are followed by an early retry
 NOTIFIED_AFTER_FAILURE_US = 6_000_000
 CALL_TIMEOUT_US = 2_500_000
 MAX_RETRY_US = 1_250_000
 ANSWER_TIME_US = NOTIFIED_AFTER_FAILURE_US - CALL_TIMEOUT_US - 2 * MAX_RETRY_US
-MAX_DELAY_FRACTION = 0.5  # of `poll_interval`, that no delay exceeds
-BACKOFF_FRACTION = 0.0075  # of `poll_interval`, that doubles with each failure
-MAX_PUSHED_RETRY_US = 100_000  # where lists are pushed: a drain's grace may be as short
+MAX_DELAY_FRACTION = 0.5  # the longest delay, as a fraction of `poll_interval`
+BACKOFF_FRACTION = 0.0075  # of `poll_interval`: the initial backoff, which doubles with each failure
+MAX_PUSHED_RETRY_US = 100_000  # where lists are pushed: the grace period of a drain may be as short
 MAX_COUNTED_FAILURES = 30
-WATCH_HOLD_US = 3_000_000  # that a watch waits for a change
-HOLD_PER_DISPATCHER_US = 750_000  # the longest hold, for each dispatcher of a fleet
+WATCH_HOLD_US = 3_000_000  # the time that a watch waits for a change
+HOLD_PER_DISPATCHER_US = 750_000  # the longest hold, for each dispatcher of the fleet
 MAX_HOLD_US = 30_000_000
-FIRST_HOLD_US = 1_500_000  # of a new watch: a service that does not answer is soon detected
+FIRST_HOLD_US = 1_500_000  # of a new watch: short, to detect early that the service does not answer
 FIRST_HOLD_PER_DISPATCHER_US = 100_000  # the more dispatchers call, the longer an answer takes
 MAX_FIRST_HOLD_US = 3_000_000
-HOLD_GROWTH = 2.0  # factor of a hold with a late answer
-HOLD_DECAY = 4.0  # divisor with an answer in time
-LATE_ANSWER_US = 500_000  # beyond its hold, from which an answer has waited in a queue
+HOLD_GROWTH = 2.0  # a late answer multiplies the hold by this
+HOLD_DECAY = 4.0  # an answer in time divides the hold by this
+LATE_ANSWER_US = 500_000  # an answer that is later than its hold by more has waited in discovery's queue
 
 
 @dataclass(slots=True)
 class DiscoveryRetry:
-    """Delays of calls, by the failed calls in a row."""
+    """Delays between calls, by the number of consecutive failures."""
 
     failures: int = 0
 
@@ -77,7 +82,7 @@
         return round(rng.uniform(0.0, spread))
 
     def retry_delay(self, settings: Settings, rng: random.Random) -> int:
-        """Count a failed call; return the delay of the next one."""
+        """Count a failed call; return the delay until the next one."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         if not settings.list_is_polled:
             return 0 if self.failures == 1 else round(MAX_PUSHED_RETRY_US * rng.uniform(0.5, 1.0))
@@ -93,26 +98,26 @@
 
 @dataclass(slots=True)
 class WatchHold:
-    """How long a watch waits for a change: as short as discovery can serve the fleet."""
+    """How long a watch waits for a change: as short as discovery can serve for the whole fleet."""
 
-    factor: float = 1.0  # of the shortest hold
-    timeouts: int = 0  # in a row
+    factor: float = 1.0  # the hold as a multiple of the shortest one
+    timeouts: int = 0  # consecutive calls without an answer
 
     @staticmethod
     def first_hold(fleet_size: int) -> int:
         """Return the hold of a new watch.
 
-        A call that times out goes to the end of the queue, so one that times out before its turn has come is
-        never answered at all.
+        A call that times out goes to the end of discovery's queue, so a dispatcher whose calls time out
+        before their turn is never answered.
         """
         return min(max(FIRST_HOLD_US, FIRST_HOLD_PER_DISPATCHER_US * fleet_size), MAX_FIRST_HOLD_US)
 
     def next_hold(self, fleet_size: int) -> int:
-        """Return the hold of the next call of a watch."""
+        """Return the hold of the watch's next call."""
         return round(min(WATCH_HOLD_US * self.factor, self._longest(fleet_size)))
 
     def record_answer(self, late: int, fleet_size: int) -> None:
-        """Count an answer, or a rejection, that came `late` after the end of its hold; negative: before."""
+        """Count an answer or a rejection. `late` is the time since the end of its hold; negative: before."""
         self.timeouts = 0
         if late > LATE_ANSWER_US:
             self._lengthen(fleet_size)
@@ -120,7 +125,7 @@
             self.factor = max(self.factor / HOLD_DECAY, 1.0)
 
     def record_timeout(self, fleet_size: int) -> None:
-        """Count a call without an answer in its time."""
+        """Count a call that was not answered within its timeout."""
         self.timeouts += 1
         if self.timeouts > 1:
             self._lengthen(fleet_size)
--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -1,13 +1,13 @@
-"""The decisions of a dispatcher that pushes jobs to workers: events in, actions out.
+"""The decision logic of a dispatcher that pushes jobs to workers: events in, actions out.
 
-The ordinary path of a request is SED_e of Hyytia and Righter: the job count of each worker is estimated from
-its last report, own attempts in flight and Poisson departures, and the request goes to the least
-(E[N] + 1) / mu. The parts stand in modules of their own:
+Most requests are placed by SED_e (Shortest Expected Delay, Hyytia and Righter): the job count of each worker
+is estimated from its last load report, own attempts in flight and Poisson departures, and the request goes to
+the worker with the least (E[N] + 1) / mu. Each concern has its own module:
 
-    membership.py  which workers are listed           load_model.py  how loaded and how fast they are
-    selection.py   the best worker for a request      admission.py   whether it may go there now
-    health.py      which workers are left alone       probing.py     which are asked for a report
-    slow_start.py  what cold workers are sent         fleet_plan.py  where no worker reports its load
+    membership.py  the listed workers                 load_model.py  the load and speed of workers
+    selection.py   the best worker for a request      admission.py   whether the request may go there now
+    health.py      backoff of unhealthy workers       probing.py     which workers to probe for load reports
+    slow_start.py  what cold workers may be sent      fleet_plan.py  placement without load reports
     retry_rules.py whether an attempt may be repeated
 
 A request goes through these states:
@@ -17,7 +17,8 @@
     arrived --reports are old-----------> waits for probes, then as after its arrival
     in flight --failure-----------------> as after its arrival, where another attempt is allowed
 
-Types of events and actions are in interface.py. Times are microseconds.
+"Own" attempts and jobs are those of this dispatcher; its peers are the other dispatchers of the fleet. The
+types of events and actions are in interface.py. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -30,7 +31,13 @@
 from hazelbend.decisions.admission import Admission
 from hazelbend.decisions.discovery_retry import DiscoveryRetry
 from hazelbend.decisions.fleet_plan import FleetPlan
-from hazelbend.decisions.health import MAX_RESETS, is_silent, silence_limit, suspect, trust
+from hazelbend.decisions.health import (
+    MAX_RESETS,
+    end_backoff,
+    is_unresponsive,
+    start_backoff,
+    suspicion_timeout,
+)
 from hazelbend.decisions.interface import (
     NEVER_ARRIVED,
     Action,
@@ -72,24 +79,25 @@
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import Worker
 
-# The period of upkeep is half of a mean job, within these bounds.
+# The upkeep period is half of the mean run time, within these bounds.
 MIN_UPKEEP_US = 100_000
 MAX_UPKEEP_US = 500_000
-# Tokens of timers. Each request has two from the first on: for its end, and for its probes.
+# Timer tokens. From FIRST_REQUEST_TIMER on, each request has two: its expiry in the queue, and its wait for
+# probes.
 UPKEEP_TIMER = 0
 SUBSCRIBE_TIMER = 1
 FIRST_REQUEST_TIMER = 2
 
 
 class Dispatcher:
-    """Decides for one dispatcher. It is told of events and of the time, and answers with actions."""
+    """The state of one dispatcher. `handle` takes an event and the time, and returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without workers; `seed` is for random choices."""
+        """Start without workers; `seed` initializes the random number generator."""
         self.settings = settings
         self.random = random.Random(seed)
-        self.requests: dict[RequestId, Request] = {}  # not answered, or with attempts in flight
-        self.queued: dict[RequestId, Request] = {}  # those that wait here for capacity
+        self.requests: dict[RequestId, Request] = {}  # unanswered, or with attempts in flight
+        self.queued: dict[RequestId, Request] = {}  # waiting in this dispatcher for capacity
         self.discovery_retry = DiscoveryRetry()
         self.load_model = LoadModel(settings)
         self.membership = Membership(self.load_model)
@@ -105,9 +113,9 @@
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             RequestArrived: self._on_request,
             AttemptEnded: self._on_attempt_ended,
-            JobProgress: self._on_sign_of_life,
-            JobStarted: self._on_sign_of_life,
-            StreamStarted: self._on_sign_of_life,
+            JobProgress: self._on_worker_signal,
+            JobStarted: self._on_worker_signal,
+            StreamStarted: self._on_worker_signal,
             TimerFired: self._on_timer,
             MembershipUpdate: self._on_membership,
             ClientGone: self._on_client_gone,
@@ -121,7 +129,7 @@
         return self.membership.workers
 
     def handle(self, event: Event, now: int) -> list[Action]:
-        """Return what is to be done about an event, in this order."""
+        """Process an event at time `now`; return the actions to carry out, in order."""
         self._actions = []
         if self._started_at < 0:
             self._start(now)
@@ -129,7 +137,7 @@
         return self._actions
 
     def workers_in_backoff(self, now: int) -> set[WorkerId]:
-        """Return the listed workers that are sent nothing for now, as they seem unhealthy."""
+        """Return the listed workers that get no requests for now because they seem unhealthy."""
         return {number for number, worker in self.workers.items() if worker.backoff_until > now}
 
     def _start(self, now: int) -> None:
@@ -171,7 +179,7 @@
         job = self.settings.classes[event.job_class]
         work = event.expected_work or model.run_times[event.job_class].value
         model.work.add(work)
-        model.width.add(event.slots)
+        model.request_slots.add(event.slots)
         self.prober.count_arrival()
         request = Request(
             event.request,
@@ -180,7 +188,7 @@
             deadline=now + event.client_timeout,
             target=now + job.objective + job.stretch * work,
             work=work,
-            cost=work / model.work.value * event.slots / model.width.value,
+            cost=work / model.work.value * event.slots / model.request_slots.value,
             key=event.key,
         )
         self.requests[request.id] = request
@@ -190,8 +198,8 @@
             self._dispatch(request, now)
 
     def _wait_for_probes(self, request: Request, now: int) -> bool:
-        """Probe the best workers where their reports are old; return whether the request waits for them."""
-        wait = self.prober.request_wait(request, now)
+        """Probe the best workers whose reports are old; return whether the request waits for the answers."""
+        wait = self.prober.probe_wait(request, now)
         if wait is None:
             return False
         workers = self.prober.choose_for(request, now)
@@ -205,7 +213,7 @@
         return bool(workers)
 
     def _dispatch(self, request: Request, now: int) -> None:
-        """Send a request to its best worker, queue it here, or give the final answer."""
+        """Send a request to its best worker, queue it here, or give the final response."""
         allowed = allows_attempt(request, self.settings, now)
         option = self.selector.select(request, now) if allowed else None
         if option and not self.admission.is_too_late(request, option, now):
@@ -213,7 +221,7 @@
         elif request.is_in_flight:
             return
         elif not allowed or (option and not request.job.late_value_fraction):
-            # Where a late answer earns nothing, a client that tries again may get one in time.
+            # A late answer would earn nothing, while a retry by the client may be answered in time.
             self._close(request, now, option)
         else:
             self._queue(request, now)
@@ -222,24 +230,24 @@
         if request.id not in self.queued:
             expires_at = request.deadline - 2 * self.settings.tick
             if not request.job.late_value_fraction:
-                # Where a late answer earns nothing, what is late is given up, and answered at once.
+                # A late answer earns nothing: the request is rejected as soon as it would be late.
                 expires_at = min(expires_at, round(request.target))
             delay = max(expires_at - now, 0)
             self._actions.append(StartTimer(delay, FIRST_REQUEST_TIMER + 2 * request.id))
         self.queued[request.id] = request
 
     def _try_queued(self, now: int, freed: Worker | None = None) -> None:
-        """Try the newest queued request: under overload it alone can be in time."""
+        """Try to send the newest queued request: under overload only that one can still be in time."""
         request = next(reversed(self.queued.values()), None)
         if request is None or request.pending_probes > 0:
             return
         if freed is None and self._wait_for_probes(request, now):
             return
-        request.candidates = [freed] if freed else []  # nothing new is known of the others
+        request.candidates = [freed] if freed else []  # nothing has changed at the other workers
         self._dispatch(request, now)
 
     def _finish(self, request: Request) -> None:
-        """Forget an answered request with its last attempt; cancel the attempts that are in flight."""
+        """Close a request and cancel its attempts in flight; drop it once no attempt is in flight."""
         self.queued.pop(request.id, None)
         if not request.closed and self.settings.cancel_allowed:
             self._actions += [Cancel(request.id, attempt.number) for attempt in request.in_flight]
@@ -248,7 +256,7 @@
             self.requests.pop(request.id, None)
 
     def _close(self, request: Request, now: int, option: Option | None = None) -> None:
-        """Give the final answer: a rejection where it is true that trying again does no harm."""
+        """Give the final response: a rejection where a retry is known to be safe, else a failure."""
         job = request.job
         may_have_run = request.first_possible_run is not None
         is_repeatable = job.idempotency is Idempotency.SAFE or (
@@ -275,25 +283,26 @@
             len(request.attempts),
             worker,
             sent_at=now,
-            silence_limit=silence_limit(option.delay),
+            suspicion_timeout=suspicion_timeout(option.delay),
             cost=request.cost,
             fetches=request.key != 0 and request.key not in worker.cached_keys,
             process_started_at=worker.entry.started_at,
         )
         request.attempts.append(attempt)
-        # A queued request may be sent before all its probes have ended: those make no second copy then.
+        # A queued request may be sent before all its probes have ended: their answers must not send it again.
         request.pending_probes = 0
         worker.add(attempt)
-        if worker.backoff:  # one trial at a time: the next one after another wait, unless there is a sign
-            suspect(worker, self.random, now)
+        if worker.backoff:  # a trial request: the next one only after another backoff, or a signal of health
+            start_backoff(worker, self.random, now)
         if request.key:
-            worker.use_key(request.key, max(worker.slots, 1.0))  # it caches at least the data its slots need
+            # A worker is assumed to cache at least the data that its slots need.
+            worker.mark_key_cached(request.key, max(worker.slots, 1.0))
         if worker.lottery_number:
             spend_budget(attempt, now)
         self._actions.append(Send(request.id, worker.entry.worker))
 
     def may_still_send(self, request_id: RequestId, number: int, now: int) -> bool:
-        """Whether an attempt may still be sent, now that its connection is open."""
+        """Whether an attempt may still be sent. Called once its connection is open."""
         request = self.requests.get(request_id)
         if request is None or request.closed:
             return False
@@ -310,7 +319,7 @@
         return self._move_budget(attempt, now)
 
     def _move_budget(self, attempt: Attempt, now: int) -> bool:
-        """Move a late attempt's slow-start cost to the window in which it arrives; False if that is full."""
+        """Charge a late attempt to the slow-start window in which it arrives; False if that has no budget."""
         worker = attempt.worker
         release_budget(attempt)
         rate = worker.rate * self.settings.capacity_fraction(worker.entry.started_at, now)
@@ -330,54 +339,56 @@
         worker.remove(attempt, now, CANDIDATE_AGES_US[-1] + worker.round_trip)
         if event.load is not None:
             self.load_model.apply_report(worker, event.load, now)
-        self._learn_outcome(attempt, event, now)
+        self._apply_outcome(attempt, event, now)
         if event.closed or request.closed:
             self._finish(request)
         elif not request.is_in_flight:
             self._dispatch(request, now)
 
-    def _learn_outcome(self, attempt: Attempt, event: AttemptEnded, now: int) -> None:
-        """Update what is believed of a worker by the outcome of an attempt there."""
+    def _apply_outcome(self, attempt: Attempt, event: AttemptEnded, now: int) -> None:
+        """Update the estimates and the health of a worker by the outcome of an attempt there."""
         worker = attempt.worker
         if event.outcome is Outcome.SERVED:
             worker.reliability.record(now, is_error=False)
-            trust(worker, now)
+            end_backoff(worker, now)
             self.load_model.learn_run_time(attempt, now)
             self._try_queued(now, worker)
         elif event.outcome is Outcome.ERROR:
             self.load_model.error_time.add(now - attempt.sent_at, MEMORY_SAMPLES)
             others = [other for other in attempt.request.attempts if other is not attempt]
             if all(other.outcome is not Outcome.ERROR for other in others):
-                worker.reliability.record(now, is_error=True)  # a request that fails everywhere is at fault
+                # A request that fails at several workers is itself the likely cause.
+                worker.reliability.record(now, is_error=True)
         elif event.outcome is Outcome.TIMED_OUT:
-            # It may still run there unseen, so it departs like the jobs of peers. The worker is not
-            # suspected.
+            # The job may still run there, so it is counted like a job of a peer until it departs. A timeout
+            # starts no backoff.
             worker.peer_jobs += 1
             worker.peer_jobs_at = now
         elif event.outcome is Outcome.FULL:
-            # As good as a report that the worker has as many jobs as are counted.
-            trust(worker, now)
+            # Equivalent to a report of the highest job count that the estimate can hold.
+            end_backoff(worker, now)
             worker.peer_jobs = max(MAX_JOB_COUNT - len(worker.attempts), 0)
             worker.peer_jobs_at = now
         elif event.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED) and not event.stale:
-            # One reset may be the connection's own; a process that died fails the next one as well.
+            # One reset may be the fault of the connection. If the process has died, the next connection fails
+            # as well.
             worker.resets += 1
             connect_failed = event.outcome is Outcome.CONNECT_FAILED
             if connect_failed or worker.backoff or worker.resets > MAX_RESETS:
-                suspect(worker, self.random, now)
+                start_backoff(worker, self.random, now)
 
-    def _on_sign_of_life(self, event: JobStarted | JobProgress | StreamStarted, now: int) -> None:
+    def _on_worker_signal(self, event: JobStarted | JobProgress | StreamStarted, now: int) -> None:
         attempt = find_attempt(self.requests, event)
         if attempt is None:
             return
-        attempt.heard_at = now
+        attempt.last_signal_at = now
         if isinstance(event, JobStarted):
             attempt.started_at = now
             if self.load_model.uses_plan:
                 self.plan.count_start(now)
             for earlier in takewhile(lambda other: other is not attempt, attempt.worker.attempts):
                 earlier.overtaken_by += 1
-        trust(attempt.worker, now)
+        end_backoff(attempt.worker, now)
 
     # --- probes ---
 
@@ -390,7 +401,7 @@
         if worker is None:
             return
         if event.outcome is Outcome.SERVED:
-            worker.heard_at = now
+            worker.last_signal_at = now
         if event.load is not None:
             worker.round_trip = min(worker.round_trip or event.elapsed, event.elapsed)
             self.load_model.apply_report(worker, event.load, now)
@@ -423,36 +434,40 @@
             self._dispatch(request, now)
 
     def _upkeep(self, now: int) -> None:
-        """Look after silent workers, the plan, slow start, old reports and queued requests."""
+        """Check for unresponsive workers, renew the plan, slow start and reports, try a queued request."""
         period = round(min(max(self.load_model.work.value / 2, MIN_UPKEEP_US), MAX_UPKEEP_US))
         self._actions.append(StartTimer(period, UPKEEP_TIMER))
         in_flight = [attempt for request in self.requests.values() for attempt in request.in_flight]
         for attempt in in_flight:
-            if is_silent(attempt, self.settings, now) and not self._awaits_probe(attempt, now):
-                self._leave_silent(attempt, now)
+            if is_unresponsive(attempt, self.settings, now) and not self._probe_if_overloaded(attempt, now):
+                self._handle_unresponsive(attempt, now)
         if self.load_model.uses_plan:
             healthy = [worker for worker in self.membership.ready if worker.backoff_until <= now]
             self.plan.update(healthy, self.settings, now)
-        elif now >= self.slow_start.drawn_at + self.settings.collapse_window:
+        elif now >= self.slow_start.window_started_at + self.settings.collapse_window:
             self.slow_start.draw(self.workers.values(), self.settings, self.random, now)
-        for worker in self.prober.take_old_reports(now):
+        for worker in self.prober.take_stale_workers(now):
             self._probe(worker, now)
         self._try_queued(now)
 
-    def _awaits_probe(self, attempt: Attempt, now: int) -> bool:
-        """Probe a silent worker that may just be full of peers' jobs; return whether it may still answer."""
-        if not self.prober.explains_silence(attempt):
+    def _probe_if_overloaded(self, attempt: Attempt, now: int) -> bool:
+        """Probe an unresponsive worker that may only be busy with peers' jobs.
+
+        Returns whether its answer is still pending.
+        """
+        if not self.prober.may_be_overloaded(attempt):
             return False
         worker = attempt.worker
-        if worker.probed_at <= max(worker.heard_at, attempt.sent_at):
+        if worker.probed_at <= max(worker.last_signal_at, attempt.sent_at):
             self._probe(worker, now)
-        return self.prober.awaits_answer(worker, now)
+        return self.prober.awaits_probe_answer(worker, now)
 
-    def _leave_silent(self, attempt: Attempt, now: int) -> None:
-        """Suspect a silent worker, and send a second copy elsewhere where the class allows it."""
+    def _handle_unresponsive(self, attempt: Attempt, now: int) -> None:
+        """Back off from an unresponsive worker, and hedge at another one where the class allows it."""
         worker, request = attempt.worker, attempt.request
-        heard_at = max(attempt.heard_at, attempt.sent_at)
-        if not worker.backoff and worker.heard_at <= heard_at:  # else it is that connection alone
-            suspect(worker, self.random, now)
+        last_signal_at = max(attempt.last_signal_at, attempt.sent_at)
+        # If other attempts there have had signals since, only this connection is at fault.
+        if not worker.backoff and worker.last_signal_at <= last_signal_at:
+            start_backoff(worker, self.random, now)
         if attempt is request.attempts[-1] and allows_attempt(request, self.settings, now):
             self._dispatch(request, now)
--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -14,15 +14,15 @@
 
 
 class Idempotency(Enum):
-    """How often a request of a class may take effect."""
+    """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # repeats are dropped within a group of workers, for a while
+    SAFE = "safe"  # idempotent: may be repeated and rejected at any time
+    KEYED = "keyed"  # workers deduplicate by idempotency key, within a `DedupScope` and for a limited time
     UNSAFE = "unsafe"  # must never run twice
 
 
 class DedupScope(Enum):
-    """The workers that drop the repeats of a keyed request."""
+    """The workers that share idempotency keys, and so drop each other's repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -42,7 +42,9 @@
     NOT_SENT = 7
 
 
-NEVER_ARRIVED = frozenset({Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # so it was no load either
+# Outcomes of attempts that never reached the worker, and so were no load on it.
+NEVER_ARRIVED = frozenset({Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+# Outcomes of attempts that the worker surely did not execute.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
@@ -55,7 +57,7 @@
 
 
 class ListKind(IntEnum):
-    """What a list, or the call for one, brought."""
+    """The content of a membership update, or the failure of the call for one."""
 
     DELTA = 0
     FULL = 1
@@ -67,14 +69,14 @@
 class JobClass:
     """The settings of a class of requests."""
 
-    objective: int = 1_000_000  # latency target: an answer within this (and the stretch) earns the full worth
+    objective: int = 1_000_000  # latency target: an answer within it, plus the stretch, earns the full value
     stretch: float = 0.0  # the objective grows by this many times the job's own work
-    value: float = 1.0  # of an answer in time: of each request, or of a unit of its work
-    late_value_fraction: float = 0.0  # part of the worth paid after the objective
+    value: float = 1.0  # of an answer in time: per request, or per unit of work (`Settings.value_per_work`)
+    late_value_fraction: float = 0.0  # fraction of the value that a late answer earns
     idempotency: Idempotency = Idempotency.UNSAFE
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window: int = 0
-    machine_kind: int = -1  # the one kind of worker that runs the class; -1: any
+    dedup_window: int = 0  # how long workers remember an idempotency key
+    machine_kind: int = -1  # the only kind of worker that runs the class; -1: any
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,45 +86,52 @@
     fleet_size: int = 1
     zone: int = 0
     classes: tuple[JobClass, ...] = (JobClass(),)
-    value_per_work: bool = False  # a class's worth is that of a unit of work, not of a request
+    value_per_work: bool = False  # `JobClass.value` is per unit of work instead of per request
+    # The membership list: polled by calls of this dispatcher, pushed on a watch that it opens, or, with
+    # neither, sent without a request.
     list_is_polled: bool = False
-    list_is_pushed: bool = False  # on a watch that this dispatcher opens; else it comes by itself or is asked
-    poll_interval: int = 10_000_000
-    weights_enabled: bool = True  # whether a listed weight stands for anything
-    weights_fall_with_load: bool = False
+    list_is_pushed: bool = False
+    poll_interval: int = 10_000_000  # the longest time that the settings allow between two polls
+    weights_enabled: bool = True  # whether listed weights say anything about the speed of workers
+    weights_fall_with_load: bool = False  # a listed weight shrinks as its worker gets busier
+    # Load reports: on probes, or in the answers to requests.
     reports_by_probe: bool = False
     reports_inline: bool = False
     probes_allowed: bool = False
     cancel_allowed: bool = False
-    hedging_allowed: bool = False
+    hedging_allowed: bool = False  # a second attempt may start while another one is in flight
     max_attempts: int = 3
+    # Charges, as fractions of a request's full value.
     probe_charge: float = 0.0
     cross_zone_charge: float = 0.0
     handshake_charge: float = 0.0
-    keepalive: int = 60_000_000  # an idle connection closes after this
-    tick: int = 1_000
+    keepalive: int = 60_000_000  # an idle connection is closed after this time
+    tick: int = 1_000  # the caller's time resolution: deadlines keep a margin of two ticks
+    # Warm-up: a cold worker, one that started less than `warmup_duration` ago, can do only a fraction of its
+    # usual work, from `initial_capacity` to 1. It collapses when it gets `collapse_multiple` times that much
+    # work within `collapse_window`.
     collapse_multiple: float = 2.0
     collapse_window: int = 1_000_000
     initial_capacity: float = 0.1
     warmup_duration: int = 30_000_000
-    reports_job_starts: bool = False
-    progress_interval: int = 0
+    reports_job_starts: bool = False  # workers send `JobStarted`
+    progress_interval: int = 0  # between two `JobProgress` of a running job; 0: none are sent
 
     @property
     def list_is_watched(self) -> bool:
-        """Whether the list comes only where a watch is open."""
+        """Whether updates of the list arrive only while this dispatcher has a watch open."""
         return self.list_is_polled or self.list_is_pushed
 
     @property
     def lacks_load_reports(self) -> bool:
-        """Whether no worker reports its load."""
-        asked = self.reports_by_probe and self.probes_allowed
-        return not (asked or self.reports_inline or self.weights_fall_with_load)
+        """Whether this dispatcher gets no information about the load of workers."""
+        can_probe = self.reports_by_probe and self.probes_allowed
+        return not (can_probe or self.reports_inline or self.weights_fall_with_load)
 
     def capacity_fraction(self, started_at: int, now: int) -> float:
-        """Return the least part of its capacity that a worker has by now.
+        """Return the fraction of its full capacity that a worker has at least reached by `now`.
 
-        It grows linearly from the start of the worker's process; `started_at` 0: long ago.
+        It grows linearly from the start of the worker's process. A `started_at` of 0 means long ago.
         """
         age = max(now - started_at, 0) / max(self.warmup_duration, 1) if started_at else 1.0
         return min(self.initial_capacity + (1 - self.initial_capacity) * age, 1.0)
@@ -130,10 +139,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A worker's load report: late, noisy, and about the jobs of all dispatchers. None: not reported."""
+    """A worker's load report. It is delayed and noisy, and counts the jobs of all dispatchers.
 
-    in_flight: float | None = None  # running and waiting
-    queued: float | None = None  # waiting
+    A field is None where the worker does not report it.
+    """
+
+    in_flight: float | None = None  # jobs running or queued
+    queued: float | None = None  # jobs queued
     free_slots: float | None = None
 
 
@@ -147,7 +159,7 @@
     cell: int = 0
     state: WorkerState = WorkerState.READY
     weight: float = 1.0
-    started_at: int = 0  # 0: long past
+    started_at: int = 0  # start of its process; 0: long ago
 
 
 # --- events ---
@@ -155,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """The membership list, its changes, or the failure of a call for it."""
+    """A complete membership list, changes of it, or the failure of a call for it."""
 
     kind: ListKind
     entries: tuple[WorkerEntry, ...] = ()
@@ -169,14 +181,14 @@
     client_timeout: int  # time until the client gives up
     job_class: int = 0
     tenant: int = 0
-    slots: float = 1.0
-    expected_work: int = 0  # 0: no hint
-    key: int = 0  # what the request is about; 0: none
+    slots: float = 1.0  # of a worker, that the job occupies
+    expected_work: int = 0  # run time hinted by the client; 0: no hint
+    key: int = 0  # identifies the data that the request needs; 0: none
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The first part of an answer has arrived."""
+    """The first part of a response has arrived."""
 
     request: RequestId
     worker: WorkerId
@@ -210,15 +222,15 @@
     worker: WorkerId
     attempt: int
     outcome: Outcome
-    closed: bool = False
+    closed: bool = False  # the client has its final response
     elapsed: int = 0
-    load: LoadReport | None = None
-    stale: bool = False  # reset on a reused connection before the first byte: it may have died while idle
+    load: LoadReport | None = None  # reported in the answer
+    stale: bool = False  # a reused connection was reset before the first byte: it may have died while idle
 
 
 @dataclass(slots=True, frozen=True)
 class ClientGone:
-    """The client of a request has gone: nothing more is to be sent for it."""
+    """The client of a request has disconnected: no further attempt is made for it."""
 
     request: RequestId
 
@@ -232,7 +244,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings, in force from now on. Classes, zones and machine kinds keep their positions."""
+    """New settings take effect. Classes, zones and machine kinds keep their positions."""
 
     settings: Settings
 
@@ -261,7 +273,7 @@
 )
 
 
-# --- actions, to be done in their order ---
+# --- actions, which the caller carries out in the returned order ---
 
 
 @dataclass(slots=True, frozen=True)
@@ -270,12 +282,12 @@
 
     request: RequestId
     worker: WorkerId
-    timeout: int = 0  # 0: until the client gives up
+    timeout: int = 0  # 0: until the client's deadline
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Reject a request: the final answer promises that another try does no harm."""
+    """Reject a request. The final response tells the client that it is safe to retry."""
 
     request: RequestId
     retry_after: int = 0
@@ -283,7 +295,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Fail a request: the final answer promises nothing."""
+    """Fail a request. The final response does not say whether a retry is safe."""
 
     request: RequestId
 
@@ -298,7 +310,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Send a `TimerFired` of this token after the delay."""
+    """Deliver a `TimerFired` with this token after the delay."""
 
     delay: int
     token: int
@@ -306,7 +318,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask this worker for its load."""
+    """Request a load report from this worker."""
 
     worker: WorkerId
 
--- a/hazelbend/decisions/job_count.py
+++ b/hazelbend/decisions/job_count.py
@@ -18,10 +18,10 @@
     arrived = level * (1 - exp(-age * rate / max(worker.concurrency, level + 1)))
     total = worker.peer_jobs + worker.own_load
     departures = rate * age * worker.peer_jobs / max(total, worker.concurrency)
-    return worker.own_load + arrived + drained(worker.peer_jobs, departures)
+    return worker.own_load + arrived + expected_remaining(worker.peer_jobs, departures)
 
 
-def drained(count: int, departures: float) -> float:
+def expected_remaining(count: int, departures: float) -> float:
     """Return E[(n - D)+] for a known n and D ~ Poisson(departures).
 
     By E[(n - D)+] = E[(n - 1 - D)+] + P(D < n).
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -22,7 +22,7 @@
 # Attributes of the load model and of workers, by their stored keys.
 MEANS = {
     "work": "work",
-    "width": "width",
+    "width": "request_slots",
     "runs_with": "cached_run_ratio",
     "runs_without": "fetch_run_ratio",
     "rates": "rates",
@@ -38,7 +38,7 @@
 }
 WORKER_TIMES = {
     "rated_at": "rated_at",
-    "heard_at": "heard_at",
+    "heard_at": "last_signal_at",
     "shut_until": "backoff_until",
     "backoff": "backoff",
     "resets": "resets",
@@ -88,10 +88,10 @@
         own_traffic = (
             _mean(stored_traffic) if stored_traffic is not None else dispatcher.slow_start.own_traffic
         )
-        runs = [_mean(value) for value in state["runs"]]
+        run_times = [_mean(value) for value in state["runs"]]
         # An earlier version exports levels over the rate instead, which mean something else.
-        usuals = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
-        paces = {int(kind): _mean(value) for kind, value in state.get("paces", [])}
+        usual_levels = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
+        kind_run_ratios = {int(kind): _mean(value) for kind, value in state.get("paces", [])}
         lag_errors = [_number(value) for value in state["misses"]]
         share = _number(state["part"])
         listed = [(_find_worker(dispatcher, values), values) for values in state["workers"]]
@@ -101,13 +101,13 @@
     except (KeyError, TypeError, OverflowError) as error:
         raise ValueError(f"no memory of a dispatcher: {error!r}") from None
     model = dispatcher.load_model
-    if len(runs) != len(model.run_times) or len(lag_errors) != len(model.report_lag.errors):
+    if len(run_times) != len(model.run_times) or len(lag_errors) != len(model.report_lag.errors):
         raise ValueError("the memory of a dispatcher of another kind")
     for name, mean in means.items():
         setattr(model, name, mean)
-    model.run_times = runs
-    model.usual_levels = usuals
-    model.kind_run_ratios = paces
+    model.run_times = run_times
+    model.usual_levels = usual_levels
+    model.kind_run_ratios = kind_run_ratios
     model.report_lag.errors = lag_errors
     dispatcher.slow_start.own_traffic = own_traffic
     dispatcher.slow_start.share = share
@@ -123,27 +123,27 @@
 
 
 def _worker_attributes(values: dict[str, Any], now: int) -> dict[str, Any]:
-    found: dict[str, Any] = {"run_time_ratio": _mean(values["ratio"])}
-    found |= {name: _number(values[key]) for key, name in WORKER_NUMBERS.items()}
-    found |= {name: int(_number(values[key])) for key, name in WORKER_TIMES.items()}
-    if found["rate"] <= 0 or found["concurrency"] < 1:
+    attributes: dict[str, Any] = {"run_time_ratio": _mean(values["ratio"])}
+    attributes |= {name: _number(values[key]) for key, name in WORKER_NUMBERS.items()}
+    attributes |= {name: int(_number(values[key])) for key, name in WORKER_TIMES.items()}
+    if attributes["rate"] <= 0 or attributes["concurrency"] < 1:
         raise ValueError("a worker without a rate")
-    found["rated_at"] = min(found["rated_at"], now)
-    found["heard_at"] = min(found["heard_at"], now)
-    found["backoff_until"] = min(found["backoff_until"], now + 2 * MAX_BACKOFF_US)
-    found["backoff"] = min(found["backoff"], MAX_BACKOFF_US)
-    found["peer_jobs"] = int(_number(values["others"]))
-    found["peer_jobs_at"] = now
-    found["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
-    found["size"] = _number(values.get("size", 1.0))
-    if found["size"] <= 0:
+    attributes["rated_at"] = min(attributes["rated_at"], now)
+    attributes["last_signal_at"] = min(attributes["last_signal_at"], now)
+    attributes["backoff_until"] = min(attributes["backoff_until"], now + 2 * MAX_BACKOFF_US)
+    attributes["backoff"] = min(attributes["backoff"], MAX_BACKOFF_US)
+    attributes["peer_jobs"] = int(_number(values["others"]))
+    attributes["peer_jobs_at"] = now
+    attributes["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
+    attributes["size"] = _number(values.get("size", 1.0))
+    if attributes["size"] <= 0:
         raise ValueError("a worker without a size")
-    found["reliability"] = _failure_estimate(values.get("soundness"), now)
-    found["cached_keys"] = {int(_number(key)): None for key in values["keys"]}
-    found["cold_attempts"] = deque(
+    attributes["reliability"] = _failure_estimate(values.get("soundness"), now)
+    attributes["cached_keys"] = {int(_number(key)): None for key in values["keys"]}
+    attributes["cold_attempts"] = deque(
         ColdAttempt(int(_number(at)), _number(cost)) for at, cost in values["spent"]
     )
-    return found
+    return attributes
 
 
 def _failure_estimate(value: object, now: int) -> FailureEstimate:
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -43,7 +43,7 @@
         self.run_times: list[Mean] = []  # by job class
         self.apply_settings(settings)
         self.work = Mean(1.0, self.run_times[0].value)  # expected run time of requests
-        self.width = Mean(1.0, 1.0)  # slots of requests
+        self.request_slots = Mean(1.0, 1.0)  # slots of requests
         # Run time ratios of attempts whose key's data was believed to be cached there, and of others.
         self.cached_run_ratio = Mean(FETCH_PRIOR_SAMPLES, FETCH_PRIOR_SAMPLES)
         self.fetch_run_ratio = Mean(FETCH_PRIOR_SAMPLES, FETCH_PRIOR_SAMPLES * FETCH_PRIOR_RATIO)
@@ -127,7 +127,7 @@
         settings = self.settings
         kind = worker.entry.machine_kind
         worker.rated_at = now
-        worker.concurrency = max(worker.slots / self.width.value, 1.0)
+        worker.concurrency = max(worker.slots / self.request_slots.value, 1.0)
         listed = worker.concurrency * self.weights.value / (self.rates.value * worker.weight)
         if self.uses_plan or (worker.slots and not settings.weights_enabled):
             # The list tells no sizes: reports do, and runs on all workers of a kind tell their speed.
@@ -135,7 +135,7 @@
             listed = kind_ratio.with_prior(self.run_ratio.value, CLASS_PRIOR_SAMPLES)
         ratio = worker.run_time_ratio.with_prior(listed, RATE_PRIOR_SAMPLES)
         if self.uses_plan and settings.weights_enabled:  # a weight tells jobs at once, times their speed
-            capacity = worker.weight * ratio / self.run_ratio.value / self.width.value
+            capacity = worker.weight * ratio / self.run_ratio.value / self.request_slots.value
             worker.concurrency = max(capacity, 1.0)
         typical = self.rates.value * self.run_ratio.value  # jobs at once, of a worker without reports
         worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hazelbend.decisions.health import trust
+from hazelbend.decisions.health import end_backoff
 from hazelbend.decisions.interface import ListKind, MembershipUpdate, WorkerEntry, WorkerId, WorkerState
 from hazelbend.decisions.load_model import LoadModel
 from hazelbend.decisions.reliability import FailureEstimate
@@ -57,4 +57,4 @@
     worker.peer_jobs_at = now
     worker.cached_keys = {}
     worker.reliability = FailureEstimate()
-    trust(worker, now)
+    end_backoff(worker, now)
--- a/hazelbend/decisions/probing.py
+++ b/hazelbend/decisions/probing.py
@@ -5,7 +5,7 @@
 import random
 from heapq import nsmallest
 
-from hazelbend.decisions.health import MAX_OVERTAKEN, PAUSE_US
+from hazelbend.decisions.health import MAX_OVERTAKEN, MAX_PAUSE_US
 from hazelbend.decisions.interface import Settings
 from hazelbend.decisions.load_model import LoadModel, has_reports_of_large_fleet
 from hazelbend.decisions.membership import Membership
@@ -21,8 +21,8 @@
 LARGE_FLEET_SPENDING = 0.004  # for requests, in a large fleet with reports in answers
 REFRESH_SPENDING = 0.002  # to refresh old reports, in a large fleet
 # Reports that are old.
-OLD_REPORT_US = 1_000_000
-OLD_CANDIDATE_REPORT_US = 400_000  # of workers that a selection is about to go by
+MAX_REPORT_AGE_US = 1_000_000
+MAX_CANDIDATE_REPORT_AGE_US = 400_000  # of workers that a selection is about to go by
 
 
 class Prober:
@@ -60,7 +60,7 @@
 
     # --- probes for a request ---
 
-    def request_wait(self, request: Request, now: int) -> int | None:
+    def probe_wait(self, request: Request, now: int) -> int | None:
         """Return how long the request is to wait for probes; None where it is not to wait."""
         wait = round(self._load_model.work.value * PROBE_WAIT_FRACTION)
         if not self._probes_per_request or request.deadline - now < 2 * wait:
@@ -82,7 +82,9 @@
         rows = self._selector.options(request, eligible, now)
         best = nsmallest(self._probes_per_request + 1, rows, key=by_score)
         request.candidates = [row[-1] for row in best]
-        old = [worker for worker in request.candidates if now > worker.reported_at + OLD_CANDIDATE_REPORT_US]
+        old = [
+            worker for worker in request.candidates if now > worker.reported_at + MAX_CANDIDATE_REPORT_AGE_US
+        ]
         return old[: self._probes_per_request]
 
     def _choose_sample(self, request: Request, eligible: list[Worker], now: int) -> list[Worker]:
@@ -112,25 +114,25 @@
         budget = self.refresh_budget + self._refreshes_per_request
         self.refresh_budget = min(budget, 2.0 * len(self._membership.workers))
 
-    def take_old_reports(self, now: int) -> list[Worker]:
+    def take_stale_workers(self, now: int) -> list[Worker]:
         """Return the workers whose reports are to be refreshed, as far as the budget goes.
 
         In a large fleet own answers bring few reports: a worker that is sent nothing would keep seeming full.
         """
         chosen = []
         for worker in self._membership.ready:
-            is_old = now - max(worker.reported_at, worker.probed_at) > OLD_REPORT_US
+            is_old = now - max(worker.reported_at, worker.probed_at) > MAX_REPORT_AGE_US
             if is_old and worker.backoff_until <= now and self.refresh_budget >= 1:
                 self.refresh_budget -= 1
                 chosen.append(worker)
         return chosen
 
-    def explains_silence(self, attempt: Attempt) -> bool:
+    def may_be_overloaded(self, attempt: Attempt) -> bool:
         """Whether a silent worker may just be full of peers' jobs, so that a probe is to tell."""
         is_lost = bool(attempt.started_at) or attempt.overtaken_by >= MAX_OVERTAKEN
         return self.refreshes_reports and not is_lost
 
     @staticmethod
-    def awaits_answer(worker: Worker, now: int) -> bool:
+    def awaits_probe_answer(worker: Worker, now: int) -> bool:
         """Whether a worker that was probed may still answer."""
-        return now <= worker.probed_at + PAUSE_US
+        return now <= worker.probed_at + MAX_PAUSE_US
--- a/hazelbend/decisions/report_age.py
+++ b/hazelbend/decisions/report_age.py
@@ -33,11 +33,11 @@
     def age(self, worker: Worker, load: LoadReport, now: int) -> int | None:
         """Return the age of a report in microseconds; None if it repeats the last one."""
         gap = now - worker.reported_at
-        is_same = load == worker.last_report
+        is_repeated = load == worker.last_report
         if gap <= MAX_GAP_US:
-            self.changes += (not is_same) - self.changes / MEMORY_REPORTS
+            self.changes += (not is_repeated) - self.changes / MEMORY_REPORTS
             self.observed += gap - self.observed / MEMORY_REPORTS
-        if is_same and now < worker.last_report_at + MAX_SAME_US:
+        if is_repeated and now < worker.last_report_at + MAX_SAME_US:
             return None
         worker.last_report = load
         worker.last_report_at = now
--- a/hazelbend/decisions/request.py
+++ b/hazelbend/decisions/request.py
@@ -58,13 +58,13 @@
     number: int
     worker: Worker
     sent_at: int
-    silence_limit: float = 0.0  # how long silence after it is no cause for suspicion
+    suspicion_timeout: float = 0.0  # how long silence after it is no cause for suspicion
     cost: float = 1.0  # its work, in mean jobs
     fetches: bool = False  # its key's data is not believed to be cached there
     process_started_at: int = 0  # of the worker's process, by the membership list at that time
     cold_attempt: ColdAttempt | None = None  # what it takes from the slow-start budget of the worker
     started_at: int = 0
-    heard_at: int = 0
+    last_signal_at: int = 0
     overtaken_by: int = 0  # later attempts at the same worker that have started before it
     outcome: Outcome | None = None
 
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -76,7 +76,9 @@
         ready = self._membership.ready
         tried = {attempt.worker for attempt in request.attempts}
         healthy = [worker for worker in workers if worker.backoff_until <= now and worker in ready]
-        found = [worker for worker in healthy if self._slow_start.may_use(worker) and worker not in tried]
+        found = [
+            worker for worker in healthy if self._slow_start.is_selectable(worker) and worker not in tried
+        ]
         found = [worker for worker in found if job.machine_kind in (-1, worker.entry.machine_kind)]
         if job.idempotency is Idempotency.KEYED and job.dedup_scope is not DedupScope.ALL:
             first = request.first_possible_run
--- a/hazelbend/decisions/slow_start.py
+++ b/hazelbend/decisions/slow_start.py
@@ -34,7 +34,7 @@
 
     own_traffic: Mean  # own part of all jobs in flight
     share: float = 0.0  # in jobs, for a worker of rate one
-    drawn_at: int = 0  # start of this window
+    window_started_at: int = 0  # start of this window
     memory: float = 60.0  # windows that `own_traffic` rests on
 
     def draw(self, workers: Collection[Worker], settings: Settings, rng: random.Random, now: int) -> None:
@@ -45,18 +45,18 @@
         # In a large fleet the load of peers is a guess from a few old reports: only equal shares add up.
         shares = 1.0 if settings.fleet_size >= LARGE_FLEET else MAX_EQUAL_SHARES
         largest = shares / settings.fleet_size
-        self.drawn_at = now
+        self.window_started_at = now
         self.share = safe_budget(settings) * min(self.own_traffic.value, largest, 1.0)
         for worker in workers:
             is_cold = settings.capacity_fraction(worker.entry.started_at, now) < 1.0
             worker.lottery_number = rng.random() if is_cold else 0.0
 
-    def may_use(self, worker: Worker) -> bool:
+    def is_selectable(self, worker: Worker) -> bool:
         """Whether a worker is warm, the share there is a job or more, or its number of this window wins."""
         return worker.lottery_number <= self.share * worker.rate
 
     def allows(
-        self, worker: Worker, cost: float, rate: float, settings: Settings, born: int, now: int
+        self, worker: Worker, cost: float, rate: float, settings: Settings, started_at: int, now: int
     ) -> bool:
         """Whether a job of this cost may be sent to a cold worker now.
 
@@ -70,7 +70,7 @@
         """
         since = now - settings.collapse_window
         share = self.share * rate
-        if since < born:
+        if since < started_at:
             return False  # what this dispatcher sent before its restart may have used up the window
         cost = max(cost, MIN_COST)
         if share >= cost:
--- a/hazelbend/decisions/worker.py
+++ b/hazelbend/decisions/worker.py
@@ -58,7 +58,7 @@
     probed_at: int = 0
     connection_idle_at: int = LONG_AGO  # when an own attempt last left a connection idle
     # Health.
-    heard_at: int = 0
+    last_signal_at: int = 0
     backoff_until: int = 0
     backoff: int = 0
     resets: int = 0  # connections that broke since it was last heard of
@@ -104,7 +104,7 @@
             self.cold_attempts.popleft()
         return sum(attempt.cost for attempt in self.cold_attempts)
 
-    def use_key(self, key: int, capacity: float) -> None:
+    def mark_key_cached(self, key: int, capacity: float) -> None:
         """Mark the data of a key as cached there, where so many keys are kept."""
         self.cached_keys.pop(key, None)
         self.cached_keys[key] = None
--- a/hazelbend/forwarding/admission.py
+++ b/hazelbend/forwarding/admission.py
@@ -12,8 +12,8 @@
 from hazelbend.placement.prompt import parse_prompt
 from hazelbend.placement.routes import Route, RouteTable
 
-RETURN_MARGIN_US = 8_000  # of the client's time-out, kept for the way back
-RETURN_MARGIN_DIVISOR = 10  # but at most this part of it
+RESPONSE_MARGIN_US = 8_000  # of the client's time-out, kept for the way back
+RESPONSE_MARGIN_DIVISOR = 10  # but at most this part of it
 MAX_CONFIGURATION_WAIT_US = 1_200_000  # that a request waits after a start for the first configuration
 CONFIGURATION_POLL_S = 0.02
 EXPLORATION_RATIO = 0.05  # of the idempotent requests: they find out whether a worker is healthy again
@@ -42,7 +42,7 @@
         timeout = route.timeout_ms * 1_000
         if request.timeout_us is not None:
             timeout = min(timeout, request.timeout_us)
-        margin = min(RETURN_MARGIN_US, timeout // RETURN_MARGIN_DIVISOR)
+        margin = min(RESPONSE_MARGIN_US, timeout // RESPONSE_MARGIN_DIVISOR)
         service = route.pick_service(self._random)
         return RequestContext(
             request=request,
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -15,7 +15,7 @@
 from hazelbend.placement.choices import Attempt, Choice
 from hazelbend.placement.estimates import QueueEstimate, WorkerEstimate
 from hazelbend.placement.fleet_view import FleetView
-from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, STANDARD, Policy
+from hazelbend.placement.policy import DEFAULT_POLICY, PREFILL_UNIT_TOKENS, Policy
 from hazelbend.placement.prompt import PrefixSegment, Prompt
 from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.placement.routes import Service
@@ -40,7 +40,7 @@
         on_load_changed: called when the work of own attempts has changed.
     """
 
-    def __init__(self, zone: str, seed: int, policy: Policy = STANDARD) -> None:
+    def __init__(self, zone: str, seed: int, policy: Policy = DEFAULT_POLICY) -> None:
         """Start without workers, for a router of `zone`; `seed` is for the breaking of ties."""
         self._zone = zone
         self._policy = policy
@@ -72,7 +72,7 @@
 
     def set_phase_changing(self, instances: set[str]) -> None:
         """Take the instances that are changing their phase: they get no requests."""
-        self._fleet.switching = instances
+        self._fleet.changing_phase = instances
 
     def has_phases(self, service: str) -> bool:
         """Whether the service has separate workers for prefill and decode."""
@@ -111,20 +111,21 @@
             requests=QueueEstimate(request_rate, concurrency=float(record.capacity)),
         )
 
-    def update_heartbeat_ages(self, silent_for: dict[str, int], expiry: float) -> None:
-        """Take how long ago the silent workers were last heard by the control processes.
+    def update_heartbeat_ages(self, heartbeat_ages: dict[str, int], expiry: float) -> None:
+        """Update which workers miss heartbeats.
 
-        A worker that is silent for longer than `expiry`, or that has left, is dropped once no own attempt is
-        in flight there. Control processes stop listing an expired worker, so its absence from `silent_for` is
-        no sign of life.
+        `heartbeat_ages` has the time since the last heartbeat of each worker that the control processes miss.
+        A worker whose last heartbeat is older than `expiry`, or that has left, is dropped once no own attempt
+        is in flight there. Control processes stop listing an expired worker, so its absence from
+        `heartbeat_ages` does not mean that it is alive.
         """
         for instance, worker in list(self.workers.items()):
-            age = silent_for.get(instance)
+            age = heartbeat_ages.get(instance)
             if age is not None:
-                worker.silent = True
+                worker.misses_heartbeats = True
                 worker.expired = age > expiry
             elif not worker.expired:
-                worker.silent = False
+                worker.misses_heartbeats = False
             has_left = worker.expired or worker.record.state is WorkerState.GONE
             if has_left and not worker.has_attempts:
                 del self.workers[instance]
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -72,7 +72,7 @@
     record: WorkerRecord
     prefill: QueueEstimate  # in prefill units
     requests: QueueEstimate  # running requests
-    silent: bool = False  # its heartbeats are missing
+    misses_heartbeats: bool = False  # its heartbeats are missing
     expired: bool = False  # silent for so long that it is dropped once no attempt is in flight
     slowness: Mean = field(default_factory=Mean)  # ratio of its prefill times to those of workers of its kind
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
--- a/hazelbend/placement/fleet_view.py
+++ b/hazelbend/placement/fleet_view.py
@@ -25,7 +25,7 @@
         self.prefills: dict[str, dict[Attempt, None]] = {}  # own prefills in flight, by instance
         self.workers: dict[str, WorkerEstimate] = {}  # by instance
         self.services: dict[str, Service] = {}  # by name
-        self.switching: set[str] = set()  # instances that are changing their phase
+        self.changing_phase: set[str] = set()  # instances that are changing their phase
 
     # --- workers and services ---
 
@@ -41,7 +41,7 @@
             if worker.record.service == service
             and worker.accepts_work
             and instance not in tried
-            and instance not in self.switching
+            and instance not in self.changing_phase
             and (not phase or worker.record.phase == phase)
         ]
         return [worker for worker in ready if now >= worker.backoff_until] or ready
--- a/hazelbend/placement/policy.py
+++ b/hazelbend/placement/policy.py
@@ -60,4 +60,4 @@
     max_peer_outcomes: int = 20  # outcomes of one kind that are taken from one message of a peer
 
 
-STANDARD = Policy()
+DEFAULT_POLICY = Policy()
--- a/hazelbend/placement/selector.py
+++ b/hazelbend/placement/selector.py
@@ -240,7 +240,7 @@
 
     @staticmethod
     def _is_unresponsive(worker: WorkerEstimate, now: int) -> bool:
-        return worker.silent or worker.is_answer_overdue(now)
+        return worker.misses_heartbeats or worker.is_answer_overdue(now)
 
     def _failure_cost(self, worker: WorkerEstimate, failure_costs: FailureCosts, now: int) -> float:
         if worker.reliability.has_clean_record:
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hazelbend.decisions import interface as face
+from hazelbend.decisions import interface
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import (
     Idempotency,
@@ -76,12 +76,12 @@
         gap = size / (load * WARM * SLOTS / RUN)
         entries = tuple(WorkerEntry(number) for number in range(1, COLD))
         for each in range(size):
-            self.at(0, each, face.MembershipUpdate(ListKind.FULL, entries))
+            self.at(0, each, interface.MembershipUpdate(ListKind.FULL, entries))
             cold = (WorkerEntry(COLD, started_at=START),)
-            self.at(START, each, face.MembershipUpdate(ListKind.DELTA, cold))
+            self.at(START, each, interface.MembershipUpdate(ListKind.DELTA, cold))
             at = 0.0
             while (at := at + self.chance.expovariate(1 / gap)) < END:
-                self.at(round(at), each, face.RequestArrived(self.next(), 5 * SECOND))
+                self.at(round(at), each, interface.RequestArrived(self.next(), 5 * SECOND))
 
     def next(self) -> int:
         self.counter += 1
@@ -94,32 +94,32 @@
         attempts: dict[tuple[int, int], int] = {}
         while self.events and self.events[0][0] < END:
             now, _, number, event = heapq.heappop(self.events)
-            if isinstance(event, face.AttemptEnded):
+            if isinstance(event, interface.AttemptEnded):
                 backend = self.backends[event.worker]
                 backend.out -= 1
                 if self.rules.reports_inline:
-                    event = face.AttemptEnded(
+                    event = interface.AttemptEnded(
                         event.request, event.worker, event.attempt, Outcome.SERVED, True, 0, backend.report()
                     )
             for action in self.dispatchers[number].handle(event, now):  # type: ignore[arg-type]
-                if isinstance(action, face.StartTimer):
-                    self.at(now + max(action.delay, 1), number, face.TimerFired(action.token))
-                elif isinstance(action, face.Send):
+                if isinstance(action, interface.StartTimer):
+                    self.at(now + max(action.delay, 1), number, interface.TimerFired(action.token))
+                elif isinstance(action, interface.Send):
                     attempt = attempts.get((number, action.request), -1) + 1
                     attempts[number, action.request] = attempt
                     self.send(now, number, action, attempt)
 
-    def send(self, now: int, number: int, action: face.Send, attempt: int) -> None:
+    def send(self, now: int, number: int, action: interface.Send, attempt: int) -> None:
         backend, started = self.backends[action.worker], START if action.worker == COLD else 0
         if started:
             self.sent_to_cold.append(now)
         backend.out += 1
         start, end = backend.run(now, self.rules.capacity_fraction(started, now))
-        self.at(start, number, face.JobStarted(action.request, action.worker, attempt))
+        self.at(start, number, interface.JobStarted(action.request, action.worker, attempt))
         self.at(
             end,
             number,
-            face.AttemptEnded(action.request, action.worker, attempt, Outcome.SERVED, True, end - now),
+            interface.AttemptEnded(action.request, action.worker, attempt, Outcome.SERVED, True, end - now),
         )
 
 
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.job_count import MAX_JOB_COUNT, drained, expected_jobs
+from hazelbend.decisions.job_count import MAX_JOB_COUNT, expected_jobs, expected_remaining
 from hazelbend.decisions.request import Attempt, Request
 from hazelbend.decisions.worker import Worker
 from tests.support.model import Model
@@ -33,21 +33,21 @@
 
 
 def make_worker(rate: float = 1e-6) -> Worker:
-    worker = Worker(dy.WorkerEntry(1), 1.0)
+    worker = Worker(interface.WorkerEntry(1), 1.0)
     worker.rate = rate
     worker.weight = 1.0
     return worker
 
 
 def send(worker: Worker, at: int, cost: float = 1.0) -> Attempt:
-    request = Request(1, dy.JobClass(), 0, 10**9, 10**9, 1.0, 1.0, 0)
+    request = Request(1, interface.JobClass(), 0, 10**9, 10**9, 1.0, 1.0, 0)
     attempt = Attempt(request, 0, worker, at, cost=cost)
     worker.add(attempt)
     return attempt
 
 
 def make_dispatcher(worker: Worker) -> Dispatcher:
-    dispatcher = Dispatcher(dy.Settings(), 1)
+    dispatcher = Dispatcher(interface.Settings(), 1)
     dispatcher.workers[1] = worker
     return dispatcher
 
@@ -56,13 +56,17 @@
 def test_short_sum_is_the_mean_of_the_distribution(count, load):
     chances = update([0.0] * count + [1.0], load, 0)
     assert sum(chances) == pytest.approx(1.0)
-    assert drained(count, load) == pytest.approx(sum(n * p for n, p in enumerate(chances)), abs=1e-9)
+    assert expected_remaining(count, load) == pytest.approx(
+        sum(n * p for n, p in enumerate(chances)), abs=1e-9
+    )
 
 
 @given(count=st.integers(0, MAX_JOB_COUNT), first=st.floats(0, 20), second=st.floats(0, 20))
 def test_draining_composes(count, first, second):
     twice = update(update([0.0] * count + [1.0], first, 0), second, 0)
-    assert drained(count, first + second) == pytest.approx(sum(n * p for n, p in enumerate(twice)), abs=1e-9)
+    assert expected_remaining(count, first + second) == pytest.approx(
+        sum(n * p for n, p in enumerate(twice)), abs=1e-9
+    )
 
 
 @given(others=st.integers(0, 12), own=st.integers(0, 8), elapsed=st.integers(0, 10_000_000))
@@ -94,12 +98,14 @@
 
 
 def test_the_usual_level_is_that_of_the_kind_until_the_worker_has_told_its_own():
-    dispatcher = Dispatcher(dy.Settings(), 1)
-    entries = [dy.WorkerEntry(worker, machine_kind=worker % 2) for worker in range(8)]
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, tuple(entries)), 1_000)
+    dispatcher = Dispatcher(interface.Settings(), 1)
+    entries = [interface.WorkerEntry(worker, machine_kind=worker % 2) for worker in range(8)]
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, tuple(entries)), 1_000)
     for worker in (0, 2, 4):
-        dispatcher.load_model.apply_report(dispatcher.workers[worker], dy.LoadReport(8.0, 4.0, 0.0), 2_000)
-    dispatcher.load_model.apply_report(dispatcher.workers[1], dy.LoadReport(0.0, 0.0, 4.0), 2_000)
+        dispatcher.load_model.apply_report(
+            dispatcher.workers[worker], interface.LoadReport(8.0, 4.0, 0.0), 2_000
+        )
+    dispatcher.load_model.apply_report(dispatcher.workers[1], interface.LoadReport(0.0, 0.0, 4.0), 2_000)
     for worker in dispatcher.workers.values():
         dispatcher.load_model.update_rate(worker, 3_000)
     level = {each: worker.background_load * worker.rate for each, worker in dispatcher.workers.items()}
@@ -111,14 +117,20 @@
 def test_a_guess_of_how_long_jobs_run_does_not_fill_an_idle_server(weights_tell):
     """The level of the first report, kept by a rate of the first guess, stood for 26 jobs that nobody had
     sent once runs of a thousandth of it had come: after two idle seconds a lone server was refused."""
-    settings = dy.Settings(classes=(dy.JobClass(objective=2_000_000),), weights_enabled=weights_tell)
+    settings = interface.Settings(
+        classes=(interface.JobClass(objective=2_000_000),), weights_enabled=weights_tell
+    )
     model = Model(settings)
-    model.list_workers(dy.WorkerEntry(1))
+    model.list_workers(interface.WorkerEntry(1))
     worker = model.dispatcher.workers[1]
     for request in range(30):
         model.arrive(request)
         model.advance(2_000)
-        model.end(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0))
+        model.end(
+            request,
+            interface.Outcome.SERVED,
+            load=interface.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0),
+        )
         model.advance(2_000_000)
         assert worker.background_load * worker.rate < 2.0, "a report of one job stands for no more"
         assert expected_jobs(worker, model.now, worker.rate) < worker.concurrency
@@ -128,14 +140,14 @@
 def test_one_that_has_said_nothing_is_taken_to_be_as_full_as_its_kind():
     """Given the size of one job it seemed emptier than all that had spoken: with 200 dispatchers, to each of
     which most servers have said nothing yet, the day of a cut lost 0.18 of its score by it."""
-    model = Model(dy.Settings(classes=(dy.JobClass(objective=100_000),), weights_enabled=False))
-    model.list_workers(*[dy.WorkerEntry(number) for number in range(4)])
+    model = Model(interface.Settings(classes=(interface.JobClass(objective=100_000),), weights_enabled=False))
+    model.list_workers(*[interface.WorkerEntry(number) for number in range(4)])
     for request in range(40):
         model.arrive(request)
         model.advance(100_000)
         if model.jobs[request].tries[0].worker.worker != 3:
-            report = dy.LoadReport(in_flight=8.0, queued=0.0, free_slots=0.0)
-            model.end(request, dy.Outcome.SERVED, load=report)
+            report = interface.LoadReport(in_flight=8.0, queued=0.0, free_slots=0.0)
+            model.end(request, interface.Outcome.SERVED, load=report)
     workers = model.dispatcher.workers
     usual = [worker.background_load * worker.rate for worker in workers.values()]
     model.dispatcher.load_model.update_rate(workers[3], model.now)
@@ -146,7 +158,7 @@
 def test_a_send_that_a_report_holds_is_not_counted_twice():
     worker = make_worker()
     send(worker, 100)
-    make_dispatcher(worker).load_model.apply_report(worker, dy.LoadReport(in_flight=1.0), 1_000_000)
+    make_dispatcher(worker).load_model.apply_report(worker, interface.LoadReport(in_flight=1.0), 1_000_000)
     assert (worker.peer_jobs, expected_jobs(worker, 1_000_000, 1e-6)) == (0, 1.0)
 
 
@@ -164,7 +176,7 @@
         if step % 5 == 0:
             seen = worker.own_jobs.at(now - 800_000)
             dispatcher.load_model.apply_report(
-                worker, dy.LoadReport(in_flight=seen + 3.0, free_slots=step / 1e6), now
+                worker, interface.LoadReport(in_flight=seen + 3.0, free_slots=step / 1e6), now
             )
     assert now - worker.peer_jobs_at == pytest.approx(800_000, abs=100_001)
 
@@ -178,25 +190,27 @@
 
 
 def test_timed_out_send_stays_until_a_later_report():
-    settings = dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.UNSAFE),))
+    settings = interface.Settings(classes=(interface.JobClass(idempotency=interface.Idempotency.UNSAFE),))
     dispatcher = Dispatcher(settings, 1)
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, (dy.WorkerEntry(1),)), 1_000)
-    dispatcher.handle(dy.RequestArrived(5, 1_000_000), 2_000)
-    dispatcher.handle(dy.AttemptEnded(5, 1, 0, dy.Outcome.TIMED_OUT), 1_002_000)
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, (interface.WorkerEntry(1),)), 1_000)
+    dispatcher.handle(interface.RequestArrived(5, 1_000_000), 2_000)
+    dispatcher.handle(interface.AttemptEnded(5, 1, 0, interface.Outcome.TIMED_OUT), 1_002_000)
     worker = dispatcher.workers[1]
     assert expected_jobs(worker, 1_002_000, worker.rate) == pytest.approx(1.0)
-    dispatcher.load_model.apply_report(worker, dy.LoadReport(in_flight=0.0), 2_000_000)
+    dispatcher.load_model.apply_report(worker, interface.LoadReport(in_flight=0.0), 2_000_000)
     assert expected_jobs(worker, 2_000_000, worker.rate) == 0.0
 
 
 def test_a_cold_worker_is_not_taken_to_be_as_full_as_the_warm_of_its_kind():
     """Taken so, successors stood unused after a deploy while requests waited here and were given up."""
-    settings = dy.Settings(warmup_duration=10_000_000, initial_capacity=0.2)
+    settings = interface.Settings(warmup_duration=10_000_000, initial_capacity=0.2)
     dispatcher, now = Dispatcher(settings, 1), 10**9
-    entries = (dy.WorkerEntry(1), dy.WorkerEntry(2), dy.WorkerEntry(3, started_at=now))
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
+    entries = (interface.WorkerEntry(1), interface.WorkerEntry(2), interface.WorkerEntry(3, started_at=now))
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.CACHED, entries), now)
     for worker in (1, 2):
-        dispatcher.load_model.apply_report(dispatcher.workers[worker], dy.LoadReport(9.0, 5.0, 0.0), now)
+        dispatcher.load_model.apply_report(
+            dispatcher.workers[worker], interface.LoadReport(9.0, 5.0, 0.0), now
+        )
     for worker in dispatcher.workers.values():
         dispatcher.load_model.update_rate(worker, now)
     assert dispatcher.workers[3].background_load == 0.0 < dispatcher.workers[2].background_load
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from hazelbend.decisions.reliability import FADE_TIME_US, HEALTHY_ERROR_RATE, PRIOR_FAILING, FailureEstimate
 from tests.support.model import Model
 
-ONCE = dy.JobClass(idempotency=dy.Idempotency.UNSAFE, objective=2_000_000)
-SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=2_000_000)
+ONCE = interface.JobClass(idempotency=interface.Idempotency.UNSAFE, objective=2_000_000)
+SAFE = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=2_000_000)
 RUN = 100_000
 
 
@@ -51,10 +51,12 @@
 class Site(Model):
     """Some servers; the first so many that get a job fail what they get within 5 ms."""
 
-    def __init__(self, *classes: dy.JobClass, failing: int, attempts: int = 3, servers: int = 3) -> None:
-        super().__init__(dy.Settings(classes=classes, reports_job_starts=True, max_attempts=attempts))
+    def __init__(
+        self, *classes: interface.JobClass, failing: int, attempts: int = 3, servers: int = 3
+    ) -> None:
+        super().__init__(interface.Settings(classes=classes, reports_job_starts=True, max_attempts=attempts))
         self.failing, self.most, self.errors = set[int](), failing, Counter[int]()
-        self.list_workers(*(dy.WorkerEntry(number) for number in range(1, servers + 1)))
+        self.list_workers(*(interface.WorkerEntry(number) for number in range(1, servers + 1)))
 
     def play(self, seconds: float, classes: tuple[int, ...]) -> None:
         """Ten jobs a second, of these classes in turn; each class's errors are counted."""
@@ -69,12 +71,12 @@
                         self.failing.add(worker)
                     if worker in self.failing:
                         self.errors[classes[job % len(classes)]] += 1
-                        self.end(job, dy.Outcome.ERROR, attempt)
+                        self.end(job, interface.Outcome.ERROR, attempt)
                         attempt = len(self.jobs[job].tries) - 1
                     else:
                         self.start(job, attempt)
                         self.advance(RUN)
-                        self.end(job, dy.Outcome.SERVED, attempt)
+                        self.end(job, interface.Outcome.SERVED, attempt)
 
 
 def test_a_job_that_must_not_run_twice_keeps_off_a_server_that_fails():
@@ -119,11 +121,11 @@
 
 
 def test_a_request_that_fails_everywhere_says_little_of_the_servers():
-    model = Model(dy.Settings(classes=(SAFE,), max_attempts=3))
-    model.list_workers(*(dy.WorkerEntry(number) for number in (1, 2, 3)))
+    model = Model(interface.Settings(classes=(SAFE,), max_attempts=3))
+    model.list_workers(*(interface.WorkerEntry(number) for number in (1, 2, 3)))
     model.arrive(0)
     for attempt in range(3):
-        model.end(0, dy.Outcome.ERROR, attempt)
+        model.end(0, interface.Outcome.ERROR, attempt)
     suspects = [
         each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING
     ]
@@ -135,5 +137,5 @@
     site.play(2, (0,))
     [bad] = site.failing
     assert site.dispatcher.workers[bad].reliability.failing > 0.5
-    site.list_workers(dy.WorkerEntry(bad, started_at=site.now), kind=dy.ListKind.DELTA)
+    site.list_workers(interface.WorkerEntry(bad, started_at=site.now), kind=interface.ListKind.DELTA)
     assert site.dispatcher.workers[bad].reliability.failing == PRIOR_FAILING
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from hazelbend.decisions import discovery_retry
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import discovery_retry, interface
 from hazelbend.decisions.discovery_retry import FIRST_CALL_SPREAD_US, DiscoveryRetry
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
@@ -23,8 +22,10 @@
 from tests.support.model import Model
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
-SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=0.5)
-ASKING = dy.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True, reports_job_starts=True)
+SAFE = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000, late_value_fraction=0.5)
+ASKING = interface.Settings(
+    classes=(SAFE,), probes_allowed=True, reports_by_probe=True, reports_job_starts=True
+)
 
 
 def answer(model: Model, busy: dict[int, int]) -> None:
@@ -32,14 +33,14 @@
     probes, model.probes = model.probes, []
     for worker in probes:
         held = busy.get(worker, 0)
-        load = dy.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, load))
+        load = interface.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
+        model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, load))
 
 
 def test_workers_that_may_win_are_asked_before_the_pick():
     """Guards against picks by reports that are seconds old: the empty worker is found by asking."""
     model = Model(ASKING)
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, MAX_PROBES + 1)))
+    model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, MAX_PROBES + 1)))
     model.arrive(1)
     assert len(model.probes) == MAX_PROBES
     assert not model.sends
@@ -49,7 +50,7 @@
 
 def test_a_pick_does_not_wait_for_probes_that_stay_unanswered():
     model = Model(ASKING)
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 9)))
+    model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
     model.arrive(1)
     model.advance(50_000)
     assert len(model.sends) == 1
@@ -58,20 +59,24 @@
 
 
 def test_weights_that_fall_with_load_tell_the_jobs_held():
-    settings = dy.Settings(classes=(SAFE,), weights_fall_with_load=True)
+    settings = interface.Settings(classes=(SAFE,), weights_fall_with_load=True)
     model = Model(settings)
-    entries = [dy.WorkerEntry(worker, weight=6.0) for worker in (1, 2)]
+    entries = [interface.WorkerEntry(worker, weight=6.0) for worker in (1, 2)]
     model.list_workers(*entries)
     for worker in model.dispatcher.workers.values():
-        model.dispatcher.load_model.apply_report(worker, dy.LoadReport(0.0, 0.0, 4.0), model.now)
+        model.dispatcher.load_model.apply_report(worker, interface.LoadReport(0.0, 0.0, 4.0), model.now)
     model.advance(100_000)
-    model.list_workers(dy.WorkerEntry(1, weight=2.0), dy.WorkerEntry(2, weight=6.0), kind=dy.ListKind.DELTA)
+    model.list_workers(
+        interface.WorkerEntry(1, weight=2.0),
+        interface.WorkerEntry(2, weight=6.0),
+        kind=interface.ListKind.DELTA,
+    )
     assert [model.dispatcher.workers[worker].peer_jobs for worker in (1, 2)] == [8, 0]
 
 
 def play_cold(seed: int, dispatchers: int) -> tuple[list[int], int]:
     """Sends to one cold worker by all of a fleet, which hears late what it holds; the warm ones are full."""
-    settings = dy.Settings(
+    settings = interface.Settings(
         fleet_size=dispatchers,
         classes=(SAFE,),
         collapse_multiple=3.0,
@@ -83,28 +88,33 @@
     )
     fleet = [Dispatcher(settings, seed * 1000 + each) for each in range(dispatchers)]
     chance, cold_since, now = random.Random(seed), 10_000_000, 10_000_000
-    entries = (*(dy.WorkerEntry(each) for each in range(1, 6)), dy.WorkerEntry(9, started_at=cold_since))
+    entries = (
+        *(interface.WorkerEntry(each) for each in range(1, 6)),
+        interface.WorkerEntry(9, started_at=cold_since),
+    )
     to_cold: list[int] = []
-    full = dy.LoadReport(20.0, 16.0, 0.0)
+    full = interface.LoadReport(20.0, 16.0, 0.0)
     leaves: list[int] = []  # when the jobs at the cold worker, one at a time and slower while it is cold, end
-    later: list[tuple[int, int, int, dy.Event]] = []  # when, a number to order by, dispatcher, event
+    later: list[tuple[int, int, int, interface.Event]] = []  # when, a number to order by, dispatcher, event
 
-    def tell(number: int, event: dy.Event, at: int) -> None:
+    def tell(number: int, event: interface.Event, at: int) -> None:
         for action in fleet[number].handle(event, at):
-            if isinstance(action, dy.StartTimer):
-                timer = dy.TimerFired(action.token)
+            if isinstance(action, interface.StartTimer):
+                timer = interface.TimerFired(action.token)
                 heapq.heappush(later, (at + action.delay, chance.getrandbits(60), number, timer))
-            elif isinstance(action, dy.Send):
+            elif isinstance(action, interface.Send):
                 end = at + 200_000
                 if action.worker == 9:
                     to_cold.append(at)
                     share = min(0.2 + 0.8 * (at - cold_since) / 20_000_000, 1.0)
                     leaves.append(end := max([at, *leaves]) + round(200_000 / share))
-                served = dy.AttemptEnded(action.request, action.worker, 0, dy.Outcome.SERVED, True)
+                served = interface.AttemptEnded(
+                    action.request, action.worker, 0, interface.Outcome.SERVED, True
+                )
                 heapq.heappush(later, (end, chance.getrandbits(60), number, served))
 
     for number in range(dispatchers):
-        tell(number, dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
+        tell(number, interface.MembershipUpdate(interface.ListKind.CACHED, entries), now)
     for request in range(1, 20 * 20 * 4):
         now += 12_500
         while later[0][0] <= now:
@@ -113,9 +123,9 @@
         number = chance.randrange(dispatchers)
         for worker in fleet[number].workers.values():
             held = sum(sent <= now - 600_000 < end for sent, end in zip(to_cold, leaves, strict=True))
-            at_cold = dy.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
+            at_cold = interface.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
             fleet[number].load_model.apply_report(worker, at_cold if worker.entry.worker == 9 else full, now)
-        tell(number, dy.RequestArrived(request, 5_000_000), now)
+        tell(number, interface.RequestArrived(request, 5_000_000), now)
     return to_cold, cold_since
 
 
@@ -131,9 +141,9 @@
         assert sent <= 3.0 * share * rate * 1_500_000
 
 
-def spoken(fleet: int, charge: float = 0.002, **more: bool) -> dy.Settings:
+def spoken(fleet: int, charge: float = 0.002, **more: bool) -> interface.Settings:
     """Reports come with answers, and a probe has its price."""
-    return dy.Settings(
+    return interface.Settings(
         fleet_size=fleet,
         classes=(SAFE,),
         probes_allowed=True,
@@ -145,7 +155,7 @@
 
 def list_three(fleet: int) -> Model:
     model = Model(spoken(fleet))
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in (1, 2, 3)))
+    model.list_workers(*(interface.WorkerEntry(worker) for worker in (1, 2, 3)))
     return model
 
 
@@ -174,25 +184,31 @@
 
 def rated(weights_tell: bool, *runs: int) -> list[float]:
     """Rates of a worker of two slots and one of five, after runs on the first that took so long."""
-    settings = dy.Settings(classes=(SAFE,), weights_enabled=weights_tell, reports_job_starts=True)
+    settings = interface.Settings(classes=(SAFE,), weights_enabled=weights_tell, reports_job_starts=True)
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(
-        dy.MembershipUpdate(dy.ListKind.FULL, (dy.WorkerEntry(1), dy.WorkerEntry(2))), 1_000_000
+        interface.MembershipUpdate(
+            interface.ListKind.FULL, (interface.WorkerEntry(1), interface.WorkerEntry(2))
+        ),
+        1_000_000,
     )
     for worker, slots in ((1, 2.0), (2, 5.0)):
         dispatcher.load_model.apply_report(
-            dispatcher.workers[worker], dy.LoadReport(0.0, 0.0, slots), 1_000_000
+            dispatcher.workers[worker], interface.LoadReport(0.0, 0.0, slots), 1_000_000
         )
     now = 1_100_000
     for number, run in enumerate(runs):
-        request = dispatcher.handle(dy.RequestArrived(number, 5_000_000), now) and dispatcher.requests[number]
+        request = (
+            dispatcher.handle(interface.RequestArrived(number, 5_000_000), now)
+            and dispatcher.requests[number]
+        )
         [attempt] = request.attempts
         attempt.worker.remove(attempt, now, 0)
         attempt.worker = dispatcher.workers[1]
         attempt.worker.add(attempt)
-        dispatcher.handle(dy.JobStarted(number, 1, 0), now)
+        dispatcher.handle(interface.JobStarted(number, 1, 0), now)
         now += run
-        dispatcher.handle(dy.AttemptEnded(number, 1, 0, dy.Outcome.SERVED), now)
+        dispatcher.handle(interface.AttemptEnded(number, 1, 0, interface.Outcome.SERVED), now)
     for worker in dispatcher.workers.values():
         dispatcher.load_model.update_rate(worker, now)
     return [dispatcher.workers[number].rate * 1e6 for number in (1, 2)]
@@ -214,9 +230,9 @@
 
 def first_call(fleet: int, seed: int) -> int:
     """When a dispatcher that has just started asks for its first list."""
-    model = Model(dy.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True), seed)
+    model = Model(interface.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True), seed)
     began = model.now
-    model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
+    model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     model.advance(20_000_000)
     return model.subscriptions[0] - began
 
@@ -232,7 +248,7 @@
 def test_nobody_waits_longer_to_ask_than_the_settings_allow(fleet):
     """Guards dispatchers that counted as told and had not asked: 200 spread their first calls over 20 s
     where 10 were allowed, and waited for up to 120 s after failed ones, where one counts as told after 40."""
-    settings = dy.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
+    settings = interface.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
     assert max(first_call(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
     chance, retry = random.Random(1), DiscoveryRetry()
     waits = [retry.retry_delay(settings, chance) for _ in range(2_000)]
@@ -260,7 +276,7 @@
     """Guards the operators' term: a change counts as told 6 s after discovery had it and could be reached.
     From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
     besides."""
-    settings = dy.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=ask_within)
+    settings = interface.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=ask_within)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
@@ -272,12 +288,12 @@
 
 def test_where_lists_are_pushed_the_agent_is_asked_at_once_and_often():
     """Guards drains there: what the agent has counts as told, whether or not a watch is open."""
-    settings = dy.Settings(fleet_size=200, list_is_pushed=True)
+    settings = interface.Settings(fleet_size=200, list_is_pushed=True)
     chance, retry = random.Random(1), DiscoveryRetry()
     assert retry.first_delay(settings, chance) == retry.retry_delay(settings, chance) == 0
     assert 0 < max(retry.retry_delay(settings, chance) for _ in range(40)) <= 100_000
     model = Model(settings)
-    model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
+    model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     assert len(model.subscriptions) == 1
 
 
@@ -285,7 +301,7 @@
 def test_who_was_cut_off_has_asked_twice_by_the_time_that_counts(fleet):
     """Guards a watch that falls silent: what it missed counts as told 2 s after its wait, and 200 dispatchers
     that found out in one moment waited for 2.5 to 15 s. The first call of each fails once more."""
-    settings, asked = dy.Settings(fleet_size=fleet, list_is_polled=True), []
+    settings, asked = interface.Settings(fleet_size=fleet, list_is_polled=True), []
     for seed in range(fleet):
         chance, retry = random.Random(seed), DiscoveryRetry()
         found_out = HOLD_GRACE_S * 1_000_000
@@ -300,7 +316,7 @@
 def key_charges(fetched_runs: float) -> float:
     """What a key's second-best server is charged for its data, in mean jobs, after some seconds of a large
     fleet: 25 runs each with the data there, and without it."""
-    dispatcher = Dispatcher(dy.Settings(classes=(SAFE,)), 1)
+    dispatcher = Dispatcher(interface.Settings(classes=(SAFE,)), 1)
     for _ in range(25):
         dispatcher.load_model.cached_run_ratio.add(1.0, MEMORY_SAMPLES)
         dispatcher.load_model.fetch_run_ratio.add(fetched_runs, MEMORY_SAMPLES)
@@ -320,10 +336,12 @@
     model.advance(200_000)
     probes, model.probes = model.probes, []
     for worker in probes:
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 0.0)))
+        model.tell(
+            interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, interface.LoadReport(0.0, 0.0, 0.0))
+        )
     worker = model.dispatcher.workers[1]
     assert not worker.reported_at and worker.slots == 0.0
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 5.0)))
+    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0.0, 0.0, 5.0)))
     assert worker.reported_at and worker.slots == 5.0, "an idle server has free slots"
 
 
@@ -331,12 +349,15 @@
 def test_the_parts_of_a_large_fleet_add_up_to_the_cold_budget(dispatchers):
     """Guards a cold server: servers without a report seemed to hold nobody's jobs, so each of 40 dispatchers
     thought most jobs its own and took four parts: 23 of them sent to one server within a second."""
-    settings = dy.Settings(fleet_size=dispatchers, classes=(SAFE,), collapse_multiple=2.5)
+    settings = interface.Settings(fleet_size=dispatchers, classes=(SAFE,), collapse_multiple=2.5)
     dispatcher = Dispatcher(settings, 1)
     now = 1_000_000
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, tuple(map(dy.WorkerEntry, range(1, 61)))), now)
+    dispatcher.handle(
+        interface.MembershipUpdate(interface.ListKind.FULL, tuple(map(interface.WorkerEntry, range(1, 61)))),
+        now,
+    )
     for second in range(60):
-        dispatcher.handle(dy.RequestArrived(second, 5_000_000), now + second * 1_000_000)
+        dispatcher.handle(interface.RequestArrived(second, 5_000_000), now + second * 1_000_000)
         dispatcher.slow_start.draw(
             dispatcher.workers.values(), settings, dispatcher.random, now + second * 1_000_000
         )
@@ -348,11 +369,13 @@
 
 def test_runs_on_one_server_tell_of_its_kind():
     """Guards against rates learnt from a handful of runs: small boxes were thought 1.6 times too fast."""
-    dispatcher = Dispatcher(dy.Settings(classes=(SAFE,), weights_enabled=False, reports_job_starts=True), 1)
-    entries = tuple(dy.WorkerEntry(number, machine_kind=number % 2) for number in range(1, 7))
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, entries), 1_000_000)
+    dispatcher = Dispatcher(
+        interface.Settings(classes=(SAFE,), weights_enabled=False, reports_job_starts=True), 1
+    )
+    entries = tuple(interface.WorkerEntry(number, machine_kind=number % 2) for number in range(1, 7))
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 1_000_000)
     for worker in dispatcher.workers.values():
-        dispatcher.load_model.apply_report(worker, dy.LoadReport(0.0, 0.0, 2.0), 1_000_000)
+        dispatcher.load_model.apply_report(worker, interface.LoadReport(0.0, 0.0, 2.0), 1_000_000)
     for _ in range(40):
         dispatcher.load_model.kind_run_ratios.setdefault(0, Mean()).add(2.0, 60.0)
         dispatcher.load_model.kind_run_ratios.setdefault(1, Mean()).add(1.0, 60.0)
@@ -367,7 +390,7 @@
     """Guards against the least of many old estimates, which is the most wrong: servers that all of 40 thought
     nearly empty held 13 jobs on average when they were picked, three times what an average server did."""
     model = Model(spoken(40))
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 9)))
+    model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
     model.advance(200_000)
     answer(model, dict.fromkeys(range(3, 9), 8))
     model.advance(500_000)
@@ -377,7 +400,7 @@
     answer(model, {1: 9, 2: 1})
     assert [send[1] for send in model.sends] == [2]
     for worker in model.dispatcher.workers.values():
-        model.dispatcher.load_model.apply_report(worker, dy.LoadReport(1.0, 0.0, 3.0), model.now)
+        model.dispatcher.load_model.apply_report(worker, interface.LoadReport(1.0, 0.0, 3.0), model.now)
     model.arrive(2)
     assert len(model.sends) == 2 and not model.probes, "what was just said is gone by"
 
@@ -385,7 +408,7 @@
 def test_a_pick_asks_no_more_than_its_price_allows():
     for charge, asked in ((0.002, 2), (0.004, 1), (0.05, 0)):
         model = Model(spoken(40, charge))
-        model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 9)))
+        model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
         model.advance(3_000_000)
         model.probes.clear()
         model.arrive(1)
@@ -395,7 +418,7 @@
 def waiting_long(answers: bool) -> Model:
     """A job that has not started after 1.5 s, at one of two servers, in a large fleet."""
     model = Model(spoken(40, reports_job_starts=True, hedging_allowed=True))
-    model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
+    model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     model.advance(200_000)
     answer(model, {})
     model.arrive(1)
@@ -404,8 +427,8 @@
         model.advance(50_000)
         probes, model.probes = model.probes, []
         for worker in probes:
-            outcome = dy.Outcome.SERVED if answers or worker != where else dy.Outcome.TIMED_OUT
-            model.tell(dy.ProbeEnded(worker, outcome, 1_000))
+            outcome = interface.Outcome.SERVED if answers or worker != where else interface.Outcome.TIMED_OUT
+            model.tell(interface.ProbeEnded(worker, outcome, 1_000))
     return model
 
 
@@ -424,11 +447,11 @@
     """Guards against an age fitted to own jobs, which are one in 40 here: it was anything from 0 to 3.2 s,
     so that what others had sent since was left out, or more had left than were there."""
     refresh, chance, errors, now = ReportPeriod(), random.Random(1), [], 10_000_000
-    worker = Worker(dy.WorkerEntry(1), 1.0)
+    worker = Worker(interface.WorkerEntry(1), 1.0)
     for _ in range(800):
         now += round(chance.expovariate(1 / 500_000))
         made_at = now - now % period
-        age = refresh.age(worker, dy.LoadReport(float(made_at // period)), now)
+        age = refresh.age(worker, interface.LoadReport(float(made_at // period)), now)
         if age is not None:
             errors.append(now - made_at - age)
         worker.reported_at = now
@@ -445,10 +468,10 @@
     worker = model.dispatcher.workers[1]
     since = worker.peer_jobs_at
     model.advance(600_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
+    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0, 0, 4)))
     assert worker.peer_jobs_at == since, "what has come since goes on being reckoned with"
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > model.now - 2_000_000, "an idle server may say the same for long"
--- a/tests/decisions/test_fleet_plan.py
+++ b/tests/decisions/test_fleet_plan.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.fleet_plan import FleetPlan, work_shares
 from hazelbend.decisions.worker import Worker
 
 SLOTS, RUN = 4, 200_000  # of each server; microseconds of a mean job
-SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=600_000)
+SAFE = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=600_000)
 
 
 @dataclass
@@ -34,7 +34,7 @@
     now: int = 10_000_000
 
     def __post_init__(self) -> None:
-        settings = self.settings = dy.Settings(
+        settings = self.settings = interface.Settings(
             fleet_size=self.dispatchers,
             classes=(SAFE,),
             reports_job_starts=True,
@@ -45,18 +45,18 @@
         self.chance = random.Random(self.seed)
         self.fleet = [Dispatcher(settings, self.seed * 1000 + each) for each in range(self.dispatchers)]
         self.free = {each: [0] * SLOTS for each in range(1, self.servers + 1)}
-        self.later: list[tuple[int, int, int, dy.Event]] = []
-        entries = tuple(dy.WorkerEntry(each) for each in self.free)
+        self.later: list[tuple[int, int, int, interface.Event]] = []
+        entries = tuple(interface.WorkerEntry(each) for each in self.free)
         for number in range(self.dispatchers):
-            self.tell(number, dy.MembershipUpdate(dy.ListKind.CACHED, entries), self.now)
+            self.tell(number, interface.MembershipUpdate(interface.ListKind.CACHED, entries), self.now)
 
-    def tell(self, number: int, event: dy.Event, at: int) -> None:
+    def tell(self, number: int, event: interface.Event, at: int) -> None:
         for action in self.fleet[number].handle(event, at):
-            if isinstance(action, dy.StartTimer):
-                self.put(at + action.delay, number, dy.TimerFired(action.token))
-            elif isinstance(action, dy.Send):
+            if isinstance(action, interface.StartTimer):
+                self.put(at + action.delay, number, interface.TimerFired(action.token))
+            elif isinstance(action, interface.Send):
                 self.run(number, action, at)
-            elif isinstance(action, dy.Refuse):
+            elif isinstance(action, interface.Refuse):
                 self.refused += 1
 
     def lose(self, servers: int) -> None:
@@ -75,14 +75,14 @@
         self.list_servers()
 
     def list_servers(self) -> None:
-        left = tuple(dy.WorkerEntry(each, started_at=self.started.get(each, 0)) for each in self.free)
+        left = tuple(interface.WorkerEntry(each, started_at=self.started.get(each, 0)) for each in self.free)
         for number in range(self.dispatchers):
-            self.tell(number, dy.MembershipUpdate(dy.ListKind.FULL, left), self.now)
+            self.tell(number, interface.MembershipUpdate(interface.ListKind.FULL, left), self.now)
 
-    def put(self, at: int, number: int, event: dy.Event) -> None:
+    def put(self, at: int, number: int, event: interface.Event) -> None:
         heapq.heappush(self.later, (at, self.chance.getrandbits(60), number, event))
 
-    def run(self, number: int, send: dy.Send, at: int) -> None:
+    def run(self, number: int, send: interface.Send, at: int) -> None:
         slots, began = self.free[send.worker], self.started.get(send.worker, 0)
         if began:
             self.came[send.worker].append(at)
@@ -93,8 +93,8 @@
         heapq.heappush(slots, ends)
         self.sends[send.worker] += 1
         self.waits.append(starts - at)
-        served = dy.AttemptEnded(send.request, send.worker, 0, dy.Outcome.SERVED, True)
-        self.put(starts, number, dy.JobStarted(send.request, send.worker, 0))
+        served = interface.AttemptEnded(send.request, send.worker, 0, interface.Outcome.SERVED, True)
+        self.put(starts, number, interface.JobStarted(send.request, send.worker, 0))
         self.put(ends, number, served)
 
     def play(self, jobs: int, load: float, keys: int = 0) -> None:
@@ -107,7 +107,7 @@
                 at, _, number, event = heapq.heappop(self.later)
                 self.tell(number, event, at)
             key = self.chance.choices(range(1, keys + 1), weights)[0] if keys else 0
-            event = dy.RequestArrived(self.asked, 5_000_000, key=key)
+            event = interface.RequestArrived(self.asked, 5_000_000, key=key)
             self.tell(self.chance.randrange(self.dispatchers), event, self.now)
 
 
@@ -134,8 +134,8 @@
 
 def test_what_no_server_has_room_for_is_left_out_of_the_plan():
     """A key that would fill every server, and keys that leave too little of a server: no part is below 0."""
-    plan, settings = FleetPlan(), dy.Settings()
-    workers = [Worker(dy.WorkerEntry(each), 1.0, rate=1.0) for each in range(1, 6)]
+    plan, settings = FleetPlan(), interface.Settings()
+    workers = [Worker(interface.WorkerEntry(each), 1.0, rate=1.0) for each in range(1, 6)]
     for _ in range(40):
         plan.count_job(7)
     for key in [8] * 5 + [9] * 5 + [10]:
@@ -206,26 +206,26 @@
 def test_jobs_that_wait_for_less_than_some_runs_are_no_sign_of_silence():
     """Guards servers of several slots: the expected delay was a part of a run there, so that in a fleet that
     waits for half a second servers counted as silent, and waits that were longest were not counted."""
-    settings = dy.Settings(fleet_size=200, classes=(SAFE,), reports_job_starts=True)
+    settings = interface.Settings(fleet_size=200, classes=(SAFE,), reports_job_starts=True)
     dispatcher, now = Dispatcher(settings, 1), 10_000_000
-    entries = tuple(dy.WorkerEntry(each, weight=6.0) for each in range(1, 5))
-    dispatcher.handle(dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
-    dispatcher.handle(dy.TimerFired(0), now)
-    dispatcher.handle(dy.RequestArrived(1, 10_000_000), now)
+    entries = tuple(interface.WorkerEntry(each, weight=6.0) for each in range(1, 5))
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.CACHED, entries), now)
+    dispatcher.handle(interface.TimerFired(0), now)
+    dispatcher.handle(interface.RequestArrived(1, 10_000_000), now)
     [attempt] = dispatcher.requests[1].attempts
     run = dispatcher.load_model.run_times[0].value
     assert attempt.worker.concurrency > 3, "several jobs at once, by its listed size"
-    assert attempt.silence_limit >= 3 * run
-    dispatcher.handle(dy.TimerFired(0), now + round(2 * run))
+    assert attempt.suspicion_timeout >= 3 * run
+    dispatcher.handle(interface.TimerFired(0), now + round(2 * run))
     assert not attempt.worker.backoff
 
 
 def test_where_none_is_warm_some_work_is_for_nobody():
     """Guards a zone that returns cold as a whole: all that waited for it would come in one second."""
-    settings = dy.Settings(collapse_multiple=2.0, initial_capacity=0.1, warmup_duration=10_000_000)
+    settings = interface.Settings(collapse_multiple=2.0, initial_capacity=0.1, warmup_duration=10_000_000)
     now = 100_000_000
-    cold = [Worker(dy.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
-    warm = [Worker(dy.WorkerEntry(each), 1.0, rate=2.0) for each in range(5, 7)]
+    cold = [Worker(interface.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
+    warm = [Worker(interface.WorkerEntry(each), 1.0, rate=2.0) for each in range(5, 7)]
     assert sum(work_shares(cold, settings, now).values()) == pytest.approx(0.1 * 2.0 * 0.6)
     both = work_shares(cold + warm, settings, now)
     assert sum(both.values()) == pytest.approx(1.0)
@@ -255,8 +255,11 @@
 
 @pytest.mark.parametrize("told", [{"reports_inline": True}, {"weights_fall_with_load": True}])
 def test_where_servers_tell_nothing_is_taken_from_own_sends(told):
-    assert dy.Settings(fleet_size=200, **told).lacks_load_reports is False
-    assert dy.Settings(fleet_size=200, reports_by_probe=True, probes_allowed=True).lacks_load_reports is False
-    assert dy.Settings(fleet_size=200, reports_by_probe=True).lacks_load_reports is True, (
+    assert interface.Settings(fleet_size=200, **told).lacks_load_reports is False
+    assert (
+        interface.Settings(fleet_size=200, reports_by_probe=True, probes_allowed=True).lacks_load_reports
+        is False
+    )
+    assert interface.Settings(fleet_size=200, reports_by_probe=True).lacks_load_reports is True, (
         "reports that may not be asked for"
     )
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -2,15 +2,15 @@
 
 from collections import Counter
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from tests.support.model import Model
 
-SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000)
+SAFE = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000)
 
 
 def two_workers(**settings: object) -> Model:
-    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True, **settings))
-    model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
+    model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True, **settings))
+    model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     return model
 
 
@@ -24,7 +24,7 @@
             if model.jobs[number].tries[attempt].worker.worker != silent:
                 model.start(number, attempt)
                 model.advance(50_000)
-                model.end(number, dy.Outcome.SERVED, attempt)
+                model.end(number, interface.Outcome.SERVED, attempt)
         model.advance(50_000)
     return Counter(worker for at, worker, _ in model.sends if at > model.now - 5_000_000)
 
@@ -48,7 +48,7 @@
     model = two_workers()
     model.arrive(1)
     first = model.sends[0][1]
-    model.end(1, dy.Outcome.CONNECT_FAILED)
+    model.end(1, interface.Outcome.CONNECT_FAILED)
     assert [worker for _, worker, _ in model.sends] == [first, 3 - first]
     for request in range(2, 6):
         model.arrive(request)
@@ -57,11 +57,11 @@
 
 def resets(*stale: bool) -> bool:
     """Whether a worker still gets work after its connections broke like this, without a sign in between."""
-    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True))
-    model.list_workers(dy.WorkerEntry(1))
+    model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True))
+    model.list_workers(interface.WorkerEntry(1))
     for request, each in enumerate(stale):
         model.arrive(request)
-        model.end(request, dy.Outcome.RESET, stale=each)
+        model.end(request, interface.Outcome.RESET, stale=each)
     before = len(model.sends)
     model.arrive(len(stale))
     return len(model.sends) > before
@@ -75,8 +75,10 @@
 
 
 def test_unsafe_request_at_a_silent_worker_is_never_sent_again():
-    model = Model(dy.Settings(classes=(dy.JobClass(),), reports_job_starts=True, hedging_allowed=True))
-    model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
+    model = Model(
+        interface.Settings(classes=(interface.JobClass(),), reports_job_starts=True, hedging_allowed=True)
+    )
+    model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     for request in range(6):
         model.arrive(request)
     model.finish()
@@ -87,15 +89,15 @@
 def test_late_work_is_refused_where_it_earns_nothing_and_held_where_it_earns_something():
     """A jam feeds itself when late jobs keep the queues full."""
     for late_worth, refused in ((0.0, True), (0.5, False)):
-        job_class = dy.JobClass(
-            idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth
+        job_class = interface.JobClass(
+            idempotency=interface.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth
         )
-        model = Model(dy.Settings(classes=(job_class,), reports_job_starts=True))
-        model.list_workers(dy.WorkerEntry(1))
+        model = Model(interface.Settings(classes=(job_class,), reports_job_starts=True))
+        model.list_workers(interface.WorkerEntry(1))
         model.arrive(0)
         model.start(0)
         model.advance(200_000)
-        model.end(0, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=1.0))
+        model.end(0, interface.Outcome.SERVED, load=interface.LoadReport(in_flight=0.0, free_slots=1.0))
         for request in range(1, 10):
             model.arrive(request)
         assert bool(model.refused) is refused
@@ -103,10 +105,10 @@
 
 
 def test_failed_list_calls_are_repeated_later_and_later():
-    model = Model(dy.Settings(list_is_polled=True))
-    model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
+    model = Model(interface.Settings(list_is_polled=True))
+    model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     for _ in range(6):
-        model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
+        model.tell(interface.MembershipUpdate(interface.ListKind.FAILED))
         model.advance(4_000_000)
     gaps = [
         after - before for before, after in zip(model.subscriptions, model.subscriptions[1:], strict=False)
@@ -117,15 +119,15 @@
 
 def test_the_first_call_after_a_failed_one_comes_soon_and_a_list_that_arrives_starts_that_anew():
     """Guards against working by an old list for seconds because one answer broke off."""
-    model = Model(dy.Settings(list_is_polled=True))
-    model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
+    model = Model(interface.Settings(list_is_polled=True))
+    model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     waits = []
     for failed in (True, True, True, True, False, True):
         if not failed:
-            model.list_workers(dy.WorkerEntry(1))
+            model.list_workers(interface.WorkerEntry(1))
             continue
         before, asked = model.now, len(model.subscriptions)
-        model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
+        model.tell(interface.MembershipUpdate(interface.ListKind.FAILED))
         while len(model.subscriptions) == asked:
             model.advance(10_000)
         waits.append(model.now - before)
@@ -135,14 +137,14 @@
 
 def test_a_job_that_later_ones_overtake_is_copied_and_its_worker_stays():
     """Guards against waiting for a connection that fell silent at a worker that goes on speaking."""
-    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True, hedging_allowed=True))
-    model.list_workers(dy.WorkerEntry(1))
+    model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True, hedging_allowed=True))
+    model.list_workers(interface.WorkerEntry(1))
     model.arrive(0)
     model.advance(1_000)
     for request in (1, 2, 3):
         model.arrive(request)
         model.start(request)
-    model.list_workers(dy.WorkerEntry(2), kind=dy.ListKind.DELTA)
+    model.list_workers(interface.WorkerEntry(2), kind=interface.ListKind.DELTA)
     model.advance(600_000)
     assert [worker for _, worker, request in model.sends if request == 0] == [1, 2]
     assert len(model.sends) == 5, "of the others none"
@@ -151,12 +153,12 @@
 
 def test_a_job_that_misses_one_note_of_progress_is_copied_in_time():
     """Guards jobs whose answer stopped short: two notes later the copy would be late as well."""
-    job = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=3_000_000)
-    settings = dy.Settings(
+    job = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=3_000_000)
+    settings = interface.Settings(
         classes=(job,), reports_job_starts=True, progress_interval=1_000_000, hedging_allowed=True
     )
     model = Model(settings)
-    model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
+    model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     model.arrive(0)
     model.start(0)
     model.advance(1_200_000)
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from tests.support.model import Model
 
 
@@ -17,12 +17,12 @@
         model.start(request)
         model.advance(100_000 + (0 if key in kept else fetch))
         lately[worker] = [*[each for each in kept if each != key], key][-4:]
-        model.end(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=4.0))
+        model.end(request, interface.Outcome.SERVED, load=interface.LoadReport(in_flight=0.0, free_slots=4.0))
 
 
-def homes(settings: dy.Settings, fetch: int, seed: int) -> dict[int, int]:
+def homes(settings: interface.Settings, fetch: int, seed: int) -> dict[int, int]:
     model = Model(settings, seed)
-    model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 5)))
+    model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 5)))
     serve_all(model, fetch)
     used = {key: Counter() for key in range(1, 13)}
     for _, worker, request in model.sends:
@@ -32,11 +32,11 @@
 
 
 def test_all_dispatchers_agree_on_the_worker_of_a_key_without_a_word():
-    settings = dy.Settings(
+    settings = interface.Settings(
         fleet_size=3,
         reports_job_starts=True,
         reports_inline=True,
-        classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE),),
+        classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE),),
     )
     assert homes(settings, 300_000, seed=1) == homes(settings, 300_000, seed=2)
 
@@ -46,10 +46,12 @@
     used = []
     for seed in (1, 2, 3):
         model = Model(
-            dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, late_value_fraction=0.5),)),
+            interface.Settings(
+                classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, late_value_fraction=0.5),)
+            ),
             seed,
         )
-        model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 9)))
+        model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
         for request in range(8):
             model.arrive(request, key=5)
         used.append({worker for _, worker, _ in model.sends})
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hazelbend.decisions import interface as dy
+from hazelbend.decisions import interface
 from tests.support.model import Model
 
 RUN = 100_000  # of a mean job of either class, before anything is learnt: the objective
@@ -15,15 +15,17 @@
     found = []
     for job_class in (CHEAP, DEAR):
         classes = tuple(
-            dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth)
+            interface.JobClass(
+                idempotency=interface.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth
+            )
             for worth in worths
         )
-        model = Model(dy.Settings(classes=classes, **settings))
-        model.list_workers(dy.WorkerEntry(1))
-        load = dy.LoadReport(in_flight=queued + 1.0, queued=queued, free_slots=0.0)
+        model = Model(interface.Settings(classes=classes, **settings))
+        model.list_workers(interface.WorkerEntry(1))
+        load = interface.LoadReport(in_flight=queued + 1.0, queued=queued, free_slots=0.0)
         model.dispatcher.load_model.apply_report(model.dispatcher.workers[1], load, model.now)
         model.arrive(0, job_class=job_class)
-        after = [each.retry_after for each in model.last if isinstance(each, dy.Refuse)]
+        after = [each.retry_after for each in model.last if isinstance(each, interface.Refuse)]
         found.append(after[0] if after else None)
     return found
 
@@ -49,9 +51,11 @@
 
 def test_worth_may_be_counted_by_the_request_or_by_its_work():
     """The same worth for ten times the work is a tenth of it by the request, and the same by the work."""
-    light, heavy = (dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=work) for work in (RUN, 10 * RUN))
+    light, heavy = (
+        interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=work) for work in (RUN, 10 * RUN)
+    )
     for by_work, dearer in ((False, 10.0), (True, 1.0)):
-        model = Model(dy.Settings(classes=(heavy, light), value_per_work=by_work))
+        model = Model(interface.Settings(classes=(heavy, light), value_per_work=by_work))
         worths = [
             model.dispatcher.admission.value_rate(job, index)
             for index, job in enumerate(model.settings.classes)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -10,7 +10,7 @@
 from hazelbend.control.load_table import CachedPrefix, Load
 from hazelbend.control.workers import WorkerRecord, WorkerState
 from hazelbend.placement.engine import PlacementEngine
-from hazelbend.placement.policy import PREFILL_UNIT_TOKENS, STANDARD
+from hazelbend.placement.policy import DEFAULT_POLICY, PREFILL_UNIT_TOKENS
 from hazelbend.placement.prefill_model import PrefillTimeModel
 from hazelbend.placement.prompt import PrefixSegment, parse_prompt
 from hazelbend.placement.retry_budget import RetryBudget
@@ -282,7 +282,7 @@
     )
     placement.update_heartbeat_ages({"i-5": 20 * S}, 10 * S)
     placement.update_heartbeat_ages({}, 10 * S)
-    assert placement.workers["i-5"].silent
+    assert placement.workers["i-5"].misses_heartbeats
     placement.end_attempt(send)
     placement.update_heartbeat_ages({}, 10 * S)
     assert "i-5" not in placement.workers
@@ -291,7 +291,7 @@
 def test_a_worker_that_is_heard_again_is_not_silent(placement):
     placement.update_heartbeat_ages({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
     placement.update_heartbeat_ages({"i-6": 4 * S}, 10 * S)
-    assert not placement.workers["i-5"].silent and placement.workers["i-6"].silent
+    assert not placement.workers["i-5"].misses_heartbeats and placement.workers["i-6"].misses_heartbeats
 
 
 def test_the_recompute_price_rises_with_the_utilization_of_prefill_workers(placement):
@@ -306,4 +306,4 @@
         placement.apply_load_report({}, (), 0)
     calm = fleet.recompute_price("llm")
     unit_time = fleet.prefill_model(placement.workers["i-1"].record).unit_time / PREFILL_UNIT_TOKENS
-    assert calm < idle < unit_time < busy <= STANDARD.max_queueing_factor * unit_time
+    assert calm < idle < unit_time < busy <= DEFAULT_POLICY.max_queueing_factor * unit_time
