--- a/hazelbend/decisions/fleet_plan.py
+++ b/hazelbend/decisions/fleet_plan.py
@@ -1,23 +1,26 @@
-"""A plan of how a fleet of dispatchers spreads its jobs where no worker reports its load. Estimates only.
-
-Without reports a dispatcher sees its own jobs and no others. In a large fleet those are next to nothing: 200
-dispatchers that each find a worker idle, by their own jobs, all send there at once, to the fastest worker or
-to the first in a key's order. What each can know is that its peers see the same kind of jobs and the same
-membership list, and choose by the same rule. A dispatcher without peers needs no plan.
-
-Own jobs are a sample of all jobs, but a coarse one: of a large fleet a dispatcher meets a worker once or
-twice a minute, so by own jobs all find the same workers idle, and walk a key's order in step. Yet each
-dispatcher can compute alone, and all alike, what every worker ought to get: its part of all workers' rates.
-`FleetPlan` is that plan. Keys that are frequent enough to estimate their part of all jobs are assigned to
-workers, the most popular first, each in its own order, until its part is placed; no worker gets more than
-its own part. What is left of the workers is for all other keys. A job goes to one of some workers drawn by
-the plan: since all are filled alike, own jobs and own results tell them apart. Consistent hashing with
-bounded loads (Mirrokni, Thorup, Zadimoghaddam 2016) bounds a worker's jobs in the same way, but by counts
-that are not available here.
-
-A plan spreads the jobs and does not know how many they are. Where workers tell when a job starts, own jobs
-without a start tell how long all wait (`FleetPlan.queueing_delay`), and what would be late by it is rejected.
-Otherwise a fleet that has lost workers never recovers: the queues fill, and all that is served is late.
+"""Spreads the jobs of a fleet of dispatchers over workers that report no load.
+
+Without load reports a dispatcher knows only its own jobs, which are a tiny part of all jobs in a large fleet.
+If 200 dispatchers each see a worker idle by their own jobs, all of them send to it at once: to the fastest
+worker, or to the first in a key's preference order. Each dispatcher does know, however, that its peers see
+the same kind of jobs and the same membership list, and apply the same rule. A dispatcher without peers needs
+no plan.
+
+Own jobs are too coarse a sample: in a large fleet a dispatcher sends to a given worker once or twice a
+minute, so all dispatchers see the same workers idle, and go through a key's preference order in step. But
+every dispatcher can compute by itself, with the same result as its peers, what share of all work each worker
+should get: its part of the sum of all workers' rates. `FleetPlan` holds these shares. Keys that are frequent
+enough for an estimate of their share of all jobs are assigned to workers, the most popular key first and in
+its own preference order, until its share is placed; no worker gets more than its own share. The remaining
+capacity is for all other keys. A job goes to one of a few workers that are drawn by the plan; since the plan
+fills them equally, own jobs and own results decide between them. Consistent hashing with bounded loads
+(Mirrokni, Thorup, Zadimoghaddam 2016) bounds the jobs of a worker in the same way, but uses job counts that
+are not available here.
+
+The plan spreads the jobs, but does not say how many there are. Where workers report job starts, the own jobs
+that have not started show how long all jobs wait (`FleetPlan.queueing_delay`), and jobs that would be late
+are rejected. Otherwise a fleet that has lost workers never recovers: the queues fill up, and every answer is
+late.
 """
 
 from __future__ import annotations
@@ -34,21 +37,21 @@
     from hazelbend.decisions.request import Request
     from hazelbend.decisions.worker import Worker
 
-MIN_POPULAR_JOBS = 3.0  # counted own jobs of a key, which are not put down to chance
-MAX_COUNTED_JOBS = 1_024  # that the popularity of keys rests on, and so the most keys that are counted
-START_MEMORY_US = 2_000_000  # in which own starts are counted
-PRIOR_STARTS = 2.0  # starts that are counted besides
-SAFE_COLD_FRACTION = 0.6  # of what makes a cold worker collapse, that all dispatchers together send it
+MIN_POPULAR_JOBS = 3.0  # own jobs of a key, from which its frequency is not put down to chance
+MAX_COUNTED_JOBS = 1_024  # own jobs in the popularity estimate, and so the limit on the number of keys
+START_MEMORY_US = 2_000_000  # time constant with which counted starts fade
+PRIOR_STARTS = 2.0  # added to the counted starts
+SAFE_COLD_FRACTION = 0.6  # of the work that makes a cold worker collapse: what all dispatchers may send it
 
 
 def work_shares(workers: Iterable[Worker], settings: Settings, now: int) -> dict[Worker, float]:
-    """Return each worker's part of all work, by its rate and warmth; 1 in all where some are warm.
+    """Return each worker's share of all work, by its rate and warm-up. The sum is 1 if any worker is warm.
 
-    A cold worker collapses when it gets `fall_multiple` times what it can do by now. The load is about what
-    all workers could do if they were warm, or less (the rest is rejected as late), so a part of it that goes
-    with a worker's own rate and warmth, and a safe fraction of that multiple, is safe however few workers
-    are warm. What the cold ones do not get is for the warm ones, whose queues can hold it; with none, jobs
-    have to wait.
+    A cold worker collapses when it gets `collapse_multiple` times what it can do at that time. The load is at
+    most about what all workers could do if they were warm (the rest is rejected as late). A cold worker's
+    share in proportion to its current rate, times a safe fraction of that multiple, is therefore safe however
+    few workers are warm. Warm workers get what the cold ones do not, since their queues can hold it; if all
+    workers are cold, jobs have to wait.
     """
     safe_multiple = SAFE_COLD_FRACTION * settings.collapse_multiple
     current_rates = {
@@ -70,9 +73,9 @@
 
 
 def preference_order(key: int, workers: Iterable[Worker]) -> dict[Worker, int]:
-    """Return each worker's position in a key's order, the same for all dispatchers.
+    """Return each worker's position in a key's preference order, which is the same for all dispatchers.
 
-    A key that needs several workers so stays on a few.
+    A key that needs several workers thus stays on a few.
     """
     ranks = {worker: key_rank(worker.entry.worker, key) / worker.weight for worker in workers}
     return {worker: position for position, worker in enumerate(sorted(ranks, key=ranks.__getitem__))}
@@ -80,27 +83,28 @@
 
 @dataclass(slots=True, eq=False)
 class FleetPlan:
-    """The plan, and the own jobs that it is made from. Times in microseconds."""
+    """The plan, and the counts of own jobs that it is computed from. Times in microseconds."""
 
     key_counts: dict[int, float] = field(default_factory=dict)  # recent own jobs by key
-    job_count: float = 0.0  # the sum of those
-    key_orders: dict[int, list[Worker]] = field(default_factory=dict)  # of popular keys
-    popular_shares: dict[int, dict[Worker, float]] = field(default_factory=dict)  # by key: parts of all work
-    other_shares: dict[Worker, float] = field(default_factory=dict)  # what is left for all other keys
-    unassigned: float = 0.0  # the part of all work that no worker may get, as too few are warm
-    starts: float = 0.0  # recent starts of own jobs, fading
-    started_at: int = 0  # the last of them
+    job_count: float = 0.0  # the sum of `key_counts`
+    key_orders: dict[int, list[Worker]] = field(default_factory=dict)  # preference orders of popular keys
+    # Shares of all work, for each popular key and then for all other keys together.
+    popular_shares: dict[int, dict[Worker, float]] = field(default_factory=dict)
+    other_shares: dict[Worker, float] = field(default_factory=dict)
+    unassigned: float = 0.0  # the share of all work that no worker may get, as too few are warm
+    starts: float = 0.0  # recent starts of own jobs, with exponential forgetting
+    started_at: int = 0  # the last of these starts
 
     def count_job(self, key: int) -> None:
-        """Count a job about this key; 0: about none."""
+        """Count a job that needs the data of this key; 0: of none."""
         self.key_counts[key] = self.key_counts.get(key, 0.0) + 1
         self.job_count += 1
-        if self.job_count >= MAX_COUNTED_JOBS:  # keys seen once are dropped, and the other counts halved
+        if self.job_count >= MAX_COUNTED_JOBS:  # drop keys seen once, and halve the other counts
             self.key_counts = {key: count / 2 for key, count in self.key_counts.items() if count > 1}
             self.job_count = sum(self.key_counts.values())
 
     def update(self, workers: list[Worker], settings: Settings, now: int) -> None:
-        """Make the plan anew for the workers that may be used."""
+        """Recompute the plan for the workers that may be used."""
         if {*workers} != {*self.other_shares}:
             self.key_orders = {}
         self.other_shares = work_shares(workers, settings, now)
@@ -111,12 +115,12 @@
         self.popular_shares = {key: self._assign(key, count) for count, key in sorted(popular, reverse=True)}
 
     def _assign(self, key: int, count: float) -> dict[Worker, float]:
-        """Assign a key's part of all work to the workers, in the key's order."""
+        """Assign a key's share of all work to the workers, in the key's preference order."""
         order = self.key_orders.get(key)
         if order is None:
             order = list(preference_order(key, self.other_shares))
             self.key_orders[key] = order
-        needed = (count - 1) / self.job_count  # less one: it is counted because it is frequent
+        needed = (count - 1) / self.job_count  # minus one, since keys are selected by a high count
         shares: dict[Worker, float] = {}
         for worker in order:
             if needed <= 0:
@@ -134,11 +138,12 @@
         self.started_at = now
 
     def queueing_delay(self, requests: Iterable[Request], now: int) -> float:
-        """Estimate how long a job waits for its start, from own attempts without one at healthy workers.
+        """Estimate how long a job waits for its start, from own attempts that wait at healthy workers.
 
-        Little's law: as many jobs wait as start in the time that each waits; own attempts and own starts are
-        the same sample of all. A few recent attempts show no wait: on average an attempt that waits has
-        waited for half of its time, or for more.
+        By Little's law the number of waiting jobs is the rate of starts times the wait. Own attempts and own
+        starts are the same sample of all jobs, so their ratio gives the wait. It is bounded by twice the mean
+        age of the waiting attempts, as an attempt has on average spent half of its wait, or more: a few
+        recent attempts do not show a queue.
         """
         in_flight = (attempt for request in requests for attempt in request.in_flight)
         ages = [
@@ -155,7 +160,7 @@
         return self.starts * exp(min(self.started_at - now, 0) / START_MEMORY_US)
 
     def weights(self, key: int, workers: Sequence[Worker]) -> list[float]:
-        """Return how the jobs about this key are spread over these workers, in any unit; never all 0."""
+        """Return the weights, in any unit, by which jobs of this key go to these workers; never all 0."""
         plan = self.popular_shares.get(key) or self.other_shares
         weights = [plan.get(worker, 0.0) for worker in workers]
         return weights if any(weights) else [worker.rate for worker in workers]
--- a/hazelbend/decisions/job_count.py
+++ b/hazelbend/decisions/job_count.py
@@ -4,14 +4,15 @@
 
 from hazelbend.decisions.worker import Worker
 
-MAX_JOB_COUNT = 20  # the paper's truncation of a worker's job count
+MAX_JOB_COUNT = 20  # a worker's job count is truncated here, as in the paper
 
 
 def expected_jobs(worker: Worker, now: int, rate: float) -> float:
-    """Return E[N] in mean jobs, for a worker of this rate in jobs a microsecond.
+    """Return E[N], in mean jobs, for a worker with this rate in jobs per microsecond.
 
-    Own attempts in flight are known not to have departed, so they are a floor. Departures fall on all jobs
-    alike, and free slots let none depart. What peers have sent since the report approaches their usual level.
+    Own attempts in flight are known not to have departed, so they are a lower bound. Departures are equally
+    likely for all jobs; free slots complete none. The number of jobs that peers have sent since the report
+    approaches their usual level.
     """
     age = max(now - worker.peer_jobs_at, 0)
     level = worker.background_load * rate
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -1,7 +1,8 @@
-"""What a dispatcher has learnt, as plain values, for the process that takes over from it.
+"""Exports and imports what a dispatcher has learnt, as plain values, for the process that replaces it.
 
-Own attempts in flight are exported as jobs of peers: another process goes on with them. The keys of the
-exported values are a stored format, shared by program versions, and older than the names in the code.
+Own attempts in flight are exported as jobs of peers, since another process goes on to handle them. The keys
+of the exported values are a stored format that program versions share, and are older than the names in the
+code.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 
 def export_state(dispatcher: Dispatcher, now: int) -> dict[str, Any]:
-    """Return all that the next process can use, as plain values."""
+    """Return the learnt state that the next process can use, as plain values."""
     return {
         "means": {key: _export_mean(getattr(dispatcher.load_model, name)) for key, name in MEANS.items()},
         "share": _export_mean(dispatcher.slow_start.own_traffic),
@@ -76,20 +77,20 @@
 
 
 def import_state(dispatcher: Dispatcher, state: dict[str, Any], now: int) -> None:
-    """Take over what another process has exported, for the workers that are listed.
+    """Import what another process has exported, for the workers that are listed.
 
     Raises:
-        ValueError: the values are of no use; nothing is changed.
+        ValueError: the values are malformed or do not fit this dispatcher; nothing is changed.
     """
     try:
         means = {name: _mean(state["means"][key]) for key, name in MEANS.items() if key in state["means"]}
-        # An earlier version has it among the means.
+        # An earlier version stores it among the means.
         stored_traffic = state.get("share", state["means"].get("share"))
         own_traffic = (
             _mean(stored_traffic) if stored_traffic is not None else dispatcher.slow_start.own_traffic
         )
         run_times = [_mean(value) for value in state["runs"]]
-        # An earlier version exports levels over the rate instead, which mean something else.
+        # An earlier version exports levels relative to the rate, under another key: not comparable.
         usual_levels = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
         kind_run_ratios = {int(kind): _mean(value) for kind, value in state.get("paces", [])}
         lag_errors = [_number(value) for value in state["misses"]]
@@ -99,10 +100,10 @@
             (worker, _worker_attributes(values, now)) for worker, values in listed if worker is not None
         ]
     except (KeyError, TypeError, OverflowError) as error:
-        raise ValueError(f"no memory of a dispatcher: {error!r}") from None
+        raise ValueError(f"malformed dispatcher state: {error!r}") from None
     model = dispatcher.load_model
     if len(run_times) != len(model.run_times) or len(lag_errors) != len(model.report_lag.errors):
-        raise ValueError("the memory of a dispatcher of another kind")
+        raise ValueError("dispatcher state has another number of job classes or report ages")
     for name, mean in means.items():
         setattr(model, name, mean)
     model.run_times = run_times
@@ -117,7 +118,7 @@
 
 
 def _find_worker(dispatcher: Dispatcher, values: dict[str, Any]) -> Worker | None:
-    """Return the worker that the values are about, unless its process is a newer one."""
+    """Return the worker that the values describe, unless its process has restarted since."""
     worker = dispatcher.workers.get(values["worker"])
     return worker if worker and worker.entry.started_at == values["started_at"] else None
 
@@ -127,7 +128,7 @@
     attributes |= {name: _number(values[key]) for key, name in WORKER_NUMBERS.items()}
     attributes |= {name: int(_number(values[key])) for key, name in WORKER_TIMES.items()}
     if attributes["rate"] <= 0 or attributes["concurrency"] < 1:
-        raise ValueError("a worker without a rate")
+        raise ValueError("worker state: the rate must be positive and the concurrency at least 1")
     attributes["rated_at"] = min(attributes["rated_at"], now)
     attributes["last_signal_at"] = min(attributes["last_signal_at"], now)
     attributes["backoff_until"] = min(attributes["backoff_until"], now + 2 * MAX_BACKOFF_US)
@@ -137,7 +138,7 @@
     attributes["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
     attributes["size"] = _number(values.get("size", 1.0))
     if attributes["size"] <= 0:
-        raise ValueError("a worker without a size")
+        raise ValueError("worker state: the size must be positive")
     attributes["reliability"] = _failure_estimate(values.get("soundness"), now)
     attributes["cached_keys"] = {int(_number(key)): None for key in values["keys"]}
     attributes["cold_attempts"] = deque(
@@ -152,7 +153,7 @@
         return FailureEstimate()
     failing, errors, successes, updated_at = (_number(number) for number in _sequence(value))
     if failing > 1:
-        raise ValueError("a chance above one")
+        raise ValueError("failure estimate: a probability above 1")
     return FailureEstimate(failing, errors, successes, min(int(updated_at), now))
 
 
@@ -167,11 +168,11 @@
 
 def _sequence(value: object) -> Iterable[object]:
     if not isinstance(value, Iterable):
-        raise TypeError(f"no sequence: {value!r}")
+        raise TypeError(f"not a sequence: {value!r}")
     return value
 
 
 def _number(value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
-        raise ValueError(f"no number: {value!r}")
+        raise ValueError(f"not a finite, non-negative number: {value!r}")
     return value
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -1,7 +1,8 @@
-"""What a dispatcher learns of the load and the speed of workers, from load reports and own attempts.
+"""Estimates the load and the speed of workers from load reports and own attempts.
 
-A worker's rate mu is the most jobs running at once over their mean run time. Run times are counted as ratios
-to what was expected of the job, so that jobs of different size can be compared. Times in microseconds.
+A worker's rate mu is its concurrency (the most jobs that run at once) divided by their mean run time. Run
+times are measured as ratios to the expected run time of the job, so that jobs of different sizes can be
+compared. Times in microseconds.
 """
 
 from __future__ import annotations
@@ -14,29 +15,31 @@
 from hazelbend.decisions.statistics import Mean
 from hazelbend.decisions.worker import Worker
 
-MEMORY_SAMPLES = 60.0  # that a mean rests on: some seconds' worth, so that a slower worker shows
-LEVEL_PRIOR_REPORTS = 2.0  # that the level of a worker's kind counts as
-LEVEL_MEMORY_REPORTS = 4.0  # that a worker's own level rests on: the newest count
-CLASS_PRIOR_SAMPLES = 2.0  # that the objective counts as, the initial guess of a class's run time
-RATE_PRIOR_SAMPLES = 8.0  # that the listed weight counts as: heavy-tailed run times need many samples
-FETCH_PRIOR_SAMPLES = 20.0  # that the initial guess of a fetch, half a mean job, counts as
-FETCH_PRIOR_RATIO = 1.5  # run time with a fetch, as a ratio to the expected
-# Bounds of a run time's ratio to the expected: 4 made rates too optimistic in heavy tails.
+# The number of samples that a mean remembers (`MEMORY`), or that its initial guess counts as (`PRIOR`).
+MEMORY_SAMPLES = 60.0  # those of a few seconds, so that a worker that slows down is noticed
+LEVEL_PRIOR_REPORTS = 2.0  # of the load level of the worker's kind
+LEVEL_MEMORY_REPORTS = 4.0  # of a worker's own load level: only the newest reports count
+CLASS_PRIOR_SAMPLES = 2.0  # of a class's run time, initially its objective
+RATE_PRIOR_SAMPLES = 8.0  # of the listed weight: heavy-tailed run times need many samples
+FETCH_PRIOR_SAMPLES = 20.0  # of the time of a fetch, initially half a mean job
+FETCH_PRIOR_RATIO = 1.5  # run time with a fetch, as a ratio to the expected one
+# Bounds of a run time's ratio to the expected one. An upper bound of 4 made rates too optimistic where run
+# times have a heavy tail.
 MIN_RUN_RATIO = 0.1
 MAX_RUN_RATIO = 10.0
 
 
 def has_reports_of_large_fleet(settings: Settings) -> bool:
-    """Whether reports come with answers and on probes, and own jobs are few beside those of peers."""
+    """Whether reports come in answers and on probes, in a fleet so large that most jobs are of peers."""
     return settings.probes_allowed and settings.reports_inline and settings.fleet_size >= LARGE_FLEET
 
 
 class LoadModel:
-    """The learnt means, and the updates of workers that follow from them."""
+    """The learnt means, and the estimates for each worker that are computed from them."""
 
     settings: Settings
-    uses_plan: bool  # jobs of peers are known by a plan that all dispatchers make alike (`FleetPlan`)
-    uses_report_period: bool  # the age of reports is inferred by `ReportPeriod`
+    uses_plan: bool  # no load reports: jobs are spread by a plan that all dispatchers compute (`FleetPlan`)
+    uses_report_period: bool  # the age of reports is inferred by `ReportPeriod`, else by `ReportLag`
 
     def __init__(self, settings: Settings) -> None:
         """Start with the initial guesses."""
@@ -44,23 +47,23 @@
         self.apply_settings(settings)
         self.work = Mean(1.0, self.run_times[0].value)  # expected run time of requests
         self.request_slots = Mean(1.0, 1.0)  # slots of requests
-        # Run time ratios of attempts whose key's data was believed to be cached there, and of others.
+        # Run time ratios of attempts whose key's data was assumed to be cached at the worker, and of others.
         self.cached_run_ratio = Mean(FETCH_PRIOR_SAMPLES, FETCH_PRIOR_SAMPLES)
         self.fetch_run_ratio = Mean(FETCH_PRIOR_SAMPLES, FETCH_PRIOR_SAMPLES * FETCH_PRIOR_RATIO)
         self.run_ratio = Mean(CLASS_PRIOR_SAMPLES, CLASS_PRIOR_SAMPLES)
         self.error_time = Mean()  # from the send of an attempt to its error
-        # Of workers that served, in mean jobs.
+        # Of the workers of served attempts; rates in mean jobs.
         self.rates = Mean(1.0, 1.0)
         self.weights = Mean(1.0, 1.0)
         # By machine kind.
-        self.usual_levels: dict[int, Mean] = {}  # jobs of peers over the size
-        self.full_weights: dict[int, float] = {}  # the highest weight listed
+        self.usual_levels: dict[int, Mean] = {}  # load levels: jobs of peers divided by `Worker.size`
+        self.full_weights: dict[int, float] = {}  # the highest weight that was listed
         self.kind_run_ratios: dict[int, Mean] = {}
         self.report_period = ReportPeriod()
         self.report_lag = ReportLag()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings; what was learnt of a class stays with its position."""
+        """Apply new settings. What was learnt about a job class stays with its position."""
         self.settings = settings
         for job in settings.classes[len(self.run_times) :]:
             guess = CLASS_PRIOR_SAMPLES * max(job.objective, 1)
@@ -70,11 +73,11 @@
 
     @property
     def fetch_time(self) -> float:
-        """Expected time that an attempt takes longer where its key's data is not cached."""
+        """Additional time that an attempt is expected to take where its key's data is not cached."""
         return max(self.fetch_run_ratio.value - self.cached_run_ratio.value, 0.0) * self.work.value
 
     def apply_weight(self, worker: Worker, now: int) -> None:
-        """Take the load that a worker reports by a weight that falls with it."""
+        """Apply the load that is inferred from a listed weight, where weights fall with load."""
         kind = worker.entry.machine_kind
         self.full_weights[kind] = max(worker.weight, self.full_weights.get(kind, 0.0))
         load = worker.load_from_weight(self.full_weights[kind])
@@ -82,9 +85,9 @@
             self.apply_report(worker, load, now)
 
     def apply_report(self, worker: Worker, load: LoadReport, now: int) -> None:
-        """Restart a worker's job count from a report.
+        """Restart a worker's job count from a load report.
 
-        A report of neither jobs nor free slots was not measured yet.
+        A report of neither jobs nor free slots is ignored: the worker has not measured anything yet.
         """
         if not (load.in_flight or load.queued) and load.free_slots == 0:
             return
@@ -102,7 +105,7 @@
         own_jobs = worker.own_jobs.at(worker.peer_jobs_at)
         worker.peer_jobs = max(round(min(jobs, MAX_JOB_COUNT)) - own_jobs, 0)
         worker.observe_slots(jobs - queued + (load.free_slots or 0.0))
-        self.update_rate(worker, now)  # the level is counted in the size by this report
+        self.update_rate(worker, now)  # the level below needs the size that follows from this report
         level = worker.peer_jobs / worker.size
         self.usual_levels.setdefault(worker.entry.machine_kind, Mean()).add(level, MEMORY_SAMPLES)
         worker.usual_level.add(level, LEVEL_MEMORY_REPORTS)
@@ -123,24 +126,24 @@
         self.weights.add(worker.weight)
 
     def update_rate(self, worker: Worker, now: int) -> None:
-        """Compute a worker's rate, from own run times and the listed weight, and the usual load of peers."""
+        """Recompute a worker's rate, from run times and its listed weight, and its background load."""
         settings = self.settings
         kind = worker.entry.machine_kind
         worker.rated_at = now
         worker.concurrency = max(worker.slots / self.request_slots.value, 1.0)
         listed = worker.concurrency * self.weights.value / (self.rates.value * worker.weight)
         if self.uses_plan or (worker.slots and not settings.weights_enabled):
-            # The list tells no sizes: reports do, and runs on all workers of a kind tell their speed.
+            # The list has no sizes: reports show the slots, and run times on a kind of worker its speed.
             kind_ratio = self.kind_run_ratios.get(kind, Mean())
             listed = kind_ratio.with_prior(self.run_ratio.value, CLASS_PRIOR_SAMPLES)
         ratio = worker.run_time_ratio.with_prior(listed, RATE_PRIOR_SAMPLES)
-        if self.uses_plan and settings.weights_enabled:  # a weight tells jobs at once, times their speed
+        if self.uses_plan and settings.weights_enabled:  # a weight is the concurrency times the speed
             capacity = worker.weight * ratio / self.run_ratio.value / self.request_slots.value
             worker.concurrency = max(capacity, 1.0)
-        typical = self.rates.value * self.run_ratio.value  # jobs at once, of a worker without reports
+        typical = self.rates.value * self.run_ratio.value  # concurrency of a worker without reports
         worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
         worker.rate = worker.concurrency / (ratio * self.work.value)
-        is_cold = bool(worker.lottery_number)  # a cold worker is not as full as its kind
+        is_cold = bool(worker.lottery_number)  # a cold worker has fewer jobs than the others of its kind
         kind_level = self.usual_levels.get(kind, Mean()).value * (not is_cold)
         level = worker.usual_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
         worker.background_load = level * worker.size / worker.rate
--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -1,4 +1,4 @@
-"""The workers that are listed, as membership updates leave them."""
+"""The membership list: the known workers, and which of them take new requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.ready: dict[Worker, None] = {}
 
     def apply(self, update: MembershipUpdate, now: int) -> None:
-        """Take a complete list, or changes of it."""
+        """Apply a complete list, or changes of it."""
         if update.kind is not ListKind.DELTA:
             listed = {entry.worker for entry in update.entries}
             self.workers = {number: worker for number, worker in self.workers.items() if number in listed}
@@ -44,7 +44,7 @@
         worker.weight = max(entry.weight, MIN_WEIGHT)
         settings = self._load_model.settings
         is_cold = settings.capacity_fraction(entry.started_at, now) < 1.0
-        # The highest number: it wins nothing until `SlowStart` draws one.
+        # 1.0 is higher than any drawn number: no request is sent there until `SlowStart` draws one.
         worker.lottery_number = float(is_cold and not self._load_model.uses_plan)
         if settings.weights_fall_with_load:
             self._load_model.apply_weight(worker, now)
@@ -52,7 +52,7 @@
 
 
 def _reset(worker: Worker, now: int) -> None:
-    """Forget what was believed of a worker's last process: nothing runs in the new one."""
+    """Drop the estimates for a worker's previous process: nothing runs in the new one yet."""
     worker.peer_jobs = 0
     worker.peer_jobs_at = now
     worker.cached_keys = {}
--- a/hazelbend/decisions/probing.py
+++ b/hazelbend/decisions/probing.py
@@ -1,4 +1,4 @@
-"""Which workers to probe for a load report, and when. A probe costs a part of the result."""
+"""Decides which workers to probe for a load report, and when. Each probe has a charge."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from hazelbend.decisions.selection import WorkerSelector, by_score
 from hazelbend.decisions.worker import Worker
 
-MAX_PROBES = 2  # for a request
-SAMPLE_SIZE = 8  # workers that a selection with probes is among: with more all dispatchers select alike
-PROBE_WAIT_FRACTION = 0.1  # of a mean job that a request waits for probes: reports are worth no more
-# Parts of the result that may be spent on probes.
-REQUEST_SPENDING = 0.01  # for requests, where probes are the only reports
+MAX_PROBES = 2  # for one request
+SAMPLE_SIZE = 8  # candidates of a selection with probes: with more, all dispatchers select the same workers
+PROBE_WAIT_FRACTION = 0.1  # of the mean run time, that a request waits for probes: reports gain no more
+# The fraction of a request's value that may be spent on probes.
+REQUEST_SPENDING = 0.01  # for requests, where probes are the only source of reports
 LARGE_FLEET_SPENDING = 0.004  # for requests, in a large fleet with reports in answers
 REFRESH_SPENDING = 0.002  # to refresh old reports, in a large fleet
-# Reports that are old.
+# Older reports are refreshed.
 MAX_REPORT_AGE_US = 1_000_000
-MAX_CANDIDATE_REPORT_AGE_US = 400_000  # of workers that a selection is about to go by
+MAX_CANDIDATE_REPORT_AGE_US = 400_000  # of the candidates of a selection
 
 
 class Prober:
-    """Chooses the workers to be probed. Times in microseconds."""
+    """Chooses the workers to probe. Times in microseconds."""
 
     def __init__(
         self,
@@ -36,16 +36,16 @@
         selector: WorkerSelector,
         rng: random.Random,
     ) -> None:
-        """Choose from `membership`; `rng` draws samples."""
+        """Choose from the workers of `membership`; `rng` draws samples."""
         self._membership = membership
         self._load_model = load_model
         self._selector = selector
         self._random = rng
-        self.refresh_budget = 0.0  # probes that may be sent to refresh old reports
+        self.refresh_budget = 0.0  # number of probes that may be sent to refresh old reports
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings: what probes cost, and what they are for."""
+        """Apply new settings: the charge of a probe, and the purposes for which probes are sent."""
         self._settings = settings
         charge = settings.probe_charge
         self.refreshes_reports = has_reports_of_large_fleet(settings)
@@ -61,17 +61,17 @@
     # --- probes for a request ---
 
     def probe_wait(self, request: Request, now: int) -> int | None:
-        """Return how long the request is to wait for probes; None where it is not to wait."""
+        """Return how long the request may wait for probes; None if it must not wait."""
         wait = round(self._load_model.work.value * PROBE_WAIT_FRACTION)
         if not self._probes_per_request or request.deadline - now < 2 * wait:
             return None
         return wait
 
     def choose_for(self, request: Request, now: int) -> list[Worker]:
-        """Choose the candidates of a request; return those of them whose reports it is to wait for.
+        """Choose the candidates of a request; return those to probe before one of them is selected.
 
-        Without this the worker with the least of many old estimates is selected, which is the one whose
-        estimate is most often wrong.
+        Without probes, the worker with the lowest of many old estimates would be selected, and the lowest
+        estimate is the one that is most often wrong.
         """
         eligible = self._selector.eligible(request, self._membership.ready, now)
         if self._settings.reports_inline:
@@ -102,7 +102,7 @@
             drawn += self._random.sample(workers, min(size, len(workers)))
         rows = self._selector.options(request, list(dict.fromkeys(drawn)), now)
         request.candidates = [row[-1] for row in nsmallest(SAMPLE_SIZE, rows, key=by_score)]
-        # A worker that has answered since would hardly report anything else.
+        # A worker that has reported within half a period would most likely report the same again.
         fresh = now - self._load_model.report_period.period / 2
         best = request.candidates[: self._probes_per_request]
         return [worker for worker in best if worker.reported_at < fresh]
@@ -110,14 +110,15 @@
     # --- probes in a large fleet ---
 
     def count_arrival(self) -> None:
-        """Earn the budget of a request that has arrived."""
+        """Count a request that has arrived, which adds to the refresh budget."""
         budget = self.refresh_budget + self._refreshes_per_request
         self.refresh_budget = min(budget, 2.0 * len(self._membership.workers))
 
     def take_stale_workers(self, now: int) -> list[Worker]:
-        """Return the workers whose reports are to be refreshed, as far as the budget goes.
+        """Return the workers whose reports to refresh, as far as the budget allows.
 
-        In a large fleet own answers bring few reports: a worker that is sent nothing would keep seeming full.
+        In a large fleet a dispatcher gets few reports in answers: a worker that seemed full would get no
+        requests, and so would seem full forever.
         """
         chosen = []
         for worker in self._membership.ready:
@@ -128,11 +129,11 @@
         return chosen
 
     def may_be_overloaded(self, attempt: Attempt) -> bool:
-        """Whether a silent worker may just be full of peers' jobs, so that a probe is to tell."""
+        """Whether an unresponsive worker may only be busy with peers' jobs, which a probe can find out."""
         is_lost = bool(attempt.started_at) or attempt.overtaken_by >= MAX_OVERTAKEN
         return self.refreshes_reports and not is_lost
 
     @staticmethod
     def awaits_probe_answer(worker: Worker, now: int) -> bool:
-        """Whether a worker that was probed may still answer."""
+        """Whether the answer of a probed worker may still come."""
         return now <= worker.probed_at + MAX_PAUSE_US
--- a/hazelbend/decisions/reliability.py
+++ b/hazelbend/decisions/reliability.py
@@ -1,27 +1,27 @@
-"""How likely a worker is to fail its next attempt. Estimates only; nothing is selected here.
+"""Estimates how likely a worker is to fail its next attempt.
 
-A worker is either healthy, and errs in a small part of its attempts, or it is failing, in an unknown part of
-its attempts for which all values are equally likely at first. Each result moves the probability that it is
-failing by Bayes' rule; the part in which it fails is learnt from the results seen while it was believed to be
-failing. A healthy worker errs once in a thousand attempts, so that one error already makes failing the more
-likely of the two; a success speaks against it the more, the fewer attempts a failing worker would serve. The
-belief fades towards the prior without new results, since failures come and go.
+The model has two states. A healthy worker fails a small, known fraction of its attempts. A failing worker
+fails an unknown fraction, with a uniform prior. Each result updates the probability of the failing state by
+Bayes' rule; the fraction is learnt from the results seen while the worker was believed to be failing. A
+healthy worker fails one attempt in a thousand, so a single error already makes the failing state the more
+likely one. A success is the stronger evidence against it, the fewer attempts a failing worker would serve.
+Without new results the estimate fades towards the prior, since failures come and go.
 
-Only results that say something about the worker count: of a request that has failed elsewhere before, the
-request is as likely to be at fault.
+Only results that say something about the worker are recorded. If a request has failed at another worker
+before, the request itself is as likely to be the cause.
 """
 
 from dataclasses import dataclass
 from math import exp
 
-HEALTHY_ERROR_RATE = 0.001  # of a healthy worker's attempts: 0 to 2 in 1,000 in production
+HEALTHY_ERROR_RATE = 0.001  # fraction of a healthy worker's attempts: 0 to 2 in 1,000 in production
 PRIOR_FAILING = 0.05  # probability that an unknown worker is failing: on some days a sixth of all are
 FADE_TIME_US = 20_000_000  # about the duration of a failure: 5 to 30 s were recorded
 
 
 @dataclass(slots=True, eq=False)
 class FailureEstimate:
-    """The belief about one worker. `export_state` stores the fields in this order."""
+    """The estimate for one worker. `export_state` stores the fields in this order."""
 
     failing: float = PRIOR_FAILING  # probability that it is failing, at `updated_at`
     errors: float = 0.0  # results attributed to failing
@@ -29,7 +29,7 @@
     updated_at: int = 0
 
     def faded(self, now: int) -> tuple[float, float, float]:
-        """Return the probability that it is failing, and the errors and successes that still count."""
+        """Return the probability that it is failing, and the faded counts of errors and successes."""
         kept = exp(min(self.updated_at - now, 0) / FADE_TIME_US)
         failing = PRIOR_FAILING + (self.failing - PRIOR_FAILING) * kept
         return failing, self.errors * kept, self.successes * kept
--- a/hazelbend/decisions/request.py
+++ b/hazelbend/decisions/request.py
@@ -1,4 +1,4 @@
-"""Requests that are not answered yet, and their attempts: state that the decisions read and update."""
+"""The state of open requests and of their attempts."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request that has no answer yet, or an attempt in flight. Times in microseconds."""
+    """A request that is unanswered or has an attempt in flight. Times in microseconds."""
 
     id: RequestId
     job: JobClass
     class_index: int
     deadline: int  # when the client gives up
-    target: float  # an answer until then earns the full value
+    target: float  # an answer by then earns the full value
     work: float  # expected run time
     cost: float  # its work, in mean jobs
-    key: int  # what the request is about; 0: nothing
+    key: int  # identifies the data that it needs; 0: none
     attempts: list[Attempt] = field(default_factory=list)
-    closed: bool = False
-    pending_probes: int = 0  # that the selection of its worker waits for
-    candidates: list[Worker] = field(default_factory=list)  # that it is selected from once they answer
+    closed: bool = False  # it has its final response, or the client has disconnected
+    pending_probes: int = 0  # probes whose answers the selection of a worker waits for
+    candidates: list[Worker] = field(default_factory=list)  # for the next selection; empty: all workers
 
     @property
     def first_possible_run(self) -> Attempt | None:
-        """The first attempt that is not proved never to have run."""
+        """The first attempt that the worker may have executed."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
     @property
@@ -58,26 +58,26 @@
     number: int
     worker: Worker
     sent_at: int
-    suspicion_timeout: float = 0.0  # how long silence after it is no cause for suspicion
+    suspicion_timeout: float = 0.0  # without a signal for longer, the worker counts as unresponsive
     cost: float = 1.0  # its work, in mean jobs
-    fetches: bool = False  # its key's data is not believed to be cached there
-    process_started_at: int = 0  # of the worker's process, by the membership list at that time
-    cold_attempt: ColdAttempt | None = None  # what it takes from the slow-start budget of the worker
-    started_at: int = 0
+    fetches: bool = False  # its key's data is assumed not to be cached at the worker
+    process_started_at: int = 0  # start of the worker's process, as listed when the attempt was decided
+    cold_attempt: ColdAttempt | None = None  # its charge to the slow-start budget of the worker
+    started_at: int = 0  # start of the job; 0: not reported
     last_signal_at: int = 0
-    overtaken_by: int = 0  # later attempts at the same worker that have started before it
+    overtaken_by: int = 0  # number of later attempts at the same worker that have started before it
     outcome: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it is not proved that it never ran."""
+        """Whether the worker may have executed it."""
         return self.outcome not in NEVER_RAN
 
 
 def find_attempt(
     requests: dict[RequestId, Request], event: JobStarted | JobProgress | StreamStarted | AttemptEnded
 ) -> Attempt | None:
-    """Return the attempt that an event is about, if it is still in flight."""
+    """Return the attempt of an event, or None if it is not in flight."""
     request = requests.get(event.request)
     if request is None or event.attempt >= len(request.attempts):
         return None
--- a/hazelbend/decisions/settings.py
+++ b/hazelbend/decisions/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings of a dispatcher from the platform's JSON object. Unknown keys are skipped."""
+"""Decodes the settings of a dispatcher from the platform's JSON object. Unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def _number(table: dict[str, Any], key: str, default: float) -> float:
     value = table.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise SettingsError(f"settings: {key!r} is no number")
+        raise SettingsError(f"settings: {key!r} is not a number")
     return value
 
 
@@ -23,31 +23,31 @@
 
 
 def table_in(table: dict[str, Any], key: str) -> dict[str, Any]:
-    """Return the table under a key; empty where it is absent.
+    """Return the table under a key, or an empty one if the key is absent.
 
     Raises:
-        SettingsError: the value is no table.
+        SettingsError: the value is not a table.
     """
     value = table.get(key, {})
     if not isinstance(value, dict):
-        raise SettingsError(f"settings: {key!r} is no object")
+        raise SettingsError(f"settings: {key!r} is not an object")
     return value
 
 
 def rows_in(table: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    """Return the tables of the list under a key; none where it is absent.
+    """Return the list of tables under a key, or an empty one if the key is absent.
 
     Raises:
-        SettingsError: the value is no list of tables.
+        SettingsError: the value is not a list of tables.
     """
     value = table.get(key, [])
     if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
-        raise SettingsError(f"settings: {key!r} is no list of objects")
+        raise SettingsError(f"settings: {key!r} is not a list of objects")
     return value
 
 
 def _at(values: object, index: int, default: float) -> float:
-    """Return a class's number from a list by class, which may be absent or short."""
+    """Return a job class's number from a list indexed by class, which may be absent or too short."""
     if isinstance(values, list) and index < len(values) and isinstance(values[index], int | float):
         return float(values[index])
     return default
@@ -77,13 +77,13 @@
 
 
 def settings_from(document: object) -> Settings:
-    """Decode the platform's object.
+    """Decode the platform's settings object.
 
     Raises:
         SettingsError: a value has the wrong type.
     """
     if not isinstance(document, dict):
-        raise SettingsError("settings: no JSON object")
+        raise SettingsError("settings: not a JSON object")
     base = Settings()
     limits = table_in(document, "limits")
     rules = table_in(document, "rules")
@@ -121,7 +121,7 @@
 
 
 def report_fields(document: dict[str, Any]) -> dict[str, str]:
-    """Return the field of a `LoadReport` for each name that a report may use under these settings."""
+    """Return the `LoadReport` field for each column name that reports may use under these settings."""
     fields = {"outstanding": "in_flight", "backlog": "queued"}
     if "free slots" in str(table_in(document, "domain").get("report_x0", "")):
         fields["x0"] = "free_slots"
--- a/tests/benchlink/test_wire.py
+++ b/tests/benchlink/test_wire.py
@@ -135,10 +135,10 @@
     "input ends after 2 of 48": records.BATCH_HEADER.pack(1, 48, 0) + b"ab",
     "outside the tail": batch([to(1), record(10, "QII", 1, 0, 500)], b"{}"),
     "never declared": batch([to(1), record(20, "BQB", 1, 1, 4)]),
-    "no JSON object": batch([to(1), record(10, "QII", 1, 0, 2)], b"[]"),
+    "not a JSON object": batch([to(1), record(10, "QII", 1, 0, 2)], b"[]"),
     "not JSON": batch([to(1), record(10, "QII", 1, 0, 2)], b"{x"),
     "unknown outcome": batch([to(1), record(80, "HIIB4f", 44, 7, 20, 0, 0.0, 0.0, 0.0, 0.0)]),
-    "is no number": batch([to(1), record(10, "QII", 1, 0, 18)], b'{"fleet_size": []}'),
+    "is not a number": batch([to(1), record(10, "QII", 1, 0, 18)], b'{"fleet_size": []}'),
 }
 
 
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -11,7 +11,7 @@
 
 from hazelbend.decisions import Dispatcher, Settings
 from hazelbend.decisions import interface as face
-from hazelbend.decisions.health import suspect
+from hazelbend.decisions.health import start_backoff
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
@@ -50,7 +50,7 @@
                 outcome = face.Outcome.CONNECT_FAILED if action.worker == 2 else face.Outcome.SERVED
                 event = face.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
                 dispatcher.handle(event, now + 40_000)
-    suspect(dispatcher.workers[2], dispatcher.random, now)
+    start_backoff(dispatcher.workers[2], dispatcher.random, now)
     dispatcher.workers[2].reliability.record(now, is_error=True)
     dispatcher.handle(face.RequestArrived(1_000, 5_000_000), 4_100_000)
     return dispatcher
