--- a/hazelbend/forwarding/admission.py
+++ b/hazelbend/forwarding/admission.py
@@ -1,4 +1,4 @@
-"""The start of a request's life: its route, and the context in which it is forwarded."""
+"""The first step of a request: wait for a configuration, and create the context for forwarding."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from hazelbend.placement.prompt import parse_prompt
 from hazelbend.placement.routes import Route, RouteTable
 
-RESPONSE_MARGIN_US = 8_000  # of the client's time-out, kept for the way back
-RESPONSE_MARGIN_DIVISOR = 10  # but at most this part of it
-MAX_CONFIGURATION_WAIT_US = 1_200_000  # that a request waits after a start for the first configuration
+RESPONSE_MARGIN_US = 8_000  # part of the timeout that is reserved for the response to reach the client
+RESPONSE_MARGIN_DIVISOR = 10  # the margin is at most the timeout divided by this
+MAX_CONFIGURATION_WAIT_US = 1_200_000  # wait of a request for the first configuration after a start
 CONFIGURATION_POLL_S = 0.02
-EXPLORATION_RATIO = 0.05  # of the idempotent requests: they find out whether a worker is healthy again
+EXPLORATION_RATIO = 0.05  # fraction of idempotent requests that test whether failing workers have recovered
 
 
 class Admission:
-    """Finds routes, and creates the context of each request that has one. Times are microseconds."""
+    """Waits for the configuration, and creates the context of each request. Times are in microseconds."""
 
     def __init__(self, fleet: FleetState, clock: Callable[[], int], seed: int) -> None:
         self._fleet = fleet
@@ -28,7 +28,7 @@
         self._random = random.Random(seed)
 
     async def wait_for_configuration(self, request: ClientRequest) -> RouteTable | None:
-        """After a start the first configuration is about to arrive; None where it does not come in time."""
+        """Wait for the first configuration, which arrives soon after a start; None if it does not in time."""
         wait = MAX_CONFIGURATION_WAIT_US
         if request.timeout_us is not None:
             wait = min(wait, request.timeout_us // 2)
@@ -38,7 +38,7 @@
         return self._fleet.route_table
 
     def create_context(self, request: ClientRequest, route: Route) -> RequestContext:
-        """Choose the service, set the deadline and read the prompt's headers."""
+        """Choose the service, set the deadline and parse the prompt's headers."""
         timeout = route.timeout_ms * 1_000
         if request.timeout_us is not None:
             timeout = min(timeout, request.timeout_us)
--- a/hazelbend/forwarding/attempts.py
+++ b/hazelbend/forwarding/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts of one request: each selects a worker, sends the request, and relays the response.
+"""The attempts of one request: each selects a worker, sends the request and relays the response.
 
-A connection comes up some time after its worker was selected. `_check_before_first_byte` therefore checks
-again, in the turn of the event loop in which the request can be written, what allowed the send.
+A connection is established some time after its worker was selected. `_check_before_first_byte` therefore
+repeats the checks that allow the send, in the iteration of the event loop in which the request is written.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AttemptRunner:
-    """Sends a request to one worker after the other, until one gives the final response."""
+    """Sends a request to one worker after another, until one gives the final response."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._relay = ResponseRelay(fleet, clock)
 
     async def run(self, context: RequestContext, client_response: ClientResponse) -> bool:
-        """Return True once the client has its final response, False where no worker may be asked any more."""
+        """Return True once the client has its final response, False if no further attempt is allowed."""
         if context.uses_prefill_workers:
             await self._prefill.run(context)
         for _ in range(MAX_ATTEMPTS):
@@ -85,7 +85,7 @@
                         raise WorkerFailedError(f"status {response.status}")
                     if context.kv_handle is not None:
                         placement.record_kv_transfer(attempt, context.prompt)
-                        context.kv_handle = None  # the worker has taken it over
+                        context.kv_handle = None  # the worker owns the KV cache now
                     await self._relay.relay(context, attempt, response, client_response, timeout)
                     if response.status < 500:
                         placement.observe_service_time(attempt, self._clock())
@@ -106,7 +106,7 @@
             placement.end_attempt(attempt)
 
     def _check_before_first_byte(self, context: RequestContext, choice: Choice) -> int | None:
-        """The connection is there: return the remaining time, or None where nothing must be written."""
+        """Return the remaining time, or None to withdraw the send. Called once the connection is open."""
         remaining = self._fleet.time_to_send(context, choice, self._clock())
         if remaining is not None:
             context.sends += 1
@@ -115,4 +115,4 @@
     def _record_possible_execution(self, context: RequestContext) -> None:
         context.possible_executions += 1
         self._fleet.placement.statistics.retries += self._retry_policy.may_execute_again(context)
-        context.kv_handle = None  # the worker may have taken it over
+        context.kv_handle = None  # the worker may own the KV cache now
--- a/hazelbend/forwarding/errors.py
+++ b/hazelbend/forwarding/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a call to a worker, sorted by what is known about the execution of the request.
+"""The errors of a call to a worker, classified by whether the request may have been executed.
 
 A request that is not idempotent may be sent again after a `NotSentError`, and never after an
 `OutcomeUnknownError`.
@@ -18,23 +18,23 @@
 
 
 class ForwardingError(Exception):
-    """A call to a worker has not given a response for the client."""
+    """A call to a worker has not produced a response for the client."""
 
 
 class NotSentError(ForwardingError):
-    """Not a byte was written: the worker has not executed the request."""
+    """No byte was written, so the worker has not executed the request."""
 
 
 class SendWithdrawnError(NotSentError):
-    """The check before the first byte found that the worker must not get the request now."""
+    """The check before the first byte found that the worker must not get the request any more."""
 
 
 class WorkerUnreachableError(NotSentError):
-    """No connection to the worker could be made."""
+    """No connection to the worker could be established."""
 
 
 class OutcomeUnknownError(ForwardingError):
-    """The request was written, at least in part: the worker may have executed it."""
+    """The request was written at least in part, so the worker may have executed it."""
 
 
 class ResponseBrokenError(OutcomeUnknownError):
@@ -42,12 +42,12 @@
 
 
 class InvalidResponseError(OutcomeUnknownError):
-    """The response is not one that may be passed on as the answer to this request."""
+    """The response must not be forwarded to the client."""
 
 
 class WorkerFailedError(OutcomeUnknownError):
-    """The worker responded with a server error (5xx), and another worker may execute the request."""
+    """The worker responded with a server error (5xx), and a retry at another worker is allowed."""
 
 
 class WorkerTimeoutError(OutcomeUnknownError):
-    """The response has not started in time, and the request is to be sent to another worker."""
+    """The response did not start in time, and a retry at another worker is allowed."""
--- a/hazelbend/forwarding/event_stream.py
+++ b/hazelbend/forwarding/event_stream.py
@@ -1,7 +1,7 @@
 """Splits a `text/event-stream` into complete events, so that another worker can resume it after any of them.
 
-Source: Server-sent events, WHATWG HTML standard, section 9.2. A line ends by CR LF, LF or CR, and an event by
-an empty line. Bytes are passed on as they are.
+Specification: Server-sent events, WHATWG HTML standard, section 9.2. A line ends with CR LF, LF or CR, and an
+event with an empty line. Bytes are forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 ID_FIELD = b"id:"
 
-# An end of a line and that of an empty one. CR LF is one end of a line, not two.
+# The end of a line followed by the end of an empty one. CR LF is one line end, not two.
 _LINE_END = rb"(?:\r\n|\n|\r(?!\n))"
 _EVENT_END = re.compile(_LINE_END + _LINE_END)
 MAX_EVENT_END_BYTES = 4
@@ -25,17 +25,17 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has started and not ended."""
+        """Whether an event has started but not ended."""
         return bool(self._partial_event.strip())
 
     def discard_partial_event(self) -> None:
-        """Another worker resumes the stream: it sends the event that was cut from its start."""
+        """Drop the incomplete event: the worker that resumes the stream sends it from its start."""
         self._partial_event = b""
 
     def feed(self, data: bytes) -> bytes:
         """Add data, and return the events that are now complete.
 
-        A CR at the end counts as the end of a line. If an LF follows, it is passed on with the next event.
+        A CR at the end of the data counts as a line end. An LF that follows is returned with the next event.
         """
         buffered = self._partial_event + data
         split_at = _end_of_last_event(buffered)
@@ -48,14 +48,15 @@
 
 
 def ends_inside_event(tail: bytes) -> bool:
-    """Whether a stream whose last bytes are these ends within an event. So many bytes are enough:
-    `MAX_EVENT_END_BYTES`.
+    """Whether a stream that ends with `tail` ends within an event.
+
+    `tail` needs to be only the last `MAX_EVENT_END_BYTES` bytes.
     """
     return bool(tail) and _end_of_last_event(tail) != len(tail)
 
 
 def _end_of_last_event(data: bytes) -> int:
-    """The position after the last complete event; 0: there is none."""
-    if b"\r" not in data:  # as almost all workers write it
+    """Return the position after the last complete event, or 0 if there is none."""
+    if b"\r" not in data:  # almost all workers use LF alone
         return data.rfind(b"\n\n") + 2 if b"\n\n" in data else 0
     return max((match.end() for match in _EVENT_END.finditer(data)), default=0)
--- a/hazelbend/forwarding/final_responses.py
+++ b/hazelbend/forwarding/final_responses.py
@@ -1,4 +1,4 @@
-"""The final responses that the router gives itself, where no worker's response is passed on."""
+"""The final responses that the router creates itself, where no worker's response is forwarded."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from hazelbend.forwarding.ports import ClientResponse
 
-RETRY_AFTER_S = 0.25  # where nothing better is known
-RETRY_AFTER_STARTING_S = 0.5
+RETRY_AFTER_S = 0.25  # default
+RETRY_AFTER_STARTING_S = 0.5  # while the router has no configuration
 BODIES = {
     HTTPStatus.NOT_FOUND: b"no such route\n",
     HTTPStatus.BAD_GATEWAY: b"a worker failed\n",
@@ -19,8 +19,8 @@
 async def reject(client_response: ClientResponse, retry_after_s: float = RETRY_AFTER_S) -> None:
     """Respond 503 with `Retry-After` (RFC 9110, section 10.2.3): the request was not executed.
 
-    The value has a fraction of a second. The RFC has whole seconds only, but the clients' protocol allows
-    fractions, and a whole second is up to four times as long as it takes until another try may be served.
+    The value is a fraction of a second. The RFC allows whole seconds only, but the clients' protocol allows
+    fractions, and a whole second is up to four times as long as the time until a retry may be served.
     """
     status = HTTPStatus.SERVICE_UNAVAILABLE
     await client_response.answer(status, (("Retry-After", f"{retry_after_s:.3f}"),), BODIES[status])
--- a/hazelbend/forwarding/first_byte_timeout.py
+++ b/hazelbend/forwarding/first_byte_timeout.py
@@ -1,7 +1,7 @@
-"""How long the start of a response is awaited before the request is sent to another worker.
+"""The timeout for the start of a response, after which the request is retried at another worker.
 
-A worker that hangs would hold its request until the request's deadline. Where the request may be sent again,
-it is sent to another worker once this one is far behind its expected time; otherwise the wait goes on.
+A worker that hangs would hold its request until the request's deadline. If the request may be sent again, it
+is sent to another worker once this one is far behind its expected time; otherwise the wait goes on.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from hazelbend.forwarding.errors import WorkerTimeoutError
 from hazelbend.placement.choices import Choice
 
-MIN_FIRST_BYTE_TIMEOUT_US = 1_500_000  # never less: the work of a worker that is given up is lost
-EXPECTED_TIME_FACTOR = 6.0  # added to the minimum: so many times the expected time to the first byte
+MIN_FIRST_BYTE_TIMEOUT_US = 1_500_000  # not shorter, since the work of an abandoned attempt is lost
+EXPECTED_TIME_FACTOR = 6.0  # this many times the expected time to the first byte is added to the minimum
 
 
 def first_byte_timeout_us(choice: Choice) -> int:
-    """Return the microseconds in which a healthy worker starts its response, but for a few in a hundred."""
+    """Return the timeout in microseconds; a healthy worker exceeds it in a few per cent of its responses."""
     return MIN_FIRST_BYTE_TIMEOUT_US + round(EXPECTED_TIME_FACTOR * max(choice.expected_delay, 0.0))
 
 
 class FirstByteTimeout:
-    """An async context manager that gives up on a worker whose response does not start in time.
+    """An async context manager that abandons an attempt whose response does not start in time.
 
-    When the time is over, `may_abandon` decides: if it returns False, the block goes on without a time-out.
+    When the timeout expires, `may_abandon` decides: if it returns False, the block continues without timeout.
 
     Raises:
-        WorkerTimeoutError: on exit, after the block was cancelled by the time-out.
+        WorkerTimeoutError: on exit, if the block was cancelled by the timeout.
     """
 
     def __init__(self, timeout_us: int, may_abandon: Callable[[], bool]) -> None:
@@ -55,7 +55,7 @@
             raise WorkerTimeoutError from None
 
     def response_started(self) -> None:
-        """Stop the timer: from now on the worker has until the request's deadline."""
+        """Stop the timer. From now on only the request's deadline limits the response."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/hazelbend/forwarding/fleet_state.py
+++ b/hazelbend/forwarding/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a router knows about the fleet: its routes, its workers, and how many routers there are."""
+"""A router's state of the fleet: the routes, the workers and the number of routers."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from hazelbend.placement.reliability import AttemptOutcome
 from hazelbend.placement.routes import RouteTable
 
-MIN_REMAINING_US = 30_000  # nothing is sent any more with less time than this
-# They say nothing about a worker: it may have got the request with too little time left, or the request was
-# meant for an instance that had its address before (RFC 9110, sections 15.6.5 and 15.5.20).
+MIN_REMAINING_US = 30_000  # with less time left, nothing is sent
+# Statuses that say nothing about the worker's health: the request may have arrived with too little time left,
+# or was meant for an instance that had the address before (RFC 9110, sections 15.6.5 and 15.5.20).
 NEUTRAL_STATUSES = frozenset({HTTPStatus.GATEWAY_TIMEOUT, HTTPStatus.MISDIRECTED_REQUEST})
 
 
 class FleetState:
-    """The watches change it, and the forwarder reads it. Times are microseconds."""
+    """The state that watches update and the forwarder reads. Times are in microseconds."""
 
     def __init__(self, placement: PlacementEngine) -> None:
         self.placement = placement
         self.route_table: RouteTable | None = None
-        self.max_routers = 1  # the most that there have been
+        self.max_routers = 1  # the highest number of routers so far
         self.has_current_config: Callable[[], bool] = lambda: False  # confirmed by a recent majority
 
     def apply_configuration(self, route_table: RouteTable) -> bool:
-        """Put a configuration in force; return False where the known one is as new or newer."""
+        """Apply a configuration; return False if the current one is at least as new."""
         known = self.route_table
         if known is not None and route_table.configuration.version <= known.configuration.version:
             return False
@@ -38,9 +38,10 @@
         return True
 
     def time_to_send(self, context: RequestContext, choice: Choice, now: int) -> int | None:
-        """Return the microseconds that remain, or None where the worker must not get the request now.
+        """Return the remaining microseconds, or None if the worker must not get the request any more.
 
-        Called when the connection is established: the worker may have started draining, and time has passed.
+        Called when the connection is established: the worker may have started draining since it was selected,
+        and time has passed.
         """
         remaining = context.deadline - now
         worker = self.placement.workers.get(choice.worker.record.instance)
@@ -49,7 +50,7 @@
         return remaining
 
     def record_response(self, attempt: Attempt, response: WorkerResponse, now: int) -> None:
-        """The head of a worker's response has arrived."""
+        """Record the head of a worker's response."""
         worker = attempt.worker
         self.placement.record_answer(attempt, now)
         if response.reported_in_flight is not None and not worker.record.phase:
@@ -58,9 +59,9 @@
     def record_outcome(
         self, context: RequestContext, attempt: Attempt, outcome: AttemptOutcome, now: int
     ) -> None:
-        """A send has ended.
+        """Record the outcome of a send.
 
-        A request that has failed on another worker before may itself be the cause, so its next failure is not
+        A request that has failed at another worker before may itself be the cause, so its next failure is not
         counted against the worker.
         """
         if outcome is not AttemptOutcome.FAILED or not context.failed_sends:
@@ -68,13 +69,13 @@
         context.failed_sends += outcome is AttemptOutcome.FAILED
 
     def record_not_sent(self, choice: Choice, error: NotSentError, now: int) -> None:
-        """A call was not sent: a failure of the worker, unless our own check withdrew the call."""
+        """Record a call that was not sent: a connect failure of the worker, unless the router withdrew it."""
         if not isinstance(error, SendWithdrawnError):
             choice.worker.record_connect_failure(now)
 
 
 def outcome_of(response: WorkerResponse) -> AttemptOutcome | None:
-    """Return what the head of a response says about its worker; None: nothing."""
+    """Return the outcome that the head of a response shows, or None if it says nothing about the worker."""
     if response.status in NEUTRAL_STATUSES:
         return None
     if response.not_executed:
--- a/hazelbend/forwarding/forwarder.py
+++ b/hazelbend/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""Serves one request from top to bottom: route, attempts, final response.
+"""Serves a request from arrival to final response: route, attempts, final response.
 
-A request gets one final response: a worker's, or 503 with `Retry-After` where the request was surely not
-executed, 502 where it may have been executed, 504 where its deadline has passed. Of a streamed response whose
-head has gone out, the connection is aborted instead.
+A request gets exactly one final response: a worker's; or 503 with `Retry-After` if it was certainly not
+executed, 502 if it may have been executed, and 504 if its deadline has passed. If the head of a streamed
+response has been sent already, the connection is aborted instead.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         new_budget: Callable[[], RetryBudget],
         seed: int,
     ) -> None:
-        """`clock` returns microseconds; `new_budget` makes the retry budget of one service."""
+        """`clock` returns microseconds; `new_budget` creates the retry budget of one service."""
         self._fleet = fleet
         self._clock = clock
         self.retry_policy = RetryPolicy(fleet, clock, new_budget)
@@ -44,7 +44,7 @@
         self.in_flight = 0
 
     async def serve(self, request: ClientRequest, client_response: ClientResponse) -> None:
-        """Give the request its one final response."""
+        """Serve a request: send its one final response to the client."""
         table = self._fleet.route_table or await self._admission.wait_for_configuration(request)
         route = table.find(request.host, request.path) if table is not None else None
         if table is None or (route is None and not self._fleet.has_current_config()):
@@ -69,7 +69,7 @@
             self._prefill.free_handle(context)
 
     async def _give_up(self, context: RequestContext, client_response: ClientResponse) -> None:
-        """No worker may be asked any more, though time remains."""
+        """Send the final response where no further attempt is allowed although time remains."""
         self._count(Refusal.FAILED if context.possible_executions else Refusal.NO_WORKER)
         if context.response_started:
             client_response.abort()
@@ -79,7 +79,7 @@
             await reject(client_response)
 
     async def _time_out(self, context: RequestContext, client_response: ClientResponse) -> None:
-        """The deadline has passed. A send in flight was cancelled, and may have been executed."""
+        """Send the final response after the deadline. A cancelled send may have been executed."""
         self._count(Refusal.OUT_OF_TIME)
         if context.response_started:
             client_response.abort()
@@ -92,5 +92,5 @@
         self._fleet.placement.statistics.refusals[reason] += 1
 
     async def close(self) -> None:
-        """Cancel the work that goes on beside requests."""
+        """Cancel the background tasks."""
         await self._prefill.close()
--- a/hazelbend/forwarding/ports.py
+++ b/hazelbend/forwarding/ports.py
@@ -1,4 +1,4 @@
-"""The values that cross the border of the forwarder, and the Protocols that transports implement."""
+"""The interface between the forwarder and its transports: values, and the Protocols to implement."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 Headers: TypeAlias = tuple[tuple[str, str], ...]
 BeforeFirstByte: TypeAlias = Callable[[], int | None]
-"""Called in the turn of the event loop in which a request can be written: returns the microseconds that
-remain for it, or None where it must not be sent any more."""
+"""Called in the iteration of the event loop in which a request can be written. It returns the microseconds
+that remain for the request, or None if it must not be sent any more."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClientRequest:
-    """A complete request of a client. Times are microseconds."""
+    """A complete request of a client. Times are in microseconds."""
 
     id: str
     method: str
-    target: str  # path and query as they came
+    target: str  # path and query, unchanged
     host: str
-    headers: Headers  # those that are forwarded
+    headers: Headers  # only those that are forwarded
     body: bytes
     arrived_at: int
-    timeout_us: int | None  # how long the client waits; None: it has not said
+    timeout_us: int | None  # how long the client waits; None: unknown
     token_usage: str | None = None
     prefix_hash: str | None = None
 
@@ -47,25 +47,25 @@
 
     status: int
     headers: Headers
-    not_executed: bool  # the worker says that it has not executed the request and will not
-    reported_in_flight: int | None  # requests that the worker says it runs or queues
+    not_executed: bool  # the worker guarantees that it has not executed the request and will not
+    reported_in_flight: int | None  # requests that the worker reports as running or queued
 
     def chunks(self) -> AsyncIterator[bytes]:
         """Iterate over the body as it arrives.
 
         Raises:
-            ResponseBrokenError: the body ended too soon.
+            ResponseBrokenError: the body ended prematurely.
         """
 
     async def body(self) -> bytes:
         """Return the complete body.
 
         Raises:
-            ResponseBrokenError: the body ended too soon.
+            ResponseBrokenError: the body ended prematurely.
         """
 
     def close(self) -> None:
-        """Release the response; if its body was not read to the end, its connection is closed."""
+        """Release the response; its connection is closed unless the body was read to the end."""
 
 
 class WorkerClient(Protocol):
@@ -80,7 +80,7 @@
         """
 
     async def free_handle(self, address: str, instance: str, handle: str) -> None:
-        """Free the KV cache that this worker keeps under a handle; failures are ignored."""
+        """Free the KV cache that a worker keeps under a handle; failures are ignored."""
 
 
 class ClientResponse(Protocol):
@@ -99,4 +99,4 @@
         """End the body: the response is complete."""
 
     def abort(self) -> None:
-        """End the response so that the client sees that it is not complete."""
+        """End the response in a way that shows the client that it is incomplete."""
--- a/hazelbend/forwarding/prefill.py
+++ b/hazelbend/forwarding/prefill.py
@@ -25,7 +25,7 @@
     6_000,
     12_000,
     25_000,
-)  # at each the priority falls by one
+)  # each of these sizes that is reached lowers the priority by one level
 
 
 class PrefillResult(msgspec.Struct):
@@ -39,12 +39,12 @@
 
 
 def prefill_priority(tokens: int) -> int:
-    """Return the value of the header `Priority`, 0 first: short prompts delay the others least."""
+    """Return the value of the header `Priority`, where 0 is the highest: short prompts delay others least."""
     return sum(tokens >= bound for bound in PRIORITY_BOUNDS_TOKENS)
 
 
 class PrefillStage:
-    """Has prompts prefilled, and frees KV caches that were not loaded. Times are microseconds."""
+    """Sends prefill calls, and frees KV caches that no worker has loaded. Times are in microseconds."""
 
     def __init__(
         self,
@@ -60,13 +60,16 @@
         self._free_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, context: RequestContext) -> None:
-        """Set the context's KV handle; without success, the decode worker prefills the prompt itself."""
+        """Prefill the prompt and set the context's KV handle.
+
+        The handle stays None on failure: the decode worker then prefills the prompt itself.
+        """
         placement = self._fleet.placement
         budget = self._retry_policy.budget(context.service)
         tried_instances: set[str] = set()
         for _ in range(MAX_ATTEMPTS):
             if not budget.allows_retry(self._clock(), self._fleet.max_routers):
-                return  # a prefill call that is rejected is charged to the budget
+                return  # a rejected prefill call would be charged to the budget
             if context.prefill_sends and not self._take_retry(context, budget):
                 return
             pair = placement.selector.choose_pair(
@@ -85,7 +88,7 @@
         return budget.try_spend(self._clock(), self._fleet.max_routers)
 
     async def _prefill_at(self, context: RequestContext, choice: Choice) -> KvHandle | None:
-        """Send the prefill call to one worker; the time-out holds for its complete response."""
+        """Send the prefill call to one worker; the timeout applies to its complete response."""
         placement = self._fleet.placement
         attempt = placement.begin_attempt(choice, context.prompt, self._clock(), takes_slot=False)
         sends_before = context.prefill_sends
@@ -124,14 +127,14 @@
             placement.end_attempt(attempt)
 
     def _check_before_first_byte(self, context: RequestContext, choice: Choice) -> int | None:
-        """The connection is there: return the remaining time, or None where nothing must be written."""
+        """Return the remaining time, or None to withdraw the call. Called once the connection is open."""
         remaining = self._fleet.time_to_send(context, choice, self._clock())
         if remaining is not None:
             context.prefill_sends += 1
         return remaining
 
     def free_handle(self, context: RequestContext) -> None:
-        """Free a KV cache that no worker has loaded, in a task: it takes memory from other requests."""
+        """Start a task that frees a KV cache that no worker has loaded, as it uses memory of the worker."""
         if context.kv_handle is None:
             return
         worker = context.kv_handle.worker
@@ -143,7 +146,7 @@
         context.kv_handle = None
 
     async def close(self) -> None:
-        """Cancel what is still in flight."""
+        """Cancel the calls that are in flight."""
         tasks = list(self._free_tasks)
         for task in tasks:
             task.cancel()
--- a/hazelbend/forwarding/request_context.py
+++ b/hazelbend/forwarding/request_context.py
@@ -12,12 +12,12 @@
 from hazelbend.placement.reliability import NO_FAILURE_COSTS, FailureCosts
 from hazelbend.placement.routes import Route
 
-REJECTION_COST_RATIO = 0.1  # of a route's latency target: what a rejection costs a request
+REJECTION_COST_RATIO = 0.1  # cost of a rejection to a request, as a fraction of its route's latency target
 
 
 @dataclass(slots=True, frozen=True)
 class KvHandle:
-    """The KV cache of a prompt, kept by the worker that has prefilled it."""
+    """Refers to the KV cache of a prompt, kept by the worker that has prefilled it."""
 
     worker: WorkerRecord
     name: str
@@ -30,30 +30,30 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """One request, and what has happened to it so far. Times are microseconds."""
+    """One request and its progress so far. Times are in microseconds."""
 
     request: ClientRequest
     route: Route
     service: str
     prompt: Prompt
-    uses_prefill_workers: bool  # one worker may prefill its prompt, and another one decode
+    uses_prefill_workers: bool  # one worker may prefill the prompt, and another one decode
     deadline: int
     tried_instances: set[str] = field(default_factory=set)
-    sends: int = 0  # that may have reached a worker, without prefill calls
+    sends: int = 0  # sends that may have reached a worker, without prefill calls
     prefill_sends: int = 0
-    possible_executions: int = 0  # of the sends: those whose outcome is unknown
-    failed_sends: int = 0  # with prefill calls
+    possible_executions: int = 0  # those of `sends` whose outcome is unknown
+    failed_sends: int = 0  # including prefill calls
     kv_handle: KvHandle | None = None
-    is_exploration: bool = False  # workers are chosen without regard to their past failures
-    response_started: bool = False  # the head of the response has gone to the client
+    is_exploration: bool = False  # workers are chosen regardless of their past failures
+    response_started: bool = False  # the head of the response has been sent to the client
     event_splitter: EventSplitter | None = None
 
     @property
     def failure_costs(self) -> FailureCosts:
-        """What failures of a worker cost this request, in time.
+        """The costs of a worker's failures to this request, as time.
 
-        A failed execution costs the time in which another one may end, or the whole time of a request that
-        must not be repeated. A rejection costs a round trip, and a part of the retry budget.
+        A failed execution costs the time of another one, or the whole timeout if the request must not be
+        repeated. A rejection costs a round trip and a part of the retry budget.
         """
         if self.is_exploration:
             return NO_FAILURE_COSTS
@@ -64,8 +64,8 @@
     def worker_call(self, choice: Choice, extra_headers: Headers = ()) -> WorkerCall:
         """Return this request as a call to the chosen worker.
 
-        `Expect-Instance` makes another worker that has taken over the address answer 421. Where work was done
-        before, headers name the prefilled KV cache and the last event that was sent.
+        With `Expect-Instance`, another worker that has taken over the address answers 421. Further headers
+        name the prefilled KV cache, and the last event that was sent to the client, if there are any.
         """
         record = choice.worker.record
         headers: Headers = (("Expect-Instance", record.instance), *extra_headers)
--- a/hazelbend/forwarding/response_relay.py
+++ b/hazelbend/forwarding/response_relay.py
@@ -1,4 +1,4 @@
-"""Passes a worker's response on to the client: at once when it is complete, or as a stream of events."""
+"""Relays a worker's response to the client: as a whole once it is complete, or as a stream of events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SIGNATURE_HEADER = "server-signature"
 ENCODING_HEADER = "content-encoding"
-# By these a client knows that its request was not executed and will not be: they are ours to send.
+# These statuses tell a client that its request was not executed and will not be. Only the router sends them.
 NOT_EXECUTED_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
@@ -27,7 +27,7 @@
 
 
 class ResponseRelay:
-    """Checks a response and passes it on. Times are microseconds."""
+    """Checks a response and relays it. Times are in microseconds."""
 
     def __init__(self, fleet: FleetState, clock: Callable[[], int]) -> None:
         self._fleet = fleet
@@ -41,16 +41,16 @@
         client_response: ClientResponse,
         timeout: FirstByteTimeout,
     ) -> None:
-        """Pass the response on to the client.
+        """Relay the response to the client.
 
         Raises:
-            InvalidResponseError: the client must not get it.
-            ResponseBrokenError: it ended before it was complete.
+            InvalidResponseError: the response must not be forwarded.
+            ResponseBrokenError: the response ended prematurely.
         """
         status = worker_response.status
         is_success = 200 <= status < 300
         if is_success and not _is_genuine(worker_response):
-            raise InvalidResponseError("not as the worker made it")
+            raise InvalidResponseError("successful response without signature or with a content encoding")
         if is_success and context.route.is_stream:
             chunks = await self._begin_stream(context, attempt, worker_response, client_response, timeout)
             if context.route.resume:
@@ -60,9 +60,9 @@
             await client_response.finish()
             return
         if context.response_started:
-            raise InvalidResponseError("no stream, and the head of one has gone to the client")
+            raise InvalidResponseError("not a stream, although the head of one was sent to the client")
         if status in NOT_EXECUTED_STATUSES:
-            raise InvalidResponseError("the status says that nothing was executed; the worker does not")
+            raise InvalidResponseError("the status says not executed, but the worker does not confirm that")
         timeout.response_started()
         body = await worker_response.body()
         await client_response.answer(status, worker_response.headers, body)
@@ -75,7 +75,7 @@
         client_response: ClientResponse,
         timeout: FirstByteTimeout,
     ) -> AsyncIterator[bytes]:
-        """Send the head, unless a worker before has; return the body's chunks."""
+        """Send the head unless that was done for an earlier worker; return the chunks of the body."""
 
         def on_first_chunk() -> None:
             timeout.response_started()
@@ -97,7 +97,7 @@
 
 
 async def _copy_chunks(chunks: AsyncIterator[bytes], client_response: ClientResponse) -> None:
-    """Pass chunks on as they come, also within an event."""
+    """Forward chunks as they arrive, even if they end within an event."""
     tail = b""
     async for chunk in chunks:
         await client_response.write(chunk)
@@ -109,7 +109,7 @@
 async def _copy_events(
     context: RequestContext, chunks: AsyncIterator[bytes], client_response: ClientResponse
 ) -> None:
-    """Pass on complete events only, so that another worker can resume the stream after any of them."""
+    """Forward complete events only, so that another worker can resume the stream after any of them."""
     if context.event_splitter is None:
         context.event_splitter = EventSplitter()
     splitter = context.event_splitter
@@ -122,13 +122,13 @@
 
 
 def _is_genuine(response: WorkerResponse) -> bool:
-    """Whether a success bears its worker's signature, and a body as the worker made it."""
+    """Whether a successful response has the worker's signature, and a body that was not re-encoded."""
     names = {name.lower() for name, _ in response.headers}
     return SIGNATURE_HEADER in names and ENCODING_HEADER not in names
 
 
 async def _notify_first(chunks: AsyncIterator[bytes], on_first: Callable[[], None]) -> AsyncIterator[bytes]:
-    """Yield the same chunks; call `on_first` before the first one."""
+    """Yield the chunks unchanged; call `on_first` before the first one."""
     is_first = True
     async for chunk in chunks:
         if is_first:
--- a/hazelbend/forwarding/retry_policy.py
+++ b/hazelbend/forwarding/retry_policy.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may be sent once more: its own limits, and the retry budget of its service."""
+"""Decides whether a request may be sent again, by its own limits and the retry budget of its service."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from hazelbend.forwarding.request_context import RequestContext
 from hazelbend.placement.retry_budget import RetryBudget
 
-MAX_ATTEMPTS = 6  # workers that one request may select for a stage, those that were not reached included
-MAX_SENDS = 3  # that may reach workers for one request, without prefill calls
+MAX_ATTEMPTS = 6  # attempts of one request per stage, including workers that could not be reached
+MAX_SENDS = 3  # sends of one request that may have reached a worker, without prefill calls
 
 
 class RetryPolicy:
-    """The retry budgets by service, and the limits of one request. Times are microseconds."""
+    """The retry budgets by service, and the limits of one request. Times are in microseconds."""
 
     def __init__(
         self, fleet: FleetState, clock: Callable[[], int], new_budget: Callable[[], RetryBudget]
@@ -35,7 +35,7 @@
         return context.deadline - self._clock()
 
     def take_retry(self, context: RequestContext) -> bool:
-        """Whether a request that was sent before may be sent again; if so, the budget is charged."""
+        """Return whether a request that was sent before may be sent again; if so, charge the budget."""
         if context.sends >= MAX_SENDS:
             return False
         if context.possible_executions and not self.may_execute_again(context):
@@ -44,10 +44,10 @@
 
     @staticmethod
     def may_execute_again(context: RequestContext, in_flight: int = 0) -> bool:
-        """Whether one more execution does no harm.
+        """Whether another execution of the request is allowed.
 
-        `in_flight` executions count beside those whose outcome is unknown. A response that has started can
-        only be continued where its events were tracked.
+        `in_flight` executions count in addition to those whose outcome is unknown. A response that has
+        started can only be continued if its events were tracked.
         """
         if context.response_started and context.event_splitter is None:
             return False
@@ -55,7 +55,7 @@
         return route.is_idempotent and context.possible_executions + in_flight < route.retries
 
     def may_abandon(self, context: RequestContext) -> bool:
-        """Whether the send in flight may be abandoned for another worker, though it may be executed."""
+        """Whether the send in flight may be abandoned for another worker, although it may be executed."""
         return (
             context.sends < MAX_SENDS
             and self.may_execute_again(context, in_flight=1)
--- a/hazelbend/forwarding/worker_selection.py
+++ b/hazelbend/forwarding/worker_selection.py
@@ -1,4 +1,4 @@
-"""Selects the worker for a request's next send."""
+"""Selects the worker for the next send of a request."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from hazelbend.forwarding.request_context import RequestContext
 from hazelbend.placement.choices import Choice
 
-MAX_WORKER_WAIT_US = 700_000  # that a request waits for any worker of its service to be known
+MAX_WORKER_WAIT_US = 700_000  # the longest wait of a request until any worker of its service is known
 WORKER_POLL_S = 0.02
 
 
 class WorkerSelector:
-    """Asks the placement, and waits where no worker of the service is known yet. Times are microseconds."""
+    """Selects by the placement engine, and waits while it knows no worker. Times are in microseconds."""
 
     def __init__(self, fleet: FleetState, clock: Callable[[], int]) -> None:
         self._fleet = fleet
         self._clock = clock
 
     def select(self, context: RequestContext) -> Choice | None:
-        """Return the worker that executes or decodes the request, None where there is none left."""
+        """Return the worker that executes or decodes the request, or None if none is left."""
         selector = self._fleet.placement.selector
         now = self._clock()
         if not context.uses_prefill_workers:
@@ -37,7 +37,7 @@
         )
 
     async def wait_for_worker(self, context: RequestContext) -> Choice | None:
-        """After a start the first workers of the service are about to be known."""
+        """Wait for the first worker of the service, which becomes known soon after a start."""
         wait_until = min(self._clock() + MAX_WORKER_WAIT_US, context.deadline - MIN_REMAINING_US)
         while self._clock() < wait_until:
             await asyncio.sleep(WORKER_POLL_S)
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -1,7 +1,7 @@
-"""The placement engine of a router: keeps its view of the workers up to date, and selects from it.
+"""The placement engine of a router: keeps its view of the workers up to date and selects workers from it.
 
-Three sources update the view: worker records and load reports from the control processes, outcomes that peer
-routers report, and the router's own attempts from start to end.
+The view has three sources: worker records and load reports from the control processes, outcomes reported by
+peer routers, and the router's own attempts from start to end.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from hazelbend.placement.selector import WorkerSelector
 from hazelbend.placement.statistics import Statistics
 
-# One prefill tells at most this much of how slow its worker is: the rest is chance.
+# Bounds of one sample of a worker's slowness: more extreme prefill times are mostly chance.
 MIN_SLOWNESS_SAMPLE = 0.3
 MAX_SLOWNESS_SAMPLE = 3.0
-MAX_FIRST_EVENT_FACTOR = 10  # times the initial guess, that a sample of the time to a first event counts as
+MAX_FIRST_EVENT_FACTOR = 10  # upper bound of a sample of the time to a first event, over the initial guess
 
 
 class PlacementEngine:
@@ -34,14 +34,14 @@
     Attributes:
         selector: chooses workers.
         statistics: counters of the router's own decisions.
-        newly_cached: prefix segments that own attempts have brought to a worker's cache, or used there, and
-            that were not reported to peers yet. The caller takes them away.
+        newly_cached: prefix segments that own attempts have put into a worker's cache, or used there, and
+            that are not reported to peers yet. The caller reports and removes them.
         on_suspicion_changed: called with a worker's record when it becomes suspect (True) or recovers.
         on_load_changed: called when the work of own attempts has changed.
     """
 
     def __init__(self, zone: str, seed: int, policy: Policy = DEFAULT_POLICY) -> None:
-        """Start without workers, for a router of `zone`; `seed` is for the breaking of ties."""
+        """Start without workers, for a router of `zone`; `seed` initializes the tie-breaking."""
         self._zone = zone
         self._policy = policy
         self._fleet = FleetView(policy)
@@ -71,7 +71,7 @@
         self._fleet.services = services
 
     def set_phase_changing(self, instances: set[str]) -> None:
-        """Take the instances that are changing their phase: they get no requests."""
+        """Set the instances that are changing their phase and therefore get no requests."""
         self._fleet.changing_phase = instances
 
     def has_phases(self, service: str) -> bool:
@@ -81,13 +81,13 @@
     # --- updates from control processes ---
 
     def merge(self, record: WorkerRecord) -> None:
-        """Take a worker record; one that is older than the known one changes nothing."""
+        """Apply a worker record, unless it is older than the known one."""
         known = self.workers.get(record.instance)
         if known is None:
             if record.state is not WorkerState.GONE:
                 self.workers[record.instance] = self._new_estimate(record)
         elif record.rank > known.record.rank:
-            if record.phase != known.record.phase:  # the rates of the old phase do not hold any more
+            if record.phase != known.record.phase:  # the rates of the old phase are no longer valid
                 fresh = self._new_estimate(record)
                 known.prefill.rate = fresh.prefill.rate
                 known.requests.rate = fresh.requests.rate
@@ -95,7 +95,7 @@
             known.expired = False
 
     def _new_estimate(self, record: WorkerRecord) -> WorkerEstimate:
-        """Start with the mean rate of the workers of the same kind."""
+        """Create an estimate that starts from the mean rates of the workers of the same kind."""
         prefill_rate = 1 / self._fleet.prefill_model(record).unit_time
         request_rates = [
             worker.requests.rate
@@ -132,7 +132,7 @@
                 self.statistics.forget(instance)
 
     def apply_load_report(self, loads: dict[str, Load], cached: tuple[CachedPrefix, ...], now: int) -> None:
-        """Take the unfinished work of all peers by instance, and the prefix segments they had prefilled."""
+        """Apply the unfinished work of all peers by instance, and the prefix segments they have prefilled."""
         no_load = Load()
         for instance, worker in self.workers.items():
             load = loads.get(instance, no_load)
@@ -148,7 +148,7 @@
     # --- exchange with peer routers ---
 
     def apply_peer_outcomes(self, outcomes: tuple[Outcomes, ...], now: int) -> None:
-        """Take how attempts of other routers have ended."""
+        """Apply the outcomes of other routers' attempts."""
         for report in outcomes:
             worker = self.workers.get(report.instance)
             if worker is None:
@@ -164,7 +164,7 @@
                     self._update_reliability(worker, outcome, now, in_own_zone=in_own_zone)
 
     def take_outcomes(self) -> tuple[Outcomes, ...]:
-        """Return, and forget, the outcomes of own attempts that peers should hear of."""
+        """Return the outcomes of own attempts that are to be reported to peers, and clear them."""
         unreported = self._unreported_outcomes
         self._unreported_outcomes = {}
         return tuple(
@@ -198,7 +198,7 @@
             choice: the worker, and what it has to prefill.
             prompt: the whole prompt.
             now: the time.
-            takes_slot: whether it is a request that runs there; False for a prefill alone.
+            takes_slot: True for a request that runs at the worker, False for a prefill alone.
         """
         worker = choice.worker
         attempt = Attempt(
@@ -233,7 +233,7 @@
         counts.cached_tokens += prompt.tokens - choice.prefill_tokens
 
     def end_prefill(self, attempt: Attempt) -> None:
-        """Take note that the prompt is prefilled, or will not be any more. Repeated calls do nothing."""
+        """Record that the prefill has finished or was abandoned. Repeated calls do nothing."""
         if not attempt.prefill_units:
             return
         instance = attempt.worker.record.instance
@@ -246,15 +246,15 @@
         self.on_load_changed()
 
     def record_answer(self, attempt: Attempt, now: int) -> None:
-        """Take note that the worker has answered, with whatever status."""
+        """Record that the worker has answered, with any status."""
         attempt.worker.answer_deadlines.pop(id(attempt), None)
         attempt.worker.record_answer(now)
 
     def record_outcome(self, attempt: Attempt, outcome: AttemptOutcome, now: int) -> None:
-        """Learn from the outcome how reliable the worker is.
+        """Update the worker's reliability by the outcome of an attempt.
 
-        A rejection counts only where the worker is believed to have capacity. Successes are reported to peers
-        only of suspect workers: they tell nothing new of the others.
+        A rejection counts only if the worker is estimated to have free capacity. Successes are reported to
+        peers only for suspect workers, since those of other workers are no new information.
         """
         worker = attempt.worker
         if outcome is AttemptOutcome.REJECTED and worker.requests.expected(now) >= worker.record.capacity:
@@ -275,7 +275,7 @@
             self.on_suspicion_changed(worker.record, suspect)
 
     def end_attempt(self, attempt: Attempt) -> None:
-        """Take the attempt out of all counts."""
+        """Remove the attempt from all counts."""
         attempt.worker.answer_deadlines.pop(id(attempt), None)
         self.end_prefill(attempt)
         if attempt.takes_slot:
@@ -285,24 +285,24 @@
     # --- measured times of own attempts ---
 
     def observe_prefill(self, attempt: Attempt, now: int) -> None:
-        """Learn from the time of a prefill that has just ended."""
+        """Update the prefill model, or the cache hit rate, by the time of a prefill that has just ended."""
         elapsed = now - attempt.sent_at
         counts = self.statistics.for_worker(attempt.worker.record.instance)
         counts.prefill_ratios.add(elapsed, attempt.expected_delay)
         if attempt.queued_units > self._policy.max_queued_fraction * (attempt.prefill_units + 1):
-            return  # the time depends too much on a backlog that is an estimate itself
+            return  # the time depends too much on the backlog, which is itself an estimate
         if attempt.unconfirmed_units:
             self._learn_hit_rate(attempt, elapsed)
         else:
             self._learn_prefill_time(attempt, elapsed)
 
     def _learn_hit_rate(self, attempt: Attempt, elapsed: int) -> None:
-        """Infer from a prefill's time whether its worker had the unreported prefix cached."""
+        """Infer from the time of a prefill whether its worker had the unreported prefix cached."""
         policy = self._policy
         if attempt.unconfirmed_units * PREFILL_UNIT_TOKENS < policy.min_shared_tokens:
             return
         model = self._fleet.prefill_model(attempt.worker.record)
-        # Halfway between the times with and without the cached prefix.
+        # The threshold is halfway between the times with and without the cached prefix.
         units = attempt.queued_units + attempt.prompt_units - attempt.unconfirmed_units / 2
         was_hit = elapsed < model.expected_time(units)
         hit_rate = self._fleet.hit_rate(attempt.worker.record.service)
@@ -318,7 +318,7 @@
         model.add_sample(units, elapsed)
 
     def observe_first_event(self, attempt: Attempt, now: int) -> None:
-        """Learn from the time to the first event, of a prompt that was prefilled elsewhere."""
+        """Update the time to the first event of prompts that were prefilled elsewhere."""
         elapsed = now - attempt.sent_at
         record = attempt.worker.record
         counts = self.statistics.for_worker(record.instance)
@@ -328,19 +328,19 @@
         mean.add(min(elapsed, longest), self._policy.first_event_memory_samples)
 
     def observe_service_time(self, attempt: Attempt, now: int) -> None:
-        """Learn from the time of a request that was served."""
+        """Update the worker's rate by the time of a request that was served."""
         requests = attempt.worker.requests
         requests.add_rate_sample(requests.concurrency / max(now - attempt.sent_at, 1))
 
     def record_kv_transfer(self, attempt: Attempt, prompt: Prompt) -> None:
-        """Take note that the decode worker has received the prompt's KV memory, and so has it cached."""
+        """Record that the decode worker has received the prompt's KV cache, and so has the prefix cached."""
         self._use_prefix_cache(attempt.worker, prompt, report_all=False)
 
     def _use_prefix_cache(self, worker: WorkerEstimate, prompt: Prompt, *, report_all: bool) -> None:
         """Mark the shared prefix as used at a worker, and queue its segments for the report to peers.
 
-        With `report_all` peers hear of each use, and so know which segments the worker will evict first;
-        without, they hear of new segments alone.
+        With `report_all` every use is reported, so that peers know which segments the worker will evict
+        first; without it, only segments that are new there.
         """
         shared = prompt.shared_prefix
         new = worker.prefix_cache.add(shared, self._fleet.prefix_cache_capacity(worker))
@@ -350,7 +350,7 @@
 
 
 def _unconfirmed_tokens(choice: Choice, prompt: Prompt) -> int:
-    """Return the shared tokens that the choice counts on though no router has reported them as cached."""
+    """Return the shared tokens that the choice assumes to be cached though no router has reported them."""
     expects_hit = choice.prefill_tokens < prompt.tokens
     if expects_hit and not choice.worker.prefix_cache.cached_tokens(prompt.shared_prefix):
         return prompt.shared_prefix_tokens
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -1,8 +1,8 @@
-"""What a router believes of each worker: job counts from delayed information, rates, health, prefix cache.
+"""A router's estimates for each worker: job counts from delayed information, rates, health, prefix cache.
 
-A job count is that of the decision module (`expected_jobs`, the estimate of SED_e of Hyytia and Righter): the
-jobs of all peers in the last load report, own attempts in flight since, and Poisson departures since the
-report. Times are microseconds.
+Job counts are computed by the decision module (`expected_jobs`, the estimate of SED_e of Hyytia and Righter)
+from the jobs of all peers in the last load report, own attempts in flight, and Poisson departures since the
+report. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 from hazelbend.placement.prefix_cache import PrefixCache
 from hazelbend.placement.reliability import Reliability
 
-RATE_MEMORY_SAMPLES = 30.0  # that a measured rate rests on
-LEVEL_MEMORY_REPORTS = 10.0  # that the usual job count of peers rests on
-MIN_CONNECT_BACKOFF_US = 500_000  # without attempts after a failure to connect; it doubles
+RATE_MEMORY_SAMPLES = 30.0  # number of samples that a measured rate remembers
+LEVEL_MEMORY_REPORTS = 10.0  # number of reports that the usual job count of peers remembers
+# Backoff after failures to connect, which doubles with each one.
+MIN_CONNECT_BACKOFF_US = 500_000
 MAX_CONNECT_BACKOFF_US = 4_000_000
 
 
 @dataclass(slots=True, eq=False)
 class QueueEstimate:
-    """E[N], the expected number of jobs of one kind at one worker, and mu, its service rate."""
+    """E[N], the expected number of jobs of one kind at one worker, and mu, the worker's service rate."""
 
-    rate: float  # mu: jobs that leave in a microsecond
-    concurrency: float  # most jobs in service at once
+    rate: float  # mu, in jobs per microsecond
+    concurrency: float  # the most jobs in service at once
     jobs: Worker = field(default_factory=lambda: Worker(WorkerEntry(0), 1.0))
     rate_samples: Mean = field(default_factory=Mean)
     own_jobs: int = 0  # attempts in flight from this router
@@ -44,68 +45,68 @@
         return (self.expected(now) + size) / self.rate
 
     def add(self, size: float) -> None:
-        """Count an own attempt that was sent, of so many jobs."""
+        """Count an own attempt of `size` jobs that is sent."""
         self.jobs.own_load += size
         self.own_jobs += 1
 
     def remove(self, size: float) -> None:
-        """Take back an own attempt that has ended."""
+        """Remove an own attempt of `size` jobs that has ended."""
         self.own_jobs -= 1
         self.jobs.own_load = max(self.jobs.own_load - size, 0.0) if self.own_jobs else 0.0
 
     def apply_report(self, peer_jobs: int, now: int) -> None:
-        """Take the jobs of all peers from a load report: n0 at t0 of the estimate."""
+        """Set the jobs of all peers from a load report: n0 at time t0 in the paper."""
         self.jobs.peer_jobs = peer_jobs
         self.jobs.peer_jobs_at = now
         self.jobs.usual_level.add(peer_jobs, LEVEL_MEMORY_REPORTS)
 
     def add_rate_sample(self, rate: float) -> None:
-        """Learn from a measured rate."""
+        """Update the rate by a measured one."""
         self.rate_samples.add(rate, RATE_MEMORY_SAMPLES)
         self.rate = self.rate_samples.with_prior(self.rate, 1.0)
 
 
 @dataclass(slots=True, eq=False)
 class WorkerEstimate:
-    """One worker as this router sees it."""
+    """The estimates for one worker."""
 
     record: WorkerRecord
     prefill: QueueEstimate  # in prefill units
     requests: QueueEstimate  # running requests
     misses_heartbeats: bool = False  # its heartbeats are missing
-    expired: bool = False  # silent for so long that it is dropped once no attempt is in flight
-    slowness: Mean = field(default_factory=Mean)  # ratio of its prefill times to those of workers of its kind
+    expired: bool = False  # heartbeats missing for so long that it is dropped once no attempt is in flight
+    slowness: Mean = field(default_factory=Mean)  # ratio of its prefill times to those of its kind
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
     reliability: Reliability = field(default_factory=Reliability)
     was_suspect: bool = False  # as last reported to `PlacementEngine.on_suspicion_changed`
     backoff_until: int = 0
     backoff: int = 0
-    answered_at: int = 0  # the last answer to an own attempt
-    answer_deadlines: dict[int, int] = field(default_factory=dict)  # of own attempts without an answer
+    answered_at: int = 0  # time of the last answer to an own attempt
+    answer_deadlines: dict[int, int] = field(default_factory=dict)  # of own attempts that are not answered
 
     @property
     def accepts_work(self) -> bool:
-        """Whether it is listed as ready."""
+        """Whether the worker is listed as ready."""
         return self.record.state is WorkerState.READY
 
     @property
     def has_attempts(self) -> bool:
-        """Whether own attempts are in flight there."""
+        """Whether own attempts are in flight at the worker."""
         return bool(self.prefill.own_jobs or self.requests.own_jobs)
 
     def record_connect_failure(self, now: int) -> None:
-        """Back off, since it could not be reached."""
+        """Start or double the backoff after a failure to connect."""
         self.backoff = min(max(2 * self.backoff, MIN_CONNECT_BACKOFF_US), MAX_CONNECT_BACKOFF_US)
         self.backoff_until = now + self.backoff
 
     def record_answer(self, now: int) -> None:
-        """End the backoff, since it has answered."""
+        """End the backoff: the worker has answered."""
         self.answered_at = now
         self.backoff = 0
         self.backoff_until = 0
 
     def is_answer_overdue(self, now: int) -> bool:
-        """Whether an answer is overdue, and no other one has come after its deadline."""
+        """Whether an answer is overdue and the worker has given no answer since its deadline."""
         return any(
             deadline < now and deadline > self.answered_at for deadline in self.answer_deadlines.values()
         )
--- a/hazelbend/placement/fleet_view.py
+++ b/hazelbend/placement/fleet_view.py
@@ -1,4 +1,4 @@
-"""A router's view of the workers of all services: their estimates, and what is learnt for each service."""
+"""A router's view of the workers of all services: estimates for each worker, and means for each service."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
     # --- workers and services ---
 
     def candidates(self, service: str, stage: Stage, now: int, tried: set[str]) -> list[WorkerEstimate]:
-        """List the workers that a request may be sent to.
+        """Return the workers that a request may be sent to.
 
-        Workers that could not be reached lately are listed only where there are no others.
+        Workers in backoff after a failure to connect are returned only if there are no others.
         """
         phase = stage.value
         ready = [
@@ -54,7 +54,7 @@
         )
 
     def model_engine(self, service: str) -> ModelEngine | None:
-        """Return the configured model engine of a service, if it has one."""
+        """Return the configured model engine of a service, or None."""
         found = self.services.get(service)
         return found.engine if found is not None else None
 
@@ -75,17 +75,17 @@
         return self._prefill_models[key]
 
     def own_prefill_backlog(self, worker: WorkerEstimate, now: int) -> float:
-        """Estimate the units of this router's prefills that a worker has not done yet."""
+        """Estimate the units of this router's prefills that a worker still has to do."""
         attempts = self.prefills.get(worker.record.instance, ())
         return sum(attempt.remaining_units(now) for attempt in attempts)
 
     def prefill_backlog(self, worker: WorkerEstimate, now: int) -> float:
-        """Estimate E[N] of prefill, in units, from all routers."""
+        """Estimate E[N] of a worker's prefill queue, in units, including the prefills of all routers."""
         worker.prefill.jobs.own_load = self.own_prefill_backlog(worker, now)
         return worker.prefill.expected(now)
 
     def prefill_delay(self, worker: WorkerEstimate, tokens: int, now: int) -> float:
-        """Estimate the microseconds until a worker has prefilled so many new tokens."""
+        """Estimate the microseconds until a worker has prefilled `tokens` new tokens."""
         model = self.prefill_model(worker.record)
         slowness = worker.slowness.with_prior(1.0, self._policy.slowness_prior_samples)
         worker.prefill.rate = 1 / (model.unit_time * slowness)
@@ -95,12 +95,12 @@
     # --- prefix caches ---
 
     def prefix_cache_capacity(self, worker: WorkerEstimate) -> int:
-        """Return the tokens of shared prefix segments that a worker is believed to hold at most."""
+        """Return the assumed capacity of a worker's cache of shared prefix segments, in tokens."""
         engine = self.model_engine(worker.record.service)
         return round(self._policy.shared_cache_fraction * engine.kv_capacity) if engine is not None else 0
 
     def best_cached_tokens(self, service: str, prompt: Prompt) -> int:
-        """Return the longest prefix of the prompt, in tokens, that any worker is believed to have cached."""
+        """Return the tokens of the longest prefix of the prompt that any worker is assumed to cache."""
         shared = prompt.shared_prefix
         return max(
             (
@@ -112,14 +112,14 @@
         )
 
     def hit_rate(self, service: str) -> Mean:
-        """Return the cache hit rate of preferred workers for prefixes that nobody has reported."""
+        """Return the cache hit rate of preferred workers for prefixes that no router has reported."""
         return self._hit_rates.setdefault(service, Mean())
 
     def recompute_price(self, service: str) -> float:
-        """Return what each recomputed token costs others, in microseconds.
+        """Return the cost to other requests of each recomputed token, in microseconds.
 
-        A token is recomputed where another worker has it cached. As in a queue with one server, work of a
-        time w delays those that arrive after it by w * utilization / (1 - utilization).
+        A token is recomputed if it is prefilled although another worker has it cached. As in a queue with one
+        server, work of duration w delays later arrivals by w * utilization / (1 - utilization).
         """
         mean = self._prefill_utilization.get(service, Mean())
         utilization = mean.with_prior(
@@ -131,7 +131,7 @@
         return factor * self._phase_model(service, Stage.PREFILL.value).unit_time / PREFILL_UNIT_TOKENS
 
     def update_prefill_utilization(self) -> None:
-        """Learn from the last load reports which part of each service's prefill workers is busy."""
+        """Update the fraction of each service's prefill workers that are busy, from the last load reports."""
         busy_by_service: dict[str, list[bool]] = {}
         for worker in self.workers.values():
             if worker.record.phase == Stage.PREFILL.value and worker.accepts_work:
--- a/hazelbend/placement/policy.py
+++ b/hazelbend/placement/policy.py
@@ -1,7 +1,7 @@
-"""The tunable constants of worker selection, with their units and where they come from.
+"""The tunable constants of worker selection, with their units.
 
-`PlacementEngine` takes a whole `Policy`; no setting of an operator reaches it. Experiments and tests pass
-their own: a field at its neutral value switches its mechanism off. "By trial" means by the measured runs of
+`PlacementEngine` takes a complete `Policy`; operators' settings do not change it. Experiments and tests pass
+their own: a field at its neutral value disables its mechanism. The measured runs behind the values are in
 `docs/policy.md`.
 """
 
@@ -16,48 +16,55 @@
 class Policy:
     """Units are in the names: `_us` microseconds, `_units` of prefill, `_samples` and `_reports` counts."""
 
-    # Initial guesses. They describe no deployment: measurements replace each of them.
+    # Initial guesses. They describe no particular deployment; measurements replace each of them.
     initial_prefill_unit_us: float = PREFILL_UNIT_TOKENS / 0.03  # prefill time of one unit
     initial_prefill_overhead_us: float = 22_000  # fixed time of a prefill call
-    decode_worker_slowdown: float = 2.2  # times as long, a prefill at a worker that decodes as well
+    decode_worker_slowdown: float = 2.2  # factor of a prefill's time at a worker that decodes as well
     initial_run_time_us: float = 200_000  # from the start of a request to its end
-    initial_first_event_us: float = 20_000  # from a send to the first event, the prompt being prefilled
-    initial_hit_rate: float = 0.5  # cache hit rate of preferred workers for prefixes that nobody reported
+    initial_first_event_us: float = (
+        20_000  # from a send to the first event, if the prompt is prefilled already
+    )
+    initial_hit_rate: float = 0.5  # cache hit rate of preferred workers for prefixes that no router reported
 
-    # Learning: samples that an estimate remembers, and samples that its initial guess counts as.
+    # Learning: the number of samples that an estimate remembers (memory), or that its initial guess counts as
+    # (prior).
     slowness_memory_samples: float = 20.0
     slowness_prior_samples: float = 4.0
     first_event_memory_samples: float = 30.0
     first_event_prior_samples: float = 4.0
     hit_rate_memory_samples: float = 20.0
     hit_rate_prior_samples: float = 3.0
-    max_queued_fraction: float = 0.25  # of a prefill's units that may be queued before it, in a valid sample
-    min_shared_tokens: int = 2 * PREFILL_UNIT_TOKENS  # below, the time does not tell a hit from a miss
-    max_inferred_progress: float = 0.9  # of a prompt that counts as prefilled before its worker says so
+    max_queued_fraction: float = (
+        0.25  # a sample is valid if the queue ahead is at most this part of the prefill
+    )
+    min_shared_tokens: int = 2 * PREFILL_UNIT_TOKENS  # with fewer, the time does not show a hit or a miss
+    max_inferred_progress: float = 0.9  # of a prompt that counts as prefilled before its worker has answered
 
-    # Prices: what a choice costs beyond its own delay, as time. By trial on the first two deployments.
+    # Prices: the cost of a choice beyond its own delay, expressed as time.
     preferred_worker_bonus_us: float = 4_000  # makes all routers prefer the same one of equal workers
-    prefill_interference: float = 0.5  # of a prefill's time at a decode worker, that it costs others there
-    long_prefill_units: float = 6.0  # from which the streams of a decode worker stall
-    long_prefill_price_us: float = 20_000  # for each unit beyond
+    prefill_interference: float = 0.5  # cost to other requests of a prefill at a decode worker, over its time
+    long_prefill_units: float = 6.0  # longer prefills stall the streams of a decode worker
+    long_prefill_price_us: float = 20_000  # for each unit beyond `long_prefill_units`
     cross_zone_us: float = 3_000  # round trip to a worker of another zone
-    cross_zone_transfer_factor: float = 2.0  # times as long, a KV transfer between zones (PROTOCOL.md)
-    transfer_price_us: float = 40.0  # for each megabyte of transferred KV memory
+    cross_zone_transfer_factor: float = 2.0  # slowdown of a KV transfer between zones (PROTOCOL.md)
+    transfer_price_us: float = 40.0  # for each megabyte of KV cache that is transferred
     max_queueing_factor: float = 4.0  # bound of utilization / (1 - utilization); 0: recomputing has no price
     initial_utilization: float = 0.3  # of prefill workers, before the first load report
     utilization_memory_reports: float = 60.0
     utilization_prior_reports: float = 10.0
 
     # Caches.
-    shared_cache_fraction: float = 0.7  # of a worker's KV memory that is taken to hold shared prefix segments
+    shared_cache_fraction: float = 0.7  # of a worker's KV cache, assumed to hold shared prefix segments
     reports_every_prefill: bool = True  # False: only the first prefill of a segment is reported to peers
 
     # Unhealthy workers.
-    unresponsive_penalty_us: float = 60_000_000  # so that an unresponsive worker is the last choice
-    answer_overdue_us: int = 600_000  # a worker is unresponsive after this time without an answer,
-    answer_overdue_factor: float = 2.0  # and this many times the expected delay
-    risk_weight: float = 1.0  # of the expected cost of failures (`Reliability`); 0: failures have no price
-    max_peer_outcomes: int = 20  # outcomes of one kind that are taken from one message of a peer
+    unresponsive_penalty_us: float = 60_000_000  # makes an unresponsive worker the last choice
+    # A worker is unresponsive after `answer_overdue_us` plus `answer_overdue_factor` times the expected cost
+    # without an answer.
+    answer_overdue_us: int = 600_000
+    answer_overdue_factor: float = 2.0
+    risk_weight: float = 1.0  # weight of the expected cost of failures (`Reliability`); 0: no price
+    max_peer_outcomes: int = 20  # outcomes of one kind that are applied from one message of a peer
 
 
 DEFAULT_POLICY = Policy()
--- a/hazelbend/placement/prefill_model.py
+++ b/hazelbend/placement/prefill_model.py
@@ -1,18 +1,18 @@
-"""A linear model of prefill times of workers of one kind, learnt online.
+"""A linear model of the prefill times of workers of one kind, fitted online.
 
-elapsed = overhead + unit_time * (units queued ahead + own units), by least squares over the samples with
-exponential forgetting.
+elapsed = overhead + unit_time * (units queued ahead + own units), fitted by least squares over the samples,
+with exponential forgetting.
 """
 
 from __future__ import annotations
 
-MEMORY_SAMPLES = 80.0  # that the line rests on
-PRIOR_SAMPLES = 2.0  # that each point of the initial guess counts as
+MEMORY_SAMPLES = 80.0  # number of samples that the fit remembers
+PRIOR_SAMPLES = 2.0  # number of samples that each point of the initial guess counts as
 PRIOR_POINTS_UNITS = (1.0, 30.0)  # sizes of the two points of the initial guess
-# A sample counts within these bounds of its expected time: waits that the model does not know can add a lot.
+# A sample is clamped to these multiples of its expected time, as waits outside the model can make it long.
 MIN_SAMPLE_RATIO = 0.5
 MAX_SAMPLE_RATIO = 2.5
-# The unit time stays within these bounds of the initial guess.
+# The unit time stays within these multiples of its initial guess.
 MIN_UNIT_TIME_RATIO = 0.2
 MAX_UNIT_TIME_RATIO = 5.0
 
@@ -21,7 +21,7 @@
     """Times in microseconds; a unit is `policy.PREFILL_UNIT_TOKENS` tokens."""
 
     def __init__(self, overhead: float, unit_time: float) -> None:
-        """Start from an initial guess."""
+        """Start from an initial guess of the two parameters."""
         self.overhead = overhead
         self.unit_time = unit_time
         self._initial_unit_time = unit_time
@@ -35,7 +35,7 @@
             self._add(units, overhead + unit_time * units, PRIOR_SAMPLES)
 
     def add_sample(self, units: float, elapsed: float) -> None:
-        """Learn from a prefill that took `elapsed`, with `units` queued ahead of it and in it."""
+        """Add a prefill that took `elapsed`; `units` includes those queued ahead of it."""
         expected = self.expected_time(units)
         elapsed = min(max(elapsed, MIN_SAMPLE_RATIO * expected), MAX_SAMPLE_RATIO * expected)
         self._forget()
@@ -43,7 +43,7 @@
         self._fit()
 
     def expected_time(self, units: float) -> float:
-        """Estimate a prefill's time with `units` queued ahead of it and in it."""
+        """Estimate the time of a prefill; `units` includes those queued ahead of it."""
         return self.overhead + self.unit_time * units
 
     def _forget(self) -> None:
@@ -64,7 +64,7 @@
     def _fit(self) -> None:
         spread = self._units_squared - self._units * self._units / self._weight
         if spread <= 0:
-            return  # all samples have the same size: they tell no slope
+            return  # all samples have the same size, so the slope is undetermined
         slope = (self._units_elapsed - self._units * self._elapsed / self._weight) / spread
         lowest = MIN_UNIT_TIME_RATIO * self._initial_unit_time
         highest = MAX_UNIT_TIME_RATIO * self._initial_unit_time
--- a/hazelbend/placement/prefix_cache.py
+++ b/hazelbend/placement/prefix_cache.py
@@ -1,7 +1,7 @@
 """A router's model of one worker's prefix cache: which shared prompt segments it holds.
 
-It assumes least-recently-used eviction. The worker does not report its cache; the model follows the prefills
-that this router and its peers have sent there.
+The worker does not report its cache. The model tracks the prefills that this router and its peers have sent
+there, and assumes least-recently-used eviction.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     total_tokens: int = 0
 
     def add(self, segments: Iterable[PrefixSegment], capacity: int) -> list[PrefixSegment]:
-        """Mark segments as just used, and evict down to `capacity` tokens.
+        """Mark segments as most recently used, and evict down to `capacity` tokens.
 
         Returns:
             The segments that were not cached before.
@@ -39,7 +39,7 @@
         return new
 
     def cached_tokens(self, segments: Iterable[PrefixSegment]) -> int:
-        """Count the tokens of the leading segments that are cached."""
+        """Return the number of tokens in the leading segments that are cached."""
         total = 0
         for segment in segments:
             if segment.id not in self.segments:
--- a/hazelbend/placement/prompt.py
+++ b/hazelbend/placement/prompt.py
@@ -1,4 +1,4 @@
-"""The prompt of a request, as its headers `Token-Usage` and `Prefix-Hash` describe it."""
+"""The prompt of a request, as described by its headers `Token-Usage` and `Prefix-Hash`."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
     @property
     def shared_prefix(self) -> tuple[PrefixSegment, ...]:
-        """The segments that other requests may share."""
+        """The segments that other requests may have in common with this one."""
         return self.segments[:-1]
 
     @property
     def shared_prefix_tokens(self) -> int:
-        """The size of the shared prefix."""
+        """The size of the shared prefix in tokens."""
         return sum(segment.tokens for segment in self.shared_prefix)
 
     @property
     def prefix_key(self) -> str:
-        """The identifier of the last shared segment, for rendezvous hashing; empty where there is none."""
+        """The identifier of the last shared segment, for rendezvous hashing; empty if there is none."""
         return self.segments[-2].id if len(self.segments) > 1 else ""
 
 
 def parse_prompt(token_usage: str | None, prefix_hash: str | None) -> Prompt:
-    """Parse the two headers. Values that are malformed count as absent."""
+    """Parse the two headers. Malformed values count as absent."""
     tokens, _, max_output_tokens = (token_usage or "").partition(",")
     segments = []
     for item in (prefix_hash or "").split(","):
--- a/hazelbend/placement/retry_budget.py
+++ b/hazelbend/placement/retry_budget.py
@@ -1,15 +1,15 @@
-"""A budget for retries that holds over the whole fleet of routers.
+"""A retry budget that holds for the whole fleet of routers.
 
-In each sliding window the fleet may send `ratio` times the requests for a service, and `slack` more, beyond
-the first attempt of each request. Each router spends what its own requests earn and an equal share of the
-slack, so that no router has to ask another one.
+In each sliding window the fleet may send, beyond the first attempt of each request, `ratio` retries per
+request for a service and `slack` more. Each router spends what its own requests earn and an equal share of
+the slack, so routers need no coordination.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-USABLE_FRACTION = 0.8  # of the bound: windows slide, and routers count at different times
+USABLE_FRACTION = 0.8  # of the budget, since windows slide and routers count at different times
 
 
 class RetryBudget:
@@ -24,12 +24,12 @@
         self._retries: deque[int] = deque()  # times of retries
 
     def record_request(self, now: int) -> None:
-        """Count a request for the service, which earns a part of a retry."""
+        """Count a request for the service, which earns `ratio` of a retry."""
         self._expire(now)
         self._requests.append(now)
 
     def try_spend(self, now: int, routers: int) -> bool:
-        """Count a retry if the budget of a fleet of `routers` allows it; return whether it does."""
+        """Count a retry if the budget allows it, in a fleet of `routers`; return whether it does."""
         if not self.allows_retry(now, routers):
             return False
         self._retries.append(now)
@@ -42,7 +42,7 @@
         return len(self._retries) + 1 <= USABLE_FRACTION * earned
 
     def charge(self, now: int) -> None:
-        """Count a retry that was sent whether or not the budget allowed it."""
+        """Count a retry that was sent regardless of the budget."""
         self._retries.append(now)
 
     def _expire(self, now: int) -> None:
--- a/hazelbend/placement/routes.py
+++ b/hazelbend/placement/routes.py
@@ -1,6 +1,6 @@
-"""The configuration document as a router reads it: routes by host and longest path prefix, services, limits.
+"""The configuration document: routes by host and longest path prefix, services, limits.
 
-Fields have the JSON names of the document, given by `msgspec.field(name=...)` where those differ.
+Where a field has another name in the JSON document, `msgspec.field(name=...)` gives it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RouteKind(StrEnum):
-    """How the requests of a route behave."""
+    """How the requests of a route may be repeated and are answered."""
 
     SAFE = "safe"  # idempotent
     UNSAFE = "unsafe"
@@ -27,7 +27,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where the requests for a host and path prefix go, and what may be done with them."""
+    """Where the requests for a host and path prefix go, and how they may be retried."""
 
     name: str
     host: str
@@ -40,12 +40,12 @@
     split: tuple[WeightedBackend, ...] = ()
     retries: int = 1
     sticky: bool = False
-    resume: bool = False  # whether a broken stream may go on at another worker
+    resume: bool = False  # whether a broken stream may be resumed at another worker
     gap_target_ms: float = msgspec.field(default=0, name="gap_aim_ms")  # between two tokens
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answers are event streams."""
+        """Whether responses are event streams."""
         return self.kind == RouteKind.STREAM
 
     @property
@@ -72,7 +72,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of workers that run the same requests."""
+    """A group of workers that can serve the same requests."""
 
     name: str
     max_connections: int = msgspec.field(default=100, name="maxConns")
@@ -80,7 +80,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Limits on what a client sends, and how long it takes."""
+    """Limits on the size of a client's request, and on the time to receive it."""
 
     max_header_bytes: int = msgspec.field(default=16_384, name="maxHeaderBytes")
     max_body_bytes: int = msgspec.field(default=4_194_304, name="maxBodyBytes")
@@ -110,9 +110,9 @@
         self._routes = {(route.host.lower(), route.prefix): route for route in configuration.routes}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route whose prefix is the longest of the path, or None.
+        """Return the route with the longest prefix of the path, or None.
 
-        Prefixes end with "/". The port of `host` does not count.
+        Prefixes end with "/". The port in `host` is ignored.
         """
         name = host.partition(":")[0].lower()
         end = path.rfind("/")
@@ -125,7 +125,7 @@
 
 
 def decode_route_table(body: bytes) -> RouteTable:
-    """Decode a configuration document, JSON.
+    """Decode a configuration document in JSON.
 
     Raises:
         msgspec.DecodeError: the document is malformed.
--- a/hazelbend/placement/selector.py
+++ b/hazelbend/placement/selector.py
@@ -1,10 +1,10 @@
-"""Selects the workers for a request: the least expected delay, plus the prices of what it costs others.
+"""Selects the workers for a request: the least expected delay, plus prices for the costs to other requests.
 
 The rule is Shortest Expected Delay (SED_e of Hyytia and Righter, on delayed information), applied to both
 phases of a request. The expected time to the first event is the delay of the prefill, (E[N] + size) / mu at
 the prefill worker, where the size is the part of the prompt that is not cached there, plus the transfer of
-the KV memory, plus the delay at the decode worker. A decode worker may prefill too, more slowly, which saves
-the transfer. Costs other than delay are added as the delay that they are worth.
+the KV cache, plus the delay at the decode worker. A decode worker can prefill too, more slowly, which saves
+the transfer. Costs other than delay are converted to delay and added.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True, frozen=True)
 class _PrefillContext:
-    """What the costs of one request's prefill are computed from, the same for all workers."""
+    """The inputs to the cost of one request's prefill that are the same for all workers."""
 
     prompt: Prompt
     shared_prefix: tuple[PrefixSegment, ...]
-    best_cached_tokens: int  # the longest prefix that any worker has cached
-    recompute_price: float  # microseconds a token, where another worker has it cached
+    best_cached_tokens: int  # size of the longest prefix that any worker has cached
+    recompute_price: float  # microseconds per token that another worker has cached
     now: int
 
 
 class WorkerSelector:
-    """Selects workers from a `FleetView`; it changes nothing there. Times in microseconds."""
+    """Selects workers from a `FleetView`, without changing it. Times in microseconds."""
 
     def __init__(self, fleet: FleetView, zone: str, policy: Policy, rng: random.Random) -> None:
         """Select for a router of `zone`; `rng` breaks ties."""
@@ -48,7 +48,7 @@
     def choose(
         self, service: str, now: int, tried: set[str], failure_costs: FailureCosts = NO_FAILURE_COSTS
     ) -> Choice | None:
-        """Choose the worker for a request of a service without phases; None where there is none."""
+        """Choose the worker for a request of a service without phases; None if there is no candidate."""
         choices = []
         for worker in self._fleet.candidates(service, Stage.ANY, now, tried):
             expected = worker.requests.delay(1.0, now)
@@ -64,7 +64,7 @@
         tried: set[str],
         failure_costs: FailureCosts = NO_FAILURE_COSTS,
     ) -> WorkerPair | None:
-        """Choose the workers for prefill and decode; None where no worker can decode."""
+        """Choose the workers for prefill and decode; None if no worker can decode."""
         context = self._context(service, prompt, now)
         pairs = list(self._pairs(service, context, tried, failure_costs))
         return min(pairs, key=lambda pair: (pair.cost, self._random.random()), default=None)
@@ -78,10 +78,10 @@
         tried: set[str],
         failure_costs: FailureCosts = NO_FAILURE_COSTS,
     ) -> Choice | None:
-        """Choose the worker that decodes; None where there is none.
+        """Choose the worker that decodes; None if there is no candidate.
 
         Args:
-            source: the worker that has prefilled the prompt; None: the decode worker is to prefill it.
+            source: the worker that has prefilled the prompt; None if the decode worker has to prefill it.
         """
         workers = self._fleet.candidates(service, Stage.DECODE, now, tried)
         workers = workers or self._fleet.candidates(service, Stage.ANY, now, tried)
@@ -108,7 +108,7 @@
     def _pairs(
         self, service: str, context: _PrefillContext, tried: set[str], failure_costs: FailureCosts
     ) -> Iterator[WorkerPair]:
-        """Yield each decode worker by itself, and each prefill worker with the best decode worker for it."""
+        """Yield each decode worker alone, and each prefill worker with the best decode worker for it."""
         now = context.now
         decode_workers = self._fleet.candidates(service, Stage.DECODE, now, tried)
         for worker in decode_workers:
@@ -127,10 +127,10 @@
                 yield WorkerPair(prefill, decode, self._pair_cost(prefill, decode, now))
 
     def _pair_cost(self, prefill: Choice, decode: Choice, now: int) -> float:
-        """Add up the costs of a pair, and count the penalty of two unresponsive workers once.
+        """Return the sum of the costs of a pair, with the penalty for two unresponsive workers counted once.
 
-        Right after the loss of all control processes every worker is unresponsive; counted twice, the penalty
-        would send all prompts to the decode workers.
+        Right after the loss of all control processes every worker is unresponsive. If the penalty were
+        counted twice, all prompts would go to the decode workers alone.
         """
         cost = prefill.cost + decode.cost
         if self._is_unresponsive(prefill.worker, now) and self._is_unresponsive(decode.worker, now):
@@ -145,7 +145,7 @@
         *,
         is_preferred: bool,
     ) -> Choice:
-        """A worker that prefills the prompt for another one."""
+        """Return the choice of a worker that prefills the prompt for another one."""
         prompt, now = context.prompt, context.now
         cached = worker.prefix_cache.cached_tokens(context.shared_prefix)
         bonus = 0.0
@@ -161,7 +161,7 @@
         return Choice(worker, tokens, cost + context.recompute_price * recomputed, expected)
 
     def _expected_hit_tokens(self, service: str, prompt: Prompt) -> int:
-        """Estimate the cached tokens at the preferred worker, where nobody has reported any of the prefix."""
+        """Estimate the tokens cached at the preferred worker, where no router has reported the prefix."""
         hit_rate = self._fleet.hit_rate(service).with_prior(
             self._policy.initial_hit_rate, self._policy.hit_rate_prior_samples
         )
@@ -172,7 +172,7 @@
     ) -> dict[str, Choice]:
         """Find the best decode worker of each zone for a prompt that was prefilled elsewhere.
 
-        The transfer is left out: its cost depends on the two zones alone.
+        The cost of the transfer is not included, as it depends only on the two zones.
         """
         best: dict[str, Choice] = {}
         self._random.shuffle(workers)  # breaks ties
@@ -205,7 +205,7 @@
     def _combined_choice(
         self, worker: WorkerEstimate, context: _PrefillContext, failure_costs: FailureCosts
     ) -> Choice:
-        """A worker that prefills the prompt and decodes."""
+        """Return the choice of a worker that prefills the prompt and decodes."""
         prompt, now, policy = context.prompt, context.now, self._policy
         decode_delay = worker.requests.delay(1.0, now)
         cached = worker.prefix_cache.cached_tokens(context.shared_prefix)
@@ -223,7 +223,7 @@
     # --- costs ---
 
     def _transfer_cost(self, worker: WorkerEstimate, prompt: Prompt, source: WorkerRecord) -> float:
-        """The time and the price of moving the prompt's KV memory."""
+        """Return the time plus the price of transferring the prompt's KV cache."""
         engine = self._fleet.model_engine(worker.record.service)
         if engine is None or not engine.bandwidth_mbps:
             return 0.0
@@ -232,7 +232,7 @@
         return factor * (size * 8 / engine.bandwidth_mbps + self._policy.transfer_price_us * size / 1e6)
 
     def _penalty(self, worker: WorkerEstimate, now: int) -> float:
-        """The costs of a worker's zone and of its missing heartbeats or answers."""
+        """Return the cost of a worker's zone, and of its missing heartbeats or answers."""
         distance = self._policy.cross_zone_us if worker.record.zone != self._zone else 0.0
         return distance + (
             self._policy.unresponsive_penalty_us if self._is_unresponsive(worker, now) else 0.0
@@ -249,7 +249,7 @@
 
 
 def _preferred_worker(workers: list[WorkerEstimate], prefix_key: str) -> WorkerEstimate | None:
-    """Return the worker to which all routers send an unknown prefix, by rendezvous hashing."""
+    """Return the worker that all routers prefer for an unknown prefix, by rendezvous hashing."""
     if not prefix_key:
         return None
     key = _hash(prefix_key)
--- a/hazelbend/placement/statistics.py
+++ b/hazelbend/placement/statistics.py
@@ -1,6 +1,6 @@
-"""Counters of a router's own decisions: outcomes, and measured times against expected ones.
+"""Counters of a router's own decisions: outcomes, and measured times relative to expected ones.
 
-Plain counts, kept for the life of the process; `hazelbend.system.metrics` exports them.
+The counts are kept for the lifetime of the process; `hazelbend.system.metrics` exports them.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Refusal(Enum):
-    """Why the router itself gave up a request; the values are labels of a metric."""
+    """Why the router gave up a request; the values are labels of a metric."""
 
     NO_CONFIGURATION = "no_configuration"
-    NO_WORKER = "no_worker"  # or neither budget nor time to retry at another one
+    NO_WORKER = "no_worker"  # no worker left, or no budget or time for a retry
     OUT_OF_TIME = "out_of_time"
-    FAILED = "failed"  # it may have run, and may not run again
+    FAILED = "failed"  # it may have been executed, and must not be executed again
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     total: float = 0.0
 
     def add(self, elapsed: float, expected: float) -> None:
-        """Count a measured time. Both are in the same unit; without an expected time nothing is counted."""
+        """Count a measured time, in the unit of `expected`; ignored if `expected` is not positive."""
         if expected <= 0:
             return
         ratio = elapsed / expected
@@ -40,7 +40,7 @@
         self.total += ratio
 
     def cumulative(self) -> list[tuple[float, int]]:
-        """Return for each upper bound, the last one infinite, the number of ratios up to it."""
+        """Return the number of ratios up to each upper bound; the last bound is infinite."""
         total = 0
         buckets = []
         for bound, count in zip((*RATIO_BOUNDS, float("inf")), self.counts, strict=True):
@@ -56,8 +56,8 @@
     outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
     prefill_ratios: RatioHistogram = field(default_factory=RatioHistogram)
     first_event_ratios: RatioHistogram = field(default_factory=RatioHistogram)
-    prefilled_tokens: int = 0  # expected to be prefilled there
-    cached_tokens: int = 0  # believed to be in its prefix cache
+    prefilled_tokens: int = 0  # expected to be prefilled at the worker
+    cached_tokens: int = 0  # assumed to be in its prefix cache
 
 
 @dataclass(slots=True)
@@ -66,10 +66,10 @@
 
     workers: dict[str, WorkerStatistics] = field(default_factory=dict)  # by instance
     refusals: Counter[Refusal] = field(default_factory=Counter)
-    retries: int = 0  # attempts after one that may have run
+    retries: int = 0  # attempts after one that may have been executed
 
     def for_worker(self, instance: str) -> WorkerStatistics:
-        """Return the counters of a worker, new ones at its first attempt."""
+        """Return the counters of a worker, created at its first attempt."""
         return self.workers.setdefault(instance, WorkerStatistics())
 
     def forget(self, instance: str) -> None:
