--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet before a backend that has just started: what all send it together stays within its budget."""
+"""Slow start across a fleet: the jobs that all dispatchers send to a cold backend stay within its budget."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 )
 
 SECOND = 1_000_000
-SLOTS, RUN = 4, 200_000  # of a warm backend: so many jobs at once, each so long
-WARM = 8  # backends beside the cold one
-COLD = WARM + 1
-START = 10 * SECOND  # when that one starts, into the play
+SLOTS, RUN = 4, 200_000  # of a warm backend: jobs at once, and microseconds per job
+WARM = 8  # number of warm backends
+COLD = WARM + 1  # number (identifier) of the cold backend
+START = 10 * SECOND  # simulated time at which the cold backend starts
 END = 20 * SECOND
 
 
@@ -44,66 +44,66 @@
 
 
 class Backend:
-    """Slots and a queue in order; a cold one has less of them."""
+    """A FIFO queue before SLOTS servers, which are slower while the backend is cold."""
 
     def __init__(self) -> None:
         self.free_at = [0] * SLOTS
-        self.out = 0
+        self.in_flight = 0
 
     def run(self, now: int, capacity_fraction: float) -> tuple[int, int]:
-        """When a job that comes now starts and ends."""
-        at = heapq.heappop(self.free_at)
-        start = max(now, at)
+        """Return when a job that arrives now starts and ends."""
+        free_at = heapq.heappop(self.free_at)
+        start = max(now, free_at)
         end = start + round(RUN / capacity_fraction)
         heapq.heappush(self.free_at, end)
         return start, end
 
     def report(self) -> LoadReport:
-        queued = max(self.out - SLOTS, 0)
-        return LoadReport(float(self.out), float(queued), float(max(SLOTS - self.out, 0)))
+        queued = max(self.in_flight - SLOTS, 0)
+        return LoadReport(float(self.in_flight), float(queued), float(max(SLOTS - self.in_flight, 0)))
 
 
 class Fleet:
-    """Dispatchers that share nothing but their backends, on one clock."""
+    """Simulates dispatchers that share only their backends, on one clock."""
 
     def __init__(self, size: int, reports: bool, load: float, seed: int) -> None:
-        self.rules, self.chance = settings(size, reports), random.Random(seed)
-        self.dispatchers = [Dispatcher(self.rules, seed * 1_000 + each) for each in range(size)]
+        self.settings, self.rng = settings(size, reports), random.Random(seed)
+        self.dispatchers = [Dispatcher(self.settings, seed * 1_000 + index) for index in range(size)]
         self.backends = {number: Backend() for number in range(1, COLD + 1)}
         self.events: list[tuple[int, int, int, object]] = []
         self.counter = 0
-        self.sent_to_cold: list[int] = []
+        self.cold_sends: list[int] = []
         gap = size / (load * WARM * SLOTS / RUN)
         entries = tuple(WorkerEntry(number) for number in range(1, COLD))
-        for each in range(size):
-            self.at(0, each, interface.MembershipUpdate(ListKind.FULL, entries))
+        for index in range(size):
+            self.schedule(0, index, interface.MembershipUpdate(ListKind.FULL, entries))
             cold = (WorkerEntry(COLD, started_at=START),)
-            self.at(START, each, interface.MembershipUpdate(ListKind.DELTA, cold))
+            self.schedule(START, index, interface.MembershipUpdate(ListKind.DELTA, cold))
             at = 0.0
-            while (at := at + self.chance.expovariate(1 / gap)) < END:
-                self.at(round(at), each, interface.RequestArrived(self.next(), 5 * SECOND))
+            while (at := at + self.rng.expovariate(1 / gap)) < END:
+                self.schedule(round(at), index, interface.RequestArrived(self.next_id(), 5 * SECOND))
 
-    def next(self) -> int:
+    def next_id(self) -> int:
         self.counter += 1
         return self.counter
 
-    def at(self, time: int, dispatcher: int, event: object) -> None:
-        heapq.heappush(self.events, (time, self.next(), dispatcher, event))
+    def schedule(self, time: int, dispatcher: int, event: object) -> None:
+        heapq.heappush(self.events, (time, self.next_id(), dispatcher, event))
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         attempts: dict[tuple[int, int], int] = {}
         while self.events and self.events[0][0] < END:
             now, _, number, event = heapq.heappop(self.events)
             if isinstance(event, interface.AttemptEnded):
                 backend = self.backends[event.worker]
-                backend.out -= 1
-                if self.rules.reports_inline:
+                backend.in_flight -= 1
+                if self.settings.reports_inline:
                     event = interface.AttemptEnded(
                         event.request, event.worker, event.attempt, Outcome.SERVED, True, 0, backend.report()
                     )
             for action in self.dispatchers[number].handle(event, now):  # type: ignore[arg-type]
                 if isinstance(action, interface.StartTimer):
-                    self.at(now + max(action.delay, 1), number, interface.TimerFired(action.token))
+                    self.schedule(now + max(action.delay, 1), number, interface.TimerFired(action.token))
                 elif isinstance(action, interface.Send):
                     attempt = attempts.get((number, action.request), -1) + 1
                     attempts[number, action.request] = attempt
@@ -112,36 +112,38 @@
     def send(self, now: int, number: int, action: interface.Send, attempt: int) -> None:
         backend, started = self.backends[action.worker], START if action.worker == COLD else 0
         if started:
-            self.sent_to_cold.append(now)
-        backend.out += 1
-        start, end = backend.run(now, self.rules.capacity_fraction(started, now))
-        self.at(start, number, interface.JobStarted(action.request, action.worker, attempt))
-        self.at(
+            self.cold_sends.append(now)
+        backend.in_flight += 1
+        start, end = backend.run(now, self.settings.capacity_fraction(started, now))
+        self.schedule(start, number, interface.JobStarted(action.request, action.worker, attempt))
+        self.schedule(
             end,
             number,
             interface.AttemptEnded(action.request, action.worker, attempt, Outcome.SERVED, True, end - now),
         )
 
 
-@pytest.mark.parametrize("reports", [True, False], ids=["reports", "nobody reports"])
+@pytest.mark.parametrize("reports", [True, False], ids=["reports", "no reports"])
 @pytest.mark.parametrize("fleet", [8, 20, 30])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_all_together_keep_a_cold_backends_budget(fleet, reports, seed):
-    """Guards the operators' term: beyond the budget of N jobs in the window 2 * sqrt(N) + 2 are put down to
-    chance, also where twenty or thirty dispatchers each do what is harmless alone."""
+def test_fleet_stays_within_slow_start_budget_of_cold_backend(fleet, reports, seed):
+    """Guards against dispatchers that index send a harmless number of jobs which together exceed the budget.
+
+    The operators' requirement tolerates 2 * sqrt(N) + 2 jobs beyond the budget of N in a window as chance.
+    """
     site = Fleet(fleet, reports, load=1.3, seed=seed)
-    site.play()
+    site.simulate()
     window: deque[int] = deque()
-    for at in site.sent_to_cold:
+    for at in site.cold_sends:
         window.append(at)
-        while window[0] <= at - site.rules.collapse_window:
+        while window[0] <= at - site.settings.collapse_window:
             window.popleft()
         budget = (
-            site.rules.collapse_multiple
-            * site.rules.capacity_fraction(START, at)
+            site.settings.collapse_multiple
+            * site.settings.capacity_fraction(START, at)
             * SLOTS
             / RUN
-            * site.rules.collapse_window
+            * site.settings.collapse_window
         )
         assert len(window) <= budget + 2 * sqrt(budget) + 2, f"at {(at - START) / SECOND:.2f} s"
-    assert len(site.sent_to_cold) > 20, "it is used"
+    assert len(site.cold_sends) > 20, "the cold backend gets jobs"
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -1,4 +1,4 @@
-"""The estimate against distributions worked out in another way."""
+"""The job count estimate and the load model, compared with distributions that are computed in another way."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     return exp(-load) * load**d / factorial(d)
 
 
-def update(chances: list[float], load: float, floor: int) -> list[float]:
-    """The paper's UPDATE with no arrival, in which `floor` jobs are known not to have left."""
-    after = [0.0] * len(chances)
-    for n, chance in enumerate(chances):
+def depart(probabilities: list[float], load: float, floor: int) -> list[float]:
+    """The paper's UPDATE without arrivals, where `floor` jobs are known not to have departed."""
+    after = [0.0] * len(probabilities)
+    for n, chance in enumerate(probabilities):
         left = chance
         for d in range(n - floor):
             after[n - d] += chance * poisson(d, load)
@@ -32,7 +32,7 @@
     return after
 
 
-def make_worker(rate: float = 1e-6) -> Worker:
+def create_worker(rate: float = 1e-6) -> Worker:
     worker = Worker(interface.WorkerEntry(1), 1.0)
     worker.rate = rate
     worker.weight = 1.0
@@ -46,58 +46,58 @@
     return attempt
 
 
-def make_dispatcher(worker: Worker) -> Dispatcher:
+def create_dispatcher(worker: Worker) -> Dispatcher:
     dispatcher = Dispatcher(interface.Settings(), 1)
     dispatcher.workers[1] = worker
     return dispatcher
 
 
 @given(count=st.integers(0, MAX_JOB_COUNT), load=st.floats(0, 40))
-def test_short_sum_is_the_mean_of_the_distribution(count, load):
-    chances = update([0.0] * count + [1.0], load, 0)
-    assert sum(chances) == pytest.approx(1.0)
+def test_expected_remaining_is_mean_of_distribution(count, load):
+    probabilities = depart([0.0] * count + [1.0], load, 0)
+    assert sum(probabilities) == pytest.approx(1.0)
     assert expected_remaining(count, load) == pytest.approx(
-        sum(n * p for n, p in enumerate(chances)), abs=1e-9
+        sum(n * p for n, p in enumerate(probabilities)), abs=1e-9
     )
 
 
 @given(count=st.integers(0, MAX_JOB_COUNT), first=st.floats(0, 20), second=st.floats(0, 20))
-def test_draining_composes(count, first, second):
-    twice = update(update([0.0] * count + [1.0], first, 0), second, 0)
+def test_expected_remaining_composes_over_time(count, first, second):
+    after_both = depart(depart([0.0] * count + [1.0], first, 0), second, 0)
     assert expected_remaining(count, first + second) == pytest.approx(
-        sum(n * p for n, p in enumerate(twice)), abs=1e-9
+        sum(n * p for n, p in enumerate(after_both)), abs=1e-9
     )
 
 
-@given(others=st.integers(0, 12), own=st.integers(0, 8), elapsed=st.integers(0, 10_000_000))
-def test_estimate_is_the_papers_with_own_unfinished_jobs_as_floor(others, own, elapsed):
-    worker = make_worker()
+@given(peer_jobs=st.integers(0, 12), own=st.integers(0, 8), elapsed=st.integers(0, 10_000_000))
+def test_expected_jobs_matches_paper_with_own_jobs_as_lower_bound(peer_jobs, own, elapsed):
+    worker = create_worker()
     for _ in range(own):
         send(worker, 0)
-    worker.peer_jobs = others
-    share = others / (others + own) if others else 0.0
-    chances = update([0.0] * (others + own) + [1.0], 1e-6 * share * elapsed, own)
-    mean = sum(n * p for n, p in enumerate(chances))
+    worker.peer_jobs = peer_jobs
+    share = peer_jobs / (peer_jobs + own) if peer_jobs else 0.0
+    probabilities = depart([0.0] * (peer_jobs + own) + [1.0], 1e-6 * share * elapsed, own)
+    mean = sum(n * p for n, p in enumerate(probabilities))
     assert expected_jobs(worker, elapsed, 1e-6) == pytest.approx(mean, abs=1e-9)
 
 
-@given(others=st.integers(0, MAX_JOB_COUNT), level=st.floats(0.1, 15), slots=st.integers(1, 8))
-def test_an_old_report_says_nothing_and_a_new_one_all(others, level, slots):
-    """Guards against the herd on workers whose old reports, drained to nothing, made them look empty."""
-    worker = make_worker()
-    worker.peer_jobs, worker.concurrency, worker.background_load = others, float(slots), level / 1e-6
-    assert expected_jobs(worker, 0, 1e-6) == pytest.approx(others)
+@given(peer_jobs=st.integers(0, MAX_JOB_COUNT), level=st.floats(0.1, 15), slots=st.integers(1, 8))
+def test_expected_jobs_goes_from_report_to_usual_level_with_age(peer_jobs, level, slots):
+    """Guards against herding: once all jobs of an old report had departed, its worker seemed empty to all."""
+    worker = create_worker()
+    worker.peer_jobs, worker.concurrency, worker.background_load = peer_jobs, float(slots), level / 1e-6
+    assert expected_jobs(worker, 0, 1e-6) == pytest.approx(peer_jobs)
     assert expected_jobs(worker, 10**9, 1e-6) == pytest.approx(level, rel=1e-3)
 
 
-def test_free_slots_let_no_job_go():
-    """Two jobs on a worker of eight slots leave no faster than two run."""
-    wide, narrow = make_worker(8e-6), make_worker(2e-6)
+def test_free_slots_do_not_increase_departures():
+    """Two jobs at a worker with eight slots depart no faster than at a worker with two slots."""
+    wide, narrow = create_worker(8e-6), create_worker(2e-6)
     wide.peer_jobs, wide.concurrency, narrow.peer_jobs, narrow.concurrency = 2, 8.0, 2, 2.0
     assert expected_jobs(wide, 500_000, 8e-6) == pytest.approx(expected_jobs(narrow, 500_000, 2e-6))
 
 
-def test_the_usual_level_is_that_of_the_kind_until_the_worker_has_told_its_own():
+def test_usual_level_is_that_of_machine_kind_until_worker_has_reported():
     dispatcher = Dispatcher(interface.Settings(), 1)
     entries = [interface.WorkerEntry(worker, machine_kind=worker % 2) for worker in range(8)]
     dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, tuple(entries)), 1_000)
@@ -113,12 +113,15 @@
     assert level[3] == 0.0
 
 
-@pytest.mark.parametrize("weights_tell", [True, False])
-def test_a_guess_of_how_long_jobs_run_does_not_fill_an_idle_server(weights_tell):
-    """The level of the first report, kept by a rate of the first guess, stood for 26 jobs that nobody had
-    sent once runs of a thousandth of it had come: after two idle seconds a lone server was refused."""
+@pytest.mark.parametrize("weights_enabled", [True, False])
+def test_wrong_run_time_guess_does_not_make_idle_worker_seem_full(weights_enabled):
+    """Guards against a load level in units of a guessed rate.
+
+    The level of the first report stood for 26 jobs that did not exist once runs took a thousandth of the
+    guessed time, and requests for a single idle worker were rejected after two seconds.
+    """
     settings = interface.Settings(
-        classes=(interface.JobClass(objective=2_000_000),), weights_enabled=weights_tell
+        classes=(interface.JobClass(objective=2_000_000),), weights_enabled=weights_enabled
     )
     model = Model(settings)
     model.list_workers(interface.WorkerEntry(1))
@@ -132,14 +135,18 @@
             load=interface.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0),
         )
         model.advance(2_000_000)
-        assert worker.background_load * worker.rate < 2.0, "a report of one job stands for no more"
+        assert worker.background_load * worker.rate < 2.0, "a report of one job counts as about one job"
         assert expected_jobs(worker, model.now, worker.rate) < worker.concurrency
     assert not model.refused
 
 
-def test_one_that_has_said_nothing_is_taken_to_be_as_full_as_its_kind():
-    """Given the size of one job it seemed emptier than all that had spoken: with 200 dispatchers, to each of
-    which most servers have said nothing yet, the day of a cut lost 0.18 of its score by it."""
+def test_worker_without_reports_is_estimated_as_loaded_as_its_kind():
+    """Guards against a default size of one job for workers without reports, which made them seem emptier than
+    all others.
+
+    With 200 dispatchers, each of which has no report of most workers, a scenario with a network cut lost 0.18
+    of its score by this.
+    """
     model = Model(interface.Settings(classes=(interface.JobClass(objective=100_000),), weights_enabled=False))
     model.list_workers(*[interface.WorkerEntry(number) for number in range(4)])
     for request in range(40):
@@ -155,17 +162,17 @@
     assert workers[3].background_load * workers[3].rate > 0.7 * min(usual[:3]) > 4.0
 
 
-def test_a_send_that_a_report_holds_is_not_counted_twice():
-    worker = make_worker()
+def test_own_attempt_included_in_report_is_not_counted_twice():
+    worker = create_worker()
     send(worker, 100)
-    make_dispatcher(worker).load_model.apply_report(worker, interface.LoadReport(in_flight=1.0), 1_000_000)
+    create_dispatcher(worker).load_model.apply_report(worker, interface.LoadReport(in_flight=1.0), 1_000_000)
     assert (worker.peer_jobs, expected_jobs(worker, 1_000_000, 1e-6)) == (0, 1.0)
 
 
-def test_age_of_reports_is_learned_from_own_jobs():
-    """Reports that lag by 800 ms: without the age, each would take own sends made since as held in it."""
-    worker = make_worker()
-    dispatcher = make_dispatcher(worker)
+def test_report_age_is_learnt_from_own_jobs():
+    """Reports lag by 800 ms. If their age were ignored, own attempts sent since would count as included."""
+    worker = create_worker()
+    dispatcher = create_dispatcher(worker)
     out: list[Attempt] = []
     for step in range(401):  # the last step brings a report
         now = step * 100_000
@@ -181,15 +188,15 @@
     assert now - worker.peer_jobs_at == pytest.approx(800_000, abs=100_001)
 
 
-def test_heavy_and_wide_jobs_count_by_their_work():
-    worker = make_worker()
+def test_own_load_counts_jobs_by_work():
+    worker = create_worker()
     attempt = send(worker, 0, cost=3.5)
     assert expected_jobs(worker, 0, 1e-6) == 3.5
     worker.remove(attempt, 10, 10**9)
     assert expected_jobs(worker, 10, 1e-6) == 0.0
 
 
-def test_timed_out_send_stays_until_a_later_report():
+def test_timed_out_attempt_counts_until_next_report():
     settings = interface.Settings(classes=(interface.JobClass(idempotency=interface.Idempotency.UNSAFE),))
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, (interface.WorkerEntry(1),)), 1_000)
@@ -201,8 +208,8 @@
     assert expected_jobs(worker, 2_000_000, worker.rate) == 0.0
 
 
-def test_a_cold_worker_is_not_taken_to_be_as_full_as_the_warm_of_its_kind():
-    """Taken so, successors stood unused after a deploy while requests waited here and were given up."""
+def test_cold_worker_is_not_estimated_as_loaded_as_its_kind():
+    """Guards against new workers that stayed unused after a deploy while queued requests expired."""
     settings = interface.Settings(warmup_duration=10_000_000, initial_capacity=0.2)
     dispatcher, now = Dispatcher(settings, 1), 10**9
     entries = (interface.WorkerEntry(1), interface.WorkerEntry(2), interface.WorkerEntry(3, started_at=now))
@@ -225,9 +232,9 @@
     st.lists(st.tuples(st.integers(0, 40), st.booleans(), st.integers(0, 5)), max_size=400),
     st.lists(st.integers(0, 300), min_size=1),
 )
-def test_own_jobs_at_a_time_gone_by_are_those_sent_by_then_and_not_yet_ended(moves, ages):
-    """The count that is kept in steps, against a look at every job; and it forgets no more than it may."""
-    worker, spans, out, now, memory = make_worker(), [], [], 0, 300
+def test_own_job_history_matches_scan_of_all_jobs(moves, ages):
+    """Compares the count history with a scan of all jobs, and checks that it keeps enough history."""
+    worker, spans, out, now, memory = create_worker(), [], [], 0, 300
     for step, ends, which in moves:
         now += step
         if ends and out:
@@ -242,9 +249,9 @@
         assert worker.own_jobs.at(at) == sum(sent <= at < ended for sent, ended in spans)
 
 
-def test_own_jobs_are_remembered_in_bounded_room():
-    """Guards the cost of a report, which grew with all the jobs of the last seconds."""
-    worker = make_worker()
+def test_own_job_history_is_bounded():
+    """Guards the cost of a report, which grew with the number of jobs in the last seconds."""
+    worker = create_worker()
     for now in range(0, 10_000_000, 1_000):
         worker.remove(send(worker, now), now + 500, 100_000)
     assert len(worker.own_jobs.times) <= 2 * (2 * 100 + 64)
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -1,4 +1,4 @@
-"""Servers that fail the jobs they get: how sure one dispatcher is, and what an error costs by class."""
+"""Failure estimates: workers that fail their jobs, and the cost of an error by job class."""
 
 from collections import Counter
 
@@ -16,7 +16,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 10_000_000)), max_size=60))
-def test_a_risk_is_a_chance_and_each_result_moves_it_its_own_way(results):
+def test_risk_is_a_probability_that_rises_with_errors_and_falls_with_successes(results):
     reliability, now = FailureEstimate(), 0
     for error, gap in results:
         now += gap
@@ -26,16 +26,16 @@
         assert reliability.risk(now) > before if error else reliability.risk(now) <= before
 
 
-def test_the_first_error_is_bayes_rule_with_every_part_alike():
+def test_first_error_updates_probability_by_bayes_rule_with_uniform_prior():
     reliability = FailureEstimate()
     reliability.record(0, is_error=True)
     odds = (
         PRIOR_FAILING / (1 - PRIOR_FAILING) * 0.5 / HEALTHY_ERROR_RATE
-    )  # a part drawn evenly from 0 to 1 gives an error in half
+    )  # the mean of the uniform prior from 0 to 1 is 0.5
     assert reliability.failing == pytest.approx(odds / (1 + odds))
 
 
-def test_a_spell_is_believed_over_in_time_and_one_that_is_served_sooner():
+def test_risk_fades_with_time_and_faster_with_successes():
     reliability = FailureEstimate()
     for at in range(10):
         reliability.record(at, is_error=True)
@@ -48,18 +48,18 @@
     assert reliability.risk(40) < 0.1
 
 
-class Site(Model):
-    """Some servers; the first so many that get a job fail what they get within 5 ms."""
+class FailingWorkersModel(Model):
+    """Some workers, of which the first `failing` ones that get a job fail all their jobs after 5 ms."""
 
     def __init__(
         self, *classes: interface.JobClass, failing: int, attempts: int = 3, servers: int = 3
     ) -> None:
         super().__init__(interface.Settings(classes=classes, reports_job_starts=True, max_attempts=attempts))
-        self.failing, self.most, self.errors = set[int](), failing, Counter[int]()
+        self.failing, self.max_failing, self.errors = set[int](), failing, Counter[int]()
         self.list_workers(*(interface.WorkerEntry(number) for number in range(1, servers + 1)))
 
     def play(self, seconds: float, classes: tuple[int, ...]) -> None:
-        """Ten jobs a second, of these classes in turn; each class's errors are counted."""
+        """Send ten jobs per second, of these classes in turn, and count the errors of each class."""
         for _ in range(round(seconds * 10)):
             number = len(self.jobs)
             self.arrive(number, job_class=classes[number % len(classes)])
@@ -67,7 +67,7 @@
                 while self.jobs[job].tries[attempt].outcome is None:
                     self.advance(5_000)
                     worker = self.jobs[job].tries[attempt].worker.worker
-                    if len(self.failing) < self.most:
+                    if len(self.failing) < self.max_failing:
                         self.failing.add(worker)
                     if worker in self.failing:
                         self.errors[classes[job % len(classes)]] += 1
@@ -79,63 +79,68 @@
                         self.end(job, interface.Outcome.SERVED, attempt)
 
 
-def test_a_job_that_must_not_run_twice_keeps_off_a_server_that_fails():
-    """Found on real sockets: two of twelve servers failed 407 tries in 20 s, 30 in 100 of such jobs."""
-    site = Site(ONCE, failing=1)
+def test_unsafe_jobs_avoid_failing_worker():
+    """Guards against a run on real sockets in which two of twelve workers failed 407 attempts in 20 s: 30 %
+    of the jobs that must not run twice."""
+    site = FailingWorkersModel(ONCE, failing=1)
     site.play(20, (0,))
-    assert 1 <= site.errors[0] <= 3, "sure by the first or second, and one more in a spell's time"
+    assert 1 <= site.errors[0] <= 3, (
+        "certain after one or two errors, and one more once the estimate has faded"
+    )
     assert len(site.failed) == site.errors[0]
 
 
-def test_a_job_that_may_be_repeated_finds_out_whether_it_is_well_again():
-    site = Site(ONCE, SAFE, failing=1)
+def test_safe_jobs_discover_recovered_worker():
+    site = FailingWorkersModel(ONCE, SAFE, failing=1)
     site.play(10, (0, 1))
-    assert site.errors[0] <= 2 <= site.errors[1], "an error costs the one its answer, the other some ms"
-    [bad], site.failing, site.most = site.failing, set(), 0
+    assert site.errors[0] <= 2 <= site.errors[1], (
+        "an error costs an unsafe job its answer, and a safe one some ms"
+    )
+    [failing_worker], site.failing, site.max_failing = site.failing, set(), 0
     before = len(site.sends)
     site.play(10, (0, 1))
     sent = Counter(worker for _, worker, _ in site.sends[before:])
-    assert sent[bad] > 10, "and then it gets its part again"
+    assert sent[failing_worker] > 10, "the recovered worker gets its share again"
 
 
-def test_the_last_attempt_is_not_for_trying_out():
-    site = Site(SAFE, failing=2, attempts=1)
+def test_last_attempt_avoids_failing_workers():
+    site = FailingWorkersModel(SAFE, failing=2, attempts=1)
     site.play(20, (0,))
     assert 2 <= site.errors[0] <= 6
     assert len(site.refused) == site.errors[0]
 
 
-def test_when_half_of_all_servers_fail_each_costs_a_job_or_two_and_the_others_serve():
-    site = Site(ONCE, failing=6, servers=12)
+def test_half_failing_workers_cost_few_jobs_each():
+    site = FailingWorkersModel(ONCE, failing=6, servers=12)
     site.play(20, (0,))
     assert 6 <= site.errors[0] <= 3 * 6
     assert len(site.jobs) - len(site.failed) == sum(worker not in site.failing for _, worker, _ in site.sends)
 
 
-def test_when_all_servers_fail_each_still_gets_work_and_every_job_its_answer():
-    site = Site(ONCE, SAFE, failing=3)
+def test_all_failing_workers_still_get_jobs_and_every_job_is_answered():
+    site = FailingWorkersModel(ONCE, SAFE, failing=3)
     site.play(10, (0, 1))
     assert {worker for _, worker, _ in site.sends} == {1, 2, 3}
     site.finish()
     assert len(site.failed) + len(site.refused) == len(site.jobs)
 
 
-def test_a_request_that_fails_everywhere_says_little_of_the_servers():
+def test_request_failing_everywhere_counts_against_first_worker_only():
     model = Model(interface.Settings(classes=(SAFE,), max_attempts=3))
     model.list_workers(*(interface.WorkerEntry(number) for number in (1, 2, 3)))
     model.arrive(0)
     for attempt in range(3):
         model.end(0, interface.Outcome.ERROR, attempt)
-    suspects = [
-        each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING
-    ]
-    assert [each.entry.worker for each in suspects] == [model.sends[0][1]]
+    failing = [each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING]
+    assert [each.entry.worker for each in failing] == [model.sends[0][1]]
 
 
-def test_a_fresh_process_starts_with_a_clean_sheet():
-    site = Site(ONCE, failing=1)
+def test_restarted_process_has_prior_failure_estimate():
+    site = FailingWorkersModel(ONCE, failing=1)
     site.play(2, (0,))
-    [bad] = site.failing
-    assert site.dispatcher.workers[bad].reliability.failing > 0.5
-    site.list_workers(interface.WorkerEntry(bad, started_at=site.now), kind=interface.ListKind.DELTA)
-    assert site.dispatcher.workers[bad].reliability.failing == PRIOR_FAILING
+    [failing_worker] = site.failing
+    assert site.dispatcher.workers[failing_worker].reliability.failing > 0.5
+    site.list_workers(
+        interface.WorkerEntry(failing_worker, started_at=site.now), kind=interface.ListKind.DELTA
+    )
+    assert site.dispatcher.workers[failing_worker].reliability.failing == PRIOR_FAILING
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,4 +1,4 @@
-"""What concerns many dispatchers together, or each of many that sees little."""
+"""Fleets of many dispatchers that each see few of the jobs: probes, discovery calls, slow start, rates."""
 
 from __future__ import annotations
 
@@ -21,44 +21,44 @@
 from hazelbend.transport.http.discovery_watch import HOLD_GRACE_S
 from tests.support.model import Model
 
-LOST = 200_000  # microseconds that a call to the list takes, or to fail
+CALL_US = 200_000  # microseconds until a discovery call is answered or fails
 SAFE = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000, late_value_fraction=0.5)
-ASKING = interface.Settings(
+PROBING_SETTINGS = interface.Settings(
     classes=(SAFE,), probes_allowed=True, reports_by_probe=True, reports_job_starts=True
 )
 
 
-def answer(model: Model, busy: dict[int, int]) -> None:
-    """All probes out are answered: so many jobs at each worker of four slots."""
+def answer_probes(model: Model, jobs_by_worker: dict[int, int]) -> None:
+    """Answer all open probes with these job counts, for workers with four slots."""
     probes, model.probes = model.probes, []
     for worker in probes:
-        held = busy.get(worker, 0)
+        held = jobs_by_worker.get(worker, 0)
         load = interface.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
         model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, load))
 
 
-def test_workers_that_may_win_are_asked_before_the_pick():
-    """Guards against picks by reports that are seconds old: the empty worker is found by asking."""
-    model = Model(ASKING)
+def test_best_workers_are_probed_before_selection():
+    """Guards against selection by reports that are seconds old: probes find the idle worker."""
+    model = Model(PROBING_SETTINGS)
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, MAX_PROBES + 1)))
     model.arrive(1)
     assert len(model.probes) == MAX_PROBES
     assert not model.sends
-    answer(model, {1: 9, 2: 0, 3: 7})
+    answer_probes(model, {1: 9, 2: 0, 3: 7})
     assert [send[1] for send in model.sends] == [2]
 
 
-def test_a_pick_does_not_wait_for_probes_that_stay_unanswered():
-    model = Model(ASKING)
+def test_request_is_sent_when_its_probes_are_not_answered():
+    model = Model(PROBING_SETTINGS)
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
     model.arrive(1)
     model.advance(50_000)
     assert len(model.sends) == 1
-    answer(model, {})
-    assert len(model.sends) == 1, "an answer that comes later makes no copy"
+    answer_probes(model, {})
+    assert len(model.sends) == 1, "a late answer to a probe does not send the request again"
 
 
-def test_weights_that_fall_with_load_tell_the_jobs_held():
+def test_job_counts_are_inferred_from_weights_that_fall_with_load():
     settings = interface.Settings(classes=(SAFE,), weights_fall_with_load=True)
     model = Model(settings)
     entries = [interface.WorkerEntry(worker, weight=6.0) for worker in (1, 2)]
@@ -74,8 +74,11 @@
     assert [model.dispatcher.workers[worker].peer_jobs for worker in (1, 2)] == [8, 0]
 
 
-def play_cold(seed: int, dispatchers: int) -> tuple[list[int], int]:
-    """Sends to one cold worker by all of a fleet, which hears late what it holds; the warm ones are full."""
+def simulate_cold_worker(seed: int, dispatchers: int) -> tuple[list[int], int]:
+    """Return the times at which a fleet sends to one cold worker, and the start of that worker.
+
+    The fleet gets the cold worker's load with a delay of 600 ms; all warm workers are full.
+    """
     settings = interface.Settings(
         fleet_size=dispatchers,
         classes=(SAFE,),
@@ -87,62 +90,65 @@
         reports_inline=True,
     )
     fleet = [Dispatcher(settings, seed * 1000 + each) for each in range(dispatchers)]
-    chance, cold_since, now = random.Random(seed), 10_000_000, 10_000_000
+    rng, cold_since, now = random.Random(seed), 10_000_000, 10_000_000
     entries = (
         *(interface.WorkerEntry(each) for each in range(1, 6)),
         interface.WorkerEntry(9, started_at=cold_since),
     )
-    to_cold: list[int] = []
+    cold_sends: list[int] = []
     full = interface.LoadReport(20.0, 16.0, 0.0)
-    leaves: list[int] = []  # when the jobs at the cold worker, one at a time and slower while it is cold, end
-    later: list[tuple[int, int, int, interface.Event]] = []  # when, a number to order by, dispatcher, event
+    # When jobs at the cold worker end. It runs one at a time, and more slowly while it is cold.
+    cold_job_ends: list[int] = []
+    pending_events: list[tuple[int, int, int, interface.Event]] = []  # time, tie-breaker, dispatcher, event
 
     def tell(number: int, event: interface.Event, at: int) -> None:
         for action in fleet[number].handle(event, at):
             if isinstance(action, interface.StartTimer):
                 timer = interface.TimerFired(action.token)
-                heapq.heappush(later, (at + action.delay, chance.getrandbits(60), number, timer))
+                heapq.heappush(pending_events, (at + action.delay, rng.getrandbits(60), number, timer))
             elif isinstance(action, interface.Send):
                 end = at + 200_000
                 if action.worker == 9:
-                    to_cold.append(at)
+                    cold_sends.append(at)
                     share = min(0.2 + 0.8 * (at - cold_since) / 20_000_000, 1.0)
-                    leaves.append(end := max([at, *leaves]) + round(200_000 / share))
+                    cold_job_ends.append(end := max([at, *cold_job_ends]) + round(200_000 / share))
                 served = interface.AttemptEnded(
                     action.request, action.worker, 0, interface.Outcome.SERVED, True
                 )
-                heapq.heappush(later, (end, chance.getrandbits(60), number, served))
+                heapq.heappush(pending_events, (end, rng.getrandbits(60), number, served))
 
     for number in range(dispatchers):
         tell(number, interface.MembershipUpdate(interface.ListKind.CACHED, entries), now)
     for request in range(1, 20 * 20 * 4):
         now += 12_500
-        while later[0][0] <= now:
-            at, _, number, event = heapq.heappop(later)
+        while pending_events[0][0] <= now:
+            at, _, number, event = heapq.heappop(pending_events)
             tell(number, event, at)
-        number = chance.randrange(dispatchers)
+        number = rng.randrange(dispatchers)
         for worker in fleet[number].workers.values():
-            held = sum(sent <= now - 600_000 < end for sent, end in zip(to_cold, leaves, strict=True))
+            held = sum(
+                sent <= now - 600_000 < end for sent, end in zip(cold_sends, cold_job_ends, strict=True)
+            )
             at_cold = interface.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
             fleet[number].load_model.apply_report(worker, at_cold if worker.entry.worker == 9 else full, now)
         tell(number, interface.RequestArrived(request, 5_000_000), now)
-    return to_cold, cold_since
+    return cold_sends, cold_since
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_many_dispatchers_use_a_cold_worker_and_do_not_push_it_over(seed):
-    """Each has a part of less than a job in the window; lots spend the mean of it and chance stays inside."""
-    to_cold, cold_since = play_cold(seed, dispatchers=60)
-    assert len(to_cold) > 10, "used before it is warm"
+def test_large_fleet_uses_cold_worker_within_its_budget(seed):
+    """Each dispatcher's share of the budget is less than one job per window, and is spent by random draws."""
+    cold_sends, cold_since = simulate_cold_worker(seed, dispatchers=60)
+    assert len(cold_sends) > 10, "the cold worker is used before it is warm"
     rate = 1 / 200_000  # one job at a time is all that is known of the worker
-    for at in to_cold:
+    for at in cold_sends:
         share = min(0.2 + 0.8 * (at - cold_since) / 20_000_000, 1.0)
-        sent = sum(at - 1_500_000 < other <= at for other in to_cold)
+        sent = sum(at - 1_500_000 < other <= at for other in cold_sends)
         assert sent <= 3.0 * share * rate * 1_500_000
 
 
-def spoken(fleet: int, charge: float = 0.002, **more: bool) -> interface.Settings:
-    """Reports come with answers, and a probe has its price."""
+def inline_settings(fleet: int, charge: float = 0.002, **more: bool) -> interface.Settings:
+    """Return settings in which reports come with answers, and probes are allowed at a charge."""
     return interface.Settings(
         fleet_size=fleet,
         classes=(SAFE,),
@@ -153,38 +159,38 @@
     )
 
 
-def list_three(fleet: int) -> Model:
-    model = Model(spoken(fleet))
+def three_workers_model(fleet: int) -> Model:
+    model = Model(inline_settings(fleet))
     model.list_workers(*(interface.WorkerEntry(worker) for worker in (1, 2, 3)))
     return model
 
 
-def test_in_a_large_fleet_servers_that_have_not_reported_are_asked():
-    """Guards against a belief that nothing corrects: each of many dispatchers sends a server little, and one
-    that was full once stayed so in its eyes for the rest of the day."""
-    model = list_three(14)
+def test_large_fleet_probes_workers_without_recent_reports():
+    """Guards against estimates that are never corrected: each of many dispatchers sends a worker few jobs,
+    and one that was full once seemed full for the rest of the run."""
+    model = three_workers_model(14)
     model.advance(200_000)
-    assert sorted(model.probes) == [1, 2, 3], "nothing is known of any"
-    answer(model, {1: 9})
+    assert sorted(model.probes) == [1, 2, 3], "no worker has reported yet"
+    answer_probes(model, {1: 9})
     model.advance(900_000)
-    assert not model.probes, "what they said is new enough"
+    assert not model.probes, "the reports are recent enough"
     model.arrive(1)
     model.advance(400_000)
-    assert len(model.probes) == 1 + MAX_PROBES, "the best before the pick, and one more a job: by their price"
+    assert len(model.probes) == 1 + MAX_PROBES, "those before the selection, and one refresh per request"
     assert model.dispatcher.workers[1].reported_at
 
 
-def test_a_small_fleet_asks_nobody():
-    model = list_three(3)
+def test_small_fleet_sends_no_probes():
+    model = three_workers_model(3)
     for number in range(20):
         model.arrive(number)
         model.advance(300_000)
     assert not model.probes
 
 
-def rated(weights_tell: bool, *runs: int) -> list[float]:
-    """Rates of a worker of two slots and one of five, after runs on the first that took so long."""
-    settings = interface.Settings(classes=(SAFE,), weights_enabled=weights_tell, reports_job_starts=True)
+def learnt_rates(weights_enabled: bool, *runs: int) -> list[float]:
+    """Return the rates of a worker with two slots and one with five, after these run times at the first."""
+    settings = interface.Settings(classes=(SAFE,), weights_enabled=weights_enabled, reports_job_starts=True)
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(
         interface.MembershipUpdate(
@@ -214,22 +220,22 @@
     return [dispatcher.workers[number].rate * 1e6 for number in (1, 2)]
 
 
-def test_where_the_list_tells_no_sizes_reported_slots_do():
-    """Guards the first seconds: all rates began alike, and it took eight runs on each server to part them."""
-    small, large = rated(False)
+def test_rates_follow_reported_slots_when_weights_are_disabled():
+    """Guards the first seconds: all rates started equal, and differed only after eight runs per worker."""
+    small, large = learnt_rates(False)
     assert large == pytest.approx(2.5 * small)
-    small, large = rated(True)
-    assert large == pytest.approx(small), "there the weights, which are alike, stand for the rates"
+    small, large = learnt_rates(True)
+    assert large == pytest.approx(small), "with weights enabled, equal weights give equal rates"
 
 
-def test_one_short_run_stands_for_no_rate():
-    """Guards a start: a first run of next to nothing made servers of 370 jobs a second of all."""
-    usual = rated(True, 200_000)[1]
-    assert rated(True, 20)[1] < 10 * usual
+def test_single_short_run_does_not_set_the_rate():
+    """Guards the start: after a very short first run all workers were estimated at 370 jobs per second."""
+    usual = learnt_rates(True, 200_000)[1]
+    assert learnt_rates(True, 20)[1] < 10 * usual
 
 
-def first_call(fleet: int, seed: int) -> int:
-    """When a dispatcher that has just started asks for its first list."""
+def first_call_delay(fleet: int, seed: int) -> int:
+    """Return the delay of the first discovery call after a dispatcher has started."""
     model = Model(interface.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True), seed)
     began = model.now
     model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
@@ -237,85 +243,92 @@
     return model.subscriptions[0] - began
 
 
-def test_a_large_fleet_that_starts_together_spreads_its_first_calls():
-    """Guards discovery, which answers a few calls a second: of 14 in one moment it failed eight."""
-    assert all(first_call(3, seed) == 0 for seed in range(5))
-    calls = sorted(first_call(14, seed) for seed in range(14))
+def test_large_fleet_spreads_its_first_discovery_calls():
+    """Guards discovery, which answers a few calls per second: of 14 simultaneous calls eight failed."""
+    assert all(first_call_delay(3, seed) == 0 for seed in range(5))
+    calls = sorted(first_call_delay(14, seed) for seed in range(14))
     assert calls[-1] <= 14 * FIRST_CALL_SPREAD_US and sum(each < 500_000 for each in calls) < 9
 
 
 @pytest.mark.parametrize("fleet", [3, 14, 200])
-def test_nobody_waits_longer_to_ask_than_the_settings_allow(fleet):
-    """Guards dispatchers that counted as told and had not asked: 200 spread their first calls over 20 s
-    where 10 were allowed, and waited for up to 120 s after failed ones, where one counts as told after 40."""
+def test_discovery_delays_stay_within_half_the_poll_interval(fleet):
+    """Guards against dispatchers that counted as notified but had not called discovery.
+
+    200 dispatchers spread their first calls over 20 s where 10 s were allowed, and waited up to 120 s after
+    failed calls where a change counts as notified after 40 s.
+    """
     settings = interface.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
-    assert max(first_call(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
-    chance, retry = random.Random(1), DiscoveryRetry()
-    waits = [retry.retry_delay(settings, chance) for _ in range(2_000)]
+    assert max(first_call_delay(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
+    rng, retry = random.Random(1), DiscoveryRetry()
+    waits = [retry.retry_delay(settings, rng) for _ in range(2_000)]
     assert max(waits) <= settings.poll_interval // 2
-    assert min(waits[20:]) >= settings.poll_interval // 16, (
-        "a service that is down is not asked again and again"
-    )
+    assert min(waits[20:]) >= settings.poll_interval // 16, "a failed service is not called in a tight loop"
 
 
 @pytest.mark.parametrize("fleet", [200, 450])
-def test_a_process_that_has_restarted_has_its_list_before_older_changes_count(fleet):
-    """Seen on the bench, strict-drains, herd+mass: 130 of 200 processes restarted at 14.2 s, and had their
-    first list up to 5.2 s later, while a change of 11.97 s counted as told at 17.97 s; one sent at 18.58
-    s."""
-    first = max(first_call(fleet, seed) for seed in range(60))
-    restart, told = 14_200_000, 11_970_000 + 6_000_000
-    assert restart + first + discovery_retry.ANSWER_TIME_US < told
-    moments = sorted(first_call(fleet, seed) for seed in range(fleet))
-    assert sum(each < 500_000 for each in moments) < 0.4 * fleet, "nor do they come in one moment"
+def test_restarted_process_has_list_before_earlier_changes_count_as_notified(fleet):
+    """Guards against a send to a drained worker after a restart.
+
+    In the bench scenario strict-drains, herd+mass, 130 of 200 processes restarted at 14.2 s and got their
+    first list up to 5.2 s later. A change made at 11.97 s counted as notified at 17.97 s, and one process
+    sent at 18.58 s.
+    """
+    first = max(first_call_delay(fleet, seed) for seed in range(60))
+    restarted_at, notified_at = 14_200_000, 11_970_000 + 6_000_000
+    assert restarted_at + first + discovery_retry.ANSWER_TIME_US < notified_at
+    moments = sorted(first_call_delay(fleet, seed) for seed in range(fleet))
+    assert sum(each < 500_000 for each in moments) < 0.4 * fleet, "the calls are spread over time"
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 14, 200, 450])
-@pytest.mark.parametrize("ask_within", [2_000_000, 10_000_000, 60_000_000])
-def test_whatever_call_failed_two_more_fit_into_the_time_that_counts(fleet, ask_within):
-    """Guards the operators' term: a change counts as told 6 s after discovery had it and could be reached.
-    From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
-    besides."""
-    settings = interface.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=ask_within)
+@pytest.mark.parametrize("poll_interval", [2_000_000, 10_000_000, 60_000_000])
+def test_two_discovery_calls_fit_after_any_failure_before_changes_count_as_notified(fleet, poll_interval):
+    """Guards the operators' requirement: a change counts as notified 6 s after discovery had it and could be
+    reached. From the third failure on, a dispatcher waited up to half of `poll_interval`, and up to 6 s more
+    for a call."""
+    settings = interface.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=poll_interval)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
-        chance, retry = random.Random(seed), DiscoveryRetry()
-        delays = [retry.retry_delay(settings, chance) for _ in range(40)]
+        rng, retry = random.Random(seed), DiscoveryRetry()
+        delays = [retry.retry_delay(settings, rng) for _ in range(40)]
         answered = max(sum(pair) for pair in itertools.pairwise(delays)) + limit
         assert answered + discovery_retry.ANSWER_TIME_US <= 6_000_000
-    assert discovery_retry.ANSWER_TIME_US >= 1_000_000, "discovery answers one after another"
+    assert discovery_retry.ANSWER_TIME_US >= 1_000_000, "discovery answers its callers one after another"
 
 
-def test_where_lists_are_pushed_the_agent_is_asked_at_once_and_often():
-    """Guards drains there: what the agent has counts as told, whether or not a watch is open."""
+def test_pushed_lists_are_requested_at_once_and_retried_often():
+    """Guards drains: with pushed lists, what the agent has counts as notified even if no watch is open."""
     settings = interface.Settings(fleet_size=200, list_is_pushed=True)
-    chance, retry = random.Random(1), DiscoveryRetry()
-    assert retry.first_delay(settings, chance) == retry.retry_delay(settings, chance) == 0
-    assert 0 < max(retry.retry_delay(settings, chance) for _ in range(40)) <= 100_000
+    rng, retry = random.Random(1), DiscoveryRetry()
+    assert retry.first_delay(settings, rng) == retry.retry_delay(settings, rng) == 0
+    assert 0 < max(retry.retry_delay(settings, rng) for _ in range(40)) <= 100_000
     model = Model(settings)
     model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     assert len(model.subscriptions) == 1
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 40, 200])
-def test_who_was_cut_off_has_asked_twice_by_the_time_that_counts(fleet):
-    """Guards a watch that falls silent: what it missed counts as told 2 s after its wait, and 200 dispatchers
-    that found out in one moment waited for 2.5 to 15 s. The first call of each fails once more."""
+def test_silent_watch_is_followed_by_two_calls_before_changes_count_as_notified(fleet):
+    """Guards against a watch whose connection goes silent.
+
+    What it missed counts as notified 2 s after its hold, but 200 dispatchers that detected this at the same
+    moment waited 2.5 to 15 s. The first call of each dispatcher fails again here.
+    """
     settings, asked = interface.Settings(fleet_size=fleet, list_is_polled=True), []
     for seed in range(fleet):
-        chance, retry = random.Random(seed), DiscoveryRetry()
-        found_out = HOLD_GRACE_S * 1_000_000
+        rng, retry = random.Random(seed), DiscoveryRetry()
+        detection_delay = HOLD_GRACE_S * 1_000_000
         asked.append(
-            found_out + retry.retry_delay(settings, chance) + LOST + retry.retry_delay(settings, chance)
+            detection_delay + retry.retry_delay(settings, rng) + CALL_US + retry.retry_delay(settings, rng)
         )
-    assert max(asked) + LOST <= 2_000_000, "the second call's answer has come"
+    assert max(asked) + CALL_US <= 2_000_000, "the second call's answer has come"
     busiest = max(sum(at <= each < at + 50_000 for each in asked) for at in asked)
-    assert busiest <= max(0.6 * fleet, 3), "they do not come in one moment"
+    assert busiest <= max(0.6 * fleet, 3), "the calls are spread over time"
 
 
-def key_charges(fetched_runs: float) -> float:
-    """What a key's second-best server is charged for its data, in mean jobs, after some seconds of a large
-    fleet: 25 runs each with the data there, and without it."""
+def learnt_fetch_ratio(fetched_runs: float) -> float:
+    """Return the learnt additional run time without cached data, in mean jobs, after 25 runs with and 25 runs
+    without the data: those of a few seconds in a large fleet."""
     dispatcher = Dispatcher(interface.Settings(classes=(SAFE,)), 1)
     for _ in range(25):
         dispatcher.load_model.cached_run_ratio.add(1.0, MEMORY_SAMPLES)
@@ -323,16 +336,20 @@
     return dispatcher.load_model.fetch_run_ratio.value - dispatcher.load_model.cached_run_ratio.value
 
 
-def test_what_a_fetch_costs_is_learnt_from_the_runs_of_some_seconds():
-    """Guards against a popular key that all pile on its first servers: the first guess was a whole
-    job, times the place in the order, and stood for 60 runs, which one of many takes long to see."""
-    assert key_charges(1.3) < 0.45
-    assert key_charges(3.0) > 1.0
+def test_fetch_time_is_learnt_within_seconds():
+    """Guards against popular keys that overload the first workers of their order.
+
+    The initial guess of the fetch time was a whole job, multiplied by the position in the order, and counted
+    as 60 runs, which a single dispatcher of many takes long to see.
+    """
+    assert learnt_fetch_ratio(1.3) < 0.45
+    assert learnt_fetch_ratio(3.0) > 1.0
 
 
-def test_a_report_of_neither_jobs_nor_free_slots_is_none():
-    """Guards a start: all had asked everyone before anything was measured, and held that for a report."""
-    model = list_three(14)
+def test_report_without_jobs_and_free_slots_is_ignored():
+    """Guards the start: all workers were probed before they had measured anything, and their empty reports
+    were taken as load reports."""
+    model = three_workers_model(14)
     model.advance(200_000)
     probes, model.probes = model.probes, []
     for worker in probes:
@@ -346,9 +363,12 @@
 
 
 @pytest.mark.parametrize("dispatchers", [8, 40, 400])
-def test_the_parts_of_a_large_fleet_add_up_to_the_cold_budget(dispatchers):
-    """Guards a cold server: servers without a report seemed to hold nobody's jobs, so each of 40 dispatchers
-    thought most jobs its own and took four parts: 23 of them sent to one server within a second."""
+def test_slow_start_shares_of_large_fleet_add_up_to_budget(dispatchers):
+    """Guards against overloading a cold worker.
+
+    Workers without reports seemed to have no jobs of peers, so each of 40 dispatchers estimated that most
+    jobs were its own and took four shares: 23 of them sent to one worker within a second.
+    """
     settings = interface.Settings(fleet_size=dispatchers, classes=(SAFE,), collapse_multiple=2.5)
     dispatcher = Dispatcher(settings, 1)
     now = 1_000_000
@@ -367,8 +387,8 @@
         )
 
 
-def test_runs_on_one_server_tell_of_its_kind():
-    """Guards against rates learnt from a handful of runs: small boxes were thought 1.6 times too fast."""
+def test_run_times_apply_to_all_workers_of_a_machine_kind():
+    """Guards against rates learnt from a few runs: small machines were estimated 1.6 times too fast."""
     dispatcher = Dispatcher(
         interface.Settings(classes=(SAFE,), weights_enabled=False, reports_job_starts=True), 1
     )
@@ -386,28 +406,31 @@
     assert fast > 1.8 * slow
 
 
-def test_the_best_are_asked_before_a_pick_goes_by_their_old_reports():
-    """Guards against the least of many old estimates, which is the most wrong: servers that all of 40 thought
-    nearly empty held 13 jobs on average when they were picked, three times what an average server did."""
-    model = Model(spoken(40))
+def test_best_workers_with_old_reports_are_probed_before_selection():
+    """Guards against selecting the lowest of many old estimates, which is the most wrong.
+
+    Workers that 40 dispatchers estimated as nearly idle had 13 jobs on average when they were selected, three
+    times as many as the average worker.
+    """
+    model = Model(inline_settings(40))
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
     model.advance(200_000)
-    answer(model, dict.fromkeys(range(3, 9), 8))
+    answer_probes(model, dict.fromkeys(range(3, 9), 8))
     model.advance(500_000)
     model.probes.clear()
     model.arrive(1)
     assert set(model.probes) == {1, 2} and not model.sends
-    answer(model, {1: 9, 2: 1})
+    answer_probes(model, {1: 9, 2: 1})
     assert [send[1] for send in model.sends] == [2]
     for worker in model.dispatcher.workers.values():
         model.dispatcher.load_model.apply_report(worker, interface.LoadReport(1.0, 0.0, 3.0), model.now)
     model.arrive(2)
-    assert len(model.sends) == 2 and not model.probes, "what was just said is gone by"
+    assert len(model.sends) == 2 and not model.probes, "recent reports are used without probes"
 
 
-def test_a_pick_asks_no_more_than_its_price_allows():
+def test_probe_count_is_limited_by_probe_charge():
     for charge, asked in ((0.002, 2), (0.004, 1), (0.05, 0)):
-        model = Model(spoken(40, charge))
+        model = Model(inline_settings(40, charge))
         model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
         model.advance(3_000_000)
         model.probes.clear()
@@ -415,12 +438,12 @@
         assert len(model.probes) == asked and bool(model.sends) == (not asked)
 
 
-def waiting_long(answers: bool) -> Model:
-    """A job that has not started after 1.5 s, at one of two servers, in a large fleet."""
-    model = Model(spoken(40, reports_job_starts=True, hedging_allowed=True))
+def model_of_unstarted_job(answers: bool) -> Model:
+    """Return a model of a large fleet in which a job has not started after 1.5 s at one of two workers."""
+    model = Model(inline_settings(40, reports_job_starts=True, hedging_allowed=True))
     model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     model.advance(200_000)
-    answer(model, {})
+    answer_probes(model, {})
     model.arrive(1)
     [(_, where, _)] = model.sends
     for _ in range(30):
@@ -432,24 +455,30 @@
     return model
 
 
-def test_a_server_full_of_others_jobs_is_asked_before_it_is_held_to_be_silent():
-    """Guards an overloaded fleet: each hears of a server only by its own few jobs, so those that waited
-    made copies and shut their servers out: a fifth of all attempts, and the rest filled up as well."""
-    model = waiting_long(answers=True)
+def test_worker_busy_with_peer_jobs_is_probed_before_it_counts_as_unresponsive():
+    """Guards an overloaded fleet.
+
+    Each dispatcher gets signals of a worker only for its own few jobs. Jobs that waited were hedged and their
+    workers went into backoff: a fifth of all attempts, which filled up the remaining workers as well.
+    """
+    model = model_of_unstarted_job(answers=True)
     assert len(model.sends) == 1 and not model.dispatcher.workers_in_backoff(model.now)
-    model = waiting_long(answers=False)
-    assert len(model.sends) == 2, "one that does not answer either is silent"
+    model = model_of_unstarted_job(answers=False)
+    assert len(model.sends) == 2, "a worker that does not answer the probe either counts as unresponsive"
     assert model.dispatcher.workers[model.sends[0][1]].backoff
 
 
 @pytest.mark.parametrize("period", [400_000, 1_200_000, 2_000_000])
-def test_the_age_of_reports_is_learnt_from_how_often_they_change(period):
-    """Guards against an age fitted to own jobs, which are one in 40 here: it was anything from 0 to 3.2 s,
-    so that what others had sent since was left out, or more had left than were there."""
-    refresh, chance, errors, now = ReportPeriod(), random.Random(1), [], 10_000_000
+def test_report_period_is_learnt_from_frequency_of_changes(period):
+    """Guards against a report age fitted to own jobs, which are one in 40 here.
+
+    It varied from 0 to 3.2 s, so that jobs of peers sent since were missing, or more jobs had departed than
+    existed.
+    """
+    refresh, rng, errors, now = ReportPeriod(), random.Random(1), [], 10_000_000
     worker = Worker(interface.WorkerEntry(1), 1.0)
     for _ in range(800):
-        now += round(chance.expovariate(1 / 500_000))
+        now += round(rng.expovariate(1 / 500_000))
         made_at = now - now % period
         age = refresh.age(worker, interface.LoadReport(float(made_at // period)), now)
         if age is not None:
@@ -459,19 +488,24 @@
     assert abs(sum(errors[100:]) / len(errors[100:])) < 0.25 * period
 
 
-def test_a_report_that_is_seen_again_does_not_restart_the_estimate():
-    """Guards a server that looked idle at its last refresh: all that asked it took that for news until the
-    next, and sent to it; 40 dispatchers made 30 jobs of one that each thought the first."""
-    model = list_three(14)
+def test_repeated_report_does_not_restart_job_count():
+    """Guards a worker that seemed idle at its last refresh of the report.
+
+    All dispatchers that probed it took the repeated report for a new one until the next refresh, and sent to
+    it: 40 dispatchers sent 30 jobs where each expected its own to be the first.
+    """
+    model = three_workers_model(14)
     model.advance(200_000)
-    answer(model, {})
+    answer_probes(model, {})
     worker = model.dispatcher.workers[1]
     since = worker.peer_jobs_at
     model.advance(600_000)
     model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0, 0, 4)))
-    assert worker.peer_jobs_at == since, "what has come since goes on being reckoned with"
+    assert worker.peer_jobs_at == since, "the jobs estimated since the first report still count"
     model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
     model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
-    assert worker.peer_jobs_at > model.now - 2_000_000, "an idle server may say the same for long"
+    assert worker.peer_jobs_at > model.now - 2_000_000, (
+        "an idle worker's equal reports count as new after a while"
+    )
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -1,4 +1,4 @@
-"""The guards of the rules and of the charges, each in the smallest play that goes wrong without it."""
+"""Checks of the decision rules and of the charges, each in the smallest scenario that fails without it."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     return model
 
 
-def workers_of(model: Model) -> list[int]:
+def sent_workers(model: Model) -> list[int]:
     return [worker for _, worker, _ in model.sends]
 
 
-def test_nothing_new_goes_to_a_draining_worker():
+def test_draining_worker_gets_no_new_requests():
     model = two_workers()
     draining = interface.WorkerEntry(1, state=interface.WorkerState.DRAINING)
     model.list_workers(draining, kind=interface.ListKind.DELTA)
     for request in range(8):
         model.arrive(request)
         model.end(request, interface.Outcome.SERVED)
-    assert workers_of(model) == [2] * 8
+    assert sent_workers(model) == [2] * 8
 
 
-def test_a_dispatcher_just_started_sends_nothing_to_a_cold_worker_for_one_window():
-    """What it sent before a restart of its own may have spent the budget."""
+def test_started_dispatcher_sends_nothing_to_cold_worker_for_one_window():
+    """The dispatcher may have spent the slow-start budget of the window before its own restart."""
     model = Model(
         interface.Settings(
             classes=(SAFE,), collapse_window=1_000_000, collapse_multiple=50.0, initial_capacity=0.5
@@ -44,11 +44,11 @@
     model.advance(990_000)
     assert model.sends == []
     model.advance(1_000_000)
-    assert workers_of(model) == [1]
+    assert sent_workers(model) == [1]
 
 
 @pytest.mark.parametrize(("after", "attempts"), [(500_000, 2), (1_900_000, 1)])
-def test_a_keyed_request_is_sent_again_only_while_its_key_is_surely_remembered(after, attempts):
+def test_keyed_request_is_retried_only_within_dedup_window(after, attempts):
     job = interface.JobClass(
         idempotency=interface.Idempotency.KEYED,
         objective=200_000,
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize("copies", [False, True])
-def test_a_second_copy_goes_out_only_where_the_settings_allow_it(copies):
+def test_request_is_hedged_only_if_settings_allow_it(copies):
     model = two_workers(hedging_allowed=copies)
     model.arrive(1)
     model.advance(4_000_000)
     assert (len(model.sends) > 1) == copies
 
 
-def test_a_class_goes_only_to_the_kind_of_machine_that_runs_it():
+def test_job_class_is_sent_only_to_its_machine_kind():
     model = Model(
         interface.Settings(
             classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, machine_kind=1),)
@@ -83,10 +83,10 @@
     )
     for request in range(6):
         model.arrive(request)
-    assert set(workers_of(model)) == {2}
+    assert set(sent_workers(model)) == {2}
 
 
-def test_copies_still_out_are_called_back_where_that_is_allowed():
+def test_attempts_in_flight_are_cancelled_after_answer_if_allowed():
     model = two_workers(hedging_allowed=True, cancel_allowed=True)
     model.arrive(1)
     model.advance(3_000_000)
@@ -95,7 +95,7 @@
     assert len(model.cancels) == len(model.jobs[1].tries) - 1
 
 
-def test_a_request_answered_while_it_asks_is_not_sent():
+def test_request_closed_while_waiting_for_probes_is_not_sent():
     model = Model(interface.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True))
     model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     model.arrive(1)
@@ -105,7 +105,7 @@
     assert model.sends == []
 
 
-def test_a_process_started_anew_holds_nothing_and_is_trusted():
+def test_restarted_process_has_no_peer_jobs_and_no_backoff():
     model = two_workers()
     worker = model.dispatcher.workers[1]
     model.dispatcher.load_model.apply_report(worker, interface.LoadReport(12.0, 8.0, 0.0), model.now)
@@ -114,51 +114,51 @@
     assert (worker.peer_jobs, worker.backoff_until) == (0, 0)
 
 
-def test_a_worker_that_turned_work_away_is_taken_for_full():
+def test_worker_that_rejects_an_attempt_counts_as_full():
     model = two_workers()
     model.arrive(1)
-    first = workers_of(model)[0]
+    first = sent_workers(model)[0]
     model.end(1, interface.Outcome.FULL)
     for request in range(2, 6):
         model.arrive(request)
-    assert workers_of(model) == [first] + [3 - first] * 5
+    assert sent_workers(model) == [first] + [3 - first] * 5
 
 
-def test_a_crossing_and_a_connection_cost_what_a_delay_as_dear_would():
+def test_zone_crossing_and_handshake_charges_count_as_delay():
     model = Model(interface.Settings(classes=(SAFE,), cross_zone_charge=0.05))
     model.list_workers(
         interface.WorkerEntry(1, zone=1, weight=1.02), interface.WorkerEntry(2, zone=0, weight=1.0)
     )
     model.arrive(1)
-    assert workers_of(model) == [2], "a little faster is not worth a crossing"
+    assert sent_workers(model) == [2], "a slightly faster worker does not justify crossing zones"
     model = Model(interface.Settings(classes=(SAFE,), handshake_charge=0.05))
     model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     for request in range(6):
         model.arrive(request)
         model.end(request, interface.Outcome.SERVED, load=EMPTY)
-    assert len(set(workers_of(model))) == 1, "the open connection is used again"
+    assert len(set(sent_workers(model))) == 1, "the open connection is reused"
 
 
-def test_a_worker_under_trial_gets_one_job_at_a_time():
-    """Guards against flooding a worker on its return: the next trial waits for a sign or its turn."""
+def test_worker_in_backoff_gets_one_trial_request_at_a_time():
+    """Guards against flooding a worker that recovers: the next trial needs a signal or another backoff."""
     model = two_workers()
     for worker in model.dispatcher.workers.values():
         start_backoff(worker, model.dispatcher.random, model.now)
     model.advance(1_300_000)
     for request in range(6):
         model.arrive(request)
-    assert sorted(workers_of(model)) == [1, 2]
+    assert sorted(sent_workers(model)) == [1, 2]
 
 
-@pytest.mark.parametrize("turn", range(20))
-def test_the_pick_among_those_asked_is_the_least_expected_delay_of_all(turn):
-    """With few workers all are drawn: the shortened pick must find what a look at every worker finds."""
-    model = Model(interface.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True), seed=turn)
+@pytest.mark.parametrize("case", range(20))
+def test_selection_with_probes_finds_least_expected_delay_of_all_workers(case):
+    """With few workers all of them are sampled, so the result must be that of a scan of every worker."""
+    model = Model(interface.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True), seed=case)
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 8)))
-    held = {worker: (worker * 5 + turn * 3) % 7 for worker in range(1, 8)}
+    jobs_by_worker = {worker: (worker * 5 + case * 3) % 7 for worker in range(1, 8)}
     loads = {
         each: interface.LoadReport(count, max(count - 2, 0), max(2 - count, 0))
-        for each, count in held.items()
+        for each, count in jobs_by_worker.items()
     }
     for worker, load in loads.items():
         model.dispatcher.load_model.apply_report(model.dispatcher.workers[worker], load, model.now)
@@ -167,24 +167,25 @@
     assert model.probes
     for worker in list(model.probes):
         model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, loads[worker]))
-    assert [held[worker] for worker in workers_of(model)] == [0]
+    assert [jobs_by_worker[worker] for worker in sent_workers(model)] == [0]
 
 
-def test_who_has_just_told_its_load_is_not_asked_again():
-    """Guards probes that tell nothing: servers make reports anew now and then, and a job waits for each."""
+def test_worker_with_recent_report_is_not_probed_again():
+    """Guards against useless probes: workers renew their reports only periodically, and a job waits for each
+    probe."""
     model = Model(interface.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True))
     model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
-    asked = []
+    probe_counts = []
     for request, pause in enumerate((0, 50_000, 1_000_000)):
         model.advance(pause)
         model.probes.clear()
         model.arrive(request)
-        asked.append(len(model.probes))
+        probe_counts.append(len(model.probes))
         for worker in list(model.probes):
             model.tell(
                 interface.ProbeEnded(
                     worker, interface.Outcome.SERVED, 1_000, interface.LoadReport(request / 9, 0.0, 4.0)
                 )
             )
-    assert asked == [2, 0, 2]
-    assert len(model.sends) == 3, "without asking it is sent at once"
+    assert probe_counts == [2, 0, 2]
+    assert len(model.sends) == 3, "without a probe the request is sent at once"
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Silent, failed and late: one small test for each failure found."""
+"""Unresponsive and failing workers, and late requests: one small test for each failure that was found."""
 
 from collections import Counter
 
@@ -14,14 +14,15 @@
     return model
 
 
-def play(model: Model, silent: int, seconds: int) -> Counter[int]:
-    """Worker `silent` takes jobs and says nothing, the other serves each in 50 ms."""
+def play(model: Model, unresponsive: int, seconds: int) -> Counter[int]:
+    """Send 20 jobs per second; worker `unresponsive` accepts jobs without a signal, the other serves each in
+    50 ms. Return the number of sends to each worker in the last 5 s."""
     first = len(model.jobs)
     for request in range(first, first + 20 * seconds, 2):
         model.arrive(request)
         model.arrive(request + 1)
         for number, attempt in model.out():
-            if model.jobs[number].tries[attempt].worker.worker != silent:
+            if model.jobs[number].tries[attempt].worker.worker != unresponsive:
                 model.start(number, attempt)
                 model.advance(50_000)
                 model.end(number, interface.Outcome.SERVED, attempt)
@@ -29,22 +30,22 @@
     return Counter(worker for at, worker, _ in model.sends if at > model.now - 5_000_000)
 
 
-def test_silent_worker_is_shunned_and_its_repeatable_work_sent_elsewhere():
+def test_unresponsive_worker_gets_only_trials_and_its_requests_are_hedged():
     model = two_workers(hedging_allowed=True)
-    late = play(model, silent=2, seconds=12)
-    assert late[2] <= 3, "trials only, one at a time"
-    stuck = [job for job in model.jobs.values() if job.tries[0].worker.worker == 2]
-    assert stuck
-    assert all(len(job.tries) > 1 for job in stuck[:-1])
+    late = play(model, unresponsive=2, seconds=12)
+    assert late[2] <= 3, "only trial requests, one at a time"
+    unresponsive_jobs = [job for job in model.jobs.values() if job.tries[0].worker.worker == 2]
+    assert unresponsive_jobs
+    assert all(len(job.tries) > 1 for job in unresponsive_jobs[:-1])
 
 
-def test_a_worker_that_speaks_again_is_trusted_again():
+def test_recovered_worker_gets_requests_again():
     model = two_workers(hedging_allowed=True)
-    play(model, silent=2, seconds=8)
-    assert play(model, silent=0, seconds=12)[2] > 10
+    play(model, unresponsive=2, seconds=8)
+    assert play(model, unresponsive=0, seconds=12)[2] > 10
 
 
-def test_failed_connect_sends_elsewhere_and_shuts_the_worker():
+def test_connect_failure_is_retried_elsewhere_and_starts_backoff():
     model = two_workers()
     model.arrive(1)
     first = model.sends[0][1]
@@ -55,8 +56,11 @@
     assert all(worker == 3 - first for _, worker, _ in model.sends[1:])
 
 
-def resets(*stale: bool) -> bool:
-    """Whether a worker still gets work after its connections broke like this, without a sign in between."""
+def accepts_work_after_resets(*stale: bool) -> bool:
+    """Return whether a worker still gets requests after these connection resets without a signal in between.
+
+    Each argument is `AttemptEnded.stale` of a reset.
+    """
     model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True))
     model.list_workers(interface.WorkerEntry(1))
     for request, each in enumerate(stale):
@@ -67,14 +71,17 @@
     return len(model.sends) > before
 
 
-def test_a_connection_that_breaks_alone_says_little_of_its_worker():
-    """Guards against shutting out servers that are well: on days when connections break, most would be."""
-    assert resets(False) and not resets(False, False)
-    assert resets(True, True, True, True), "a kept connection may have died since its last use"
-    assert not resets(True, False, True, False)
+def test_single_or_stale_connection_reset_starts_no_backoff():
+    """Guards against backoff from healthy workers: in a network that resets connections, most would be in
+    backoff."""
+    assert accepts_work_after_resets(False) and not accepts_work_after_resets(False, False)
+    assert accepts_work_after_resets(True, True, True, True), (
+        "an idle connection may have died since its last use"
+    )
+    assert not accepts_work_after_resets(True, False, True, False)
 
 
-def test_unsafe_request_at_a_silent_worker_is_never_sent_again():
+def test_unsafe_request_at_unresponsive_worker_is_never_retried():
     model = Model(
         interface.Settings(classes=(interface.JobClass(),), reports_job_starts=True, hedging_allowed=True)
     )
@@ -86,11 +93,11 @@
     assert sorted(model.failed) == list(range(6))
 
 
-def test_late_work_is_refused_where_it_earns_nothing_and_held_where_it_earns_something():
-    """A jam feeds itself when late jobs keep the queues full."""
-    for late_worth, refused in ((0.0, True), (0.5, False)):
+def test_late_request_is_rejected_if_worthless_and_queued_otherwise():
+    """Guards against an overload that never ends because late jobs keep the queues full."""
+    for late_value_fraction, refused in ((0.0, True), (0.5, False)):
         job_class = interface.JobClass(
-            idempotency=interface.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth
+            idempotency=interface.Idempotency.SAFE, objective=200_000, late_value_fraction=late_value_fraction
         )
         model = Model(interface.Settings(classes=(job_class,), reports_job_starts=True))
         model.list_workers(interface.WorkerEntry(1))
@@ -104,7 +111,7 @@
         assert len(model.sends) < 6
 
 
-def test_failed_list_calls_are_repeated_later_and_later():
+def test_failed_discovery_calls_are_retried_within_poll_interval():
     model = Model(interface.Settings(list_is_polled=True))
     model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     for _ in range(6):
@@ -117,8 +124,8 @@
     assert max(gaps) < model.settings.poll_interval
 
 
-def test_the_first_call_after_a_failed_one_comes_soon_and_a_list_that_arrives_starts_that_anew():
-    """Guards against working by an old list for seconds because one answer broke off."""
+def test_first_discovery_retry_is_early_and_received_list_resets_backoff():
+    """Guards against using an old list for seconds because one answer was cut off."""
     model = Model(interface.Settings(list_is_polled=True))
     model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     waits = []
@@ -132,11 +139,11 @@
             model.advance(10_000)
         waits.append(model.now - before)
     assert waits[0] < 700_000 and waits[-1] < 700_000
-    assert sum(waits[2:4]) > sum(waits[:2]), "calls that go on failing come less often"
+    assert sum(waits[2:4]) > sum(waits[:2]), "further failures increase the delay"
 
 
-def test_a_job_that_later_ones_overtake_is_copied_and_its_worker_stays():
-    """Guards against waiting for a connection that fell silent at a worker that goes on speaking."""
+def test_overtaken_attempt_is_hedged_without_backoff_of_its_worker():
+    """Guards against waiting for a dead connection to a worker that still sends signals on others."""
     model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True, hedging_allowed=True))
     model.list_workers(interface.WorkerEntry(1))
     model.arrive(0)
@@ -147,12 +154,12 @@
     model.list_workers(interface.WorkerEntry(2), kind=interface.ListKind.DELTA)
     model.advance(600_000)
     assert [worker for _, worker, request in model.sends if request == 0] == [1, 2]
-    assert len(model.sends) == 5, "of the others none"
+    assert len(model.sends) == 5, "no other attempt is hedged"
     assert model.dispatcher.workers[1].backoff_until == 0
 
 
-def test_a_job_that_misses_one_note_of_progress_is_copied_in_time():
-    """Guards jobs whose answer stopped short: two notes later the copy would be late as well."""
+def test_attempt_that_misses_one_progress_report_is_hedged():
+    """Guards jobs whose response stalls: after two missed progress reports the hedge would be late too."""
     job = interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=3_000_000)
     settings = interface.Settings(
         classes=(job,), reports_job_starts=True, progress_interval=1_000_000, hedging_allowed=True
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -1,4 +1,4 @@
-"""Where a key's data must be fetched, jobs about it stay together until the queue costs more."""
+"""Key affinity: jobs of one key go to the same worker until its queue costs more than a fetch of the data."""
 
 from collections import Counter
 
@@ -6,24 +6,24 @@
 from tests.support.model import Model
 
 
-def serve_all(model: Model, fetch: int) -> None:
-    """Jobs about 12 keys, one after the other; each takes longer where its key was not run lately."""
-    lately: dict[int, list[int]] = {}
+def serve_all(model: Model, fetch_time: int) -> None:
+    """Serve jobs of 12 keys one after another; each takes `fetch_time` longer if its key is not cached."""
+    recent_keys: dict[int, list[int]] = {}
     for request in range(240):
         key = 1 + request * 7 % 12
         model.arrive(request, key=key)
         worker = model.sends[-1][1]
-        kept = lately.setdefault(worker, [])
+        cached = recent_keys.setdefault(worker, [])
         model.start(request)
-        model.advance(100_000 + (0 if key in kept else fetch))
-        lately[worker] = [*[each for each in kept if each != key], key][-4:]
+        model.advance(100_000 + (0 if key in cached else fetch_time))
+        recent_keys[worker] = [*[each for each in cached if each != key], key][-4:]
         model.end(request, interface.Outcome.SERVED, load=interface.LoadReport(in_flight=0.0, free_slots=4.0))
 
 
-def homes(settings: interface.Settings, fetch: int, seed: int) -> dict[int, int]:
+def preferred_workers(settings: interface.Settings, fetch_time: int, seed: int) -> dict[int, int]:
     model = Model(settings, seed)
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 5)))
-    serve_all(model, fetch)
+    serve_all(model, fetch_time)
     used = {key: Counter() for key in range(1, 13)}
     for _, worker, request in model.sends:
         used[1 + request * 7 % 12][worker] += 1
@@ -31,18 +31,18 @@
     return {key: counts.most_common(1)[0][0] for key, counts in used.items()}
 
 
-def test_all_dispatchers_agree_on_the_worker_of_a_key_without_a_word():
+def test_dispatchers_agree_on_workers_of_keys_without_communication():
     settings = interface.Settings(
         fleet_size=3,
         reports_job_starts=True,
         reports_inline=True,
         classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE),),
     )
-    assert homes(settings, 300_000, seed=1) == homes(settings, 300_000, seed=2)
+    assert preferred_workers(settings, 300_000, seed=1) == preferred_workers(settings, 300_000, seed=2)
 
 
-def test_a_key_too_hot_for_one_worker_spills_over_to_the_next_in_its_order():
-    """Guards against a hot key that scatters over all workers, each of which must fetch its data."""
+def test_hot_key_spills_over_to_same_next_workers_for_all_dispatchers():
+    """Guards against a hot key that spreads over all workers, each of which has to fetch its data."""
     used = []
     for seed in (1, 2, 3):
         model = Model(
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -1,24 +1,24 @@
-"""In overload each job takes another's place: whose it takes goes by what a unit of their work is worth."""
+"""Admission in overload: classes with less value per unit of work are rejected first."""
 
 import pytest
 
 from hazelbend.decisions import interface
 from tests.support.model import Model
 
-RUN = 100_000  # of a mean job of either class, before anything is learnt: the objective
-CHEAP, DEAR = 0, 1
+RUN = 100_000  # initial estimate of the run time in both classes, equal to the objective
+LOW_VALUE, HIGH_VALUE = 0, 1
 
 
-def answers(queued: int, worths: tuple[float, float], **settings: bool) -> list[int | None]:
-    """For a cheap job and a dear one that find so many waiting at a lone server: None if it is sent, else the
-    wait after which its client is told to try again."""
+def retry_after_by_class(queued: int, values: tuple[float, float], **settings: bool) -> list[int | None]:
+    """Return, for a job of low and one of high value at a single worker with this queue, the `retry_after` of
+    its rejection, or None if it is sent."""
     found = []
-    for job_class in (CHEAP, DEAR):
+    for job_class in (LOW_VALUE, HIGH_VALUE):
         classes = tuple(
             interface.JobClass(
-                idempotency=interface.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth
+                idempotency=interface.Idempotency.SAFE, objective=RUN, stretch=8.0, value=value
             )
-            for worth in worths
+            for value in values
         )
         model = Model(interface.Settings(classes=classes, **settings))
         model.list_workers(interface.WorkerEntry(1))
@@ -30,41 +30,55 @@
     return found
 
 
-def most(job_class: int, worths: tuple[float, float]) -> int:
-    """The longest queue with which a job of the class is still sent."""
-    return next(queued for queued in range(20) if answers(queued + 1, worths)[job_class] is not None)
+def longest_admitted_queue(job_class: int, values: tuple[float, float]) -> int:
+    """Return the length of the longest queue with which a job of the class is still sent."""
+    return next(
+        queued for queued in range(20) if retry_after_by_class(queued + 1, values)[job_class] is not None
+    )
+
 
+def test_class_of_less_value_per_work_is_rejected_at_shorter_queue():
+    """Guards the more valuable class in overload.
 
-def test_what_is_worth_less_for_its_work_is_refused_sooner():
-    """Found in the overload of a second site: of the class worth 5 for 0.4 s of work 12 in 100 were
-    refused, of that worth 1 for 0.8 s only 3, since its aim lets it wait longer."""
-    alone = most(CHEAP, (1.0, 1.0))
-    assert most(DEAR, (1.0, 10.0)) == most(DEAR, (1.0, 1.0)) == alone
-    assert most(CHEAP, (1.0, 10.0)) < alone
-    assert answers(alone, (1.0, 10.0)) == [pytest.approx(RUN, rel=0.5), None]
+    At one site 12 % of the class with value 5 for 0.4 s of work were rejected, but only 3 % of the class with
+    value 1 for 0.8 s, since its objective allows a longer wait.
+    """
+    equal_limit = longest_admitted_queue(LOW_VALUE, (1.0, 1.0))
+    assert (
+        longest_admitted_queue(HIGH_VALUE, (1.0, 10.0))
+        == longest_admitted_queue(HIGH_VALUE, (1.0, 1.0))
+        == equal_limit
+    )
+    assert longest_admitted_queue(LOW_VALUE, (1.0, 10.0)) < equal_limit
+    assert retry_after_by_class(equal_limit, (1.0, 10.0)) == [pytest.approx(RUN, rel=0.5), None]
 
 
-def test_a_hair_dearer_makes_no_more_than_a_hairs_difference():
-    [equal, _], [hair, _] = answers(6, (1.0, 1.0)), answers(6, (1.0, 1.001))
-    assert equal and hair == pytest.approx(equal, rel=0.01)
+def test_slightly_higher_value_changes_retry_after_only_slightly():
+    [equal, _], [slightly_higher, _] = (
+        retry_after_by_class(6, (1.0, 1.0)),
+        retry_after_by_class(6, (1.0, 1.001)),
+    )
+    assert equal and slightly_higher == pytest.approx(equal, rel=0.01)
 
 
-def test_worth_may_be_counted_by_the_request_or_by_its_work():
-    """The same worth for ten times the work is a tenth of it by the request, and the same by the work."""
+def test_value_rate_is_per_request_or_per_unit_of_work():
+    """For ten times the work, the same value per request is a tenth of the value rate, and the same value per
+    unit of work is the same rate."""
     light, heavy = (
         interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=work) for work in (RUN, 10 * RUN)
     )
-    for by_work, dearer in ((False, 10.0), (True, 1.0)):
+    for by_work, expected_ratio in ((False, 10.0), (True, 1.0)):
         model = Model(interface.Settings(classes=(heavy, light), value_per_work=by_work))
-        worths = [
+        values = [
             model.dispatcher.admission.value_rate(job, index)
             for index, job in enumerate(model.settings.classes)
         ]
-        assert worths[1] / worths[0] == pytest.approx(dearer)
+        assert values[1] / values[0] == pytest.approx(expected_ratio)
 
 
-def test_who_is_refused_for_a_dearer_class_is_told_when_it_will_be_let_in():
-    """Guards an invitation to come back at once: the wait left is that to the class's own, shorter room."""
+def test_retry_after_of_low_value_class_accounts_for_its_shorter_queue_limit():
+    """Guards against a `retry_after` that invites an immediate retry into a queue that is still too long for
+    the class."""
     for queued in (5, 6, 7):
-        cheap, dear = answers(queued, (1.0, 10.0))
-        assert cheap == pytest.approx(dear + (1 - 1 / 10) * RUN), "the room is shorter by most of a job"
+        low, high = retry_after_by_class(queued, (1.0, 10.0))
+        assert low == pytest.approx(high + (1 - 1 / 10) * RUN), "its queue limit is shorter by most of a job"
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -1,11 +1,11 @@
-"""A refusal says when to come back: guards against ones that invite an instant retry into a full fleet."""
+"""The `retry_after` of rejections: guards against values that invite an immediate retry into a full fleet."""
 
 from hazelbend.decisions import interface
 from tests.support.model import Model
 
 
 def refusal(queued: int) -> interface.Refuse:
-    """What is answered to one more job where a lone server has said that so many wait there."""
+    """Return the rejection of one more job at a single worker that has reported this many queued jobs."""
     model = Model(
         interface.Settings(
             classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000),)
@@ -26,12 +26,12 @@
     return answer
 
 
-def test_a_longer_queue_means_a_longer_wait():
+def test_retry_after_grows_with_queue():
     short, long = refusal(6).retry_after, refusal(12).retry_after
     assert 0 < short < long < 5_000_000
 
 
-def test_where_all_are_shut_out_the_first_trial_is_waited_for():
+def test_retry_after_is_end_of_backoff_if_all_workers_are_in_backoff():
     model = Model(
         interface.Settings(
             max_attempts=1, classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE),)
@@ -42,5 +42,5 @@
     model.jobs[0].tries[0].outcome = interface.Outcome.CONNECT_FAILED
     actions = model.tell(interface.AttemptEnded(0, 1, 0, interface.Outcome.CONNECT_FAILED))
     [answer] = [action for action in actions if isinstance(action, interface.Refuse)]
-    shut_until = model.dispatcher.workers[1].backoff_until
-    assert answer.retry_after == shut_until - model.now > 0
+    backoff_until = model.dispatcher.workers[1].backoff_until
+    assert answer.retry_after == backoff_until - model.now > 0
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, on generated sequences of events."""
+"""The rules of the decision module (checked by `Model`), on generated sequences of events."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 )
 
 
-def play(model: Model, steps: list[tuple]) -> None:
+def apply_steps(model: Model, steps: list[tuple]) -> None:
     for step in steps:
         out = model.out()
         match step:
-            case ("arrive", job_class, patience):
-                model.arrive(len(model.jobs), patience, job_class)
+            case ("arrive", job_class, client_timeout):
+                model.arrive(len(model.jobs), client_timeout, job_class)
             case ("end", which, outcome, load) if out:
                 request, attempt = out[which % len(out)]
                 model.end(request, outcome, attempt, load)
@@ -68,8 +68,8 @@
             case ("fail list",):
                 model.tell(interface.MembershipUpdate(interface.ListKind.FAILED))
             case ("stray",):
-                # News about what is finished or was never there changes nothing.
-                quiet = [
+                # Events of unknown or finished requests, workers and timers must be ignored.
+                ignored_events = [
                     interface.AttemptEnded(10**9, 1, 0, interface.Outcome.SERVED, True),
                     interface.JobStarted(10**9, 1, 0),
                     interface.JobProgress(10**9, 1, 3),
@@ -78,57 +78,57 @@
                     interface.ProbeEnded(10**9, interface.Outcome.SERVED),
                     interface.StreamStarted(10**9, 1, 0),
                 ]
-                assert all(model.tell(event) == [] for event in quiet)
+                assert all(model.tell(event) == [] for event in ignored_events)
     model.finish()
 
 
 @given(
     steps=st.lists(STEPS, max_size=60),
     seed=st.integers(0, 2**64 - 1),
-    copies=st.booleans(),
+    hedging=st.booleans(),
     cancel=st.booleans(),
-    asked=st.booleans(),
+    polling=st.booleans(),
 )
-def test_rules_hold_whatever_happens(steps, seed, copies, cancel, asked):
+def test_rules_hold_for_generated_event_sequences(steps, seed, hedging, cancel, polling):
     settings = interface.Settings(
         classes=CLASSES,
-        hedging_allowed=copies,
+        hedging_allowed=hedging,
         cancel_allowed=cancel,
-        list_is_polled=asked,
-        probes_allowed=asked,
-        reports_by_probe=asked,
+        list_is_polled=polling,
+        probes_allowed=polling,
+        reports_by_probe=polling,
         reports_job_starts=True,
         progress_interval=500_000,
         tick=4_000,
     )
     model = Model(settings, seed)
     model.list_workers(*(entry(worker) for worker in range(1, 5)), kind=interface.ListKind.CACHED)
-    play(model, steps)
+    apply_steps(model, steps)
 
 
 @given(steps=st.lists(STEPS, max_size=40), seed=st.integers(0, 2**64 - 1))
-def test_same_events_same_actions(steps, seed):
+def test_same_seed_and_events_give_same_actions(steps, seed):
     histories = []
     for _ in range(2):
         model = Model(interface.Settings(classes=CLASSES, reports_job_starts=True), seed)
         model.list_workers(*(entry(worker) for worker in range(1, 5)), kind=interface.ListKind.CACHED)
-        play(model, steps)
+        apply_steps(model, steps)
         histories.append((model.sends, model.refused, model.failed, model.cancels, model.timers))
     assert histories[0] == histories[1]
 
 
-@pytest.mark.parametrize("effect", list(interface.Idempotency))
-def test_no_worker_at_all_ends_in_a_refusal(effect):
-    model = Model(interface.Settings(classes=(interface.JobClass(idempotency=effect),)))
+@pytest.mark.parametrize("idempotency", list(interface.Idempotency))
+def test_request_without_workers_is_rejected_at_its_objective(idempotency):
+    model = Model(interface.Settings(classes=(interface.JobClass(idempotency=idempotency),)))
     model.list_workers(kind=interface.ListKind.CACHED)
     model.arrive(1, 2_000_000)
     model.advance(999_000)
-    assert not model.refused, "it is held while a worker may still come"
+    assert not model.refused, "the request is queued while a worker may still become available"
     model.advance(2_000)
-    assert model.refused == [1], "late it earns nothing: it is given up, and not kept until its deadline"
+    assert model.refused == [1], "a late answer earns nothing: rejected at the objective, not at the deadline"
 
 
-def test_held_request_goes_to_the_worker_that_comes():
+def test_queued_request_is_sent_to_new_worker():
     model = Model(interface.Settings())
     model.list_workers(kind=interface.ListKind.CACHED)
     model.arrive(1, 2_000_000)
@@ -143,8 +143,8 @@
     restarted_self=st.booleans(),
     slots=st.integers(1, 6),
 )
-def test_cold_worker_gets_no_more_than_this_dispatchers_part(seed, fleet_size, restarted_self, slots):
-    """Jobs of one length on workers of known size: what a cold one is sent stays within its budget."""
+def test_cold_worker_gets_at_most_this_dispatchers_budget_share(seed, fleet_size, restarted_self, slots):
+    """Jobs of equal length at workers of known size: the sends to a cold worker stay within the budget."""
     run, window = 200_000, 1_000_000
     settings = interface.Settings(
         classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=run),),
@@ -159,7 +159,7 @@
     model = Model(settings, seed)
     cold_since = model.now
     workers = [interface.WorkerEntry(1, weight=slots), interface.WorkerEntry(2, weight=slots)]
-    if restarted_self:  # the dispatcher comes back with a list that holds a cold worker
+    if restarted_self:  # the dispatcher restarts with a list that has a cold worker
         workers.append(interface.WorkerEntry(3, weight=slots, started_at=cold_since))
     model.list_workers(*workers, kind=interface.ListKind.CACHED)
     running: list[tuple[int, int, int]] = []
@@ -179,15 +179,15 @@
                 model.start(number, attempt)
                 running.append((model.now + run, number, attempt))
         model.advance(run // (3 * slots))
-    to_cold = [at for at, worker, _ in model.sends if worker == 3]
-    for at in [each for each in to_cold if each - cold_since < 10_000_000]:
+    cold_sends = [at for at, worker, _ in model.sends if worker == 3]
+    for at in [each for each in cold_sends if each - cold_since < 10_000_000]:
         share = 0.2 + 0.8 * (at - cold_since) / 10_000_000
-        sent = sum(at - window < other <= at for other in to_cold)
+        sent = sum(at - window < other <= at for other in cold_sends)
         assert sent <= 3.0 * share * (slots / run) * window / fleet_size
 
 
-def test_light_hints_do_not_open_the_cold_budget():
-    """Hints are rough: a row of jobs said to be tiny must not pass as next to no work at a cold worker."""
+def test_low_work_hints_do_not_bypass_slow_start_budget():
+    """Work hints are rough: many jobs with tiny hints must not count as almost no work at a cold worker."""
     settings = interface.Settings(
         classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000),),
         collapse_multiple=3.0,
