--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The life of a request in a router, over workers that are scripted and a clock that is virtual."""
+"""Requests through the forwarder of a router, with scripted workers and a virtual clock."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class Answer:
-    """Implements `WorkerResponse` from a script. `broken`: the body ends too soon."""
+class ScriptedResponse:
+    """Implements `WorkerResponse` from a script. `broken`: the body ends prematurely."""
 
     status: int = 200
     parts: list[bytes] = field(default_factory=lambda: [b"body"])
@@ -57,13 +57,13 @@
         self.closed = True
 
 
-FULL = Answer(503, not_executed=True)
-READ = Answer(200, [b'{"kvHandle":"h1","tokens":10,"version":1}'])
+REJECTION = ScriptedResponse(503, not_executed=True)
+PREFILL_RESULT = ScriptedResponse(200, [b'{"kvHandle":"h1","tokens":10,"version":1}'])
 
 
 @dataclass
-class Reply:
-    """Implements `ClientResponse`; keeps what the client sees."""
+class RecordedResponse:
+    """Implements `ClientResponse` and records what the client gets."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -71,8 +71,8 @@
     ended: str = ""
 
     async def answer(self, status, headers, body) -> None:
-        assert not self.ended and not self.status, "one final answer"
-        self.status, self.headers, self.body, self.ended = status, dict(headers), body, "whole"
+        assert not self.ended and not self.status, "a second final response"
+        self.status, self.headers, self.body, self.ended = status, dict(headers), body, "complete"
 
     async def begin(self, status, headers) -> None:
         assert not self.status
@@ -82,21 +82,21 @@
         self.body += data
 
     async def finish(self) -> None:
-        self.ended = "whole"
+        self.ended = "complete"
 
     def abort(self) -> None:
-        self.ended = "cut"
+        self.ended = "aborted"
 
 
-class Site:
-    """A forwarder before scripted workers."""
+class RouterHarness:
+    """A forwarder with scripted workers; implements `WorkerClient`."""
 
     def __init__(self, **route: object) -> None:
         self.loop = VirtualLoop()
         self.calls: list[WorkerCall] = []
         self.freed: list[str] = []
         self.script: list[object] = []
-        self.connect: Callable[[], None] = lambda: None
+        self.on_connect: Callable[[], None] = lambda: None
         placement = PlacementEngine("z", 1)
         self.state = FleetState(placement)
         self.state.has_current_config = lambda: True
@@ -108,16 +108,16 @@
         self.budget = RetryBudget(0.2, 100.0, 10 * S)
         self.forwarder = Forwarder(self.state, self, self.now, lambda: self.budget, 1)
         for number in range(1, 4):
-            self.add(number)
+            self.add_worker(number)
 
-    def add(self, number: int, service: str = "s", phase: str = "") -> None:
+    def add_worker(self, number: int, service: str = "s", phase: str = "") -> None:
         address = f"10.9.0.{number}:80"
         record = WorkerRecord(f"i-{number}", service, address, "z", WorkerState.READY, 1, 6, phase)
         self.state.placement.merge(record)
 
-    def add_models(self) -> None:
+    def add_model_workers(self) -> None:
         for number, phase in enumerate(("prefill", "prefill", "decode", "decode"), 10):
-            self.add(number, "llm", phase)
+            self.add_worker(number, "llm", phase)
 
     def now(self) -> int:
         return round(self.loop.time() * 1e6)
@@ -126,7 +126,7 @@
 
     async def send(self, call, before_first_byte):
         await asyncio.sleep(0.005)
-        self.connect()
+        self.on_connect()
         step = self.script.pop(0)
         if isinstance(step, NotSentError):
             raise step
@@ -135,7 +135,7 @@
         self.calls.append(call)
         if isinstance(step, float):
             await asyncio.sleep(step)
-            step = Answer()
+            step = ScriptedResponse()
         if isinstance(step, Exception):
             raise step
         return step
@@ -143,15 +143,17 @@
     async def free_handle(self, address, instance, handle) -> None:
         self.freed.append(handle)
 
-    # --- what tests do ---
+    # --- for tests ---
 
-    def ask(self, *script: object, path: str = "/x/1", patience_ms: int = 900, **more: object) -> Reply:
-        """Given these answers of workers in turn, when a request comes, then: the reply."""
+    def serve(
+        self, *script: object, path: str = "/x/1", client_timeout_ms: int = 900, **more: object
+    ) -> RecordedResponse:
+        """Serve a request while workers respond by `script`, in order; return the recorded response."""
         self.script = list(script)
-        reply = Reply()
+        reply = RecordedResponse()
         request = ClientRequest(
             id="q1", method="POST", target=path, host="a.example", headers=(), body=b"",
-            arrived_at=self.now(), timeout_us=patience_ms * 1_000, **more)  # fmt: skip
+            arrived_at=self.now(), timeout_us=client_timeout_ms * 1_000, **more)  # fmt: skip
         self.loop.run_until_complete(self.forwarder.serve(request, reply))
         self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.run_until_complete(self.forwarder.close())
@@ -161,245 +163,264 @@
 PROMPT = {"token_usage": "17000,90", "prefix_hash": "aa:13000,bb:4000"}
 
 
-def extras(call: WorkerCall) -> dict[str, str]:
+def extra_headers(call: WorkerCall) -> dict[str, str]:
     return dict(call.extra_headers)
 
 
 # --- one worker ---
 
 
-def test_what_the_worker_says_is_the_answer():
-    reply = Site().ask(Answer(404, [b"no"], (("Server-Signature", "s"), ("X-A", "1"))))
+def test_worker_response_is_forwarded():
+    reply = RouterHarness().serve(ScriptedResponse(404, [b"no"], (("Server-Signature", "s"), ("X-A", "1"))))
     assert (reply.status, reply.body, reply.headers) == (404, b"no", {"Server-Signature": "s", "X-A": "1"})
 
 
-def test_every_send_names_the_instance_that_was_chosen():
-    site = Site()
-    site.ask(Answer())
-    [call] = site.calls
-    assert extras(call)["Expect-Instance"] == f"i-{call.address[7]}"
+def test_every_send_has_expect_instance_header():
+    harness = RouterHarness()
+    harness.serve(ScriptedResponse())
+    [call] = harness.calls
+    assert extra_headers(call)["Expect-Instance"] == f"i-{call.address[7]}"
 
 
-def test_a_request_on_no_route_is_answered_404_only_where_the_configuration_is_surely_current():
-    site = Site()
-    assert site.ask(path="/other").status == 404
-    site.state.has_current_config = lambda: False
-    reply = site.ask(path="/other")
+def test_request_without_route_gets_404_only_if_configuration_is_current():
+    harness = RouterHarness()
+    assert harness.serve(path="/other").status == 404
+    harness.state.has_current_config = lambda: False
+    reply = harness.serve(path="/other")
     assert reply.status == 503 and float(reply.headers["Retry-After"]) > 0
 
 
-def test_without_a_configuration_a_request_waits_for_it_a_while_and_is_refused_then():
-    site = Site()
-    table, site.state.route_table = site.state.route_table, None
-    site.loop.call_later(0.2, lambda: setattr(site.state, "route_table", table))
-    assert site.ask(Answer()).status == 200
-    site.state.route_table = None
-    before = site.now()
-    reply = site.ask()
-    assert reply.status == 503 and "Retry-After" in reply.headers and site.now() - before < 600_000
-
-
-def test_retry_after_keeps_its_fraction_as_the_clients_protocol_allows():
-    """RFC 9110 has whole seconds. Rounded up, a client would wait four times as long, or not at all where a
-    second is more than it waits for another try."""
-    site = Site()
-    site.state.placement.workers.clear()
-    assert site.ask().headers["Retry-After"] == "0.250"
-    site.state.route_table = None
-    assert site.ask().headers["Retry-After"] == "0.500"
-
-
-def test_without_a_worker_a_request_waits_for_one_a_while_and_is_refused_then():
-    site = Site()
-    site.state.placement.workers.clear()
-    site.loop.call_later(0.1, lambda: site.add(8))
-    assert site.ask(Answer()).status == 200
-    site.state.placement.workers.clear()
-    reply = site.ask()
+def test_request_waits_for_configuration_and_is_then_rejected():
+    harness = RouterHarness()
+    table, harness.state.route_table = harness.state.route_table, None
+    harness.loop.call_later(0.2, lambda: setattr(harness.state, "route_table", table))
+    assert harness.serve(ScriptedResponse()).status == 200
+    harness.state.route_table = None
+    before = harness.now()
+    reply = harness.serve()
+    assert reply.status == 503 and "Retry-After" in reply.headers and harness.now() - before < 600_000
+
+
+def test_retry_after_has_fraction_of_a_second():
+    """RFC 9110 allows whole seconds only. If the value were rounded up, a client would wait four times as
+    long, or not retry at all if a second is longer than it is willing to wait."""
+    harness = RouterHarness()
+    harness.state.placement.workers.clear()
+    assert harness.serve().headers["Retry-After"] == "0.250"
+    harness.state.route_table = None
+    assert harness.serve().headers["Retry-After"] == "0.500"
+
+
+def test_request_waits_for_worker_and_is_then_rejected():
+    harness = RouterHarness()
+    harness.state.placement.workers.clear()
+    harness.loop.call_later(0.1, lambda: harness.add_worker(8))
+    assert harness.serve(ScriptedResponse()).status == 200
+    harness.state.placement.workers.clear()
+    reply = harness.serve()
     assert reply.status == 503 and float(reply.headers["Retry-After"]) > 0
 
 
 @pytest.mark.parametrize("headers", [(), (("Server-Signature", "x"), ("Content-Encoding", "gzip"))])
 @pytest.mark.parametrize("kind", ["unsafe", "stream"])
-def test_a_success_without_the_workers_stamp_or_with_another_body_is_not_passed_on(kind, headers):
-    assert Site(kind=kind).ask(Answer(headers=headers)).status == 502
+def test_success_without_signature_or_with_content_encoding_is_not_forwarded(kind, headers):
+    assert RouterHarness(kind=kind).serve(ScriptedResponse(headers=headers)).status == 502
 
 
 # --- another worker ---
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "stream"])
-def test_what_a_worker_has_not_run_goes_to_another_one(kind):
-    site = Site(kind=kind)
-    reply = site.ask(FULL, Answer())
-    assert reply.status == 200 and len({call.address for call in site.calls}) == 2
+def test_rejected_request_is_retried_at_another_worker(kind):
+    harness = RouterHarness(kind=kind)
+    reply = harness.serve(REJECTION, ScriptedResponse())
+    assert reply.status == 200 and len({call.address for call in harness.calls}) == 2
 
 
-def test_one_that_could_not_be_reached_costs_nothing_of_the_budget():
-    site = Site(kind="unsafe")
-    site.budget = RetryBudget(0.0, 0.0, S)
-    assert site.ask(WorkerUnreachableError(), SendWithdrawnError(), Answer()).status == 200
+def test_unreachable_worker_does_not_use_retry_budget():
+    harness = RouterHarness(kind="unsafe")
+    harness.budget = RetryBudget(0.0, 0.0, S)
+    assert harness.serve(WorkerUnreachableError(), SendWithdrawnError(), ScriptedResponse()).status == 200
 
 
 @pytest.mark.parametrize(
     ("kind", "status", "sends"), [("safe", 200, 2), ("unsafe", 502, 1), ("stream", 502, 1)]
 )
-def test_what_may_have_run_is_repeated_only_where_that_does_no_harm(kind, status, sends):
-    site = Site(kind=kind)
-    assert site.ask(OutcomeUnknownError("reset"), Answer()).status == status
-    assert len(site.calls) == sends
+def test_request_with_unknown_outcome_is_retried_only_if_idempotent(kind, status, sends):
+    harness = RouterHarness(kind=kind)
+    assert harness.serve(OutcomeUnknownError("reset"), ScriptedResponse()).status == status
+    assert len(harness.calls) == sends
 
 
-def test_an_answer_that_breaks_off_is_not_passed_on_as_whole():
-    assert Site(kind="unsafe").ask(Answer(broken=True)).status == 502
-    assert Site(kind="safe").ask(Answer(broken=True), Answer()).status == 200
+def test_truncated_response_is_not_forwarded():
+    assert RouterHarness(kind="unsafe").serve(ScriptedResponse(broken=True)).status == 502
+    assert RouterHarness(kind="safe").serve(ScriptedResponse(broken=True), ScriptedResponse()).status == 200
 
 
-def test_a_route_bounds_the_workers_that_may_run_a_request():
-    site = Site(kind="safe", retries=1)
-    assert site.ask(OutcomeUnknownError("reset"), Answer()).status == 502 and len(site.calls) == 1
+def test_route_limits_number_of_executions():
+    harness = RouterHarness(kind="safe", retries=1)
+    assert (
+        harness.serve(OutcomeUnknownError("reset"), ScriptedResponse()).status == 502
+        and len(harness.calls) == 1
+    )
 
 
-def test_without_budget_nothing_is_sent_again_and_the_client_is_told_when_to_come_back():
-    site = Site()
-    site.forwarder.retry_policy.budgets["s"] = RetryBudget(0.0, 0.0, S)
-    reply = site.ask(FULL, Answer())
-    assert reply.status == 503 and "Retry-After" in reply.headers and len(site.calls) == 1
+def test_without_retry_budget_rejected_request_gets_retry_after():
+    harness = RouterHarness()
+    harness.forwarder.retry_policy.budgets["s"] = RetryBudget(0.0, 0.0, S)
+    reply = harness.serve(REJECTION, ScriptedResponse())
+    assert reply.status == 503 and "Retry-After" in reply.headers and len(harness.calls) == 1
 
 
-def test_the_answer_at_the_end_of_the_time_promises_nothing_once_the_request_was_sent():
-    site = Site(kind="unsafe")
-    before = site.now()
-    assert site.ask(5.0).status == 504
-    assert site.now() - before <= 900_000
+def test_request_in_flight_at_deadline_gets_504():
+    harness = RouterHarness(kind="unsafe")
+    before = harness.now()
+    assert harness.serve(5.0).status == 504
+    assert harness.now() - before <= 900_000
 
 
-def test_a_route_bounds_the_time_too():
-    site = Site(kind="unsafe", timeoutMs=200)
-    before = site.now()
-    assert site.ask(5.0).status == 504 and site.now() - before <= 200_000
+def test_route_timeout_limits_the_deadline():
+    harness = RouterHarness(kind="unsafe", timeoutMs=200)
+    before = harness.now()
+    assert harness.serve(5.0).status == 504 and harness.now() - before <= 200_000
 
 
 # --- the first byte ---
 
 
-def test_a_worker_that_drains_while_the_connection_comes_up_gets_nothing():
-    site = Site(kind="unsafe")
+def test_worker_draining_during_connect_gets_no_request():
+    harness = RouterHarness(kind="unsafe")
 
     def drain() -> None:
-        site.connect = lambda: None
-        for instance, each in list(site.state.placement.workers.items()):
+        harness.on_connect = lambda: None
+        for instance, each in list(harness.state.placement.workers.items()):
             if each.requests.own_jobs:
                 record = WorkerRecord(
                     instance, "s", each.record.address, "z", WorkerState.DRAINING, 2, 6)  # fmt: skip
-                site.state.placement.merge(record)
+                harness.state.placement.merge(record)
 
-    site.connect = drain
-    assert site.ask(Answer(), Answer()).status == 200
-    [call] = site.calls
-    drained = [i for i, each in site.state.placement.workers.items() if not each.accepts_work]
-    assert extras(call)["Expect-Instance"] not in drained and len(drained) == 1
+    harness.on_connect = drain
+    assert harness.serve(ScriptedResponse(), ScriptedResponse()).status == 200
+    [call] = harness.calls
+    drained = [i for i, each in harness.state.placement.workers.items() if not each.accepts_work]
+    assert extra_headers(call)["Expect-Instance"] not in drained and len(drained) == 1
 
 
-def test_nothing_is_sent_with_no_time_left():
-    site = Site()
-    reply = site.ask(Answer(), patience_ms=20)
-    assert reply.status == 503 and site.calls == []
+def test_request_with_too_little_time_is_not_sent():
+    harness = RouterHarness()
+    reply = harness.serve(ScriptedResponse(), client_timeout_ms=20)
+    assert reply.status == 503 and harness.calls == []
 
 
 # --- prompts ---
 
 
-def model_site(**route: object) -> Site:
-    site = Site(kind="stream", backend="llm", timeoutMs=8_000, **route)
-    site.add_models()
-    return site
+def model_harness(**route: object) -> RouterHarness:
+    harness = RouterHarness(kind="stream", backend="llm", timeoutMs=8_000, **route)
+    harness.add_model_workers()
+    return harness
 
 
-def test_a_prompt_is_read_by_one_worker_and_answered_by_another():
-    site = model_site()
-    reply = site.ask(READ, Answer(parts=EVENTS), patience_ms=6_000, **PROMPT)
-    reading, running = site.calls
-    assert extras(reading)["Phase"] == "prefill" and "Kv-From" not in extras(reading)
-    assert extras(running)["Kv-From"] == f"{reading.address}/h1"
-    assert reply.body == b"".join(EVENTS) and reply.ended == "whole" and site.freed == []
+def test_prompt_is_prefilled_by_one_worker_and_decoded_by_another():
+    harness = model_harness()
+    reply = harness.serve(PREFILL_RESULT, ScriptedResponse(parts=EVENTS), client_timeout_ms=6_000, **PROMPT)
+    prefill_call, decode_call = harness.calls
+    assert extra_headers(prefill_call)["Phase"] == "prefill" and "Kv-From" not in extra_headers(prefill_call)
+    assert extra_headers(decode_call)["Kv-From"] == f"{prefill_call.address}/h1"
+    assert reply.body == b"".join(EVENTS) and reply.ended == "complete" and harness.freed == []
 
 
-@pytest.mark.parametrize("failure", [FULL, OutcomeUnknownError("reset"), Answer(200, [b"nonsense"])])
-def test_a_prompt_that_was_not_read_goes_on_to_one_that_reads_it_itself(failure):
-    site = model_site()
-    reply = site.ask(failure, failure, Answer(parts=EVENTS), patience_ms=6_000, **PROMPT)
-    assert reply.body == b"".join(EVENTS) and "Kv-From" not in extras(site.calls[-1])
-    assert [extras(call).get("Phase") for call in site.calls] == ["prefill", "prefill", None]
-
-
-def test_where_the_budget_has_no_room_a_prompt_is_not_read_apart_as_a_rejection_would_count():
-    site = model_site()
-    site.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 0.0, S)
-    reply = site.ask(Answer(parts=EVENTS), patience_ms=6_000, **PROMPT)
-    assert reply.ended == "whole" and [extras(call).get("Phase") for call in site.calls] == [None]
-
-
-def test_a_read_that_is_rejected_counts_in_the_budget():
-    site = model_site()
-    budget = site.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 2.6, S)
-    site.ask(FULL, Answer(parts=EVENTS), Answer(parts=EVENTS), patience_ms=6_000, **PROMPT)
-    assert not budget.allows_retry(site.now(), 1)
+@pytest.mark.parametrize(
+    "failure", [REJECTION, OutcomeUnknownError("reset"), ScriptedResponse(200, [b"nonsense"])]
+)
+def test_decode_worker_prefills_after_failed_prefill_calls(failure):
+    harness = model_harness()
+    reply = harness.serve(failure, failure, ScriptedResponse(parts=EVENTS), client_timeout_ms=6_000, **PROMPT)
+    assert reply.body == b"".join(EVENTS) and "Kv-From" not in extra_headers(harness.calls[-1])
+    assert [extra_headers(call).get("Phase") for call in harness.calls] == ["prefill", "prefill", None]
+
+
+def test_without_retry_budget_no_prefill_call_is_sent():
+    harness = model_harness()
+    harness.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 0.0, S)
+    reply = harness.serve(ScriptedResponse(parts=EVENTS), client_timeout_ms=6_000, **PROMPT)
+    assert reply.ended == "complete" and [extra_headers(call).get("Phase") for call in harness.calls] == [
+        None
+    ]
+
+
+def test_rejected_prefill_call_is_charged_to_retry_budget():
+    harness = model_harness()
+    budget = harness.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 2.6, S)
+    harness.serve(
+        REJECTION,
+        ScriptedResponse(parts=EVENTS),
+        ScriptedResponse(parts=EVENTS),
+        client_timeout_ms=6_000,
+        **PROMPT,
+    )
+    assert not budget.allows_retry(harness.now(), 1)
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_a_worker_that_promises_what_it_has_not_said_is_not_believed(status):
-    site = Site(kind="unsafe")
-    assert site.ask(Answer(status)).status == 502
+def test_not_executed_status_without_confirmation_is_not_forwarded(status):
+    harness = RouterHarness(kind="unsafe")
+    assert harness.serve(ScriptedResponse(status)).status == 502
 
 
-def test_a_handle_that_nobody_took_is_freed():
-    site = model_site()
-    site.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 1.3, S)  # for one send more
-    assert site.ask(READ, FULL, FULL, patience_ms=6_000, **PROMPT).status == 503
-    assert site.freed == ["h1"]
+def test_unused_kv_handle_is_freed():
+    harness = model_harness()
+    harness.forwarder.retry_policy.budgets["llm"] = RetryBudget(0.0, 1.3, S)  # allows one more send
+    assert (
+        harness.serve(PREFILL_RESULT, REJECTION, REJECTION, client_timeout_ms=6_000, **PROMPT).status == 503
+    )
+    assert harness.freed == ["h1"]
 
 
-def test_a_stream_that_breaks_is_cut_and_never_looks_whole():
-    reply = model_site().ask(READ, Answer(parts=EVENTS[:2], broken=True), patience_ms=6_000, **PROMPT)
-    assert reply.ended == "cut" and reply.body == b"".join(EVENTS[:2])
+def test_broken_stream_is_aborted():
+    reply = model_harness().serve(
+        PREFILL_RESULT, ScriptedResponse(parts=EVENTS[:2], broken=True), client_timeout_ms=6_000, **PROMPT
+    )
+    assert reply.ended == "aborted" and reply.body == b"".join(EVENTS[:2])
 
 
 @pytest.mark.parametrize("resume", [False, True])
-def test_a_stream_that_ends_inside_an_event_never_looks_whole(resume):
-    reply = Site(kind="stream", resume=resume, retries=1).ask(Answer(parts=[EVENTS[0], EVENTS[1][:9]]))
-    assert reply.ended == "cut" and reply.body.startswith(EVENTS[0])
-
-
-def test_a_stream_that_may_be_resumed_goes_on_inside_the_answer_after_its_last_whole_event():
-    site = model_site(resume=True)
-    broken = Answer(parts=[EVENTS[0], EVENTS[1][:7]], broken=True)
-    rest = Answer(parts=EVENTS[1:], headers=(("Server-Signature", "y"),))
-    reply = site.ask(READ, broken, rest, patience_ms=6_000, **PROMPT)
-    assert reply.body == b"".join(EVENTS) and reply.ended == "whole"
-    assert reply.headers == {"Server-Signature": "x"}, "the head of the first worker"
-    assert extras(site.calls[-1])["Last-Event-Id"] == "1"
-
-
-def test_nothing_is_left_of_a_request_whose_client_leaves():
-    site = model_site()
-    site.script = [READ, Answer(parts=EVENTS * 100)]
+def test_stream_ending_inside_event_is_aborted(resume):
+    reply = RouterHarness(kind="stream", resume=resume, retries=1).serve(
+        ScriptedResponse(parts=[EVENTS[0], EVENTS[1][:9]])
+    )
+    assert reply.ended == "aborted" and reply.body.startswith(EVENTS[0])
+
+
+def test_resumable_stream_continues_after_last_complete_event():
+    harness = model_harness(resume=True)
+    broken = ScriptedResponse(parts=[EVENTS[0], EVENTS[1][:7]], broken=True)
+    rest = ScriptedResponse(parts=EVENTS[1:], headers=(("Server-Signature", "y"),))
+    reply = harness.serve(PREFILL_RESULT, broken, rest, client_timeout_ms=6_000, **PROMPT)
+    assert reply.body == b"".join(EVENTS) and reply.ended == "complete"
+    assert reply.headers == {"Server-Signature": "x"}, "the head of the first worker's response"
+    assert extra_headers(harness.calls[-1])["Last-Event-Id"] == "1"
+
+
+def test_cancelled_request_leaves_no_state():
+    harness = model_harness()
+    harness.script = [PREFILL_RESULT, ScriptedResponse(parts=EVENTS * 100)]
     request = ClientRequest(
         id="q", method="POST", target="/x/", host="a.example", headers=(), body=b"",
-        arrived_at=site.now(), timeout_us=6 * S, **PROMPT)  # fmt: skip
+        arrived_at=harness.now(), timeout_us=6 * S, **PROMPT)  # fmt: skip
 
     async def leave() -> None:
-        task = asyncio.create_task(site.forwarder.serve(request, Reply()))
+        task = asyncio.create_task(harness.forwarder.serve(request, RecordedResponse()))
         await asyncio.sleep(0.2)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    site.loop.run_until_complete(leave())
-    assert site.forwarder.in_flight == 0
-    assert site.state.placement.own_loads(site.now()) == {}
+    harness.loop.run_until_complete(leave())
+    assert harness.forwarder.in_flight == 0
+    assert harness.state.placement.own_loads(harness.now()) == {}
 
 
-def test_events_are_split_at_their_ends_and_the_last_id_is_kept():
+def test_event_splitter_returns_complete_events_and_keeps_last_id():
     splitter = EventSplitter()
     assert splitter.feed(b"id: 4\nda") == b"" and splitter.has_partial_event
     assert splitter.feed(b"ta: x\n\nid: 5") == b"id: 4\ndata: x\n\n"
@@ -426,21 +447,21 @@
 
 @pytest.mark.parametrize("line_end", [b"\n", b"\r\n", b"\r"])
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 1_000])
-def test_events_end_by_an_empty_line_whatever_ends_a_line_and_wherever_chunks_end(line_end, size):
-    """WHATWG HTML, 9.2.5: a line ends by CR LF, LF or CR. All bytes are passed on, and events as they end."""
+def test_event_splitter_handles_all_line_ends_and_chunk_sizes(line_end, size):
+    """WHATWG HTML, 9.2.5: a line ends with CR LF, LF or CR. All bytes are forwarded, events as they end."""
     whole = line_end.join(STREAM)
-    splitter, passed_on, ids = EventSplitter(), b"", []
+    splitter, forwarded, ids = EventSplitter(), b"", []
     for start in range(0, len(whole), size):
-        passed_on += splitter.feed(whole[start : start + size])
+        forwarded += splitter.feed(whole[start : start + size])
         ids.append(splitter.last_event_id)
-    assert passed_on.rstrip() == whole.rstrip() and not splitter.has_partial_event
+    assert forwarded.rstrip() == whole.rstrip() and not splitter.has_partial_event
     assert splitter.last_event_id == "3" and (size > 1 or "2" in ids)
     splitter.feed(b"data: d" + line_end)
     assert splitter.has_partial_event
 
 
 @pytest.mark.parametrize("line_end", [b"\n", b"\r\n", b"\r"])
-def test_one_end_of_a_line_ends_no_event(line_end):
+def test_single_line_end_does_not_end_event(line_end):
     splitter = EventSplitter()
     assert splitter.feed(b"data: a" + line_end) == b"" and splitter.has_partial_event
     assert splitter.feed(b"data: b" + line_end) == b""
@@ -448,6 +469,6 @@
     assert not ends_inside_event(b"")
 
 
-def test_short_reads_go_before_long_ones():
-    ranks = [prefill_priority(tokens) for tokens in (0, 1_500, 3_000, 8_000, 20_000, 60_000)]
-    assert ranks == sorted(ranks) and ranks[0] == 0 and ranks[-1] <= 9
+def test_shorter_prefills_have_higher_priority():
+    priorities = [prefill_priority(tokens) for tokens in (0, 1_500, 3_000, 8_000, 20_000, 60_000)]
+    assert priorities == sorted(priorities) and priorities[0] == 0 and priorities[-1] <= 9
--- a/tests/forwarding/test_router_simulation.py
+++ b/tests/forwarding/test_router_simulation.py
@@ -1,4 +1,4 @@
-"""Histories of the real router engine before simulated workers, and planted defects that its checks find."""
+"""Simulated histories of the real router engine, and planted defects that the checks must find."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("defect", sorted(DEFECTS))
 def test_each_planted_defect_is_found(defect):
-    """Within some seeds, with the rule that it breaks."""
+    """Each defect is found within the searched seeds, and reported with the rule that it breaks."""
     for seed in SEARCHED_SEEDS:
         try:
             with planted(defect):
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -20,7 +20,7 @@
 ENGINE = {"capacity": 64, "kvCapacity": 400_000, "kvTokenBytes": 18_000, "bandwidthMbps": 370_000.0}
 
 
-def table(*routes: dict[str, object]) -> RouteTable:
+def route_table(*routes: dict[str, object]) -> RouteTable:
     base = {"name": "r", "host": "a.example", "prefix": "/", "kind": "safe", "timeoutMs": 100, "backend": "s"}
     services = [{"name": "s"}, {"name": "t"}, {"name": "llm", "engine": ENGINE}]
     document = {"version": 1, "routes": [base | route for route in routes], "services": services}
@@ -30,8 +30,10 @@
 # --- routes ---
 
 
-def test_the_longest_prefix_of_the_host_wins():
-    routes = table({"prefix": "/a/", "name": "a"}, {"prefix": "/a/b/", "name": "ab"}, {"host": "b.example"})
+def test_route_with_longest_prefix_is_found():
+    routes = route_table(
+        {"prefix": "/a/", "name": "a"}, {"prefix": "/a/b/", "name": "ab"}, {"host": "b.example"}
+    )
     assert routes.find("a.example", "/a/b/c").name == "ab"
     assert routes.find("A.example:80", "/a/bc").name == "a"
     assert routes.find("a.example", "/ab/") is None and routes.find("a.example", "/a") is None
@@ -41,9 +43,9 @@
 
 def test_a_split_route_picks_backends_by_weight():
     split = [{"backend": "s", "weight": 90}, {"backend": "t", "weight": 10}, {"backend": "u", "weight": 0}]
-    route = table({"split": split, "backend": ""}).find("a.example", "/")
-    chance = random.Random(1)
-    drawn = [route.pick_service(chance) for _ in range(2_000)]
+    route = route_table({"split": split, "backend": ""}).find("a.example", "/")
+    rng = random.Random(1)
+    drawn = [route.pick_service(rng) for _ in range(2_000)]
     assert 150 < drawn.count("t") < 250 and "u" not in drawn
 
 
@@ -51,8 +53,8 @@
     ("kind", "resume", "idempotent"),
     [("safe", False, True), ("unsafe", False, False), ("stream", False, False), ("stream", True, True)],
 )
-def test_which_routes_are_idempotent(kind, resume, idempotent):
-    assert table({"kind": kind, "resume": resume}).find("a.example", "/").is_idempotent is idempotent
+def test_route_idempotency_by_kind_and_resume(kind, resume, idempotent):
+    assert route_table({"kind": kind, "resume": resume}).find("a.example", "/").is_idempotent is idempotent
 
 
 # --- prompts ---
@@ -76,24 +78,24 @@
 
 def test_retries_of_all_routers_stay_within_the_budget_of_every_window():
     window, ratio, slack, routers = 10 * S, 0.2, 62.0, 11
-    chance = random.Random(4)
+    rng = random.Random(4)
     budgets = [RetryBudget(ratio, slack, window) for _ in range(routers)]
     requests: list[int] = []
-    extra: list[int] = []
+    retries: list[int] = []
     now = 0
     for _ in range(6_000):
-        now += chance.randrange(20_000)
-        budget = chance.choice(budgets)
+        now += rng.randrange(20_000)
+        budget = rng.choice(budgets)
         requests.append(now)
         budget.record_request(now)
         for _ in range(2):
             if budget.try_spend(now, routers):
-                extra.append(now)
-    for at in extra:
-        in_window = sum(at - window < each <= at for each in extra)
-        asked = sum(at - window < each <= at for each in requests)
-        assert in_window <= ratio * asked + slack
-    assert len(extra) > 500
+                retries.append(now)
+    for at in retries:
+        in_window = sum(at - window < each <= at for each in retries)
+        request_count = sum(at - window < each <= at for each in requests)
+        assert in_window <= ratio * request_count + slack
+    assert len(retries) > 500
 
 
 # --- prefill times ---
@@ -101,10 +103,10 @@
 
 @pytest.mark.parametrize(("overhead", "unit_time"), [(22_000, 14_000), (120_000, 12_000), (5_000, 40_000)])
 def test_prefill_overhead_and_unit_time_are_learnt_despite_outliers(overhead, unit_time):
-    model, chance = PrefillTimeModel(22_000, 16_000), random.Random(2)
+    model, rng = PrefillTimeModel(22_000, 16_000), random.Random(2)
     for _ in range(150):
-        units = chance.choice([0.5, 1, 2, 7, 20, 40])
-        late = 400_000 if chance.random() < 0.05 else 0
+        units = rng.choice([0.5, 1, 2, 7, 20, 40])
+        late = 400_000 if rng.random() < 0.05 else 0
         model.add_sample(units, overhead + unit_time * units + late)
     for units in (1, 10, 40):
         assert model.expected_time(units) == pytest.approx(overhead + unit_time * units, rel=0.35)
@@ -112,11 +114,13 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_an_overhead_far_from_the_initial_guess_is_learnt_from_a_dozen_prefills(seed):
-    """Guards large fleets, where each router sees few prefills: those of less than a unit took 136 ms where
-    the model said 62 for a whole day."""
-    model, chance = PrefillTimeModel(22_000, 16_000), random.Random(seed)
+    """Guards large fleets, where each router sees few prefills.
+
+    Prefills of less than a unit took 136 ms where the model estimated 62 ms, for a whole day.
+    """
+    model, rng = PrefillTimeModel(22_000, 16_000), random.Random(seed)
     for _ in range(12):
-        units = chance.choice([0.5, 1, 1, 2, 2, 3, 3, 6, 10, 20])
+        units = rng.choice([0.5, 1, 1, 2, 2, 3, 3, 6, 10, 20])
         model.add_sample(units, 113_000 + 15_000 * units)
     for units in (1, 3, 20):
         assert model.expected_time(units) == pytest.approx(113_000 + 15_000 * units, rel=0.25)
@@ -134,14 +138,14 @@
 
 @pytest.fixture
 def placement() -> PlacementEngine:
-    """Two prefill workers, two decode workers, three without phases."""
-    made = PlacementEngine("z", 1)
-    made.services = {"llm": Service("llm", engine=table().services["llm"].engine), "s": Service("s")}
+    """An engine with two prefill workers, two decode workers and three workers without phases."""
+    engine = PlacementEngine("z", 1)
+    engine.services = {"llm": Service("llm", engine=route_table().services["llm"].engine), "s": Service("s")}
     for record in (*(worker(n, "prefill") for n in (1, 2)), *(worker(n, "decode") for n in (3, 4))):
-        made.merge(record)
+        engine.merge(record)
     for number in (5, 6, 7):
-        made.merge(worker(number, capacity=6))
-    return made
+        engine.merge(worker(number, capacity=6))
+    return engine
 
 
 LONG = parse_prompt("17000,100", "aa:13000,bb:4000")
@@ -178,7 +182,7 @@
     assert placement.selector.choose_pair("llm", SHORT, 0, set()).prefill is None
 
 
-def test_a_prompt_goes_where_a_peer_has_had_its_prefix_cached(placement):
+def test_prompt_goes_to_worker_with_prefix_cached_by_peer(placement):
     for holder in ("i-1", "i-2"):
         fresh = PlacementEngine("z", 3)
         fresh.services, fresh.workers = placement.services, placement.workers
@@ -197,24 +201,26 @@
 def test_all_routers_prefer_the_same_worker_for_an_unknown_prefix():
     preferred = set()
     for seed in range(5):
-        made = PlacementEngine("z", seed)
-        made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
+        engine = PlacementEngine("z", seed)
+        engine.services = {"llm": Service("llm", engine=route_table().services["llm"].engine)}
         for number in random.Random(seed).sample(range(1, 9), 8):
-            made.merge(worker(number, "prefill" if number < 7 else "decode"))
-        preferred.add(made.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance)
+            engine.merge(worker(number, "prefill" if number < 7 else "decode"))
+        preferred.add(engine.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance)
     assert len(preferred) == 1
 
 
 def test_a_decode_worker_in_the_zone_of_the_prefill_worker_is_preferred():
-    made = PlacementEngine("z", 2)
-    made.services = {"llm": Service("llm", engine=table().services["llm"].engine)}
+    engine = PlacementEngine("z", 2)
+    engine.services = {"llm": Service("llm", engine=route_table().services["llm"].engine)}
     for record in (worker(1, "prefill"), worker(2, "decode", zone="y"), worker(3, "decode")):
-        made.merge(record)
-    assert made.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-3"
-    made.apply_load_report({"i-3": Load(600, 0)}, (), 0)
-    assert made.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-2"
-    source = made.workers["i-1"].record
-    assert made.selector.choose_decode_worker("llm", LONG, source, 0, {"i-2"}).worker.record.instance == "i-3"
+        engine.merge(record)
+    assert engine.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-3"
+    engine.apply_load_report({"i-3": Load(600, 0)}, (), 0)
+    assert engine.selector.choose_pair("llm", LONG, 0, set()).decode.worker.record.instance == "i-2"
+    source = engine.workers["i-1"].record
+    assert (
+        engine.selector.choose_decode_worker("llm", LONG, source, 0, {"i-2"}).worker.record.instance == "i-3"
+    )
 
 
 def test_own_prefills_count_by_their_remaining_units(placement):
@@ -242,7 +248,7 @@
     assert placement.workers["i-3"].accepts_work, "an old record changes nothing"
 
 
-def test_an_unreachable_or_silent_worker_is_the_last_choice(placement):
+def test_unreachable_or_unresponsive_worker_is_last_choice(placement):
     placement.workers["i-5"].record_connect_failure(0)
     placement.update_heartbeat_ages({"i-6": 30 * S}, 60 * S)
     assert placement.selector.choose("s", 1, set()).worker.record.instance == "i-7"
@@ -251,17 +257,17 @@
     assert placement.selector.choose("s", 1, {"i-5", "i-6", "i-7"}) is None
 
 
-def test_where_all_workers_are_silent_prefill_workers_are_still_used(placement):
-    """Guards the first second after the loss of all control processes: the penalty of a silent worker counted
-    twice for a pair, and every prompt went to the few decode workers."""
+def test_prefill_workers_are_used_when_all_workers_miss_heartbeats(placement):
+    """Guards the first second after the loss of all control processes: the penalty for missing heartbeats
+    counted twice for a pair, and every prompt went to the few decode workers."""
     before = placement.selector.choose_pair("llm", LONG, 0, set())
     assert before.prefill is not None
     placement.update_heartbeat_ages(dict.fromkeys(placement.workers, 3 * S), 60 * S)
     after = placement.selector.choose_pair("llm", LONG, 0, set())
     assert after.prefill is not None
     prefill, decode = after.prefill.worker.record.instance, after.decode.worker.record.instance
-    heard = {each: 3 * S for each in placement.workers if each not in (prefill, decode)}
-    placement.update_heartbeat_ages(heard, 60 * S)
+    heartbeat_ages = {each: 3 * S for each in placement.workers if each not in (prefill, decode)}
+    placement.update_heartbeat_ages(heartbeat_ages, 60 * S)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == prefill
 
 
@@ -276,7 +282,7 @@
     assert "i-5" not in placement.workers
 
 
-def test_an_expired_worker_that_is_no_longer_listed_stays_silent(placement):
+def test_expired_worker_absent_from_heartbeat_ages_still_misses_heartbeats(placement):
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
@@ -288,15 +294,14 @@
     assert "i-5" not in placement.workers
 
 
-def test_a_worker_that_is_heard_again_is_not_silent(placement):
+def test_worker_with_new_heartbeat_no_longer_misses_heartbeats(placement):
     placement.update_heartbeat_ages({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
     placement.update_heartbeat_ages({"i-6": 4 * S}, 10 * S)
     assert not placement.workers["i-5"].misses_heartbeats and placement.workers["i-6"].misses_heartbeats
 
 
 def test_the_recompute_price_rises_with_the_utilization_of_prefill_workers(placement):
-    """Given busy prefill workers, work delays later requests by more than its own time; given idle ones, by
-    less."""
+    """At busy workers, a prefill delays later requests by more than its own time; at idle ones, by less."""
     fleet = placement._fleet
     idle = fleet.recompute_price("llm")
     for _ in range(200):
@@ -304,6 +309,6 @@
     busy = fleet.recompute_price("llm")
     for _ in range(200):
         placement.apply_load_report({}, (), 0)
-    calm = fleet.recompute_price("llm")
+    idle_again = fleet.recompute_price("llm")
     unit_time = fleet.prefill_model(placement.workers["i-1"].record).unit_time / PREFILL_UNIT_TOKENS
-    assert calm < idle < unit_time < busy <= DEFAULT_POLICY.max_queueing_factor * unit_time
+    assert idle_again < idle < unit_time < busy <= DEFAULT_POLICY.max_queueing_factor * unit_time
