--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -7,7 +7,7 @@
     membership.py  the listed workers                 load_model.py  the load and speed of workers
     selection.py   the best worker for a request      admission.py   whether the request may go there now
     health.py      backoff of unhealthy workers       probing.py     which workers to probe for load reports
-    slow_start.py  what cold workers may be sent      fleet_plan.py  placement without load reports
+    slow_start.py  what warming-up workers may be sent      fleet_plan.py  placement without load reports
     retry_rules.py whether an attempt may be repeated
 
 A request goes through these states:
--- a/hazelbend/decisions/fleet_plan.py
+++ b/hazelbend/decisions/fleet_plan.py
@@ -41,33 +41,35 @@
 MAX_COUNTED_JOBS = 1_024  # own jobs in the popularity estimate, and so the limit on the number of keys
 START_MEMORY_US = 2_000_000  # time constant with which counted starts fade
 PRIOR_STARTS = 2.0  # added to the counted starts
-SAFE_COLD_FRACTION = 0.6  # of the work that makes a cold worker collapse: what all dispatchers may send it
+SAFE_WARMUP_FRACTION = (
+    0.6  # of the work that makes a warming-up worker collapse: what all dispatchers may send it
+)
 
 
 def work_shares(workers: Iterable[Worker], settings: Settings, now: int) -> dict[Worker, float]:
     """Return each worker's share of all work, by its rate and warm-up. The sum is 1 if any worker is warm.
 
-    A cold worker collapses when it gets `collapse_multiple` times what it can do at that time. The load is at
-    most about what all workers could do if they were warm (the rest is rejected as late). A cold worker's
-    share in proportion to its current rate, times a safe fraction of that multiple, is therefore safe however
-    few workers are warm. Warm workers get what the cold ones do not, since their queues can hold it; if all
-    workers are cold, jobs have to wait.
+    A warming-up worker collapses when it gets `collapse_multiple` times what it can do at that time. The load
+    is at most about what all workers could do if they were warm (the rest is rejected as late). A warming-up
+    worker's share in proportion to its current rate, times a safe fraction of that multiple, is therefore
+    safe however few workers are warm. Warm workers get the rest, since their queues can hold it; if no worker
+    is warm, jobs have to wait.
     """
-    safe_multiple = SAFE_COLD_FRACTION * settings.collapse_multiple
+    safe_multiple = SAFE_WARMUP_FRACTION * settings.collapse_multiple
     current_rates = {
         worker: worker.rate * settings.capacity_fraction(worker.entry.started_at, now) for worker in workers
     }
     full_rate = sum(worker.rate for worker in current_rates)
     current_rate = sum(current_rates.values())
-    cold_shares = {
+    warming_shares = {
         worker: rate / max(current_rate, full_rate / safe_multiple)
         for worker, rate in current_rates.items()
         if rate < worker.rate
     }
-    warm_rate = sum(rate for worker, rate in current_rates.items() if worker not in cold_shares)
-    warm_share = 1.0 - sum(cold_shares.values())
+    warm_rate = sum(rate for worker, rate in current_rates.items() if worker not in warming_shares)
+    warm_share = 1.0 - sum(warming_shares.values())
     return {
-        worker: cold_shares[worker] if worker in cold_shares else warm_share * rate / warm_rate
+        worker: warming_shares[worker] if worker in warming_shares else warm_share * rate / warm_rate
         for worker, rate in current_rates.items()
     }
 
--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -107,9 +107,9 @@
     handshake_charge: float = 0.0
     keepalive: int = 60_000_000  # an idle connection is closed after this time
     tick: int = 1_000  # the caller's time resolution: deadlines keep a margin of two ticks
-    # Warm-up: a cold worker, one that started less than `warmup_duration` ago, can do only a fraction of its
-    # usual work, from `initial_capacity` to 1. It collapses when it gets `collapse_multiple` times that much
-    # work within `collapse_window`.
+    # Warm-up: a worker that started less than `warmup_duration` ago can do only a fraction of its usual work,
+    # from `initial_capacity` to 1. It collapses when it gets `collapse_multiple` times that much work within
+    # `collapse_window`.
     collapse_multiple: float = 2.0
     collapse_window: int = 1_000_000
     initial_capacity: float = 0.1
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -18,7 +18,7 @@
 from hazelbend.decisions.job_count import MAX_JOB_COUNT, expected_jobs
 from hazelbend.decisions.reliability import FailureEstimate
 from hazelbend.decisions.statistics import Mean
-from hazelbend.decisions.worker import ColdAttempt, Worker
+from hazelbend.decisions.worker import WarmupAttempt, Worker
 
 # Attributes of the load model and of workers, by their stored keys.
 MEANS = {
@@ -67,7 +67,7 @@
         "started_at": worker.entry.started_at,
         "others": min(round(expected_jobs(worker, now, worker.rate)), MAX_JOB_COUNT),
         "keys": list(worker.cached_keys),
-        "spent": [(attempt.at, attempt.cost) for attempt in worker.cold_attempts],
+        "spent": [(attempt.at, attempt.cost) for attempt in worker.warmup_attempts],
         "ratio": _export_mean(worker.run_time_ratio),
         **{key: getattr(worker, name) for key, name in (WORKER_NUMBERS | WORKER_TIMES).items()},
         "usual": _export_mean(worker.usual_level),
@@ -141,8 +141,8 @@
         raise ValueError("worker state: the size must be positive")
     attributes["reliability"] = _failure_estimate(values.get("soundness"), now)
     attributes["cached_keys"] = {int(_number(key)): None for key in values["keys"]}
-    attributes["cold_attempts"] = deque(
-        ColdAttempt(int(_number(at)), _number(cost)) for at, cost in values["spent"]
+    attributes["warmup_attempts"] = deque(
+        WarmupAttempt(int(_number(at)), _number(cost)) for at, cost in values["spent"]
     )
     return attributes
 
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -143,7 +143,9 @@
         typical = self.rates.value * self.run_ratio.value  # concurrency of a worker without reports
         worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
         worker.rate = worker.concurrency / (ratio * self.work.value)
-        is_cold = bool(worker.lottery_number)  # a cold worker has fewer jobs than the others of its kind
-        kind_level = self.usual_levels.get(kind, Mean()).value * (not is_cold)
+        is_warming_up = bool(
+            worker.lottery_number
+        )  # a warming-up worker has fewer jobs than the others of its kind
+        kind_level = self.usual_levels.get(kind, Mean()).value * (not is_warming_up)
         level = worker.usual_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
         worker.background_load = level * worker.size / worker.rate
--- a/hazelbend/decisions/probing.py
+++ b/hazelbend/decisions/probing.py
@@ -96,9 +96,9 @@
             and not worker.attempts
             and worker.entry.zone == self._settings.zone
         ]
-        cold = [worker for worker in eligible if worker.lottery_number]
+        warming = [worker for worker in eligible if worker.lottery_number]
         drawn: list[Worker] = []
-        for workers, size in ((cheap, SAMPLE_SIZE // 2), (eligible, SAMPLE_SIZE), (cold, SAMPLE_SIZE)):
+        for workers, size in ((cheap, SAMPLE_SIZE // 2), (eligible, SAMPLE_SIZE), (warming, SAMPLE_SIZE)):
             drawn += self._random.sample(workers, min(size, len(workers)))
         rows = self._selector.options(request, list(dict.fromkeys(drawn)), now)
         request.candidates = [row[-1] for row in nsmallest(SAMPLE_SIZE, rows, key=by_score)]
--- a/hazelbend/decisions/request.py
+++ b/hazelbend/decisions/request.py
@@ -14,7 +14,7 @@
     RequestId,
     StreamStarted,
 )
-from hazelbend.decisions.worker import ColdAttempt, Worker
+from hazelbend.decisions.worker import WarmupAttempt, Worker
 
 
 @dataclass(slots=True, eq=False)
@@ -62,7 +62,7 @@
     cost: float = 1.0  # its work, in mean jobs
     fetches: bool = False  # its key's data is assumed not to be cached at the worker
     process_started_at: int = 0  # start of the worker's process, as listed when the attempt was decided
-    cold_attempt: ColdAttempt | None = None  # its charge to the slow-start budget of the worker
+    warmup_attempt: WarmupAttempt | None = None  # its charge to the slow-start budget of the worker
     started_at: int = 0  # start of the job; 0: not reported
     last_signal_at: int = 0
     overtaken_by: int = 0  # number of later attempts at the same worker that have started before it
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -89,7 +89,7 @@
         return found
 
     def options(self, request: Request, workers: list[Worker], now: int) -> list[OptionRow]:
-        """Return the options for a request as rows, without cold workers whose slow-start budget is spent."""
+        """Return the options for a request as rows, without workers whose slow-start budget is spent."""
         model = self._load_model
         settings = model.settings
         uses_plan = model.uses_plan
@@ -128,7 +128,7 @@
         return rows
 
     def has_budget(self, worker: Worker, cost: float, rate: float, now: int) -> bool:
-        """Whether the slow-start budget of a cold worker allows a job of this cost now."""
+        """Whether the slow-start budget of a warming-up worker allows a job of this cost now."""
         settings = self._load_model.settings
         return self._slow_start.allows(worker, cost, rate, settings, self.started_at, now)
 
--- a/hazelbend/decisions/worker.py
+++ b/hazelbend/decisions/worker.py
@@ -21,8 +21,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class ColdAttempt:
-    """An attempt at a worker that was cold (warming up), as a charge to its slow-start budget."""
+class WarmupAttempt:
+    """An attempt at a worker that was warming up, as a charge to its slow-start budget."""
 
     at: int  # microseconds
     cost: float  # in mean jobs
@@ -66,8 +66,8 @@
     resets: int = 0  # connections reset since the last signal
     reliability: FailureEstimate = field(default_factory=FailureEstimate)
     # Slow start, keys, probes.
-    cold_attempts: deque[ColdAttempt] = field(default_factory=deque)
-    lottery_number: float = 0.0  # drawn for this window while the worker is cold; 0: it is warm
+    warmup_attempts: deque[WarmupAttempt] = field(default_factory=deque)
+    lottery_number: float = 0.0  # drawn for this window while the worker warms up; 0: it is warm
     cached_keys: dict[int, None] = field(default_factory=dict)  # used by own attempts, least recent first
     waiting_requests: list[Request] = field(default_factory=list)  # waiting for its answer to a probe
 
@@ -103,11 +103,11 @@
         change = (seen - self.slots) * (SLOTS_RISE if seen > self.slots else SLOTS_FALL)
         self.slots = self.slots + change if self.slots else seen
 
-    def cold_cost_since(self, at: int) -> float:
-        """Return the cost of attempts sent after `at` while the worker was cold; drop older ones."""
-        while self.cold_attempts and self.cold_attempts[0].at <= at:
-            self.cold_attempts.popleft()
-        return sum(attempt.cost for attempt in self.cold_attempts)
+    def warmup_cost_since(self, at: int) -> float:
+        """Return the cost of attempts sent after `at` while the worker was warming up; drop older ones."""
+        while self.warmup_attempts and self.warmup_attempts[0].at <= at:
+            self.warmup_attempts.popleft()
+        return sum(attempt.cost for attempt in self.warmup_attempts)
 
     def mark_key_cached(self, key: int, capacity: float) -> None:
         """Mark the data of a key as cached at the worker, and evict the oldest key beyond `capacity`."""
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start across a fleet: the jobs that all dispatchers send to a cold backend stay within its budget."""
+"""Slow start: the jobs that a whole fleet sends to a warming-up backend stay within its budget."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 SECOND = 1_000_000
 SLOTS, RUN = 4, 200_000  # of a warm backend: jobs at once, and microseconds per job
 WARM = 8  # number of warm backends
-COLD = WARM + 1  # number (identifier) of the cold backend
-START = 10 * SECOND  # simulated time at which the cold backend starts
+NEW_BACKEND = WARM + 1  # identifier of the warming-up backend
+START = 10 * SECOND  # simulated time at which the warming-up backend starts
 END = 20 * SECOND
 
 
@@ -44,7 +44,7 @@
 
 
 class Backend:
-    """A FIFO queue before SLOTS servers, which are slower while the backend is cold."""
+    """A FIFO queue before SLOTS servers, which are slower while the backend warms up."""
 
     def __init__(self) -> None:
         self.free_at = [0] * SLOTS
@@ -69,16 +69,16 @@
     def __init__(self, size: int, reports: bool, load: float, seed: int) -> None:
         self.settings, self.rng = settings(size, reports), random.Random(seed)
         self.dispatchers = [Dispatcher(self.settings, seed * 1_000 + index) for index in range(size)]
-        self.backends = {number: Backend() for number in range(1, COLD + 1)}
+        self.backends = {number: Backend() for number in range(1, NEW_BACKEND + 1)}
         self.events: list[tuple[int, int, int, object]] = []
         self.counter = 0
-        self.cold_sends: list[int] = []
+        self.warmup_sends: list[int] = []
         gap = size / (load * WARM * SLOTS / RUN)
-        entries = tuple(WorkerEntry(number) for number in range(1, COLD))
+        entries = tuple(WorkerEntry(number) for number in range(1, NEW_BACKEND))
         for index in range(size):
             self.schedule(0, index, interface.MembershipUpdate(ListKind.FULL, entries))
-            cold = (WorkerEntry(COLD, started_at=START),)
-            self.schedule(START, index, interface.MembershipUpdate(ListKind.DELTA, cold))
+            started_entries = (WorkerEntry(NEW_BACKEND, started_at=START),)
+            self.schedule(START, index, interface.MembershipUpdate(ListKind.DELTA, started_entries))
             at = 0.0
             while (at := at + self.rng.expovariate(1 / gap)) < END:
                 self.schedule(round(at), index, interface.RequestArrived(self.next_id(), 5 * SECOND))
@@ -110,11 +110,11 @@
                     self.send(now, number, action, attempt)
 
     def send(self, now: int, number: int, action: interface.Send, attempt: int) -> None:
-        backend, started = self.backends[action.worker], START if action.worker == COLD else 0
-        if started:
-            self.cold_sends.append(now)
+        backend, started_at = self.backends[action.worker], START if action.worker == NEW_BACKEND else 0
+        if started_at:
+            self.warmup_sends.append(now)
         backend.in_flight += 1
-        start, end = backend.run(now, self.settings.capacity_fraction(started, now))
+        start, end = backend.run(now, self.settings.capacity_fraction(started_at, now))
         self.schedule(start, number, interface.JobStarted(action.request, action.worker, attempt))
         self.schedule(
             end,
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("reports", [True, False], ids=["reports", "no reports"])
 @pytest.mark.parametrize("fleet", [8, 20, 30])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_fleet_stays_within_slow_start_budget_of_cold_backend(fleet, reports, seed):
+def test_fleet_stays_within_slow_start_budget_of_started_backend(fleet, reports, seed):
     """Guards against dispatchers that index send a harmless number of jobs which together exceed the budget.
 
     The operators' requirement tolerates 2 * sqrt(N) + 2 jobs beyond the budget of N in a window as chance.
@@ -134,7 +134,7 @@
     site = Fleet(fleet, reports, load=1.3, seed=seed)
     site.simulate()
     window: deque[int] = deque()
-    for at in site.cold_sends:
+    for at in site.warmup_sends:
         window.append(at)
         while window[0] <= at - site.settings.collapse_window:
             window.popleft()
@@ -146,4 +146,4 @@
             * site.settings.collapse_window
         )
         assert len(window) <= budget + 2 * sqrt(budget) + 2, f"at {(at - START) / SECOND:.2f} s"
-    assert len(site.cold_sends) > 20, "the cold backend gets jobs"
+    assert len(site.warmup_sends) > 20, "the warming-up backend gets jobs"
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -208,7 +208,7 @@
     assert expected_jobs(worker, 2_000_000, worker.rate) == 0.0
 
 
-def test_cold_worker_is_not_estimated_as_loaded_as_its_kind():
+def test_warming_up_worker_is_not_estimated_as_loaded_as_its_kind():
     """Guards against new workers that stayed unused after a deploy while queued requests expired."""
     settings = interface.Settings(warmup_duration=10_000_000, initial_capacity=0.2)
     dispatcher, now = Dispatcher(settings, 1), 10**9
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -11,7 +11,7 @@
 from hazelbend.decisions import discovery_retry, interface
 from hazelbend.decisions.discovery_retry import FIRST_CALL_SPREAD_US, DiscoveryRetry
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.fleet_plan import SAFE_COLD_FRACTION
+from hazelbend.decisions.fleet_plan import SAFE_WARMUP_FRACTION
 from hazelbend.decisions.load_model import MEMORY_SAMPLES
 from hazelbend.decisions.probing import MAX_PROBES
 from hazelbend.decisions.report_age import ReportPeriod
@@ -74,10 +74,10 @@
     assert [model.dispatcher.workers[worker].peer_jobs for worker in (1, 2)] == [8, 0]
 
 
-def simulate_cold_worker(seed: int, dispatchers: int) -> tuple[list[int], int]:
-    """Return the times at which a fleet sends to one cold worker, and the start of that worker.
+def simulate_warmup(seed: int, dispatchers: int) -> tuple[list[int], int]:
+    """Return the times at which a fleet sends to one warming-up worker, and the start of that worker.
 
-    The fleet gets the cold worker's load with a delay of 600 ms; all warm workers are full.
+    The fleet gets the warming-up worker's load with a delay of 600 ms; all warm workers are full.
     """
     settings = interface.Settings(
         fleet_size=dispatchers,
@@ -90,15 +90,15 @@
         reports_inline=True,
     )
     fleet = [Dispatcher(settings, seed * 1000 + each) for each in range(dispatchers)]
-    rng, cold_since, now = random.Random(seed), 10_000_000, 10_000_000
+    rng, started_at, now = random.Random(seed), 10_000_000, 10_000_000
     entries = (
         *(interface.WorkerEntry(each) for each in range(1, 6)),
-        interface.WorkerEntry(9, started_at=cold_since),
+        interface.WorkerEntry(9, started_at=started_at),
     )
-    cold_sends: list[int] = []
+    warmup_sends: list[int] = []
     full = interface.LoadReport(20.0, 16.0, 0.0)
-    # When jobs at the cold worker end. It runs one at a time, and more slowly while it is cold.
-    cold_job_ends: list[int] = []
+    # When jobs at the warming-up worker end. It runs one at a time, at first more slowly.
+    warming_job_ends: list[int] = []
     pending_events: list[tuple[int, int, int, interface.Event]] = []  # time, tie-breaker, dispatcher, event
 
     def tell(number: int, event: interface.Event, at: int) -> None:
@@ -109,9 +109,9 @@
             elif isinstance(action, interface.Send):
                 end = at + 200_000
                 if action.worker == 9:
-                    cold_sends.append(at)
-                    share = min(0.2 + 0.8 * (at - cold_since) / 20_000_000, 1.0)
-                    cold_job_ends.append(end := max([at, *cold_job_ends]) + round(200_000 / share))
+                    warmup_sends.append(at)
+                    share = min(0.2 + 0.8 * (at - started_at) / 20_000_000, 1.0)
+                    warming_job_ends.append(end := max([at, *warming_job_ends]) + round(200_000 / share))
                 served = interface.AttemptEnded(
                     action.request, action.worker, 0, interface.Outcome.SERVED, True
                 )
@@ -127,23 +127,25 @@
         number = rng.randrange(dispatchers)
         for worker in fleet[number].workers.values():
             held = sum(
-                sent <= now - 600_000 < end for sent, end in zip(cold_sends, cold_job_ends, strict=True)
+                sent <= now - 600_000 < end for sent, end in zip(warmup_sends, warming_job_ends, strict=True)
+            )
+            warming_load = interface.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
+            fleet[number].load_model.apply_report(
+                worker, warming_load if worker.entry.worker == 9 else full, now
             )
-            at_cold = interface.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
-            fleet[number].load_model.apply_report(worker, at_cold if worker.entry.worker == 9 else full, now)
         tell(number, interface.RequestArrived(request, 5_000_000), now)
-    return cold_sends, cold_since
+    return warmup_sends, started_at
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_large_fleet_uses_cold_worker_within_its_budget(seed):
+def test_large_fleet_uses_warming_up_worker_within_its_budget(seed):
     """Each dispatcher's share of the budget is less than one job per window, and is spent by random draws."""
-    cold_sends, cold_since = simulate_cold_worker(seed, dispatchers=60)
-    assert len(cold_sends) > 10, "the cold worker is used before it is warm"
+    warmup_sends, started_at = simulate_warmup(seed, dispatchers=60)
+    assert len(warmup_sends) > 10, "the warming-up worker is used before it is warm"
     rate = 1 / 200_000  # one job at a time is all that is known of the worker
-    for at in cold_sends:
-        share = min(0.2 + 0.8 * (at - cold_since) / 20_000_000, 1.0)
-        sent = sum(at - 1_500_000 < other <= at for other in cold_sends)
+    for at in warmup_sends:
+        share = min(0.2 + 0.8 * (at - started_at) / 20_000_000, 1.0)
+        sent = sum(at - 1_500_000 < other <= at for other in warmup_sends)
         assert sent <= 3.0 * share * rate * 1_500_000
 
 
@@ -364,7 +366,7 @@
 
 @pytest.mark.parametrize("dispatchers", [8, 40, 400])
 def test_slow_start_shares_of_large_fleet_add_up_to_budget(dispatchers):
-    """Guards against overloading a cold worker.
+    """Guards against overloading a warming-up worker.
 
     Workers without reports seemed to have no jobs of peers, so each of 40 dispatchers estimated that most
     jobs were its own and took four shares: 23 of them sent to one worker within a second.
@@ -383,7 +385,7 @@
         )
         assert (
             dispatcher.slow_start.share * dispatchers
-            <= SAFE_COLD_FRACTION * settings.collapse_multiple * settings.collapse_window
+            <= SAFE_WARMUP_FRACTION * settings.collapse_multiple * settings.collapse_window
         )
 
 
--- a/tests/decisions/test_fleet_plan.py
+++ b/tests/decisions/test_fleet_plan.py
@@ -29,10 +29,10 @@
     waits: list[int] = field(default_factory=list)
     refused: int = 0
     request_count: int = 0
-    started: dict[int, int] = field(default_factory=dict)  # start time of each cold worker
-    cold_arrivals: dict[int, list[int]] = field(
+    started: dict[int, int] = field(default_factory=dict)  # start time of each warming-up worker
+    warmup_arrivals: dict[int, list[int]] = field(
         default_factory=dict
-    )  # arrival times of jobs at each cold worker
+    )  # arrival times of jobs at each warming-up worker
     now: int = 10_000_000
 
     def __post_init__(self) -> None:
@@ -69,11 +69,11 @@
         self.send_worker_list()
 
     def replace(self, servers: int) -> None:
-        """Replace this many workers by new, cold ones."""
+        """Replace this many workers by new ones, which are warming up."""
         for _ in range(servers):
             self.free.pop(next(iter(self.free)))
             new = 1_000 + len(self.started)
-            self.free[new], self.started[new], self.cold_arrivals[new] = [self.now] * SLOTS, self.now, []
+            self.free[new], self.started[new], self.warmup_arrivals[new] = [self.now] * SLOTS, self.now, []
         self.send_worker_list()
 
     def send_worker_list(self) -> None:
@@ -87,7 +87,7 @@
     def run(self, number: int, send: interface.Send, at: int) -> None:
         slots, began = self.free[send.worker], self.started.get(send.worker, 0)
         if began:
-            self.cold_arrivals[send.worker].append(at)
+            self.warmup_arrivals[send.worker].append(at)
         starts = max(at, heapq.heappop(slots))
         ends = starts + round(self.rng.expovariate(1 / RUN) / self.settings.capacity_fraction(began, starts))
         heapq.heappush(slots, ends)
@@ -195,22 +195,22 @@
 def test_fleet_uses_replaced_workers_within_their_warmup_budget(seed):
     """Guards a release that replaces workers.
 
-    Each dispatcher won the draw for a cold worker once in 200 windows, and selected it once in a hundred
-    requests, so that 76 new workers of 130 got almost no jobs to the end of the run. Here six in ten workers
-    are replaced.
+    Each dispatcher won the draw for a warming-up worker once in 200 windows, and selected it once in a
+    hundred requests, so that 76 new workers of 130 got almost no jobs to the end of the run. Here six in ten
+    workers are replaced.
     """
     site = FleetSimulation(dispatchers=60, servers=20, seed=seed)
     site.simulate(1_000, load=0.5)
     site.replace(12)
     begun = site.now
     site.simulate(2_500, load=0.5)
-    first = sum(each < begun + 4_000_000 for times in site.cold_arrivals.values() for each in times)
+    first = sum(each < begun + 4_000_000 for times in site.warmup_arrivals.values() for each in times)
     part = (
         12 * 0.3 / (8 + 12 * 0.3)
     )  # fraction of all capacity in those seconds, where the new workers have about 0.3 of theirs
     sent = 4_000_000 * 0.5 * site.servers * SLOTS / RUN
     assert 0.5 * part < first / sent < 1.3 * part
-    for server, times in site.cold_arrivals.items():
+    for server, times in site.warmup_arrivals.items():
         for at in times:
             capacity_fraction = site.settings.capacity_fraction(site.started[server], at)
             allowed = 3.0 * capacity_fraction * SLOTS / RUN * site.settings.collapse_window
@@ -238,21 +238,21 @@
     assert not attempt.worker.backoff
 
 
-def test_cold_workers_get_only_a_safe_share_of_the_work():
-    """Guards a zone that returns with only cold workers: all waiting jobs would arrive within a second."""
+def test_warming_up_workers_get_only_a_safe_share_of_the_work():
+    """Guards a zone in which all workers have restarted: all waiting jobs would arrive within a second."""
     settings = interface.Settings(collapse_multiple=2.0, initial_capacity=0.1, warmup_duration=10_000_000)
     now = 100_000_000
-    cold = [Worker(interface.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
+    warming = [Worker(interface.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
     warm = [Worker(interface.WorkerEntry(each), 1.0, rate=2.0) for each in range(5, 7)]
-    assert sum(work_shares(cold, settings, now).values()) == pytest.approx(0.1 * 2.0 * 0.6)
-    both = work_shares(cold + warm, settings, now)
+    assert sum(work_shares(warming, settings, now).values()) == pytest.approx(0.1 * 2.0 * 0.6)
+    both = work_shares(warming + warm, settings, now)
     assert sum(both.values()) == pytest.approx(1.0)
-    assert both[cold[0]] == pytest.approx(0.1 * 2.0 * 0.6 / 8), (
+    assert both[warming[0]] == pytest.approx(0.1 * 2.0 * 0.6 / 8), (
         "its share as if all were warm, times the safe multiple"
     )
-    assert work_shares(cold, settings, now + 10_000_000) == dict.fromkeys(cold, 0.25)
+    assert work_shares(warming, settings, now + 10_000_000) == dict.fromkeys(warming, 0.25)
     plan = FleetPlan()
-    plan.update(cold, settings, now)
+    plan.update(warming, settings, now)
     assert plan.unassigned == pytest.approx(0.88)
     plan.update([], settings, now)
     assert plan.unassigned == 0.0, "without workers no share is unassigned"
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -32,7 +32,7 @@
     assert sent_workers(model) == [2] * 8
 
 
-def test_started_dispatcher_sends_nothing_to_cold_worker_for_one_window():
+def test_started_dispatcher_sends_nothing_to_warming_up_worker_for_one_window():
     """The dispatcher may have spent the slow-start budget of the window before its own restart."""
     model = Model(
         interface.Settings(
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -143,8 +143,10 @@
     restarted_self=st.booleans(),
     slots=st.integers(1, 6),
 )
-def test_cold_worker_gets_at_most_this_dispatchers_budget_share(seed, fleet_size, restarted_self, slots):
-    """Jobs of equal length at workers of known size: the sends to a cold worker stay within the budget."""
+def test_warming_up_worker_gets_at_most_this_dispatchers_budget_share(
+    seed, fleet_size, restarted_self, slots
+):
+    """Jobs of equal length at workers of known size: sends to a warming-up worker stay within the budget."""
     run, window = 200_000, 1_000_000
     settings = interface.Settings(
         classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=run),),
@@ -157,17 +159,17 @@
         reports_inline=True,
     )
     model = Model(settings, seed)
-    cold_since = model.now
+    started_at = model.now
     workers = [interface.WorkerEntry(1, weight=slots), interface.WorkerEntry(2, weight=slots)]
-    if restarted_self:  # the dispatcher restarts with a list that has a cold worker
-        workers.append(interface.WorkerEntry(3, weight=slots, started_at=cold_since))
+    if restarted_self:  # the dispatcher restarts with a list that has a warming-up worker
+        workers.append(interface.WorkerEntry(3, weight=slots, started_at=started_at))
     model.list_workers(*workers, kind=interface.ListKind.CACHED)
     running: list[tuple[int, int, int]] = []
     for request in range(240):
         if request == 100 and not restarted_self:
-            cold_since = model.now
+            started_at = model.now
             model.list_workers(
-                interface.WorkerEntry(3, weight=slots, started_at=cold_since), kind=interface.ListKind.DELTA
+                interface.WorkerEntry(3, weight=slots, started_at=started_at), kind=interface.ListKind.DELTA
             )
         for at, number, attempt in [row for row in running if row[0] <= model.now]:
             running.remove((at, number, attempt))
@@ -179,15 +181,15 @@
                 model.start(number, attempt)
                 running.append((model.now + run, number, attempt))
         model.advance(run // (3 * slots))
-    cold_sends = [at for at, worker, _ in model.sends if worker == 3]
-    for at in [each for each in cold_sends if each - cold_since < 10_000_000]:
-        share = 0.2 + 0.8 * (at - cold_since) / 10_000_000
-        sent = sum(at - window < other <= at for other in cold_sends)
+    warmup_sends = [at for at, worker, _ in model.sends if worker == 3]
+    for at in [each for each in warmup_sends if each - started_at < 10_000_000]:
+        share = 0.2 + 0.8 * (at - started_at) / 10_000_000
+        sent = sum(at - window < other <= at for other in warmup_sends)
         assert sent <= 3.0 * share * (slots / run) * window / fleet_size
 
 
 def test_low_work_hints_do_not_bypass_slow_start_budget():
-    """Work hints are rough: many jobs with tiny hints must not count as almost no work at a cold worker."""
+    """Work hints are rough: many jobs with tiny hints must not count as almost no work during warm-up."""
     settings = interface.Settings(
         classes=(interface.JobClass(idempotency=interface.Idempotency.SAFE, objective=200_000),),
         collapse_multiple=3.0,
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -227,10 +227,10 @@
     """Guards a cold worker: sends of a second whose connections all come up late arrive together."""
     dispatcher, now = cold(10**9)
     [worker] = dispatcher.workers.values()
-    assert [each.at for each in worker.cold_attempts] == [now]
+    assert [each.at for each in worker.warmup_attempts] == [now]
     late = now + 900_000
-    assert dispatcher.may_still_send(1, 0, late) and [each.at for each in worker.cold_attempts] == [late]
-    worker.cold_attempts.append(type(worker.cold_attempts[0])(late, 10**6))
+    assert dispatcher.may_still_send(1, 0, late) and [each.at for each in worker.warmup_attempts] == [late]
+    worker.warmup_attempts.append(type(worker.warmup_attempts[0])(late, 10**6))
     assert not dispatcher.may_still_send(1, 0, late + 10_000), "others have spent the window by now"
 
 
@@ -239,8 +239,8 @@
         dispatcher, now = cold(10**9)
         [worker] = dispatcher.workers.values()
         dispatcher.handle(face.AttemptEnded(1, 1, 0, outcome, closed=True), now + 1_000)
-        assert not worker.cold_attempts
+        assert not worker.warmup_attempts
     dispatcher, now = cold(10**9)
     [worker] = dispatcher.workers.values()
     dispatcher.handle(face.AttemptEnded(1, 1, 0, Outcome.FULL, closed=True), now + 1_000)
-    assert worker.cold_attempts, "what a worker turned away was work for it"
+    assert worker.warmup_attempts, "what a worker turned away was work for it"
