--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -108,7 +108,7 @@
     dispatcher.load_model.apply_report(dispatcher.workers[1], interface.LoadReport(0.0, 0.0, 4.0), 2_000)
     for worker in dispatcher.workers.values():
         dispatcher.load_model.update_rate(worker, 3_000)
-    level = {each: worker.background_load * worker.rate for each, worker in dispatcher.workers.items()}
+    level = {number: worker.background_load * worker.rate for number, worker in dispatcher.workers.items()}
     assert level[6] > 1.0
     assert level[3] == 0.0
 
@@ -243,7 +243,7 @@
             spans.append((attempt.sent_at, now))
         else:
             out.append(send(worker, now))
-    spans += [(each.sent_at, 10**9) for each in out]
+    spans += [(attempt.sent_at, 10**9) for attempt in out]
     for age in ages:
         at = now - age
         assert worker.own_jobs.at(at) == sum(sent <= at < ended for sent, ended in spans)
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -131,8 +131,10 @@
     model.arrive(0)
     for attempt in range(3):
         model.end(0, interface.Outcome.ERROR, attempt)
-    failing = [each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING]
-    assert [each.entry.worker for each in failing] == [model.sends[0][1]]
+    failing = [
+        worker for worker in model.dispatcher.workers.values() if worker.reliability.failing > PRIOR_FAILING
+    ]
+    assert [worker.entry.worker for worker in failing] == [model.sends[0][1]]
 
 
 def test_restarted_process_has_prior_failure_estimate():
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -89,10 +89,10 @@
         reports_job_starts=True,
         reports_inline=True,
     )
-    fleet = [Dispatcher(settings, seed * 1000 + each) for each in range(dispatchers)]
+    fleet = [Dispatcher(settings, seed * 1000 + number) for number in range(dispatchers)]
     rng, started_at, now = random.Random(seed), 10_000_000, 10_000_000
     entries = (
-        *(interface.WorkerEntry(each) for each in range(1, 6)),
+        *(interface.WorkerEntry(number) for number in range(1, 6)),
         interface.WorkerEntry(9, started_at=started_at),
     )
     warmup_sends: list[int] = []
@@ -249,7 +249,7 @@
     """Guards discovery, which answers a few calls per second: of 14 simultaneous calls eight failed."""
     assert all(first_call_delay(3, seed) == 0 for seed in range(5))
     calls = sorted(first_call_delay(14, seed) for seed in range(14))
-    assert calls[-1] <= 14 * FIRST_CALL_SPREAD_US and sum(each < 500_000 for each in calls) < 9
+    assert calls[-1] <= 14 * FIRST_CALL_SPREAD_US and sum(delay < 500_000 for delay in calls) < 9
 
 
 @pytest.mark.parametrize("fleet", [3, 14, 200])
@@ -278,8 +278,8 @@
     first = max(first_call_delay(fleet, seed) for seed in range(60))
     restarted_at, notified_at = 14_200_000, 11_970_000 + 6_000_000
     assert restarted_at + first + discovery_retry.ANSWER_TIME_US < notified_at
-    moments = sorted(first_call_delay(fleet, seed) for seed in range(fleet))
-    assert sum(each < 500_000 for each in moments) < 0.4 * fleet, "the calls are spread over time"
+    delays = sorted(first_call_delay(fleet, seed) for seed in range(fleet))
+    assert sum(delay < 500_000 for delay in delays) < 0.4 * fleet, "the calls are spread over time"
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 14, 200, 450])
@@ -316,15 +316,15 @@
     What it missed counts as notified 2 s after its hold, but 200 dispatchers that detected this at the same
     moment waited 2.5 to 15 s. The first call of each dispatcher fails again here.
     """
-    settings, asked = interface.Settings(fleet_size=fleet, list_is_polled=True), []
+    settings, call_times = interface.Settings(fleet_size=fleet, list_is_polled=True), []
     for seed in range(fleet):
         rng, retry = random.Random(seed), DiscoveryRetry()
         detection_delay = HOLD_GRACE_S * 1_000_000
-        asked.append(
+        call_times.append(
             detection_delay + retry.retry_delay(settings, rng) + CALL_US + retry.retry_delay(settings, rng)
         )
-    assert max(asked) + CALL_US <= 2_000_000, "the second call's answer has come"
-    busiest = max(sum(at <= each < at + 50_000 for each in asked) for at in asked)
+    assert max(call_times) + CALL_US <= 2_000_000, "the second call's answer has come"
+    busiest = max(sum(at <= other < at + 50_000 for other in call_times) for at in call_times)
     assert busiest <= max(0.6 * fleet, 3), "the calls are spread over time"
 
 
@@ -431,13 +431,13 @@
 
 
 def test_probe_count_is_limited_by_probe_charge():
-    for charge, asked in ((0.002, 2), (0.004, 1), (0.05, 0)):
+    for charge, probe_count in ((0.002, 2), (0.004, 1), (0.05, 0)):
         model = Model(inline_settings(40, charge))
         model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 9)))
         model.advance(3_000_000)
         model.probes.clear()
         model.arrive(1)
-        assert len(model.probes) == asked and bool(model.sends) == (not asked)
+        assert len(model.probes) == probe_count and bool(model.sends) == (not probe_count)
 
 
 def model_of_unstarted_job(answers: bool) -> Model:
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -157,8 +157,8 @@
     model.list_workers(*(interface.WorkerEntry(worker) for worker in range(1, 8)))
     jobs_by_worker = {worker: (worker * 5 + case * 3) % 7 for worker in range(1, 8)}
     loads = {
-        each: interface.LoadReport(count, max(count - 2, 0), max(2 - count, 0))
-        for each, count in jobs_by_worker.items()
+        number: interface.LoadReport(count, max(count - 2, 0), max(2 - count, 0))
+        for number, count in jobs_by_worker.items()
     }
     for worker, load in loads.items():
         model.dispatcher.load_model.apply_report(model.dispatcher.workers[worker], load, model.now)
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -63,9 +63,9 @@
     """
     model = Model(interface.Settings(classes=(SAFE,), reports_job_starts=True))
     model.list_workers(interface.WorkerEntry(1))
-    for request, each in enumerate(stale):
+    for request, is_stale in enumerate(stale):
         model.arrive(request)
-        model.end(request, interface.Outcome.RESET, stale=each)
+        model.end(request, interface.Outcome.RESET, stale=is_stale)
     before = len(model.sends)
     model.arrive(len(stale))
     return len(model.sends) > before
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -16,7 +16,7 @@
         cached = recent_keys.setdefault(worker, [])
         model.start(request)
         model.advance(100_000 + (0 if key in cached else fetch_time))
-        recent_keys[worker] = [*[each for each in cached if each != key], key][-4:]
+        recent_keys[worker] = [*[other for other in cached if other != key], key][-4:]
         model.end(request, interface.Outcome.SERVED, load=interface.LoadReport(in_flight=0.0, free_slots=4.0))
 
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -182,7 +182,7 @@
                 running.append((model.now + run, number, attempt))
         model.advance(run // (3 * slots))
     warmup_sends = [at for at, worker, _ in model.sends if worker == 3]
-    for at in [each for each in warmup_sends if each - started_at < 10_000_000]:
+    for at in [sent for sent in warmup_sends if sent - started_at < 10_000_000]:
         share = 0.2 + 0.8 * (at - started_at) / 10_000_000
         sent = sum(at - window < other <= at for other in warmup_sends)
         assert sent <= 3.0 * share * (slots / run) * window / fleet_size
--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -293,16 +293,16 @@
 
     def drain() -> None:
         harness.on_connect = lambda: None
-        for instance, each in list(harness.state.placement.workers.items()):
-            if each.requests.own_jobs:
+        for instance, worker in list(harness.state.placement.workers.items()):
+            if worker.requests.own_jobs:
                 record = WorkerRecord(
-                    instance, "s", each.record.address, "z", WorkerState.DRAINING, 2, 6)  # fmt: skip
+                    instance, "s", worker.record.address, "z", WorkerState.DRAINING, 2, 6)  # fmt: skip
                 harness.state.placement.merge(record)
 
     harness.on_connect = drain
     assert harness.serve(ScriptedResponse(), ScriptedResponse()).status == 200
     [call] = harness.calls
-    drained = [i for i, each in harness.state.placement.workers.items() if not each.accepts_work]
+    drained = [i for i, worker in harness.state.placement.workers.items() if not worker.accepts_work]
     assert extra_headers(call)["Expect-Instance"] not in drained and len(drained) == 1
 
 
--- a/tests/forwarding/test_reliability.py
+++ b/tests/forwarding/test_reliability.py
@@ -327,9 +327,9 @@
     """Guards the shortcut that saves time in selection: most workers of a large fleet have a clean record."""
     served, full = Reliability(), Reliability(has_clean_record=False)
     for at in range(50):
-        for each in (served, full):
-            each.record(AttemptOutcome.SERVED, at * S, in_own_zone=True)
-            each.has_clean_record = each is served
+        for reliability in (served, full):
+            reliability.record(AttemptOutcome.SERVED, at * S, in_own_zone=True)
+            reliability.has_clean_record = reliability is served
         now = at * S + S // 2
         assert served.expected_cost(NOT_IDEMPOTENT, now) == full.expected_cost(NOT_IDEMPOTENT, now) == 0.0
         assert not served.is_suspect(now) and not full.is_suspect(now)
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -92,8 +92,8 @@
             if budget.try_spend(now, routers):
                 retries.append(now)
     for at in retries:
-        in_window = sum(at - window < each <= at for each in retries)
-        request_count = sum(at - window < each <= at for each in requests)
+        in_window = sum(at - window < other <= at for other in retries)
+        request_count = sum(at - window < other <= at for other in requests)
         assert in_window <= ratio * request_count + slack
     assert len(retries) > 500
 
@@ -266,7 +266,7 @@
     after = placement.selector.choose_pair("llm", LONG, 0, set())
     assert after.prefill is not None
     prefill, decode = after.prefill.worker.record.instance, after.decode.worker.record.instance
-    heartbeat_ages = {each: 3 * S for each in placement.workers if each not in (prefill, decode)}
+    heartbeat_ages = {instance: 3 * S for instance in placement.workers if instance not in (prefill, decode)}
     placement.update_heartbeat_ages(heartbeat_ages, 60 * S)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == prefill
 
