--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -355,8 +355,8 @@
             self._try_queued(now, worker)
         elif event.outcome is Outcome.ERROR:
             self.load_model.error_time.add(now - attempt.sent_at, MEMORY_SAMPLES)
-            others = [other for other in attempt.request.attempts if other is not attempt]
-            if all(other.outcome is not Outcome.ERROR for other in others):
+            other_attempts = [other for other in attempt.request.attempts if other is not attempt]
+            if all(other.outcome is not Outcome.ERROR for other in other_attempts):
                 # A request that fails at several workers is itself the likely cause.
                 worker.reliability.record(now, is_error=True)
         elif event.outcome is Outcome.TIMED_OUT:
--- a/hazelbend/decisions/health.py
+++ b/hazelbend/decisions/health.py
@@ -46,6 +46,6 @@
     if attempt.started_at:
         interval = settings.progress_interval
         return interval > 0 and now - attempt.last_signal_at > interval + MAX_PAUSE_US
-    silence = now - max(worker.last_signal_at, attempt.sent_at)
-    is_lost = silence > attempt.suspicion_timeout or attempt.overtaken_by >= MAX_OVERTAKEN
+    time_since_signal = now - max(worker.last_signal_at, attempt.sent_at)
+    is_lost = time_since_signal > attempt.suspicion_timeout or attempt.overtaken_by >= MAX_OVERTAKEN
     return settings.reports_job_starts and is_lost
--- a/hazelbend/decisions/reliability.py
+++ b/hazelbend/decisions/reliability.py
@@ -30,9 +30,9 @@
 
     def faded(self, now: int) -> tuple[float, float, float]:
         """Return the probability that it is failing, and the faded counts of errors and successes."""
-        kept = exp(min(self.updated_at - now, 0) / FADE_TIME_US)
-        failing = PRIOR_FAILING + (self.failing - PRIOR_FAILING) * kept
-        return failing, self.errors * kept, self.successes * kept
+        decay = exp(min(self.updated_at - now, 0) / FADE_TIME_US)
+        failing = PRIOR_FAILING + (self.failing - PRIOR_FAILING) * decay
+        return failing, self.errors * decay, self.successes * decay
 
     def risk(self, now: int) -> float:
         """Return the probability that its next attempt ends in an error."""
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -76,17 +76,17 @@
         ready = self._membership.ready
         tried = {attempt.worker for attempt in request.attempts}
         healthy = [worker for worker in workers if worker.backoff_until <= now and worker in ready]
-        found = [
+        eligible = [
             worker for worker in healthy if self._slow_start.is_selectable(worker) and worker not in tried
         ]
-        found = [worker for worker in found if job.machine_kind in (-1, worker.entry.machine_kind)]
+        eligible = [worker for worker in eligible if job.machine_kind in (-1, worker.entry.machine_kind)]
         if job.idempotency is Idempotency.KEYED and job.dedup_scope is not DedupScope.ALL:
             first = request.first_possible_run
             if first is not None:
                 # A retry may only go to workers that share idempotency keys with that of the first attempt.
                 group = attrgetter("entry.zone" if job.dedup_scope is DedupScope.ZONE else "entry.cell")
-                found = [worker for worker in found if group(worker) == group(first.worker)]
-        return found
+                eligible = [worker for worker in eligible if group(worker) == group(first.worker)]
+        return eligible
 
     def options(self, request: Request, workers: list[Worker], now: int) -> list[OptionRow]:
         """Return the options for a request as rows, without workers whose slow-start budget is spent."""
--- a/hazelbend/placement/fleet_view.py
+++ b/hazelbend/placement/fleet_view.py
@@ -55,8 +55,8 @@
 
     def model_engine(self, service: str) -> ModelEngine | None:
         """Return the configured model engine of a service, or None."""
-        found = self.services.get(service)
-        return found.engine if found is not None else None
+        service_settings = self.services.get(service)
+        return service_settings.engine if service_settings is not None else None
 
     # --- prefill: times and backlog ---
 
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -173,13 +173,13 @@
     """Reports lag by 800 ms. If their age were ignored, own attempts sent since would count as included."""
     worker = create_worker()
     dispatcher = create_dispatcher(worker)
-    out: list[Attempt] = []
+    in_flight: list[Attempt] = []
     for step in range(401):  # the last step brings a report
         now = step * 100_000
         if step % 20 < 8:
-            out.append(send(worker, now))
-        elif out:
-            worker.remove(out.pop(0), now, 10**9)
+            in_flight.append(send(worker, now))
+        elif in_flight:
+            worker.remove(in_flight.pop(0), now, 10**9)
         if step % 5 == 0:
             seen = worker.own_jobs.at(now - 800_000)
             dispatcher.load_model.apply_report(
@@ -234,16 +234,16 @@
 )
 def test_own_job_history_matches_scan_of_all_jobs(moves, ages):
     """Compares the count history with a scan of all jobs, and checks that it keeps enough history."""
-    worker, spans, out, now, memory = create_worker(), [], [], 0, 300
+    worker, spans, in_flight, now, memory = create_worker(), [], [], 0, 300
     for step, ends, which in moves:
         now += step
-        if ends and out:
-            attempt = out.pop(which % len(out))
+        if ends and in_flight:
+            attempt = in_flight.pop(which % len(in_flight))
             worker.remove(attempt, now, memory)
             spans.append((attempt.sent_at, now))
         else:
-            out.append(send(worker, now))
-    spans += [(attempt.sent_at, 10**9) for attempt in out]
+            in_flight.append(send(worker, now))
+    spans += [(attempt.sent_at, 10**9) for attempt in in_flight]
     for age in ages:
         at = now - age
         assert worker.own_jobs.at(at) == sum(sent <= at < ended for sent, ended in spans)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -32,8 +32,8 @@
     """Answer all open probes with these job counts, for workers with four slots."""
     probes, model.probes = model.probes, []
     for worker in probes:
-        held = jobs_by_worker.get(worker, 0)
-        load = interface.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
+        jobs_there = jobs_by_worker.get(worker, 0)
+        load = interface.LoadReport(jobs_there, max(jobs_there - 4, 0), max(4 - jobs_there, 0))
         model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, load))
 
 
@@ -126,10 +126,10 @@
             tell(number, event, at)
         number = rng.randrange(dispatchers)
         for worker in fleet[number].workers.values():
-            held = sum(
+            jobs_there = sum(
                 sent <= now - 600_000 < end for sent, end in zip(warmup_sends, warming_job_ends, strict=True)
             )
-            warming_load = interface.LoadReport(held, max(held - 1, 0), max(1 - held, 0))
+            warming_load = interface.LoadReport(jobs_there, max(jobs_there - 1, 0), max(1 - jobs_there, 0))
             fleet[number].load_model.apply_report(
                 worker, warming_load if worker.entry.worker == 9 else full, now
             )
@@ -190,7 +190,7 @@
     assert not model.probes
 
 
-def learnt_rates(weights_enabled: bool, *runs: int) -> list[float]:
+def learnt_rates(weights_enabled: bool, *run_times: int) -> list[float]:
     """Return the rates of a worker with two slots and one with five, after these run times at the first."""
     settings = interface.Settings(classes=(SAFE,), weights_enabled=weights_enabled, reports_job_starts=True)
     dispatcher = Dispatcher(settings, 1)
@@ -205,7 +205,7 @@
             dispatcher.workers[worker], interface.LoadReport(0.0, 0.0, slots), 1_000_000
         )
     now = 1_100_000
-    for number, run in enumerate(runs):
+    for number, run_time in enumerate(run_times):
         request = (
             dispatcher.handle(interface.RequestArrived(number, 5_000_000), now)
             and dispatcher.requests[number]
@@ -215,7 +215,7 @@
         attempt.worker = dispatcher.workers[1]
         attempt.worker.add(attempt)
         dispatcher.handle(interface.JobStarted(number, 1, 0), now)
-        now += run
+        now += run_time
         dispatcher.handle(interface.AttemptEnded(number, 1, 0, interface.Outcome.SERVED), now)
     for worker in dispatcher.workers.values():
         dispatcher.load_model.update_rate(worker, now)
--- a/tests/forwarding/test_forwarding.py
+++ b/tests/forwarding/test_forwarding.py
@@ -449,12 +449,12 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 1_000])
 def test_event_splitter_handles_all_line_ends_and_chunk_sizes(line_end, size):
     """WHATWG HTML, 9.2.5: a line ends with CR LF, LF or CR. All bytes are forwarded, events as they end."""
-    whole = line_end.join(STREAM)
+    stream = line_end.join(STREAM)
     splitter, forwarded, ids = EventSplitter(), b"", []
-    for start in range(0, len(whole), size):
-        forwarded += splitter.feed(whole[start : start + size])
+    for offset in range(0, len(stream), size):
+        forwarded += splitter.feed(stream[offset : offset + size])
         ids.append(splitter.last_event_id)
-    assert forwarded.rstrip() == whole.rstrip() and not splitter.has_partial_event
+    assert forwarded.rstrip() == stream.rstrip() and not splitter.has_partial_event
     assert splitter.last_event_id == "3" and (size > 1 or "2" in ids)
     splitter.feed(b"data: d" + line_end)
     assert splitter.has_partial_event
