--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -62,7 +62,7 @@
         return self.begun_at is not None and self.over not in (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
-class HeldLink:
+class BlockedBackendClient:
     def __init__(self, machine: CrossingMachine, entry: Endpoint) -> None:
         self.machine, self.backend = machine, int(entry.host)
 
@@ -138,7 +138,9 @@
         def build():
             self.dispatcher = Dispatcher(self.settings, 1)
             self.router = Router(
-                self.dispatcher, LoopClock(self.loop), BackendTable(lambda entry: HeldLink(self, entry))
+                self.dispatcher,
+                LoopClock(self.loop),
+                BackendTable(lambda entry: BlockedBackendClient(self, entry)),
             )
             self.router.start(EndpointList(tuple(map(self.entry, range(BACKENDS))), is_complete=True))
 
@@ -299,7 +301,7 @@
         """The rules on sends, in the turn in which one begins."""
         flow, server = self.flows[held.job.id], self.router.table.by_host(str(held.backend))
         now, job = self.router.clock.now(), CLASSES[self.classes[held.job.id]]
-        assert not flow.client_left, "its client has gone"
+        assert not flow.client_disconnected, "its client has gone"
         assert not flow.answered.done(), "it has its answer"
         assert 0 < left <= flow.deadline - now, "more time than is left"
         assert server is not None and server.accepts_work, "drained or gone"
@@ -336,7 +338,7 @@
         for flow in open_flows:
             assert now <= flow.deadline + round(DECISION_GRACE_S * 1e6) + 1_000, "no answer by its time"
         out = Counter(
-            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_over
+            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_finished
         )
         assert sum(out.values()) == self.running, "attempts out and attempts counted"
         for number, worker in self.dispatcher.workers.items():
@@ -345,7 +347,7 @@
                 each.backend is self.router.table.servers[number]
                 for flow in self.flows.values()
                 for each in flow.attempts
-                if not each.is_over
+                if not each.is_finished
             )
             assert counted == mine and len(worker.attempts) <= out[number]
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -17,10 +17,10 @@
     WorkerState,
 )
 from hazelbend.routing.ports import Verdict
-from tests.routing.test_router import ENTRY, ID, JOB, Module, send
+from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
 from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
 from tests.support.model import Model
-from tests.support.site_kit import until
+from tests.support.site_kit import wait_until
 
 LONG = replace(JOB, timeout_us=20_000_000)
 
@@ -33,12 +33,12 @@
     """Play one job whose connection is held until `change` is made, then one more."""
 
     async def run():
-        decider = module or Module(RequestArrived=send, AttemptEnded=refuse)
+        decider = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
                 flow = site.router.accept(job)
-                await until(lambda: connects.waiting)
+                await wait_until(lambda: connects.waiting)
                 await change(site, flow)
                 await turns()
                 connects.let_go()
@@ -80,7 +80,7 @@
 def test_the_connection_of_an_attempt_that_may_not_be_sent_serves_the_next():
     """Guards the price of connections: the check comes before anything is written, so this one is unused."""
 
-    class Once(Module):
+    class Once(ScriptedModule):
         asked = 0
 
         def may_still_send(self, request, attempt, now):
@@ -112,7 +112,7 @@
     """Guards the order of the inbox: the Send stands there before the word that the client has gone."""
 
     async def run():
-        decider = Module()
+        decider = ScriptedModule()
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             flow = site.router.accept(LONG)
@@ -136,7 +136,7 @@
         while site.router.clock.now() < flow.arrived_at + 300_000:
             await asyncio.sleep(0.01)
 
-    _, site, flow = hold_and(wait, Module(RequestArrived=send))
+    _, site, flow = hold_and(wait, ScriptedModule(RequestArrived=send))
     told = [int(each.field("X-Timeout-Ms")) for each in site.backend.requests]
     assert told[0] <= (flow.job.timeout_us - 300_000) // 1_000 < told[1]
 
@@ -145,7 +145,7 @@
     """Guards requests of an unsafe class: one that never left this process can be refused without harm."""
 
     async def run():
-        decider = Module(RequestArrived=send, AttemptEnded=refuse)
+        decider = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held():
