--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -122,7 +122,7 @@
     @property
     def me(self) -> str:
         """This process's identity."""
-        return self.members.me
+        return self.members.identity
 
     @property
     def has_output(self) -> bool:
