--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -238,12 +238,12 @@
     """Attempts that are sent within a second reach a cold worker together if all their connects are slow."""
     dispatcher, now = dispatcher_with_cold_worker(10**9)
     [worker] = dispatcher.workers.values()
-    assert [attempt.at for attempt in worker.cold_attempts] == [now]
+    assert [attempt.at for attempt in worker.warmup_attempts] == [now]
     late = now + 900_000
-    assert dispatcher.may_still_send(1, 0, late) and [attempt.at for attempt in worker.cold_attempts] == [
+    assert dispatcher.may_still_send(1, 0, late) and [attempt.at for attempt in worker.warmup_attempts] == [
         late
     ]
-    worker.cold_attempts.append(type(worker.cold_attempts[0])(late, 10**6))
+    worker.warmup_attempts.append(type(worker.warmup_attempts[0])(late, 10**6))
     assert not dispatcher.may_still_send(1, 0, late + 10_000), "another attempt has spent the window's budget"
 
 
@@ -252,8 +252,8 @@
         dispatcher, now = dispatcher_with_cold_worker(10**9)
         [worker] = dispatcher.workers.values()
         dispatcher.handle(decisions.AttemptEnded(1, 1, 0, outcome, closed=True), now + 1_000)
-        assert not worker.cold_attempts
+        assert not worker.warmup_attempts
     dispatcher, now = dispatcher_with_cold_worker(10**9)
     [worker] = dispatcher.workers.values()
     dispatcher.handle(decisions.AttemptEnded(1, 1, 0, Outcome.FULL, closed=True), now + 1_000)
-    assert worker.cold_attempts, "rejecting an attempt also costs the worker"
+    assert worker.warmup_attempts, "rejecting an attempt also costs the worker"
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 
 from hazelbend.decisions import Dispatcher, Settings, interface
-from hazelbend.decisions.health import suspect
+from hazelbend.decisions.health import start_backoff
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
@@ -53,7 +53,7 @@
                 outcome = interface.Outcome.CONNECT_FAILED if action.worker == 2 else interface.Outcome.SERVED
                 event = interface.AttemptEnded(number, action.worker, 0, outcome, load=loads[action.worker])
                 dispatcher.handle(event, now + 40_000)
-    suspect(dispatcher.workers[2], dispatcher.random, now)
+    start_backoff(dispatcher.workers[2], dispatcher.random, now)
     dispatcher.workers[2].reliability.record(now, is_error=True)
     dispatcher.handle(interface.RequestArrived(1_000, 5_000_000), 4_100_000)
     return dispatcher
