--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -32,10 +32,10 @@
     starts_at = None
     if not_before:
         starts_at = _number(not_before, "not-before", MAX_UNIX_TIME_DIGITS) * US_PER_MS
-    wanted_by = 0
+    due_at = 0
     if wanted:
-        wanted_by = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
-    return JobTerms(_after(after), starts_at, wanted_by, _flag(take_results))
+        due_at = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
+    return JobTerms(_after(after), starts_at, due_at, _flag(take_results))
 
 
 def _after(text: str) -> tuple[Dependency, ...]:
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -193,7 +193,7 @@
     for step in range(3_000):
         now += 10 * MS
         if step == 5:
-            fleets[addresses[0]].found_epoch(1_764_000_000.0, now)
+            fleets[addresses[0]].start_new_epoch(1_764_000_000.0, now)
         leading = [address for address, fleet in fleets.items() if fleet.raft.is_leader]
         if step == 1_000:
             fleets[leading[0]].transfer_leadership(now)
@@ -476,7 +476,12 @@
     """Jobs that wait on each other, on a clock and on admission."""
     trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
-        in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, come_within=400 * MS
+        in_service=5,
+        by_class=((1, 2),),
+        shares=((0, 0.4),),
+        aged=2,
+        waiting=60,
+        submission_timeout_us=400 * MS,
     )
     engine = JobQueueEngine(bounds)
     running: list[Any] = []
