--- a/hazelbend/leases/__init__.py
+++ b/hazelbend/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for tasks that one dispatcher of a fleet runs at a time. Engines without I/O."""
+"""Leases for tasks that at most one dispatcher of a fleet runs at a time. The engines do no I/O."""
--- a/hazelbend/leases/client.py
+++ b/hazelbend/leases/client.py
@@ -1,19 +1,18 @@
-"""One client's request for a lease, from the first attempt to the end, with the holder's side of time.
+"""A client's request for a lease, from the first attempt to the end, with the holder's expiry time.
 
-    REQUESTING --held by another, and it may wait-->       WAITING
-    REQUESTING, WAITING --response with a token-->         HELD, until its time is over
+    REQUESTING --held by another client, may wait-->       WAITING
+    REQUESTING, WAITING --response with a token-->         HELD, until `expires_at`
     REQUESTING, WAITING --rejected, or waited too long-->  ENDED, with a reason
-    HELD       --response to a renewal-->                  HELD, until a later time
-    HELD       --time over, or told that it is lost-->     ENDED, reason `lost`
+    HELD       --response to a renewal-->                  HELD, with a later `expires_at`
+    HELD       --expired, or response that it is lost-->   ENDED, reason `lost`
     HELD       --release-->                                RELEASING
-    RELEASING  --response, or time over-->                 ENDED
+    RELEASING  --response, or expired-->                   ENDED
 
-Ask `may_act` before each act under the lease. `stop_at` says when a task that takes a while to stop has to be
-told to. A response that is lost, or comes from a process that does not lead, changes nothing: the client
-requests again.
+Check `may_act` before each operation that the lease protects. `stop_at` returns when to stop a task that does
+not stop instantly. If a response is lost, or comes from a node that is not the leader, the client retries.
 
-Invariant: it may act only until `holder_ttl_us` after a request was sent whose own response named the token
-that it holds (time_bounds.py).
+Invariant: the client may act only until `holder_ttl_us` after it sent a request whose own response contained
+the token that it holds (time_bounds.py).
 """
 
 from __future__ import annotations
@@ -38,17 +37,20 @@
 MAX_IN_FLIGHT = RENEWALS_PER_TTL * ATTEMPTS_PER_RENEWAL
 
 MAX_LONG_POLL_US = 1_000_000
-# The request for the lease goes on after these: the client repeats it after a delay.
+# The client retries after a delay when it gets one of these.
 RETRYABLE_REASONS = (Reason.NOT_OPEN, Reason.BUSY, Reason.FREE, Reason.LOST)
 
 
 def long_poll_us(ttl_us: int) -> int:
-    """How long the leader may hold back the response to a waiter, whose time counts from its request."""
+    """Return for how long the leader may delay the response to a waiter.
+
+    It is much shorter than the TTL, since the waiter counts its TTL from when it sent the request.
+    """
     return min(ttl_us // 4, MAX_LONG_POLL_US)
 
 
 class Stage(Enum):
-    """How far a request for a lease is: see the head of the file."""
+    """State of a request for a lease. The transitions are in the module's docstring."""
 
     REQUESTING = "requesting"
     WAITING = "waiting"
@@ -59,17 +61,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """An operation for the leader. The driver gives the response to `handle_response` under this number."""
+    """An operation for the leader. The driver passes the response to `handle_response` with this number."""
 
     number: int
     operation: Operation
 
 
 class LeaseClient:
-    """One request for one lease. Times are microseconds of the clock of the process that acts under it."""
+    """One request for one lease. Times are microseconds of the monotonic clock of the holder's process."""
 
     def __init__(self, request: Acquire, limits: LeaseLimits, now: int) -> None:
-        """`request`: its holder and request id together must never be used again."""
+        """The combination of holder and request id in `request` must never be reused."""
         self.request = request
         self.holder_ttl_us = holder_ttl_us(request.ttl_us, limits.max_clock_drift)
         self.retry_delay_us = request.ttl_us // (RENEWALS_PER_TTL * ATTEMPTS_PER_RENEWAL)
@@ -78,20 +80,20 @@
         self.token = 0
         self.expires_at = 0
         self.started_at = now
-        self.next_at = now  # when `tick` has something to do
-        self.in_flight: dict[int, int] = {}  # by number: when the request was sent
+        self.next_at = now  # when to call `tick` next
+        self.in_flight: dict[int, int] = {}  # send times by request number
         self.last_number = 0
 
     def may_act(self, now: int) -> bool:
-        """Whether nobody else may hold the lease at this time."""
+        """Whether this client holds the lease at this time, and so no other client can hold it."""
         return self.stage is Stage.HELD and now < self.expires_at
 
     def stop_at(self, stopping_us: int) -> int:
-        """When a task that takes so long to stop has to begin."""
+        """Return when to begin to stop a task that takes `stopping_us` to stop."""
         return self.expires_at - stopping_us
 
     def release(self, now: int) -> None:
-        """The task is over, or must be. Nobody may act from here on."""
+        """Release the lease or cancel the request for it. From now on `may_act` returns False."""
         if self.stage is Stage.HELD:
             self.stage = Stage.RELEASING
             self.next_at = now
@@ -99,7 +101,7 @@
             self._end(Reason.CANCELLED)
 
     def tick(self, now: int) -> list[LeaseRequest]:
-        """Requests to send now."""
+        """Return the requests to send now."""
         if self.stage in (Stage.HELD, Stage.RELEASING) and now >= self.expires_at:
             self._end(Reason.LOST if self.stage is Stage.HELD else Reason.NONE)
         elif self._waited_too_long(now):
@@ -113,7 +115,7 @@
         return [self._send(self._next_operation(), now)]
 
     def handle_response(self, number: int, response: LeaseResponse | None, now: int) -> None:
-        """Take in the response to a request. None: no leader has answered."""
+        """Handle the response to a request. None means that no leader answered."""
         sent_at = self.in_flight.pop(number, None)
         if sent_at is None or response is None or self.stage is Stage.ENDED:
             return
@@ -123,7 +125,7 @@
         elif response.token and self.token in (0, response.token):
             self._granted(response.token, sent_at)
         elif self.stage is Stage.HELD:
-            # The response to an older request says nothing about the token that is held.
+            # A response to a request from before the grant does not refer to the current token.
             if response.reason in (Reason.LOST, Reason.FREE):
                 self._end(Reason.LOST)
         elif response.queue_position:
@@ -145,7 +147,7 @@
         return self.request
 
     def _granted(self, token: int, sent_at: int) -> None:
-        """Granted or renewed by the response to a request that was sent then."""
+        """Record a grant or a renewal by the response to a request that was sent at `sent_at`."""
         self.stage = Stage.HELD
         self.token = token
         expires_at = sent_at + self.holder_ttl_us
--- a/hazelbend/leases/fencing.py
+++ b/hazelbend/leases/fencing.py
@@ -1,15 +1,15 @@
-"""Fencing tokens: numbers that grow with every grant, whichever leader or epoch grants.
+"""Fencing tokens: numbers that increase with every grant, across leaders and epochs.
 
-A store that refuses a token lower than the highest it has seen keeps out a holder whose lease is over. See
-M. Kleppmann, "How to do distributed locking" (2016).
+A store that rejects a token lower than the highest one it has seen rejects writes of a holder whose lease has
+expired. See M. Kleppmann, "How to do distributed locking" (2016).
 """
 
 from __future__ import annotations
 
-TOKEN_BITS = 28  # of a token below its epoch; a token has 63 bits
-MAX_GRANTS = (1 << TOKEN_BITS) - 1  # in one epoch: one a second for 8 years
+TOKEN_BITS = 28  # low bits of a token, for the grant's number; the epoch is above them; 63 bits in all
+MAX_GRANTS = (1 << TOKEN_BITS) - 1  # in one epoch; enough for one grant a second for 8 years
 
 
 def fencing_token(epoch: int, grant: int) -> int:
-    """The token of an epoch's n-th grant. Epochs only grow, so tokens do."""
+    """Return the token of an epoch's n-th grant. Epochs only increase, and so do tokens."""
     return (epoch << TOKEN_BITS) + grant
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -1,15 +1,15 @@
-"""One dispatcher's part in the fleet: gossip, the replicated log, the leases and their expiry as one engine.
+"""A dispatcher's node in the fleet: gossip, the replicated log, the leases and their expiry as one engine.
 
-The driver calls `tick` when `next_at` has come, `receive` with messages of peers, and `submit` with requests
-of clients. Then it saves what `raft` marks as unsaved, and only after that sends what `take_output` gives.
-Nothing here waits or does I/O; the driver passes the time.
+The driver calls `tick` at the time `next_at`, `receive` with messages from peers, and `submit` with requests
+of clients. After each call it first saves what `raft` marks as unsaved, and only then sends the output that
+`take_output` returns. Nothing here blocks or does I/O; the driver passes the current time.
 
-The parts meet here and nowhere else:
-    - the leader proposes the expiries that the watcher finds, each once in a term;
-    - the leader adapts the voters to the members, every `VOTER_CHECK_INTERVAL_US`;
-    - a process that does not lead answers a request with the leader, as far as it knows.
+Only this module connects the parts:
+    - the leader proposes the expiries that the watcher finds, each at most once per term;
+    - the leader adapts the set of voters to the fleet's members, every `VOTER_CHECK_INTERVAL_US`;
+    - a node that is not the leader answers a request with the identity of the leader, if it knows it.
 
-A fleet that is unreachable changes nothing outside: a lease's holder ends it by its own clock.
+When the fleet is unreachable, a lease still ends on time: its holder stops by its own clock.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
 VOTER_CHECK_INTERVAL_US = 500_000
 US_PER_S = 1e6
 
-PeerMessage = Packet | Message  # of gossip, of consensus
+PeerMessage = Packet | Message  # gossip or consensus
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseNodeSettings:
-    """What the configuration says of a fleet."""
+    """The settings of a fleet that the engine uses."""
 
     fleet: str
     seeds: tuple[str, ...]
     voters: int = 3
     limits: LeaseLimits = field(default_factory=LeaseLimits)
-    acquires_per_s: float = 100.0  # that a leader proposes; twice as many at once
+    acquires_per_s: float = 100.0  # rate limit at the leader, with bursts of twice as many
 
 
 class Reply(msgspec.Struct, frozen=True, rename={"response": "answer"}):
-    """To one request: the state machine's response, or, without it, the leader's identity if it is known."""
+    """The reply to a request: the state machine's response, or the leader's identity (empty if unknown)."""
 
     response: LeaseResponse | None = None
     leader: str = ""
@@ -67,7 +67,7 @@
 
 
 class NumberedReply(NamedTuple):
-    """A reply under the driver's number of the request."""
+    """A reply, with the number that the driver gave to the request."""
 
     number: int
     reply: Reply
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """A request that waits for its log entry to be committed."""
+    """A request whose log entry is not committed yet."""
 
     number: int
     operation: Operation
@@ -83,15 +83,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LongPoll:
-    """A waiter's request whose response is held back until it is granted the lease, or the time is over."""
+    """A waiter's request whose response is delayed until it is granted the lease, or until `expires_at`."""
 
     request: Acquire
-    response: LeaseResponse  # if it is not granted in time
+    response: LeaseResponse  # sent if the lease is not granted by then
     expires_at: int
 
 
 class LeaseNode:
-    """The engine. Times are microseconds of one clock that never goes back."""
+    """The engine of one node. Times are microseconds of one monotonic clock."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         now: int,
         persistent: PersistentState | None = None,
     ) -> None:
-        """`persistent`: what a process of this identity has saved. Without it the identity must be new."""
+        """`persistent` is the state saved under this identity. Without it the identity must be new."""
         self.settings = settings
         self.leases = LeaseTable(settings.limits)
         self.expiry_watcher = ExpiryWatcher(settings.limits)
@@ -114,7 +114,7 @@
         self.outbox: list[OutgoingMessage] = []
         self.replies: list[NumberedReply] = []
         self._proposals: dict[int, Proposal] = {}  # by proposal id
-        self._long_polls: dict[int, LongPoll] = {}  # by the driver's number
+        self._long_polls: dict[int, LongPoll] = {}  # by the driver's request number
         self._acquire_rate = TokenBucket(settings.acquires_per_s, 2 * settings.acquires_per_s, now)
         self._next_voter_check_at = now
         self._now = now
@@ -126,12 +126,12 @@
 
     @property
     def has_output(self) -> bool:
-        """Whether something is to be saved, sent or answered."""
+        """Whether there is state to save, or a message or reply to send."""
         raft = self.raft
         return bool(self.outbox or self.replies or raft.has_unsaved_changes)
 
     def take_output(self) -> tuple[list[OutgoingMessage], list[NumberedReply]]:
-        """What to send and answer, once the state that it rests on is saved."""
+        """Return the messages and replies. The driver saves the unsaved state before it sends them."""
         outbox = self.outbox
         replies = self.replies
         self.outbox = []
@@ -140,7 +140,7 @@
 
     @property
     def next_at(self) -> int:
-        """When `tick` has something to do."""
+        """When to call `tick` next."""
         times = [self.members.next_at, self.raft.next_tick_at]
         if self.raft.is_leader:
             times.append(self._next_voter_check_at)
@@ -150,7 +150,7 @@
 
     @property
     def leader(self) -> str:
-        """Who leads, by the log; for a process that does not vote, by gossip. Empty if nobody is known to."""
+        """The leader's identity, from Raft; at a node that is not a voter, from gossip. Empty if unknown."""
         raft = self.raft
         if raft.leader or raft.is_voter:
             return raft.leader
@@ -160,7 +160,7 @@
         return hint.leader
 
     def tick(self, now: int) -> None:
-        """Do all that is due."""
+        """Perform all actions that are due."""
         self._now = now
         if now >= self.members.next_at:
             self.members.tick(now)
@@ -174,19 +174,19 @@
         self._collect_output()
 
     def receive(self, message: PeerMessage, now: int) -> None:
-        """Take in a message from a peer."""
+        """Handle a message from a peer."""
         self._now = now
         if isinstance(message, Packet):
             self.members.receive(message, now)
-        elif message.to == self.me:  # not a process that had this address before
+        elif message.to == self.me:  # skips messages to an earlier process at this address
             self.raft.receive(message, now)
         self._collect_output()
 
     def submit(self, number: int, operation: Operation, now: int) -> None:
-        """A client's request. A reply under this number follows at once, or once the entry is committed."""
+        """Handle a client's request. The reply has this number; it is given at once or after the commit."""
         self._now = now
         if isinstance(operation, Acquire) and self.raft.is_leader and not self._acquire_rate.try_take(now):
-            # Only new requests are limited: a flood of them must not keep holders from renewing.
+            # Only acquisitions are rate-limited: a flood of them must not prevent holders from renewing.
             self._reply(number, Reply(LeaseResponse(reason=Reason.BUSY), self.me))
             return
         proposal_id = self.raft.propose(encode(operation), now)
@@ -197,20 +197,21 @@
         self._collect_output()
 
     def start_new_epoch(self, unix_s: float, now: int) -> int:
-        """Start a new epoch, with this one voter, by an operator. Its number."""
+        """Start a new epoch with this node as its only voter, for an operator. Returns the epoch."""
         epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.me)
         self.raft.force_new_cluster(epoch, now)
         self._collect_output()
         return epoch
 
     def leave(self, now: int) -> None:
-        """Announce to the members that this process leaves."""
+        """Announce to the members that this node leaves the fleet."""
         self.members.leave(now)
         self._collect_output()
 
     def transfer_leadership(self, now: int) -> bool:
-        """Let another active voter lead. Call it until it returns False: then this process does not lead, or
-        nobody else can.
+        """Transfer the leadership to another active voter.
+
+        Returns False if this node is not the leader or there is no other active voter. Call it until then.
         """
         active = self.members.table.active()
         others = [voter for voter in self.raft.voters if voter in active and voter != self.me]
@@ -221,7 +222,7 @@
         return True
 
     def view(self, now: int) -> FleetView:
-        """What this process knows at this time."""
+        """Return a view of the fleet as this node knows it."""
         raft = self.raft
         return FleetView(
             fleet=self.settings.fleet,
@@ -254,7 +255,7 @@
         )
 
     def _lease_views(self, now: int) -> tuple[LeaseView, ...]:
-        renewed_at = {held.name: since for held, since in self.expiry_watcher.renewed_at.items()}
+        renewed_at = {renewal.name: at for renewal, at in self.expiry_watcher.renewed_at.items()}
         return tuple(
             LeaseView(
                 name,
@@ -291,12 +292,12 @@
 
     def _collect_output(self) -> None:
         if self.raft.leader:
-            self._spread_leader()
+            self._update_leader_hint()
         self._collect_messages()
         self._collect_proposals()
         self._check_long_polls()
 
-    def _spread_leader(self) -> None:
+    def _update_leader_hint(self) -> None:
         persistent = self.raft.persistent
         hint = LeaderHint(persistent.epoch, persistent.current_term, self.raft.leader)
         self.members.leader_hint = max(self.members.leader_hint, hint)
@@ -330,13 +331,13 @@
         for number, poll in list(self._long_polls.items()):
             lease = self.leases.state.leases.get(poll.request.name)
             if lease is not None and lease.was_granted_to(poll.request):
-                # It was granted after its request was sent, so its time may count from then.
+                # The grant is later than the request, so the holder may count its TTL from the request.
                 self._end_long_poll(number, LeaseResponse(lease.token))
             elif not self.raft.is_leader:
                 self._end_long_poll(number, None)
 
     def _end_long_poll(self, number: int, response: LeaseResponse | None) -> None:
-        """Answer a waiter. The queue position that it is told is that of its request."""
+        """Reply to a waiter. The queue position in the response is the one at the time of its request."""
         del self._long_polls[number]
         self._reply(number, Reply(response, self.raft.leader))
 
--- a/hazelbend/leases/lease_table.py
+++ b/hazelbend/leases/lease_table.py
@@ -1,26 +1,29 @@
-"""Replicated state machine of the leases. Committed log entries change it, and nothing else.
+"""Replicated state machine of the leases. Only committed log entries change it.
 
-State of a lease (`Lease`), by operations in log order:
+State transitions of a lease (`Lease`), by operations in log order:
 
-    free     --Acquire-->                            held, with a new token
-    held     --Acquire by another, with a wait-->    held; the other is last in the queue
-    held     --Acquire again, or Renew, by its holder-->  held, one more `renewals`: its time starts anew
-    held     --Release, HandOver, ForceRelease-->    held by the named waiter, else by the first, else free
-    held     --Expire of this token and these renewals-->  as Release; any other Expire is void
-    waiting  --LeaveQueue, ExpireWaiter-->           no longer in the queue
+    free     --Acquire-->                               held, with a new token
+    held     --Acquire by another holder, that waits--> held; the request is appended to the queue
+    held     --Acquire or Renew by its holder-->        held; one more in `renewals`, the TTL restarts
+    held     --Release, HandOver, ForceRelease-->       held by the named waiter, else by the first, else free
+    held     --Expire of this token and `renewals`-->   as Release; any other Expire has no effect
+    waiting  --LeaveQueue, ExpireWaiter-->              removed from the queue
 
-Time is no part of the state machine, so all processes that apply the same entries hold the same leases. It
-enters at two sides: the holder ends its lease by its own clock (client.py), and the grantor, which is
-whoever leads, proposes `Expire` (expiry_watcher.py). time_bounds.py says why the holder's time ends first.
+The state machine contains no clock, so all processes that apply the same entries have the same state. Time is
+measured outside of it, on two sides: the holder stops using its lease by its own clock (client.py), and the
+grantor, which is the current leader, proposes `Expire` (expiry_watcher.py). time_bounds.py explains why the
+lease always ends for the holder first.
 
-A waiter that was granted the lease learns of it by the response to a request that it sent before (the leader
-holds that back until then, lease_node.py), or by its next one, which counts as a renewal.
+A waiter that is granted the lease receives the token in the response to its pending request, which the leader
+delays until then (long poll, lease_node.py). Otherwise it receives the token in the response to its next
+request, which counts as a renewal.
 
-An epoch begins without leases. It grants none until the longest time to live has passed since it was founded:
-nobody renews what the previous epoch granted, so all that is over by then.
+A new epoch starts without leases, and grants none until the longest TTL has passed since it was created.
+Leases of the previous epoch cannot be renewed, so all of them have expired by then.
 
-Invariants, checked by the tests after every step: tokens grow with every grant; a lease has one holder; a
-holder does not wait for what it holds; nobody waits for a free lease; counts and sizes stay in their limits.
+Invariants, checked by the tests after every step: each grant's token is higher than the one before; a lease
+has one holder; a holder does not wait for its own lease; a free lease has no waiters; counts and sizes stay
+within their limits.
 """
 
 from __future__ import annotations
@@ -46,23 +49,23 @@
     decode,
 )
 
-MAX_NAME_LENGTH = 200  # characters of a lease's name
-MAX_HOLDER_LENGTH = 200  # characters of a holder's identity
+MAX_NAME_LENGTH = 200  # characters
+MAX_HOLDER_LENGTH = 200  # characters
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseLimits:
-    """Bounds on leases. All members of a fleet have the same."""
+    """Limits on leases. All members of a fleet must have the same."""
 
     max_leases: int = 1_000
-    max_waiters: int = 200  # for one lease
+    max_waiters: int = 200  # per lease
     min_ttl_us: int = 1_000_000
     max_ttl_us: int = 30_000_000
-    max_clock_drift: float = 0.05  # most by which a clock's rate differs from true time's
+    max_clock_drift: float = 0.05  # greatest relative error of a clock's rate
 
 
 class Waiter(msgspec.Struct, rename={"request_id": "ask", "ttl_us": "ttl", "polls": "looks"}):
-    """A request in the queue for a lease. Each poll starts the grantor's time for it anew."""
+    """A request in the queue for a lease. Each poll restarts the grantor's timeout for it."""
 
     holder: str
     request_id: int
@@ -71,7 +74,7 @@
 
 
 class Lease(msgspec.Struct, rename={"request_id": "ask", "ttl_us": "ttl"}):
-    """A lease that is held, and the queue for it."""
+    """A held lease and its queue of waiters."""
 
     holder: str
     request_id: int
@@ -81,12 +84,12 @@
     waiters: list[Waiter] = []
 
     def was_granted_to(self, request: Acquire) -> bool:
-        """Whether this request was granted the lease."""
+        """Whether the lease was granted to this request."""
         return (self.holder, self.request_id) == (request.holder, request.request_id)
 
 
 class TableState(msgspec.Struct, rename={"is_open": "open", "grants": "granted"}):
-    """The replicated state, as a snapshot holds it."""
+    """The replicated state, in the form that snapshots contain."""
 
     epoch: int = 0
     is_open: bool = False
@@ -99,26 +102,26 @@
 
 
 class LeaseTable:
-    """The state machine of the replicated log. An operation that is not possible gets a reason."""
+    """The state machine of the replicated log. An operation that is rejected gets a reason."""
 
     def __init__(self, limits: LeaseLimits) -> None:
         self.limits = limits
         self.state = TableState()
 
     def begin(self, epoch: int) -> None:
-        """Start an epoch without leases."""
+        """Start a new epoch, without leases."""
         self.state = TableState(epoch)
 
     def snapshot(self) -> bytes:
-        """The complete state, in msgpack."""
+        """Return the complete state, encoded as msgpack."""
         return _encoder.encode(self.state)
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's. Raises msgspec.DecodeError on anything else."""
+        """Replace the state with that of a snapshot. Raises msgspec.DecodeError if it cannot be decoded."""
         self.state = _state_decoder.decode(state)
 
     def apply(self, index: int, op: bytes) -> LeaseResponse:
-        """Apply one committed entry."""
+        """Apply one committed entry and return the response to it."""
         operation = decode(op)
         if isinstance(operation, OpenEpoch):
             self.state.is_open = True
@@ -131,7 +134,7 @@
         return self._change(operation, lease)
 
     def _change(self, operation: Operation, lease: Lease) -> LeaseResponse:
-        """An operation on a lease that is held."""
+        """Apply an operation to a held lease."""
         match operation:
             case LeaveQueue() | ExpireWaiter():
                 return self._remove_waiter(operation, lease)
@@ -153,7 +156,7 @@
         return self._release(operation.name, lease, to)
 
     def _acquire(self, request: Acquire, lease: Lease | None) -> LeaseResponse:
-        reason = self._invalid(request)
+        reason = self._rejection(request)
         if reason:
             return LeaseResponse(reason=reason)
         if lease is None:
@@ -166,8 +169,8 @@
             return LeaseResponse(lease.token)
         return self._queue(request, lease)
 
-    def _invalid(self, request: Acquire) -> Reason:
-        """Why no request like this is granted now; `NONE` if it may be."""
+    def _rejection(self, request: Acquire) -> Reason:
+        """Return why this request is rejected whatever the lease's state; `NONE` if it is not."""
         if not 0 < len(request.name) <= MAX_NAME_LENGTH or not 0 < len(request.holder) <= MAX_HOLDER_LENGTH:
             return Reason.INVALID_NAME
         if not self.limits.min_ttl_us <= request.ttl_us <= self.limits.max_ttl_us:
@@ -183,8 +186,8 @@
             if (waiter.holder, waiter.request_id) == (request.holder, request.request_id):
                 waiter.polls += 1
                 return LeaseResponse(queue_position=position)
-        waits_already = any(waiter.holder == request.holder for waiter in lease.waiters)
-        if lease.holder == request.holder or waits_already:
+        is_waiting = any(waiter.holder == request.holder for waiter in lease.waiters)
+        if lease.holder == request.holder or is_waiting:
             return LeaseResponse(reason=Reason.DUPLICATE_HOLDER)
         if not request.wait_us:
             return LeaseResponse(reason=Reason.HELD)
@@ -199,14 +202,14 @@
         if waiter is None:
             return LeaseResponse(reason=Reason.NOT_WAITING)
         if isinstance(operation, ExpireWaiter):
-            polled = (waiter.request_id, waiter.polls)
-            if polled != (operation.request_id, operation.polls):
+            latest_poll = (waiter.request_id, waiter.polls)
+            if latest_poll != (operation.request_id, operation.polls):
                 return LeaseResponse(reason=Reason.POLLED_AGAIN)
         lease.waiters.remove(waiter)
         return LeaseResponse(reason=Reason.LEFT_QUEUE)
 
     def _release(self, name: str, lease: Lease, to: str = "") -> LeaseResponse:
-        """Grant the lease to the waiter `to`, else to the first; without waiters it is free."""
+        """Grant the lease to the waiter `to` (empty: the first one). Without waiters, free the lease."""
         successor = next((waiter for waiter in lease.waiters if waiter.holder == to), None)
         if to and successor is None:
             return LeaseResponse(reason=Reason.NOT_WAITING)
--- a/hazelbend/leases/operations.py
+++ b/hazelbend/leases/operations.py
@@ -1,7 +1,7 @@
 """Operations on leases, as entries of the replicated log, and the responses to them.
 
-The wire format is msgpack. The tags and field names on it are older than the names used here, so the classes
-pin them. Times are microseconds.
+The wire format is msgpack. Its tags and field names differ from the names in the source, so the classes set
+them explicitly. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class Reason(StrEnum):
-    """Why a response grants nothing, or how a request for a lease ended. The values are on the wire."""
+    """Why a response contains no grant, or how a request for a lease ended. The values are on the wire."""
 
     NONE = ""
     FREE = "free"  # nobody holds the lease
-    HELD = "held"  # by another, and the request does not wait
-    LOST = "lost"  # the token is not the one that holds the lease now
+    HELD = "held"  # by another holder, and the request does not wait
+    LOST = "lost"  # the token is not that of the current holder
     RELEASED = "released"
-    RENEWED = "renewed"  # after the renewals that an expiry counted from
+    RENEWED = "renewed"  # since the renewal that an expiry refers to
     LEFT_QUEUE = "left"
-    POLLED_AGAIN = "it asked again"  # after the polls that an expiry of a waiter counted from
+    POLLED_AGAIN = "it asked again"  # since the poll that an expiry of a waiter refers to
     NOT_WAITING = "it does not wait"
     DUPLICATE_HOLDER = "another wish of the same holder"
     INVALID_NAME = "name"
@@ -38,10 +38,10 @@
 class Acquire(
     msgspec.Struct, frozen=True, tag=True, rename={"request_id": "ask", "ttl_us": "ttl", "wait_us": "wait"}
 ):
-    """Grant the lease, or queue for it.
+    """Grant the lease, or add the request to its queue.
 
     The request is idempotent: `holder` and `request_id` together identify it. It may wait in the queue for
-    `wait_us`; 0: it does not wait.
+    `wait_us`; with 0 it does not wait.
     """
 
     name: str
@@ -52,21 +52,21 @@
 
 
 class Renew(msgspec.Struct, frozen=True, tag=True):
-    """Start the time of the lease with this token anew."""
+    """Restart the TTL of the lease with this token."""
 
     name: str
     token: int
 
 
 class Release(msgspec.Struct, frozen=True, tag=True):
-    """Give the lease with this token to the next waiter."""
+    """Release the lease with this token; it is granted to the first waiter."""
 
     name: str
     token: int
 
 
 class HandOver(msgspec.Struct, frozen=True, tag=True):
-    """Release the lease to this waiter, whatever its place in the queue."""
+    """Release the lease, and grant it to this waiter whatever its position in the queue."""
 
     name: str
     token: int
@@ -74,22 +74,25 @@
 
 
 class ForceRelease(msgspec.Struct, frozen=True, tag=True):
-    """Release without a token, by an operator. The old holder may still act; the next token is higher."""
+    """Release a lease without its token, for an operator.
+
+    The old holder may still act until its lease expires; the next holder's token is higher.
+    """
 
     name: str
 
 
 class LeaveQueue(msgspec.Struct, frozen=True, tag=True):
-    """Wait for the lease no longer."""
+    """Remove this holder from the lease's queue."""
 
     name: str
     holder: str
 
 
 class Expire(msgspec.Struct, frozen=True, tag=True):
-    """Release a lease whose time is over, by the grantor alone.
+    """Release an expired lease. Proposed by the grantor.
 
-    `renewals` are those that its time was counted from: one more makes the expiry void.
+    `renewals` is the count when its TTL was last restarted: after one more renewal this has no effect.
     """
 
     name: str
@@ -98,13 +101,13 @@
 
 
 class OpenEpoch(msgspec.Struct, frozen=True, tag="Open"):
-    """Begin to grant, by the grantor alone: leases of the previous epoch are over."""
+    """Allow grants in this epoch: all leases of the previous one have expired. Proposed by the grantor."""
 
 
 class ExpireWaiter(
     msgspec.Struct, frozen=True, tag="ExpireWait", rename={"request_id": "ask", "polls": "looks"}
 ):
-    """Remove a waiter that polls no longer, by the grantor alone. One more poll makes the expiry void."""
+    """Remove a waiter that stopped polling. Proposed by the grantor; no effect after one more poll."""
 
     name: str
     holder: str
@@ -120,8 +123,8 @@
 class LeaseResponse(msgspec.Struct, frozen=True, rename={"queue_position": "place", "reason": "why"}):
     """The state machine's response to one operation.
 
-    `token` above 0: the requester holds the lease, and its time counts from before the request was sent.
-    `queue_position` above 0: it waits, so many waiters up to and with itself. Neither: `reason`.
+    `token` above 0: the requester holds the lease, and counts its TTL from when it sent the request.
+    `queue_position` above 0: the requester waits at this position (from 1) of the queue. Neither: `reason`.
     """
 
     token: int = 0
@@ -134,10 +137,10 @@
 
 
 def encode(operation: Operation) -> bytes:
-    """The operation as a log entry's content."""
+    """Encode an operation as the content of a log entry."""
     return _encoder.encode(operation)
 
 
 def decode(content: bytes) -> Operation:
-    """The operation of a log entry. Raises msgspec.DecodeError on anything else."""
+    """Decode the content of a log entry. Raises msgspec.DecodeError if it is no operation."""
     return _decoder.decode(content)
--- a/hazelbend/leases/settings.py
+++ b/hazelbend/leases/settings.py
@@ -1,6 +1,6 @@
 """Schema of `deploy/fleet.toml`, and the checks that a schema cannot express.
 
-Times are seconds in the file; the engines have microseconds.
+Times are seconds in the file and microseconds in the engines.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class FleetSettingsError(ValueError):
-    """Keys that do not fit each other; the text names the faulty one."""
+    """A value that passes the schema but not the other checks; the message names its key."""
 
 
 class LeaseSettings(
@@ -39,10 +39,10 @@
         "max_clock_drift": "clock_drift",
     },
 ):
-    """Table `leases`. `acquires_per_s` limits new requests for leases, and no renewals."""
+    """Table `leases`. `acquires_per_s` limits acquisitions, but not renewals."""
 
     max_leases: Annotated[int, Meta(ge=1, le=100_000)] = 1_000
-    max_waiters: Annotated[int, Meta(ge=0, le=10_000)] = 200  # for one lease
+    max_waiters: Annotated[int, Meta(ge=0, le=10_000)] = 200  # per lease
     min_ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 1.0
     max_ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 30.0
     acquires_per_s: Annotated[float, Meta(ge=1, le=10_000)] = 100.0
@@ -50,7 +50,7 @@
 
     @property
     def limits(self) -> LeaseLimits:
-        """The engines' form."""
+        """The limits in the engines' units."""
         return LeaseLimits(
             max_leases=self.max_leases,
             max_waiters=self.max_waiters,
@@ -61,7 +61,7 @@
 
     @property
     def epoch_opening_delay_s(self) -> float:
-        """How long a new epoch grants nothing."""
+        """Seconds for which a new epoch grants no leases."""
         return self.max_ttl_s * (1 + self.max_clock_drift)
 
 
@@ -73,20 +73,20 @@
     url: Annotated[str, Meta(pattern=r"^http://\d{1,3}(\.\d{1,3}){3}(:\d{1,5})?/\S*$")]
     interval_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 60.0
     ttl_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 10.0
-    timeout_s: Annotated[float, Meta(ge=0.01, le=60)] = 2.0  # for one write
+    timeout_s: Annotated[float, Meta(ge=0.01, le=60)] = 2.0  # of one write
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The file. All dispatchers of a fleet share `id`, and no other fleet has it.
+    """The whole file. All dispatchers of a fleet have the same `id`, and no other fleet has it.
 
-    `store` is a folder on a disk that lasts. Without it a process that restarts is a new member.
+    `store` is a folder on persistent storage. Without it, a process that restarts is a new member.
     """
 
     id: Name
     listen: Address  # for peers and commands
     enabled: bool = True
-    advertise: Address | None = None  # where peers reach it, if not at `listen`
-    seeds: tuple[Address, ...] = ()  # members that are usually up, at which to join
+    advertise: Address | None = None  # address for peers, if it differs from `listen`
+    seeds: tuple[Address, ...] = ()  # members to contact in order to join
     voters: int = 3
     store: str = ""
     leases: LeaseSettings = LeaseSettings()
@@ -94,25 +94,25 @@
 
     @property
     def listen_address(self) -> tuple[str, int]:
-        """Host and port of `listen`."""
+        """The host and port of `listen`."""
         host, _, port = self.listen.rpartition(":")
         return host, int(port)
 
     @property
     def advertised_address(self) -> str:
-        """Where peers reach this dispatcher."""
+        """The address at which peers reach this dispatcher."""
         return self.advertise or self.listen
 
     @property
     def node_settings(self) -> LeaseNodeSettings:
-        """The engine's form."""
+        """The settings that the engine uses."""
         return LeaseNodeSettings(
             self.id, self.seeds, self.voters, self.leases.limits, self.leases.acquires_per_s
         )
 
 
 def read_settings(table: dict[str, Any]) -> FleetSettings:
-    """Settings of a decoded TOML table. Raises ValueError with a text that names the faulty key."""
+    """Return the settings in a decoded TOML table. Raises ValueError; the message names the faulty key."""
     settings = convert(table, FleetSettings)
     if settings.voters not in VOTER_COUNTS:
         raise FleetSettingsError("voters: 3, 5 or 7")
--- a/hazelbend/leases/time_bounds.py
+++ b/hazelbend/leases/time_bounds.py
@@ -1,8 +1,8 @@
-"""Time without synchronized clocks, for leases and whatever else is granted for a time.
+"""Safe expiry without synchronized clocks, for leases and other grants with a TTL.
 
-The holder counts a shortened time from before its request was sent. The grantor counts the whole time from
-when it applied the granting entry itself, which is later. So the time ends for the holder first, as long as
-no clock's rate differs from true time by more than the drift that is assumed.
+The holder counts a shortened TTL from before it sent its request. The grantor counts the whole TTL from when
+it applied the granting entry itself, which is later. A grant therefore expires at the holder first, as long
+as no clock's rate differs from true time by more than the assumed drift.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def holder_ttl_us(ttl_us: int, max_clock_drift: float) -> int:
-    """How long a holder may act on a grant of `ttl_us`, by its own clock."""
+    """Return for how long, by its own clock, a holder may use a grant of `ttl_us`."""
     return floor(ttl_us * (1 - max_clock_drift) / (1 + max_clock_drift))
 
 
 def first_seen(keys: Iterable[Key], seen: Mapping[Key, int], now: int) -> dict[Key, int]:
-    """When each of these was seen first. `seen` is the result of the call before; a new key has `now`."""
+    """Return when each key was first seen. `seen` is the previous call's result; a new key gets `now`."""
     return {key: seen.get(key, now) for key in keys}
--- a/hazelbend/leases/views.py
+++ b/hazelbend/leases/views.py
@@ -1,6 +1,6 @@
-"""What a dispatcher shows of its fleet: for the admin calls, the console and the snapshot.
+"""A dispatcher's view of its fleet, for the admin calls, the console and the snapshot.
 
-The names in JSON and msgpack are older than the names used here, so the classes pin them.
+The names in JSON and msgpack differ from the names in the source, so the classes set them explicitly.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True, rename={"seconds_in_status": "for_s"}):
-    """One member of the fleet, as gossip says."""
+    """A member of the fleet, as known by gossip."""
 
     identity: str
     status: str
@@ -18,7 +18,7 @@
 
 
 class LeaseView(msgspec.Struct, frozen=True):
-    """One lease that is held. `renewed_s_ago`: as far as this process has seen."""
+    """A held lease. `renewed_s_ago` is the time since this process saw its last renewal."""
 
     name: str
     holder: str
@@ -41,10 +41,11 @@
         "foreign_fleets": "strangers",
     },
 ):
-    """What one dispatcher knows.
+    """The fleet as one dispatcher knows it.
 
-    `is_fresh`: it leads and has committed an entry of its own term. `uncommitted`: log entries that it does
-    not know to be committed. `health_score`: Lifeguard's, 0 is healthy. `foreign_fleets`: by address.
+    `is_fresh`: it is the leader and has committed an entry of its own term. `uncommitted`: number of log
+    entries that it does not know to be committed. `health_score`: Lifeguard's, 0 is healthy.
+    `foreign_fleets`: ids of other fleets from which messages came, by address.
     """
 
     fleet: str
--- a/hazelbend/quotas/__init__.py
+++ b/hazelbend/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on tenants that all dispatchers of a fleet enforce together. Engines without I/O."""
+"""Quotas of tenants that all dispatchers of a fleet enforce together. The engines do no I/O."""
--- a/hazelbend/quotas/allocation.py
+++ b/hazelbend/quotas/allocation.py
@@ -1,19 +1,19 @@
-"""One dispatcher's units of one account: what it may admit, allocate more of, and return.
+"""A dispatcher's allocation of one account: admission of jobs, renewal of the allocation and return of units.
 
-    EMPTY  --response to Allocate, with units-->          OPEN, until its time is over
-    OPEN   --response to a later Allocate-->              OPEN, until a later time
-    OPEN   --its time is over, or it is lost-->           EMPTY; its jobs run on and count as in doubt
-    OPEN   --units idle, or wanted back: ReturnUnits-->   OPEN with less, from before the request is sent
+    EMPTY  --response to Allocate, with units-->              OPEN, until `expires_at`
+    OPEN   --response to a later Allocate-->                  OPEN, with a later `expires_at`
+    OPEN   --expired, or response that it is lost-->          EMPTY; jobs still running count as in doubt
+    OPEN   --units idle, or wanted by others: ReturnUnits-->  OPEN, with fewer units already before sending
 
-`admit` decides on a job without a request. Each admitted job has a `Permit`, which returns its unit once. A
-permit of an earlier allocation returns nothing, as the ledger counts its unit as in doubt.
+`admit` decides on a job without a request to the ledger. Each admitted job has a `Permit`, which returns its
+unit once. A permit of an earlier allocation returns no unit, since the ledger counts that unit as in doubt.
 
-Time: the holder counts an allocation's shortened time from before its request was sent
-(leases/time_bounds.py). One request at a time is in flight, and requests are numbered, so that a response is
-about the allocation that is held, and a request that comes late to the ledger changes nothing. A response
-about an allocation that has ended meanwhile is void: jobs of it run on and would not be counted.
+Time: the holder counts a shortened TTL from before it sent its request (leases/time_bounds.py). At most one
+request is in flight, and requests are numbered: so a response refers to the current allocation, and a request
+that reaches the ledger late changes nothing. A response about an allocation that has ended in the meantime is
+ignored: its jobs still run, and would not be counted.
 
-Invariant: used <= units <= what the ledger has for this token whenever `admit` gives a permit, and now <
+Invariant: whenever `admit` returns a permit, used <= units <= the ledger's units for this token, and now <
 expires_at.
 """
 
@@ -27,15 +27,15 @@
 from hazelbend.quotas.timing import QuotaParameters
 
 RENEWALS_PER_TTL = 3
-REQUEST_TIMEOUTS_PER_TTL = 6  # after one of these a request counts as lost
-MIN_REQUEST_INTERVAL_US = 50_000  # where more units are wanted at once
-IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, which others may want
-KEEP_AFTER_REJECTION_US = 100_000  # a holder that rejected a job so recently returns nothing to others
+REQUEST_TIMEOUTS_PER_TTL = 6  # a request counts as lost after TTL / 6
+MIN_REQUEST_INTERVAL_US = 50_000  # when more units are wanted, or some are wanted back
+IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, to learn whether others want them
+KEEP_AFTER_REJECTION_US = 100_000  # for so long after rejecting a job, a holder returns no units to others
 ARRIVAL_WINDOW_US = 300_000  # time constant of the arrival rate
-INITIAL_SERVICE_TIME_US = 500_000.0
-SERVICE_TIME_SAMPLES = 20.0  # weight of the mean service time
-MIN_DEMAND = 0.1  # jobs in service; less wants no unit
-UNITS_PER_SPARE_UNIT = 8  # an allocation keeps one idle unit for so many, and at least one
+INITIAL_SERVICE_TIME_US = 500_000.0  # the mean before any job has ended
+SERVICE_TIME_SAMPLES = 20.0  # a new sample has the weight 1 / 20 in the mean service time
+MIN_DEMAND = 0.1  # expected jobs in service, below which no unit is wanted
+UNITS_PER_SPARE_UNIT = 8  # an allocation may keep one idle unit per 8 units, and at least one
 RETRYABLE_REASONS = (Reason.LATE, Reason.NOT_OPEN, Reason.BUSY)
 
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """The right of one job to be in service."""
+    """The right of one job to be in service, until it is returned."""
 
     token: int
     admitted_at: int
@@ -52,10 +52,10 @@
 
 
 class AllocationClient:
-    """The holder of one allocation. Times are microseconds of one clock that never goes back."""
+    """The holder's side of one allocation. Times are microseconds of one monotonic clock."""
 
     def __init__(self, account: str, holder: str, parameters: QuotaParameters, now: int) -> None:
-        """`holder`: an identity that stands for one run of a process, and is never used again."""
+        """`holder` identifies one run of a process, and must never be reused."""
         self.account = account
         self.holder = holder
         self.parameters = parameters
@@ -64,8 +64,8 @@
         self.units = 0
         self.used = 0
         self.expires_at = 0
-        self.wanted_back = 0  # by others, as of the last response
-        self.arrivals = 0.0  # jobs, admitted or not, each with a weight that falls with its age
+        self.wanted_back = 0  # units that others want, by the last response
+        self.arrivals = 0.0  # jobs, admitted or not, each with a weight that decays with its age
         self.last_arrival_at = now
         self.mean_service_time_us = INITIAL_SERVICE_TIME_US
         self.rejections = 0  # since the last request
@@ -77,7 +77,7 @@
     # --- for each job ---
 
     def admit(self, now: int) -> Permit | None:
-        """Admit a job, if a unit is free. It must end with `release`."""
+        """Admit a job if a unit is free. The caller must call `release` when the job has ended."""
         self.arrivals = self._recent_arrivals(now) + 1
         self.last_arrival_at = now
         if now < self.expires_at and self.used < self.units:
@@ -88,7 +88,7 @@
         return None
 
     def release(self, permit: Permit, now: int) -> None:
-        """The job has ended. A second call for it changes nothing."""
+        """Return the unit of a job that has ended. A second call with the same permit does nothing."""
         if permit.returned:
             return
         permit.returned = True
@@ -98,14 +98,14 @@
             self.used -= 1
 
     def retry_after(self, now: int) -> int:
-        """Microseconds after which a rejected job may be retried: not before the ledger's next response."""
+        """Return microseconds until a rejected job may be retried, after the ledger's next response."""
         return max(self.sent_at + MIN_REQUEST_INTERVAL_US - now, MIN_REQUEST_INTERVAL_US)
 
     # --- requests to the ledger ---
 
     @property
     def next_at(self) -> int:
-        """When `tick` has something to do."""
+        """When to call `tick` next."""
         if self.in_flight is not None:
             return self._request_deadline()
         if not self.token:
@@ -118,7 +118,7 @@
         return min(self.expires_at, self.sent_at + interval)
 
     def tick(self, now: int) -> Request | None:
-        """The request to send now, if there is one."""
+        """Return the request to send now, if there is one."""
         if self.token and now >= self.expires_at:
             self._lose()
         if self.in_flight is not None and now >= self._request_deadline():
@@ -133,7 +133,7 @@
         return self.in_flight
 
     def handle_response(self, request_number: int, response: QuotaResponse | None, now: int) -> None:
-        """Take in the response to a request. None: no leader has answered."""
+        """Handle the response to a request. None means that no leader answered."""
         request = self.in_flight
         if request is None or request_number != request.request_number:
             return
@@ -146,7 +146,7 @@
             return
         self.wanted_back = response.wanted_back
         if isinstance(request, Allocate) and request.token == self.token:
-            # Otherwise that allocation has ended meanwhile: its jobs run on and would not be counted.
+            # Otherwise that allocation has ended: its jobs still run and would not be counted.
             self._renewed(response, now)
 
     def _request_deadline(self) -> int:
@@ -156,12 +156,12 @@
         number = self.last_request_number
         idle = self._returnable_units(now)
         if self.token and idle > 0:
-            self.units -= idle  # from here on, whatever becomes of the request
+            self.units -= idle  # even if the request is lost
             self.wanted_back = 0
             return ReturnUnits(self.account, self.holder, self.token, idle, number)
         wanted = max(self._wanted_units(now), 1 if self.rejections else 0)
         if not wanted and not self.units:
-            self._lose()  # nothing is held or wanted: the ledger lets it expire
+            self._lose()  # no units are held or wanted: the allocation expires in the ledger
             return None
         return Allocate(self.account, self.holder, wanted, number, self.token)
 
@@ -186,17 +186,17 @@
         return self.arrivals * math.exp(age / ARRIVAL_WINDOW_US)
 
     def _wanted_units(self, now: int) -> int:
-        """Units for the jobs that arrive, and a margin against chance.
+        """Return the units for the jobs that arrive, with a margin for random variation.
 
-        As many jobs are in service as arrive in one's service time (Little's law), and seldom more than its
-        square root beyond that (square-root staffing).
+        The mean number of jobs in service is the number that arrive in one service time (Little's law); the
+        margin is the square root of it (square-root staffing).
         """
         demand = self._recent_arrivals(now) / ARRIVAL_WINDOW_US * self.mean_service_time_us
         wanted = math.ceil(demand + math.sqrt(demand)) if demand > MIN_DEMAND else 0
         return max(wanted, self.used)
 
     def _returnable_units(self, now: int) -> int:
-        """Units to return now."""
+        """Return the number of units to return now."""
         if self.wanted_back and now > self.last_rejection_at + KEEP_AFTER_REJECTION_US:
             margin = int(math.sqrt(self.used) / 2)
             return max(min(self.wanted_back, self.units - self.used - margin), 0)
--- a/hazelbend/quotas/expiry_watcher.py
+++ b/hazelbend/quotas/expiry_watcher.py
@@ -1,7 +1,7 @@
-"""The grantor's side of time: which allocations have expired, and whose units in doubt can be reclaimed.
+"""Detects expired allocations, and units in doubt that can be reclaimed, for the grantor.
 
-Each process keeps these times by what it applied itself, so that a new leader counts from after the requests
-were sent, as the leader before did. Only the leader proposes expiries.
+Every process records the times at which it applied entries itself. A new leader therefore counts from after
+the requests were sent, as the previous leader did. Only the leader proposes expiries.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class AllocationRenewal(NamedTuple):
-    """An allocation as of one renewal, as `Expire` names it."""
+    """One renewal (or the grant) of an allocation, as `Expire` refers to it."""
 
     account: str
     holder: str
@@ -25,7 +25,7 @@
 
 
 class UnitsInDoubt(NamedTuple):
-    """Units in doubt, as `Reclaim` names them."""
+    """The units in doubt of one token, as `Reclaim` refers to them."""
 
     account: str
     token: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class AllocationExpiryWatcher:
-    """Times are microseconds of this process's clock."""
+    """Records when this process first saw each renewal and unit in doubt, in microseconds of its clock."""
 
     parameters: QuotaParameters
     renewed_at: dict[AllocationRenewal, int] = field(default_factory=dict)
@@ -42,17 +42,17 @@
     epoch_seen_at: int = 0
 
     def observe(self, ledger: QuotaLedger, now: int) -> None:
-        """Entries were applied, or a snapshot was restored: what is new has its time from now on."""
+        """Record new renewals and units in doubt, after entries were applied or a snapshot was restored."""
         state = ledger.state
         if self.epoch != state.epoch:
             self.epoch = state.epoch
             self.epoch_seen_at = now
-        held = [
+        renewals = [
             AllocationRenewal(account, holder, allocation.token, allocation.renewals)
             for account, allocations in state.allocations.items()
             for holder, allocation in allocations.items()
         ]
-        self.renewed_at = first_seen(held, self.renewed_at, now)
+        self.renewed_at = first_seen(renewals, self.renewed_at, now)
         in_doubt = [
             UnitsInDoubt(account, token)
             for account, units_by_token in state.in_doubt.items()
@@ -61,25 +61,25 @@
         self.in_doubt_since = first_seen(in_doubt, self.in_doubt_since, now)
 
     def opens_at(self) -> int:
-        """From when on this epoch may allocate: nothing that the previous one admitted is in service."""
+        """Return when this epoch may allocate: no job admitted in the previous one still runs then."""
         return self.epoch_seen_at + self.parameters.reclaim_after_us
 
     def next_at(self, ledger: QuotaLedger) -> int:
-        """When `expired` may have something new."""
+        """Return when `expired` may find something new."""
         times = [] if ledger.state.is_open else [self.opens_at()]
-        times += [since + self.parameters.allocation_ttl_us for since in self.renewed_at.values()]
+        times += [at + self.parameters.allocation_ttl_us for at in self.renewed_at.values()]
         times += [since + self.parameters.reclaim_after_us for since in self.in_doubt_since.values()]
         return min(times, default=NEVER)
 
     def expired(self, ledger: QuotaLedger, now: int) -> list[Operation]:
-        """What the leader is to propose."""
+        """Return the operations that the leader proposes at this time."""
         found: list[Operation] = []
         if not ledger.state.is_open and now >= self.opens_at():
             found.append(OpenEpoch())
-        for held, since in self.renewed_at.items():
-            if now >= since + self.parameters.allocation_ttl_us:
-                found.append(Expire(*held))
-        for doubtful, since in self.in_doubt_since.items():
+        for renewal, renewed_at in self.renewed_at.items():
+            if now >= renewed_at + self.parameters.allocation_ttl_us:
+                found.append(Expire(*renewal))
+        for units, since in self.in_doubt_since.items():
             if now >= since + self.parameters.reclaim_after_us:
-                found.append(Reclaim(*doubtful))
+                found.append(Reclaim(*units))
         return found
--- a/hazelbend/quotas/ledger.py
+++ b/hazelbend/quotas/ledger.py
@@ -1,30 +1,33 @@
-"""Replicated state machine of quotas: who may have how many units. Committed log entries change it alone.
+"""Replicated state machine of quotas. Only committed log entries change it.
 
 A **unit** is the right to have one job in service. A dispatcher admits jobs from its **allocation**: units
-that the ledger has assigned to it for a time, so that no job waits for a request. State of an allocation:
+that the ledger has assigned to it for a TTL, so that no job has to wait for a request to the ledger. State
+transitions of an allocation:
 
-    none      --Allocate-->                                 held: so many units, a new token
-    held      --Allocate by its holder-->                   held: as many units or more, its time starts anew
-    held      --ReturnUnits, of this token-->               held: with less units; without any left, none
-    held      --Expire of this token and these renewals-->  in doubt: its units count, nobody may use them
-    in doubt  --Reclaim-->                                  none: its units are free
+    none      --Allocate-->                              held, with a number of units and a new token
+    held      --Allocate by its holder-->                held, with as many units or more; the TTL restarts
+    held      --ReturnUnits of this token-->             held, with fewer units; none if no unit remains
+    held      --Expire of this token and `renewals`-->   in doubt: its units still count but cannot be used
+    in doubt  --Reclaim-->                               none; its units are available again
 
-**A dispatcher that dies frees nothing.** Jobs that it admitted may run on at a server. So the units of a lost
-allocation stay in doubt until the longest time that a job may still run is over (expiry_watcher.py). A holder
-that lives on stops in time (allocation.py): it admits nothing from an allocation that the ledger may hold for
-lost, and jobs that run on count as in doubt, not against its next allocation.
+**The failure of a dispatcher frees no units.** Jobs that it admitted may still run at a server. The units of
+an expired allocation therefore stay in doubt until the longest time that such a job may still run has passed
+(expiry_watcher.py). A holder that is still alive stops before that (allocation.py): it admits nothing from an
+allocation that may have expired in the ledger, and the jobs of an expired allocation that still run count
+against its units in doubt, not against the holder's next allocation.
 
-How many units an account may still get, with its `limit`, its `guaranteed` units and its parent's `limit`:
+The number of units that an account may still get depends on its `limit`, on its parent's `limit` and on the
+units `guaranteed` to each account. It is the lower one of
 
-    available(account) = limit - allocated(account)
-    available(parent)  = limit - allocated to its accounts - guaranteed to others, idle and not lent
+    limit - allocated(account)
+    parent's limit - allocated to the parent's accounts - guaranteed to the others, if idle and not lent
 
-So an account gets its guaranteed units at once, unless they are lent; and those come back: an account that
-has more than its guarantee while another lacks is told to return what it does not use
-(`QuotaResponse.wanted_back`), and gets no more. Nothing that is allocated is revoked: under a limit that is
-lowered below its use nothing is admitted until it fits.
+An account gets its guaranteed units at once, unless they are lent to others. Lent units are returned: an
+account that has more units than its guarantee, while another one wants and lacks units of its guarantee, is
+asked to return those that it does not use (`QuotaResponse.wanted_back`), and gets no more. Allocated units
+are never revoked: if a limit is lowered below the units allocated, no more are allocated until they fit.
 
-invariants.py has the invariants.
+The invariants are in invariants.py.
 """
 
 from __future__ import annotations
@@ -53,9 +56,10 @@
 class Allocation(
     msgspec.Struct, rename={"request_number": "number", "renewals": "draws", "shortfall": "lacks"}
 ):
-    """Units of one account that one holder has.
+    """Units of one account that are allocated to one holder.
 
-    `request_number`: of the holder's last request. `shortfall`: units that it wanted then and did not get.
+    `request_number` is that of the holder's last request; `shortfall` is the number of units that this
+    request asked for and did not get.
     """
 
     token: int
@@ -66,7 +70,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is allocated and nothing wanted."""
+        """Whether no units are allocated and none are wanted."""
         return self.units == 0 and self.shortfall == 0
 
 
@@ -74,14 +78,14 @@
     msgspec.Struct,
     rename={"is_open": "open", "grants": "granted", "allocations": "held", "in_doubt": "doubt"},
 ):
-    """The replicated state, as a snapshot holds it."""
+    """The replicated state, in the form that snapshots contain."""
 
     epoch: int = 0
     is_open: bool = False
     grants: int = 0
     accounts: dict[str, Account] = {}
-    allocations: dict[str, dict[str, Allocation]] = {}  # by account and holder
-    in_doubt: dict[str, dict[int, int]] = {}  # units by account and token
+    allocations: dict[str, dict[str, Allocation]] = {}  # by account, then by holder
+    in_doubt: dict[str, dict[int, int]] = {}  # units by account, then by token
 
 
 _state_decoder = msgspec.msgpack.Decoder(LedgerState)
@@ -89,30 +93,30 @@
 
 
 class QuotaLedger:
-    """The state machine of the replicated log. An operation that is not possible gets a reason."""
+    """The state machine of the replicated log. An operation that is rejected gets a reason."""
 
     def __init__(self, parameters: QuotaParameters) -> None:
         self.parameters = parameters
         self.state = LedgerState()
 
     def begin(self, epoch: int) -> None:
-        """Start an epoch without accounts and allocations."""
+        """Start a new epoch, without accounts and allocations."""
         self.state = LedgerState(epoch)
 
     def snapshot(self) -> bytes:
-        """The complete state, in msgpack."""
+        """Return the complete state, encoded as msgpack."""
         return _encoder.encode(self.state)
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's. Raises msgspec.DecodeError on anything else."""
+        """Replace the state with that of a snapshot. Raises msgspec.DecodeError if it cannot be decoded."""
         self.state = _state_decoder.decode(state)
 
     def apply(self, index: int, op: bytes) -> QuotaResponse:
-        """Apply one committed entry."""
+        """Apply one committed entry and return the response to it."""
         return self.execute(decode(op))
 
     def execute(self, operation: Operation) -> QuotaResponse:
-        """Carry out one operation."""
+        """Execute one operation and return the response to it."""
         match operation:
             case OpenEpoch():
                 self.state.is_open = True
@@ -131,12 +135,12 @@
     # --- units ---
 
     def allocated(self, account: str) -> int:
-        """Units of this account that are allocated or in doubt."""
+        """Return the units of this account that are allocated or in doubt."""
         held = sum(allocation.units for allocation in self.state.allocations.get(account, {}).values())
         return held + sum(self.state.in_doubt.get(account, {}).values())
 
     def available(self, account: Account) -> int:
-        """Units that this account may still get; never below 0."""
+        """Return the units that this account may still get, at least 0."""
         available = account.limit - self.allocated(account.name)
         parent = self.state.accounts.get(account.parent)
         if parent is not None:
@@ -144,7 +148,7 @@
         return max(available, 0)
 
     def _unavailable_to(self, account: Account) -> int:
-        """Units of the parent that are allocated, or kept as others' guarantees."""
+        """Return the parent's units that are allocated, or reserved as guarantees of the other accounts."""
         unavailable = 0
         for sibling in self._children(account.parent):
             allocated = self.allocated(sibling.name)
@@ -156,16 +160,17 @@
         return unavailable
 
     def shortfall(self, account: Account) -> int:
-        """Units of its guarantee that this account wants and does not have."""
+        """Return the units of its guarantee that this account wants and does not have."""
         allocations = self.state.allocations.get(account.name, {}).values()
         wanted = sum(allocation.shortfall for allocation in allocations)
         return max(min(wanted, account.guaranteed - self.allocated(account.name)), 0)
 
     def wanted_back(self, account: Account, holder: str) -> int:
-        """Units that this holder is to return if it can.
+        """Return the units that this holder should return if it does not use them.
 
-        These are what other holders of the account lack, what exceeds a limit that was lowered, and, if the
-        account has more than its guarantee, what others under its parent lack of theirs.
+        That is the sum of the shortfalls of the account's other holders, the excess over a limit that was
+        lowered, and, if the account has more than its guarantee, the units that the parent's other accounts
+        want and lack of theirs.
         """
         allocations = self.state.allocations.get(account.name, {})
         wanted = sum(allocation.shortfall for name, allocation in allocations.items() if name != holder)
@@ -202,7 +207,7 @@
         if allocation is not None and request.request_number <= allocation.request_number:
             return _repeated(request, allocation)
         if allocation is not None and allocation.token != request.token:
-            # Its holder has forgotten it, or never heard of it. Jobs that it admitted may run on.
+            # The holder lost its state, or never got the response. Jobs that it admitted may still run.
             self._put_in_doubt(account.name, request.holder)
             allocation = None
         if allocation is None:
@@ -216,7 +221,7 @@
         return self._extend(allocation, account, request)
 
     def _rejection(self, request: Allocate, account: Account | None) -> Reason:
-        """Why no request like this is carried out now; `NONE` if it may be."""
+        """Return why this request is rejected whatever is allocated; `NONE` if it is not."""
         if not self.state.is_open:
             return Reason.NOT_OPEN
         if account is None or not 0 < len(request.holder) <= MAX_HOLDER_LENGTH or request.units < 0:
@@ -279,7 +284,7 @@
             self.state.in_doubt.setdefault(account, {})[allocation.token] = allocation.units
 
     def _remove_empty(self, account_name: str) -> None:
-        """Drop tables without entries, and an account that is gone once its units are back."""
+        """Delete the account's empty tables, and the account if it was removed and has no units left."""
         state = self.state
         if not state.allocations.get(account_name, True):
             del state.allocations[account_name]
@@ -292,7 +297,7 @@
 
 
 def _repeated(request: Allocate, allocation: Allocation) -> QuotaResponse:
-    """The response to a request that is no newer than the last that was applied."""
+    """Return the response to a request that is not newer than the last one applied."""
     is_last = request.request_number == allocation.request_number
     if is_last and request.token in (0, allocation.token):
         return QuotaResponse(allocation.token, allocation.units)
@@ -300,7 +305,7 @@
 
 
 def _invalid_accounts(accounts: tuple[Account, ...]) -> Reason:
-    """Why these accounts cannot be enforced; `NONE` if they can."""
+    """Return why these accounts are invalid; `NONE` if they are valid."""
     by_name = {account.name: account for account in accounts}
     parents = {account.parent for account in accounts if account.parent}
     if len(by_name) < len(accounts) or not parents <= by_name.keys() or "" in by_name:
--- a/hazelbend/quotas/operations.py
+++ b/hazelbend/quotas/operations.py
@@ -1,7 +1,7 @@
 """Operations on quotas, as entries of the replicated log, and the responses to them.
 
-The wire format is msgpack. The tags and field names on it are older than the names used here, so the classes
-pin them.
+The wire format is msgpack. Its tags and field names differ from the names in the source, so the classes set
+them explicitly.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
     """Why an operation changed nothing. The values are on the wire."""
 
     NONE = ""
-    NO_ACCOUNT = "account"  # there is none of this name, or the request is malformed
-    IS_PARENT = "a parent"  # units belong to its children
+    NO_ACCOUNT = "account"  # there is no account of this name, or the request is malformed
+    IS_PARENT = "a parent"  # units are allocated only from its children
     LATE = "late"  # a later request of this holder was applied
-    LOST = "lost"  # the token is not the one of the allocation now
-    RENEWED = "drawn"  # after the renewals that an expiry counted from
-    RECLAIMED = "settled"  # before
+    LOST = "lost"  # the token is not that of the current allocation
+    RENEWED = "drawn"  # since the renewal that an expiry refers to
+    RECLAIMED = "settled"  # already reclaimed
     INVALID_ACCOUNTS = "accounts"
     INVALID_LIMITS = "limits"
     INVALID_PARENTS = "parents"
@@ -30,9 +30,9 @@
 
 
 class Account(msgspec.Struct, frozen=True, rename={"guaranteed": "sure"}):
-    """What is limited: a tenant, or a class of one (`parent`). In whole units.
+    """A tenant, or a class of a tenant (`parent`), with its quota in whole units.
 
-    `limit`: the most that it may have. `guaranteed`: what no other account may keep from it.
+    `limit` is the maximum that may be allocated to it; `guaranteed` units are reserved for it.
     """
 
     name: str
@@ -42,10 +42,10 @@
 
 
 class Allocate(msgspec.Struct, frozen=True, tag="Draw", rename={"request_number": "number"}):
-    """Allocate units to a holder, up to `units` in all, and start the allocation's time anew.
+    """Allocate units to a holder, up to `units` in total, and restart the allocation's TTL.
 
-    `token`: of the allocation that the holder believes it has, or 0. A holder numbers its requests upwards:
-    one that comes late is not applied after a later one.
+    `token` is that of the allocation that the holder believes it has, or 0. A holder numbers its requests in
+    increasing order; a request is not applied after one with a higher number.
     """
 
     account: str
@@ -56,7 +56,7 @@
 
 
 class ReturnUnits(msgspec.Struct, frozen=True, tag="Give", rename={"request_number": "number"}):
-    """Give units of the allocation with this token back."""
+    """Return units of the allocation with this token."""
 
     account: str
     holder: str
@@ -66,9 +66,9 @@
 
 
 class Expire(msgspec.Struct, frozen=True, tag=True, rename={"renewals": "draws"}):
-    """Put an allocation in doubt whose time is over, by the grantor alone.
+    """Put an expired allocation in doubt. Proposed by the grantor.
 
-    `renewals` are those that its time was counted from: one more makes the expiry void.
+    `renewals` is the count when its TTL was last restarted: after one more renewal this has no effect.
     """
 
     account: str
@@ -78,20 +78,20 @@
 
 
 class Reclaim(msgspec.Struct, frozen=True, tag="Settle"):
-    """Free the units in doubt of this token, by the grantor alone: their jobs cannot run any more."""
+    """Free the units in doubt of this token, whose jobs can no longer run. Proposed by the grantor."""
 
     account: str
     token: int
 
 
 class SetAccounts(msgspec.Struct, frozen=True, tag=True):
-    """Replace the accounts. One that is gone stays, with a limit of 0, until its units are back."""
+    """Replace the accounts. A removed account stays, with a limit of 0, until all its units are returned."""
 
     accounts: tuple[Account, ...]
 
 
 class OpenEpoch(msgspec.Struct, frozen=True, tag="Open"):
-    """Begin to allocate, by the grantor alone: jobs of the previous epoch's allocations are over."""
+    """Allow allocations in this epoch: jobs of the previous one no longer run. Proposed by the grantor."""
 
 
 Operation = Allocate | ReturnUnits | Expire | Reclaim | SetAccounts | OpenEpoch
@@ -100,8 +100,8 @@
 class QuotaResponse(msgspec.Struct, frozen=True, rename={"wanted_back": "wanted", "reason": "why"}):
     """The state machine's response to one operation.
 
-    `units` are those of the allocation with this token from now on. `wanted_back`: units that others in the
-    account's tree lack, so that the holder returns what it does not use. `reason`: nothing was changed.
+    `units` is the new number of units of the allocation with this token. `wanted_back` is the number of units
+    that others in the account's tree lack: the holder returns unused ones. `reason` says why nothing changed.
     """
 
     token: int = 0
@@ -115,10 +115,10 @@
 
 
 def encode(operation: Operation) -> bytes:
-    """The operation as a log entry's content."""
+    """Encode an operation as the content of a log entry."""
     return _encoder.encode(operation)
 
 
 def decode(content: bytes) -> Operation:
-    """The operation of a log entry. Raises msgspec.DecodeError on anything else."""
+    """Decode the content of a log entry. Raises msgspec.DecodeError if it is no operation."""
     return _decoder.decode(content)
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas: the ledger, a dispatcher's allocation client, and many of them with faults between them."""
+"""Tests of quotas: the ledger, the allocation client of a dispatcher, and simulated fleets with faults."""
 
 from __future__ import annotations
 
@@ -36,28 +36,29 @@
 
 
 def allocate(ledger: QuotaLedger, account: str, holder: str, units: int, number: int, token: int = 0):
-    answer = ledger.execute(Allocate(account, holder, units, number, token))
+    response = ledger.execute(Allocate(account, holder, units, number, token))
     check_ledger(ledger)
-    return answer
+    return response
 
 
-def test_guaranteed_units_that_others_want_are_kept_for_them():
-    """Guards against a flood by one tenant: it may have what is idle, gets no more once another lacks, and
-    its holders are told to return what they do not use."""
+def test_lent_guaranteed_units_are_wanted_back_and_reserved_for_the_account_that_lacks_them():
+    """Guards against a tenant that floods the fleet: it may get idle units of others' guarantees, but gets no
+    more once another account lacks units, and its holders are asked to return unused ones.
+    """
     ledger = open_ledger()
-    flood = allocate(ledger, "a", "m1", 20, 1)
-    assert flood.units == 8, "its limit, with the idle guarantee of b on loan"
+    flooding = allocate(ledger, "a", "m1", 20, 1)
+    assert flooding.units == 8, "its limit, which includes idle guaranteed units of b"
     first = allocate(ledger, "b", "m2", 3, 1)
-    assert first.units == 2, "what remains of the parent's limit"
-    flood = allocate(ledger, "a", "m1", 20, 2, flood.token)
-    assert (flood.units, flood.wanted_back) == (8, 1)
-    ledger.execute(ReturnUnits("a", "m1", flood.token, 1, 3))
-    assert allocate(ledger, "a", "m1", 20, 4, flood.token).units == 7, "what it returned is kept for others"
+    assert first.units == 2, "the rest of the parent's limit"
+    flooding = allocate(ledger, "a", "m1", 20, 2, flooding.token)
+    assert (flooding.units, flooding.wanted_back) == (8, 1)
+    ledger.execute(ReturnUnits("a", "m1", flooding.token, 1, 3))
+    assert allocate(ledger, "a", "m1", 20, 4, flooding.token).units == 7, "the returned unit is for b"
     assert allocate(ledger, "b", "m2", 3, 2, first.token).units == 3
 
 
-def test_an_epoch_without_tokens_left_rejects_and_leaves_no_empty_table():
-    """Given no tokens left, when a holder asks, or one that has lost its allocation, then nothing stays."""
+def test_allocate_without_tokens_left_is_rejected_and_leaves_no_empty_table():
+    """Both for a new holder, and for one whose token is not that of its allocation."""
     ledger = open_ledger()
     allocate(ledger, "a", "m1", 0, 1)
     ledger.state.grants = MAX_GRANTS
@@ -67,10 +68,10 @@
     held = allocate(ledger, "a", "m1", 2, 1)
     ledger.state.grants = MAX_GRANTS
     assert allocate(ledger, "a", "m1", 2, 2, held.token + 1).reason in (Reason.NO_TOKENS, Reason.LOST)
-    assert ledger.state.allocations == {} and ledger.allocated("a") == 2, "in doubt"
+    assert ledger.state.allocations == {} and ledger.allocated("a") == 2, "units in doubt"
 
 
-def test_units_of_a_lost_allocation_stay_in_doubt_until_its_jobs_cannot_run():
+def test_units_of_an_expired_allocation_stay_in_doubt_until_its_jobs_can_no_longer_run():
     ledger, watcher = open_ledger(), AllocationExpiryWatcher(QuotaParameters())
     held = allocate(ledger, "a", "m1", 8, 1)
     watcher.observe(ledger, 0)
@@ -79,21 +80,21 @@
     assert expire == Expire("a", "m1", held.token, 1)
     ledger.execute(expire)
     watcher.observe(ledger, QuotaParameters().allocation_ttl_us)
-    assert allocate(ledger, "a", "m2", 8, 1).units == 0, "a dispatcher that dies frees nothing"
+    assert allocate(ledger, "a", "m2", 8, 1).units == 0, "the failure of a dispatcher frees no units"
     assert allocate(ledger, "a", "m1", 8, 2, held.token).reason == "lost"
     end = QuotaParameters().allocation_ttl_us + watcher.parameters.reclaim_after_us
     assert (
         watcher.parameters.reclaim_after_us
         >= QuotaParameters().allocation_ttl_us + QuotaParameters().max_job_time_us
     )
-    assert not [each for each in watcher.expired(ledger, end - 1) if isinstance(each, Reclaim)]
-    for each in watcher.expired(ledger, end):
-        ledger.execute(each)
-    assert ledger.execute(Reclaim("a", held.token)).reason == "settled", "once"
+    assert not [operation for operation in watcher.expired(ledger, end - 1) if isinstance(operation, Reclaim)]
+    for operation in watcher.expired(ledger, end):
+        ledger.execute(operation)
+    assert ledger.execute(Reclaim("a", held.token)).reason == "settled", "units are reclaimed only once"
     assert allocate(ledger, "a", "m2", 8, 2).units == 8
 
 
-def test_late_and_repeated_requests_change_nothing():
+def test_repeated_request_is_idempotent_and_late_request_is_rejected():
     ledger = open_ledger()
     held = allocate(ledger, "a", "m1", 4, 1)
     assert allocate(ledger, "a", "m1", 4, 1) == held, "a repeated request"
@@ -102,7 +103,7 @@
     assert ledger.allocated("a") == 4
 
 
-def test_a_limit_below_its_use_admits_nothing_until_it_fits_and_revokes_nothing():
+def test_limit_lowered_below_allocated_units_revokes_none_and_allocates_none_until_they_fit():
     ledger = open_ledger()
     held = allocate(ledger, "a", "m1", 8, 1)
     before = check_ledger(ledger)
@@ -110,12 +111,12 @@
     assert not ledger.execute(SetAccounts(lower)).reason
     check_ledger(ledger, before)
     again = ledger.execute(Allocate("a", "m1", 9, 2, held.token))
-    assert (again.units, again.wanted_back) == (8, 5), "jobs run on; idle units are wanted back"
+    assert (again.units, again.wanted_back) == (8, 5), "running jobs keep their units, others are wanted back"
     assert ledger.execute(Allocate("a", "m2", 1, 1)).units == 0
     ledger.execute(ReturnUnits("a", "m1", held.token, 6, 3))
     assert ledger.execute(Allocate("a", "m2", 1, 2)).units == 1
-    gone = (ACCOUNTS[0], ACCOUNTS[2])
-    assert not ledger.execute(SetAccounts(gone)).reason and ledger.state.accounts["a"].limit == 0
+    without_a = (ACCOUNTS[0], ACCOUNTS[2])
+    assert not ledger.execute(SetAccounts(without_a)).reason and ledger.state.accounts["a"].limit == 0
 
 
 @pytest.mark.parametrize(
@@ -127,81 +128,83 @@
         ((Account("all", 3), Account("a", 4, 2, "all"), Account("b", 4, 2, "all")), "parents"),
     ],
 )
-def test_accounts_that_cannot_be_enforced_are_rejected(accounts, reason):
+def test_invalid_accounts_are_rejected(accounts, reason):
     ledger = open_ledger()
     assert ledger.execute(SetAccounts(accounts)).reason == reason
     assert set(ledger.state.accounts) == {"all", "a", "b"}
 
 
-def test_a_client_admits_only_within_its_time_and_a_permit_returns_once():
+def test_client_admits_only_until_its_allocation_expires_and_returns_a_permit_once():
     ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaParameters(), 0)
-    assert client.admit(0) is None, "nothing is held yet"
+    assert client.admit(0) is None, "no units are held yet"
     request = client.tick(0)
-    answer = ledger.execute(request)
-    client.handle_response(request.request_number, answer, 40_000)
+    response = ledger.execute(request)
+    client.handle_response(request.request_number, response, 40_000)
     permit = client.admit(50_000)
     assert permit is not None and client.used == 1
     client.release(permit, 60_000)
     client.release(permit, 70_000)
     assert client.used == 0
     assert client.expires_at <= client.sent_at + QuotaParameters().allocation_ttl_us * 0.95, (
-        "shortened, from before the request was sent"
+        "a shortened TTL, counted from before the request was sent"
     )
     assert client.admit(client.expires_at) is None
 
 
-def test_a_response_about_an_allocation_that_has_ended_is_void():
-    """Found by the check after every event: a job of the old tranche ran, and the client counted 0 used."""
+def test_response_about_an_expired_allocation_is_ignored():
+    """Guards against a client that takes up the expired allocation again with no units used, although a job
+    that was admitted from it still runs.
+    """
     ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaParameters(), 0)
     client.admit(0)
     request = client.tick(0)
     client.handle_response(request.request_number, ledger.execute(request), 1_000)
     permit = client.admit(2_000)
-    late = client.tick(client.expires_at - 1_000)
-    answer = ledger.execute(late)
+    renewal = client.tick(client.expires_at - 1_000)
+    response = ledger.execute(renewal)
     client.tick(client.expires_at)
-    client.handle_response(late.request_number, answer, client.sent_at + 100_000)
+    client.handle_response(renewal.request_number, response, client.sent_at + 100_000)
     assert client.token == 0
     client.release(permit, client.sent_at + 200_000)
     check_client(client, client.sent_at + 200_000)
 
 
 @pytest.mark.parametrize("machines", [3, 7])
-def test_no_schedule_of_faults_exceeds_a_limit(machines):
+def test_no_limit_is_exceeded_in_any_schedule_of_faults(machines):
     found = run_schedules(6, 15.0, fault_scenario(machines, ""))
     assert not found["broken"], found
     assert found["admitted"] > 100
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_each_planted_defect_is_found(defect):
+def test_simulation_detects_each_planted_defect(defect):
     found = run_schedules(40, 20.0, fault_scenario(3, defect))
-    assert found["broken"], f"{defect}: not within {found['schedules']} schedules"
+    assert found["broken"], f"{defect}: not detected within {found['schedules']} schedules"
 
 
-def test_random_operations_break_no_invariant_of_the_ledger():
-    """Whatever comes in whatever order, with tokens, numbers and holders that fit and that do not."""
-    chance = random.Random(7)
+def test_random_operations_violate_no_invariant_of_the_ledger():
+    """Operations of all kinds in random order, with valid and invalid tokens, numbers and holders."""
+    rng = random.Random(7)
     for _ in range(60):
         ledger, before = open_ledger(), {}
         tokens = [0]
         for number in range(120):
-            account, holder = chance.choice("ab"), chance.choice(("m1", "m2", "m3"))
+            account, holder = rng.choice("ab"), rng.choice(("m1", "m2", "m3"))
             held = ledger.state.allocations.get(account, {}).get(holder)
-            token = held.token if held and chance.random() < 0.7 else chance.choice(tokens)
-            kind, units = chance.randrange(7), chance.randrange(12)
+            token = held.token if held and rng.random() < 0.7 else rng.choice(tokens)
+            kind, units = rng.randrange(7), rng.randrange(12)
             if kind < 3:
-                answer = ledger.execute(Allocate(account, holder, units, number, token))
-                tokens.append(answer.token)
+                response = ledger.execute(Allocate(account, holder, units, number, token))
+                tokens.append(response.token)
             elif kind == 3:
                 ledger.execute(ReturnUnits(account, holder, token, units, number))
             elif kind == 4:
                 ledger.execute(Expire(account, holder, token, held.renewals if held else 0))
             elif kind == 5:
-                ledger.execute(Reclaim(account, chance.choice(tokens)))
+                ledger.execute(Reclaim(account, rng.choice(tokens)))
             else:
                 limits = tuple(
-                    Account(each.name, chance.randrange(1, 10), 0, each.parent) for each in ACCOUNTS
+                    Account(original.name, rng.randrange(1, 10), 0, original.parent) for original in ACCOUNTS
                 )
                 ledger.execute(SetAccounts(limits))
                 before = check_ledger(ledger, before) if before else {}
@@ -209,7 +212,7 @@
             before = check_ledger(ledger, before)
 
 
-def test_a_snapshot_holds_the_complete_ledger():
+def test_snapshot_contains_the_complete_ledger():
     ledger = open_ledger()
     held = allocate(ledger, "a", "m1", 5, 1)
     ledger.execute(Expire("a", "m1", held.token, 1))
@@ -218,19 +221,19 @@
     assert other.state == ledger.state and check_ledger(other) == check_ledger(ledger)
 
 
-def test_the_check_finds_a_state_that_is_broken():
+def test_invariant_check_detects_a_corrupted_state():
     ledger = open_ledger()
     held = allocate(ledger, "a", "m1", 5, 1)
     ledger.state.allocations["a"]["m1"].units = 9
-    with pytest.raises(BrokenInvariantError, match="limit: a has 9 of 8"):
+    with pytest.raises(BrokenInvariantError, match="limit: a has 9 units, the limit is 8"):
         check_ledger(ledger)
     ledger.state.allocations["a"]["m1"].units = 5
     ledger.state.in_doubt["a"] = {held.token: 1}
-    with pytest.raises(BrokenInvariantError, match="tokens: one stands twice"):
+    with pytest.raises(BrokenInvariantError, match="tokens: a token occurs twice"):
         check_ledger(ledger)
 
 
-def test_a_fleet_without_faults_uses_most_of_its_limits():
+def test_fleet_without_faults_uses_over_60_percent_of_its_limit():
     accounts = (Account("all", 120), Account("a", 120, 0, "all"))
     simulation = QuotaSimulation(3, Scenario(machines=12, parameters=SHORT, faults=False, accounts=accounts))
     simulation.run(6 * S)
