--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -1,49 +1,52 @@
 """The engine of the job queue: dependencies, start times, admission and ageing.
 
-It does no I/O, and the caller passes the time.
+It does no I/O, and the caller passes the current time.
 
-A job is in one state, and moves only downwards:
+A job is in exactly one state, and moves only downwards:
 
-    state     what it waits for                      leaves it by
-    -------   ------------------------------------   -------------------------------------------------
-    BLOCKED   parents, or its time                   the last parent's end, its time: to QUEUED
-    QUEUED    a place in service                     a free place: to RUNNING (by `Release`)
-    RUNNING   its answer, which the router gives     `ended`
-    (ended)   remembered for a while, for children   time, or the bound on their number
+    state     waits for                                  transition
+    -------   ----------------------------------------   ------------------------------------------------
+    BLOCKED   its parents, or its start time             to QUEUED when nothing blocks it any more
+    QUEUED    a slot (a place in service)                to RUNNING when a slot is free, by `Release`
+    RUNNING   its answer, from the router                ends by `ended`
+    (ended)   (its outcome is retained for children)     deleted after a TTL, or beyond the bound on number
 
-From BLOCKED and QUEUED it may also end at once, by `Rejection`: it has not run, so that a retry is harmless.
-What a parent's end means for its children:
+A BLOCKED or QUEUED job may also end by `Rejection`. It has not run, so it is safe to retry.
+The outcome of a parent affects its children by the condition of the edge:
 
-    parent's end                        edge SERVED             edge ENDED
-    ---------------------------------   ---------------------   ----------
-    served                              one parent less         one less
+    parent's outcome                    edge SERVED               edge ENDED
+    ---------------------------------   -----------------------   ----------------
+    served                              parent removed            parent removed
     refused, failed, cancelled,
-    its client left, expired            refused, names parent   one less
-    never came                          refused, names parent   refused
-
-A parent that is not submitted yet is expected for `submission_timeout_us`. The length of chains, the
-number of children, and the number and bytes of waiting jobs are bounded.
-
-Admission. At most `in_service` jobs run, and of a class so many. Of those that queue
-
-    in time   latest start first: due_at less the expected run. New jobs of short classes have later times
-              than old ones of long classes, so that a flood of them cannot hold an old one back past its own
-    aged      what will not be in time (if a late answer earns anything; else it is refused at once), and
-              what a tenant has over its share: first come, first served, on at most `aged` places while
-              anything in time queues
-
-A job whose wait, by what queues in time on the `in_service - aged` places that are never lent, would miss its
-wanted time is not in time as it comes; a refusal then tells when that line will have drained.
-
-Two claims, argued in docs/design/0002-waiting.md and held by tests: ageing takes nothing from jobs in time,
-as they are admitted against places that it does not use; and no aged job waits longer than those before it in
-its line, one run after the other on `aged` places.
-
-Invariants (`invariants` evaluates them; tests do after every event):
-    1. A job is in one state; the counts of places, clients, tenants and bytes are those of the jobs.
-    2. A BLOCKED job has a parent that has not ended or a time that has not come; a QUEUED one neither.
-    3. RUNNING is within the bounds, and if a place is free for a queued job, it has it.
-    4. The graph has no cycle, and each edge is known at both ends.
+    its client left, expired            rejected, naming parent   parent removed
+    never came                          rejected, naming parent   rejected
+
+A child waits for a parent that is not submitted yet for up to `submission_timeout_us`. The length of chains,
+the number of parents and children, and the number and bytes of waiting jobs are bounded.
+
+Admission: at most `in_service` jobs run at once, and of some classes at most a number of their own. There are
+two queues:
+
+    in time   Ordered by latest start: due_at minus the expected run time. New jobs of short classes have a
+              later latest start than old jobs of long classes, so a flood of short jobs cannot delay an old
+              job beyond its own latest start.
+    aged      Jobs that would be late (if a late answer still has a value; otherwise they are rejected at
+              once), and jobs of a tenant beyond its share. First come, first served, on at most `aged` slots
+              while jobs that are in time are queued.
+
+When a job is queued, its wait is estimated from the jobs queued in time and from the `in_service - aged`
+slots that aged jobs do not use. If it would miss its due time by this estimate, it does not count as in time.
+If it is then rejected, `retry_after` is the time in which that queue is expected to drain.
+
+Two guarantees, derived in docs/design/0002-waiting.md and checked by tests: aged jobs do not delay jobs that
+are in time, as these are admitted by the slots that aged jobs do not use; and an aged job waits no longer
+than the aged jobs ahead of it take when they run one after the other on `aged` slots.
+
+Invariants (`invariants` checks them; tests do so after every event):
+    1. A job is in one state; the counts of slots, clients, tenants and bytes match the jobs.
+    2. A BLOCKED job has a parent that has not ended, or a start time in the future; a QUEUED job has neither.
+    3. The number of RUNNING jobs is within the bounds, and no slot is free that a queued job could have.
+    4. The graph has no cycle, and each edge is recorded at both jobs.
 """
 
 from __future__ import annotations
@@ -73,9 +76,9 @@
 
 
 class JobQueueEngine:
-    """Takes events with their time, and returns what the caller must do: release or refuse jobs.
+    """Handles events, and returns the effects that the caller must carry out: jobs to release or reject.
 
-    `now` is always the monotonic clock, `wall` Unix time by the wall clock, both in microseconds.
+    `now` is the time of the monotonic clock, `wall` is Unix time by the wall clock, both in microseconds.
     """
 
     def __init__(self, bounds: Bounds) -> None:
@@ -92,24 +95,24 @@
 
     @property
     def ended_jobs(self) -> OrderedDict[JobKey, EndedJob]:
-        """Outcomes of the last jobs that ended, the oldest first."""
+        """The outcomes of the last jobs that ended, oldest first."""
         return self.graph.ended_jobs
 
     # --- events ---
 
     def submit(self, request: JobRequest, now: int, wall: int) -> list[Effect]:
-        """A job has come.
+        """Submit a job.
 
         Raises:
-            TermsError: its terms cannot be met; nothing has changed.
+            TermsError: its terms cannot be met; the engine's state is unchanged.
         """
         self._effects = []
         known = self.jobs.get(request.key)
         if known is not None and known.state is not JobState.EXPECTED:
             raise TermsError("a job of this id is open")
         parents = self.graph.parents_of(request, known)
-        if self._needs_room(request) and (rejection := self._rejection_if_full(request)) is not None:
-            self._reject_unknown(request.key, known, rejection, now)
+        if self._may_have_to_wait(request) and (rejection := self._rejection_if_full(request)) is not None:
+            self._reject_submission(request.key, known, rejection, now)
             return self._effects
         job = known or QueuedJob(request.key, JobState.BLOCKED)
         job.state = JobState.BLOCKED
@@ -129,7 +132,7 @@
         return self._effects
 
     def ended(self, key: JobKey, end: JobOutcome, result: bytes, now: int) -> list[Effect]:
-        """A released job has its final answer."""
+        """Record the final answer of a released job. Has no effect on a job that is not running."""
         self._effects = []
         job = self.jobs.get(key)
         if job is None or job.state is not JobState.RUNNING:
@@ -141,7 +144,7 @@
         return self._effects
 
     def cancel(self, key: JobKey, end: JobOutcome, now: int, reason: str = "") -> list[Effect]:
-        """End a waiting job, as its client asks or has left. A running one is the router's to end."""
+        """End a waiting job whose client cancelled it or disconnected. Has no effect on a running job."""
         self._effects = []
         job = self.jobs.get(key)
         if job is not None and job.is_waiting:
@@ -150,14 +153,14 @@
         return self._effects
 
     def reject_all(self, reason: str, now: int, start_by: int | None = None) -> list[Effect]:
-        """Refuse what cannot run any more when the process ends.
+        """Reject the waiting jobs that cannot start before the process ends.
 
-        That is a job that waits for a time after `start_by` (wall clock) or for a parent that has not come,
-        and the jobs that wait for it. Without `start_by`: every waiting job.
+        These are the jobs with a start time after `start_by` (wall clock), those with a parent that is not
+        submitted yet, and all jobs that depend on them. Without `start_by`, reject every waiting job.
         """
         self._effects = []
         for job in list(self.jobs.values()):
-            # A refusal may have ended jobs that are still ahead in this list.
+            # An earlier rejection may have ended jobs that come later in this list.
             if self.jobs.get(job.key) is not job or not job.is_waiting:
                 continue
             if start_by is None or self._cannot_start_by(job, start_by):
@@ -167,7 +170,7 @@
         return self._effects
 
     def tick(self, now: int, wall: int) -> list[Effect]:
-        """Handle the times that have come."""
+        """Handle the start times, deadlines and timeouts that have passed."""
         self._effects = []
         while (key := self.timers.pop_start(wall)) is not None:
             job = self.jobs.get(key)
@@ -184,7 +187,7 @@
         return self._effects
 
     def change(self, bounds: Bounds, now: int) -> list[Effect]:
-        """Apply other bounds: what waits stays, and new places are used at once."""
+        """Apply new bounds. Waiting jobs stay queued, and additional slots are filled at once."""
         self._effects = []
         self.bounds = bounds
         self.graph.bounds = bounds
@@ -193,18 +196,18 @@
         return self._effects
 
     def next_at(self, now: int, wall: int) -> int | None:
-        """When `tick` may have something, on the monotonic clock; None: only after another event."""
+        """Return when to call `tick` next, by the monotonic clock; None if not before another event."""
         times = self.timers.next_times(now, wall)
         starts = (max(at, now) + 1 for at in self.admission.first_latest_starts())
         return min([*times, *starts], default=None)
 
     # --- steps of a submission ---
 
-    def _needs_room(self, request: JobRequest) -> bool:
-        crowded = (
+    def _may_have_to_wait(self, request: JobRequest) -> bool:
+        slots_full = (
             0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
         )
-        return request.terms.waits or crowded
+        return request.terms.waits or slots_full
 
     def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
         bounds = self.bounds
@@ -217,8 +220,10 @@
         reason = QUEUE_FULL if full else CLIENT_QUEUE_FULL
         return Rejection(request.key, JobOutcome.REFUSED, reason, round(INITIAL_RUN_TIME_US))
 
-    def _reject_unknown(self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int) -> None:
-        """Refuse a job that there is no room for, and tell those that expected it."""
+    def _reject_submission(
+        self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int
+    ) -> None:
+        """Reject a job at its submission, with the children that waited for it."""
         self._effects.append(rejection)
         self.graph.remember(key, JobOutcome.REFUSED, b"", now)
         if known is not None:
@@ -228,13 +233,13 @@
     def _add_parent(
         self, job: QueuedJob, key: JobKey, edge: DependencyCondition, now: int
     ) -> tuple[JobKey, JobOutcome] | None:
-        """Wait for a parent; its key and outcome if it has ended in a way that fails the child."""
-        past = self.graph.ended_jobs.get(key)
+        """Add a parent to a job. Returns its key and outcome if it has ended and this fails the job."""
+        ended = self.graph.ended_jobs.get(key)
         parent = self.jobs.get(key)
-        if past is not None and parent is None:
-            if fails_child(past.outcome, edge):
-                return key, past.outcome
-            self.graph.add_parent_result(job, key, past.outcome, past.result)
+        if ended is not None and parent is None:
+            if fails_child(ended.outcome, edge):
+                return key, ended.outcome
+            self.graph.add_parent_result(job, key, ended.outcome, ended.result)
             return None
         if parent is None:
             parent = QueuedJob(
@@ -276,23 +281,23 @@
             self._reject(job, JobOutcome.EXPIRED, DEADLINE_PASSED, now)
 
     def _end_parent(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
-        """Let the children know of their parent's end, and theirs in turn.
+        """Unblock or reject the children of a parent that has ended, and so on for rejected children.
 
-        A list and no recursion: a chain may be longer than the stack.
+        It uses a list in place of recursion, since a chain may be longer than the stack allows.
         """
-        ends: list[tuple[QueuedJob, JobOutcome, bytes]] = [(parent, outcome, result)]
-        while ends:
-            ended, how, result = ends.pop()
+        pending: list[tuple[QueuedJob, JobOutcome, bytes]] = [(parent, outcome, result)]
+        while pending:
+            ended, outcome, result = pending.pop()
             for key in ended.children:
                 child = self.jobs.get(key)
                 if child is None or ended.key not in child.parents:
                     continue
                 condition = child.parents.pop(ended.key)
-                if fails_child(how, condition):
-                    self._take_out(child, JobOutcome.REFUSED, _parent_reason(ended.key, how), now)
-                    ends.append((child, JobOutcome.REFUSED, b""))
+                if fails_child(outcome, condition):
+                    self._remove_rejected(child, JobOutcome.REFUSED, _parent_reason(ended.key, outcome), now)
+                    pending.append((child, JobOutcome.REFUSED, b""))
                     continue
-                self.graph.add_parent_result(child, ended.key, how, result)
+                self.graph.add_parent_result(child, ended.key, outcome, result)
                 if not child.parents and child.not_before is None:
                     self._queue(child, now)
             ended.children.clear()
@@ -300,7 +305,7 @@
     # --- admission ---
 
     def _queue(self, job: QueuedJob, now: int) -> None:
-        """Queue a job that is ready, or refuse it at once if it would be late and that earns nothing."""
+        """Queue a job that is ready, or reject it if it would be late and a late answer has no value."""
         assert job.request is not None
         request = job.request
         job.state = JobState.QUEUED
@@ -314,12 +319,12 @@
             if late and not request.late_value:
                 self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
                 return
-            # In time it would delay jobs that were admitted as such.
+            # In the queue of jobs in time, it would delay jobs that were admitted to it before.
             job.aged = late or self.admission.is_over_share(request.tenant)
         self.admission.enqueue(job, round(due_at - run))
 
     def _admit(self, now: int) -> None:
-        """Fill the free places."""
+        """Fill the free slots."""
         while (job := self._next_to_run(now)) is not None:
             assert job.request is not None
             self._count(job, -1)
@@ -340,7 +345,7 @@
         return self.admission.pop_next()
 
     def _requeue_late(self, job: QueuedJob, latest_start: int, now: int) -> None:
-        """Let a job that missed its latest start age, or refuse it if a late answer earns nothing."""
+        """Queue a job that missed its latest start as aged, or reject it if a late answer has no value."""
         assert job.request is not None
         self.totals.missed += 1
         if not job.request.late_value and self.bounds.in_service:
@@ -352,11 +357,13 @@
     # --- ends ---
 
     def _reject(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
-        self._take_out(job, end, reason, now, retry_after)
+        self._remove_rejected(job, end, reason, now, retry_after)
         self._end_parent(job, end, b"", now)
 
-    def _take_out(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
-        """Refuse a job that has not run. The caller lets its children know."""
+    def _remove_rejected(
+        self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0
+    ) -> None:
+        """Reject a job that has not run. The caller must then handle its children."""
         self.admission.discard(job)
         self.graph.remove(job)
         self._count(job, -1)
@@ -373,7 +380,7 @@
         self._end_parent(job, end, result, now)
 
     def _count(self, job: QueuedJob, by: int) -> None:
-        """Add a job to the counts of what waits (`by` 1), or take it off (-1)."""
+        """Add a job to the counts of waiting jobs (`by` is 1), or remove it from them (-1)."""
         assert job.request is not None
         client = job.key[0]
         self.waiting += by
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -1,7 +1,7 @@
-"""The gate between the listeners and the router, when deploy/waiting.toml is enabled.
+"""The gate between the listeners and the router, used when deploy/waiting.toml is enabled.
 
-Every job is submitted here first. It waits until the engine releases it, and is then accepted by the router.
-A waiting job holds its id in the router, and gets one answer.
+Every job is submitted here first. It waits until the engine releases it, and is then passed to the router.
+The id of a waiting job is reserved in the router. Each job gets exactly one answer.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import Router
 
-# The wall clock may step: it is looked at as often as this.
+# The wall clock may step, so the engine checks it at least this often.
 MAX_SLEEP_S = 1.0
-SHOWN_PARENTS = 3  # in the text of what a job waits for
+SHOWN_PARENTS = 3  # parents named in the text of what a job waits for
 US_PER_S = 1e6
 US_PER_MS = 1_000
 OUTCOMES = {
@@ -43,13 +43,13 @@
 
 
 def wall_now() -> int:
-    """Unix time in microseconds."""
+    """Return Unix time in microseconds."""
     return time.time_ns() // 1_000
 
 
 @dataclass(slots=True, eq=False)
 class PendingJob:
-    """A job from its submission to its answer. Listeners use it as they use a `RequestContext`."""
+    """A job from its submission to its answer. It has the methods of `RequestContext` that listeners use."""
 
     key: JobKey
     job: Job
@@ -62,11 +62,11 @@
     client_left: bool = False
 
     def reply(self) -> asyncio.Future[Answer]:
-        """The final answer in a future that the caller may cancel; `answered` is not cancelled with it."""
+        """Return a future of the final answer. Cancelling it does not cancel `answered`."""
         return asyncio.shield(self.answered)
 
     def leave(self) -> None:
-        """The client has left: cancel a waiting job, abandon a running one."""
+        """Handle that the client has disconnected: cancel a waiting job, abandon a running one."""
         self.client_left = True
         if self.context is not None:
             self.context.leave()
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitingJob:
-    """A waiting job as the console shows it."""
+    """A waiting job, in the form that the console shows."""
 
     client: str
     id: str
@@ -88,36 +88,40 @@
 
 
 class JobGate:
-    """Carries out what the engine says: starts jobs in the router, rejects them, keeps the timer."""
+    """Carries out the engine's effects: starts jobs in the router, rejects jobs, and sets the timer."""
 
     def __init__(
         self,
         router: Router,
         bounds: Bounds,
-        ordinary: bool,
-        late_worth: Callable[[int], float],
+        admission_for_all: bool,
+        late_value: Callable[[int], float],
         objective: Callable[[int], int],
         wall: Callable[[], int] = wall_now,
     ) -> None:
+        """`admission_for_all`: whether admission also applies to jobs without terms.
+
+        `late_value` and `objective` return these properties of a class, by its index.
+        """
         self.router = router
         self.engine = JobQueueEngine(bounds)
-        self.ordinary = ordinary
-        self._late_worth = late_worth
+        self.admission_for_all = admission_for_all
+        self._late_value = late_value
         self._objective = objective
         self._wall = wall
         self.pending: dict[JobKey, PendingJob] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._leaving: tuple[str, int] | None = None
+        self._shutdown: tuple[str, int] | None = None  # the arguments of `leave`
         self._idle = asyncio.Event()
         self._idle.set()
 
     # --- called by listeners ---
 
     def submit(self, job: Job, key: JobKey, terms: JobTerms, timeout_us: int) -> PendingJob:
-        """Submit a job; `timeout_us` is how long its client waits.
+        """Submit a job. `timeout_us` is for how long its client waits.
 
         Raises:
-            TermsError: its terms cannot be met, or its id is open.
+            TermsError: its terms cannot be met, or its id is in use.
         """
         now = self.router.clock.now()
         if key in self.pending:
@@ -130,8 +134,8 @@
             len(job.body),
             terms,
             self._objective(job.class_index),
-            self._late_worth(job.class_index),
-            bypasses_admission=not terms.waits and not self.ordinary,
+            self._late_value(job.class_index),
+            bypasses_admission=not terms.waits and not self.admission_for_all,
         )
         pending = PendingJob(key, job, now + timeout_us, self)
         self.pending[key] = pending
@@ -143,31 +147,31 @@
         self._idle.clear()
         self.router.reserve_id(job.id)
         self._carry_out(effects)
-        if self._leaving is not None:
-            self.leave(*self._leaving)
-        self._wake()
+        if self._shutdown is not None:
+            self.leave(*self._shutdown)
+        self._reset_timer()
         return pending
 
     def cancel(self, key: JobKey, end: JobOutcome = JobOutcome.CANCELLED) -> bool:
-        """Cancel a waiting job. False if no such job waits; a running one goes on."""
+        """Cancel a waiting job. Returns False if no such job is waiting; a running job continues."""
         pending = self.pending.get(key)
         if pending is None or pending.context is not None:
             return False
         self._carry_out(self.engine.cancel(key, end, self.router.clock.now()))
-        self._wake()
+        self._reset_timer()
         return True
 
-    # --- reload and end ---
+    # --- reload and shutdown ---
 
-    def change(self, bounds: Bounds, ordinary: bool) -> None:
+    def change(self, bounds: Bounds, admission_for_all: bool) -> None:
         """Apply reloaded settings."""
-        self.ordinary = ordinary
+        self.admission_for_all = admission_for_all
         self._carry_out(self.engine.change(bounds, self.router.clock.now()))
-        self._wake()
+        self._reset_timer()
 
     def leave(self, reason: str, start_by: int) -> None:
-        """The process ends: reject at once what cannot start by then (wall clock), also of jobs to come."""
-        self._leaving = reason, start_by
+        """Begin the shutdown: reject the jobs, also future ones, that cannot start by then (wall clock)."""
+        self._shutdown = reason, start_by
         self._carry_out(self.engine.reject_all(reason, self.router.clock.now(), start_by))
 
     def reject_waiting(self, reason: str) -> None:
@@ -175,7 +179,7 @@
         self._carry_out(self.engine.reject_all(reason, self.router.clock.now()))
 
     async def wait_drained(self) -> None:
-        """Return when no job waits or runs."""
+        """Wait until no job is waiting or running."""
         await self._idle.wait()
 
     def close(self) -> None:
@@ -187,7 +191,7 @@
     # --- shown to operators ---
 
     def rows(self) -> list[WaitingJob]:
-        """The waiting jobs, the oldest first."""
+        """Return the waiting jobs, oldest first."""
         now = self.router.clock.now()
         rows = []
         for job in self.engine.jobs.values():
@@ -206,9 +210,9 @@
         return sorted(rows, key=lambda row: -row.age_us)
 
     def counts(self, classes: list[str]) -> dict[str, int]:
-        """The `waiting.*` figures; `classes` are the names by class index."""
+        """Return the `waiting.*` statistics. `classes` are the names by class index."""
         totals = self.engine.totals
-        found = {
+        counts = {
             "waiting.jobs": self.engine.waiting,
             "waiting.bytes": self.engine.waiting_bytes,
             "waiting.released": totals.released,
@@ -219,8 +223,8 @@
             + totals.rejected[JobOutcome.CLIENT_DISCONNECTED],
         }
         for index, name in enumerate(classes):
-            found[f"waiting.longest_ms.{name}"] = totals.longest_wait_us.get(index, 0) // US_PER_MS
-        return found
+            counts[f"waiting.longest_ms.{name}"] = totals.longest_wait_us.get(index, 0) // US_PER_MS
+        return counts
 
     def _waits_for(self, job: QueuedJob) -> str:
         if job.state is JobState.QUEUED:
@@ -235,7 +239,7 @@
     # --- effects of the engine ---
 
     def _carry_out(self, effects: list[Effect]) -> None:
-        # A released job may end at once and release others.
+        # This may recurse: a released job may end at once, and then release others.
         for effect in effects:
             pending = self.pending.get(effect.key)
             if pending is None:
@@ -257,9 +261,9 @@
     def _ended(self, pending: PendingJob, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
         end = JobOutcome.CLIENT_DISCONNECTED if pending.client_left else OUTCOMES[answer.verdict]
-        self._forget(pending, answer)
+        self._complete(pending, answer)
         self._carry_out(self.engine.ended(pending.key, end, answer.result, self.router.clock.now()))
-        self._wake()
+        self._reset_timer()
 
     def _reject(self, pending: PendingJob, rejection: Rejection) -> None:
         self.router.release_id(pending.job.id)
@@ -268,17 +272,17 @@
             answer = Answer(Verdict.REFUSED)
         else:
             answer = self.router.reject(pending.job, rejection.retry_after, rejection.reason)
-        self._forget(pending, answer)
+        self._complete(pending, answer)
 
-    def _forget(self, pending: PendingJob, answer: Answer) -> None:
+    def _complete(self, pending: PendingJob, answer: Answer) -> None:
         self.pending.pop(pending.key, None)
         if not pending.answered.done():
             pending.answered.set_result(answer)
         if not self.pending:
             self._idle.set()
 
-    def _wake(self) -> None:
-        """Set the timer for when the engine may have something."""
+    def _reset_timer(self) -> None:
+        """Set the timer to the engine's next tick."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -291,20 +295,20 @@
         try:
             self._carry_out(self.engine.tick(self.router.clock.now(), self._wall()))
         finally:
-            self._wake()
+            self._reset_timer()
 
 
 def with_results(body: bytes, results: tuple[tuple[str, bytes], ...]) -> bytes:
-    """A JSON object of the job's own `body` and its parents' `results` by id.
+    """Return a JSON object with the job's own `body` and its parents' `results` by id.
 
-    What is not UTF-8 is {"base64": ...}.
+    Data that is not UTF-8 is encoded as {"base64": ...}.
     """
 
-    def shown(data: bytes) -> object:
+    def as_json(data: bytes) -> object:
         try:
             return data.decode()
         except UnicodeDecodeError:
             return {"base64": base64.b64encode(data).decode()}
 
-    found = {"body": shown(body), "results": {name: shown(result) for name, result in results}}
-    return json.dumps(found, ensure_ascii=False).encode()
+    combined = {"body": as_json(body), "results": {name: as_json(result) for name, result in results}}
+    return json.dumps(combined, ensure_ascii=False).encode()
--- a/hazelbend/job_queue/settings.py
+++ b/hazelbend/job_queue/settings.py
@@ -1,4 +1,4 @@
-"""The schema of `deploy/waiting.toml`, by msgspec. A fault is a ValueError that names the key."""
+"""The schema of `deploy/waiting.toml`, by msgspec. An invalid value raises a ValueError with its key."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on the jobs that wait. Times in seconds, sizes in bytes."""
+    """Bounds on waiting jobs. Times are seconds, sizes are bytes."""
 
     jobs: Count = 10_000
     bytes: Annotated[int, Meta(ge=1_024, le=1 << 40)] = 64 * 1024 * 1024
@@ -29,29 +29,29 @@
     remembered: Count = 10_000
     remember_s: Seconds = 60.0
     result_bytes: Annotated[int, Meta(ge=0, le=1 << 30)] = 65_536
-    longest_s: Seconds = 3_600.0  # that a job may wait, whatever its client says
+    longest_s: Seconds = 3_600.0  # upper bound on the timeout that a client may request for a waiting job
 
 
 class ClassLimit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many jobs of a class run at once."""
+    """The maximum number of running jobs of one class."""
 
     name: str
     in_service: Count
 
 
 class TenantShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The part of the places that a tenant uses before its jobs age."""
+    """The share of the slots that a tenant may use before its further jobs are queued as aged."""
 
     name: str
     share: Annotated[float, Meta(gt=0, le=1)]
 
 
 class Admission(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Admission: how many jobs run at once, and how many of them may be late or over a share."""
+    """Admission: how many jobs run at once, and how many of these slots are for aged jobs."""
 
     in_service: Count
     aged: Annotated[int, Meta(ge=0, le=10_000_000)] = 1
-    ordinary: bool = False  # whether jobs without terms go by it too
+    ordinary: bool = False  # whether admission also applies to jobs without terms
     job_class: tuple[ClassLimit, ...] = msgspec.field(default=(), name="class")
     tenant: tuple[TenantShare, ...] = ()
 
@@ -66,11 +66,11 @@
 
     @property
     def ordinary(self) -> bool:
-        """Whether jobs without terms go by admission too."""
+        """Whether admission also applies to jobs without terms."""
         return self.admission is not None and self.admission.ordinary
 
     def bounds(self, classes: tuple[str, ...], tenants: tuple[str, ...]) -> Bounds:
-        """The bounds of the engine; classes and tenants by their index in these names."""
+        """Return the engine's bounds. Classes and tenants are identified by their index in these names."""
         limits = self.limits
         admission = self.admission
         by_class = admission.job_class if admission else ()
@@ -96,10 +96,10 @@
 def read_settings(
     table: dict[str, Any], classes: tuple[str, ...], tenants: tuple[str, ...]
 ) -> WaitingSettings:
-    """The settings in a decoded TOML table; classes and tenants are the names of the site's settings.
+    """Return the settings in a decoded TOML table. `classes`, `tenants`: the names in the site's settings.
 
     Raises:
-        ValueError: a value does not fit; the text names its key.
+        ValueError: a value is invalid; the message names its key.
     """
     settings = convert(table, WaitingSettings)
     admission = settings.admission
--- a/hazelbend/job_queue/terms.py
+++ b/hazelbend/job_queue/terms.py
@@ -1,7 +1,7 @@
-"""The types of the job queue: what a client asks for a job, the bounds, and the engine's effects. No logic.
+"""Data types of the job queue: a client's terms for a job, the bounds, and the effects of the engine.
 
 Times are whole microseconds of the router's monotonic clock. Only `not_before` is Unix time by the wall
-clock: a reservation for six o'clock is for six by that clock.
+clock, since clients name start times by that clock.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from enum import Enum
 from typing import TypeAlias
 
-JobKey: TypeAlias = tuple[str, str]  # a client, and its own id of the job
+JobKey: TypeAlias = tuple[str, str]  # the client, and the id that it gave to the job
 
 
 class DependencyCondition(Enum):
-    """Which end of its parent a job needs."""
+    """Which outcome of a parent its child requires."""
 
     SERVED = "served"
-    ENDED = "ended"  # in any way
+    ENDED = "ended"  # any outcome, except that it was never submitted
 
 
 class JobOutcome(Enum):
@@ -29,7 +29,7 @@
     CANCELLED = "cancelled"
     CLIENT_DISCONNECTED = "its client left"
     EXPIRED = "expired"
-    NEVER_SUBMITTED = "never came"
+    NEVER_SUBMITTED = "never came"  # of an id that another job waited for
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,58 +42,58 @@
 
 @dataclass(slots=True, frozen=True)
 class JobTerms:
-    """What a client asks for a job."""
+    """A client's terms for a job: when it may start, when it is due, and whether it takes results."""
 
     after: tuple[Dependency, ...] = ()
-    not_before: int | None = None  # wall clock
-    # An answer by then has its full value; 0: by its class's objective, from when the job is ready.
+    not_before: int | None = None  # earliest start, by the wall clock
+    # An answer by then has its full value. 0: due by the class's objective, from when the job is ready.
     due_at: int = 0
-    takes_results: bool = False  # its parents' results are added to its body
+    takes_results: bool = False  # whether its parents' results are added to its body
 
     @property
     def waits(self) -> bool:
-        """Whether the job may wait for more than a place."""
+        """Whether the job may have to wait for anything other than a slot."""
         return bool(self.after) or self.not_before is not None
 
 
 @dataclass(slots=True, frozen=True)
 class JobRequest:
-    """A job as the engine sees it."""
+    """The properties of a job that the engine uses."""
 
     key: JobKey
     class_index: int
     tenant: int
-    deadline: int  # when its client gives up
-    size_bytes: int = 0  # bytes that it holds while it waits
+    deadline: int  # when its client stops waiting
+    size_bytes: int = 0  # memory that it uses while it waits
     terms: JobTerms = JobTerms()
-    objective: int = 0  # of its class; 0: none but the deadline
-    late_value: float = 0.0  # part of the value that a late answer has
-    bypasses_admission: bool = False  # takes no place; submitted so that others can wait for it
+    objective: int = 0  # latency objective of its class; 0: none but the deadline
+    late_value: float = 0.0  # share of the full value that a late answer has
+    bypasses_admission: bool = False  # uses no slot; submitted only so that others can wait for it
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Bounds on the queue and on what is in service. They are described in `deploy/waiting.toml`."""
+    """Bounds on waiting and running jobs. The settings are described in `deploy/waiting.toml`."""
 
-    waiting: int = 10_000  # jobs that wait, on whatever
+    waiting: int = 10_000  # waiting jobs, whatever they wait for
     waiting_bytes: int = 64 * 1024 * 1024
-    by_client: int = 1_000
+    by_client: int = 1_000  # waiting jobs of one client
     parents: int = 64  # of one job
-    children: int = 1_000
-    depth: int = 100  # of a chain of jobs that wait on each other
-    submission_timeout_us: int = 5_000_000  # how long others may wait for an id that was not submitted
-    remember: int = 10_000  # jobs that ended, for those that come later and name them
-    ended_job_ttl_us: int = 60_000_000
-    result_bytes: int = 65_536  # handed to one child
-    in_service: int = 0  # jobs at once; 0: no admission, whatever is ready goes
-    by_class: tuple[tuple[int, int], ...] = ()  # class, jobs of it at once
-    shares: tuple[tuple[int, float], ...] = ()  # tenant, its part of `in_service`
-    aged: int = 1  # of `in_service`: how many may be late ones or a tenant's excess while others queue
+    children: int = 1_000  # of one job
+    depth: int = 100  # length of a chain of jobs that wait for each other
+    submission_timeout_us: int = 5_000_000  # how long to wait for a parent that is not submitted yet
+    remember: int = 10_000  # outcomes of ended jobs, retained for children that are submitted later
+    ended_job_ttl_us: int = 60_000_000  # how long they are retained
+    result_bytes: int = 65_536  # results of parents that one child receives
+    in_service: int = 0  # running jobs (slots); 0: unlimited, without admission
+    by_class: tuple[tuple[int, int], ...] = ()  # class, its maximum of running jobs
+    shares: tuple[tuple[int, float], ...] = ()  # tenant, its share of `in_service`
+    aged: int = 1  # slots of `in_service` for aged jobs while jobs in time are queued
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """The job may run now, with its parents' results if it asked for them."""
+    """The job may run now. `results` are those of its parents, if it takes them."""
 
     key: JobKey
     results: tuple[tuple[str, bytes], ...] = ()
@@ -101,16 +101,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """The final answer of a job that has not run, so that a retry is harmless."""
+    """The final answer of a job that has not run, so it is safe to retry."""
 
     key: JobKey
     end: JobOutcome
     reason: str
-    retry_after: int = 0  # microseconds; 0: not known
+    retry_after: int = 0  # microseconds; 0: unknown
 
 
 Effect: TypeAlias = Release | Rejection
 
 
 class TermsError(ValueError):
-    """The terms cannot be met by any wait; the text tells the client why."""
+    """The terms can never be met, or the id is in use; the message is for the client."""
--- a/hazelbend/job_queue/timers.py
+++ b/hazelbend/job_queue/timers.py
@@ -1,6 +1,6 @@
-"""The times that jobs wait for: heaps of wall-clock starts, deadlines and the end of expectations.
+"""The timers of jobs: a heap of start times by the wall clock, and one of deadlines and submission timeouts.
 
-An entry is not removed when its job ends; whoever takes it out checks whether it still holds.
+An entry is not removed when its job ends, so the caller must check whether a popped entry still applies.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 
 
 class JobTimers:
-    """Two heaps, as a step of the wall clock must not move deadlines."""
+    """Two heaps, by two clocks, since a step of the wall clock must not move deadlines."""
 
     def __init__(self) -> None:
         self.starts: list[TimerEntry] = []  # wall clock
-        self.deadlines: list[TimerEntry] = []  # monotonic: deadlines, and ids that never came
+        self.deadlines: list[TimerEntry] = []  # monotonic clock; also submission timeouts
         self._entries = 0
 
     def add_start(self, at: int, key: JobKey) -> None:
-        """The job may start at this wall time."""
+        """Add the wall time from which a job may start."""
         self._entries += 1
         heapq.heappush(self.starts, (at, self._entries, key))
 
     def add_deadline(self, at: int, key: JobKey) -> None:
-        """Look at the job at this monotonic time."""
+        """Add the monotonic time at which a job's deadline or submission timeout is to be checked."""
         self._entries += 1
         heapq.heappush(self.deadlines, (at, self._entries, key))
 
     def pop_start(self, wall: int) -> JobKey | None:
-        """The next job whose wall time has come."""
+        """Remove and return the next job whose start time has passed, if there is one."""
         if self.starts and self.starts[0][0] <= wall:
             return heapq.heappop(self.starts)[2]
         return None
 
     def pop_deadline(self, now: int) -> JobKey | None:
-        """The next job whose monotonic time has come."""
+        """Remove and return the next job whose deadline has passed, if there is one."""
         if self.deadlines and self.deadlines[0][0] <= now:
             return heapq.heappop(self.deadlines)[2]
         return None
 
     def next_times(self, now: int, wall: int) -> list[int]:
-        """The first time of each heap, on the monotonic clock."""
+        """Return the first time of each heap, by the monotonic clock."""
         times = [self.deadlines[0][0]] if self.deadlines else []
         if self.starts:
             times.append(now + self.starts[0][0] - wall)
--- a/hazelbend/leases/operations.py
+++ b/hazelbend/leases/operations.py
@@ -15,7 +15,7 @@
     """Why a response contains no grant, or how a request for a lease ended. The values are on the wire."""
 
     NONE = ""
-    FREE = "free"  # nobody holds the lease
+    FREE = "free"  # the lease has no holder
     HELD = "held"  # by another holder, and the request does not wait
     LOST = "lost"  # the token is not that of the current holder
     RELEASED = "released"
