--- a/hazelbend/system/clock.py
+++ b/hazelbend/system/clock.py
@@ -9,5 +9,5 @@
 
 
 def clock() -> int:
-    """Microseconds of this process's monotonic clock."""
+    """Return the microseconds of this process's monotonic clock."""
     return time.monotonic_ns() // 1_000
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -22,7 +22,7 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-LEADER_TIMEOUT_S = 0.7  # for a call that waits until a leader is known
+LEADER_TIMEOUT_S = 0.7  # for a call that waits for a leader to be elected
 LEADER_POLL_S = 0.02
 JSON = "application/json"
 
@@ -34,7 +34,7 @@
 
 
 class CallRejectedError(Exception):
-    """A call that gets an error response."""
+    """The call is answered with this error response."""
 
     def __init__(self, response: HttpResponse) -> None:
         self.response = response
@@ -43,21 +43,21 @@
 
 @dataclass(slots=True, frozen=True)
 class _ConfigChange:
-    base_version: int  # the version that the operator has changed
+    base_version: int  # the version that the new one is based on
     version: int
     body: bytes
 
 
 class ControlApi:
-    """Answers calls through the engine of a `ControlNode`."""
+    """Handles calls by the engine of a `ControlNode`."""
 
     def __init__(self, node: ControlNode, address: str) -> None:
-        """`address`: of this API; the others have the same port."""
+        """`address` is that of this API. The APIs of the other control processes have the same port."""
         self._node = node
         self._port = split_address(address)[1]
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """The response to any request."""
+        """Return the response to a request."""
         try:
             return await self._dispatch(request)
         except CallRejectedError as error:
@@ -101,7 +101,7 @@
         return await self._wait_for_replicas(self._node.engine.handle_deregistration(instance, clock()))
 
     async def _wait_for_replicas(self, request_id: int | None) -> HttpResponse:
-        """Wait until enough control processes hold the record. None: there is nothing to wait for."""
+        """Wait until enough control processes have the record. None: there is nothing to wait for."""
         if request_id is None:
             self._node.advance()
             return HttpResponse(200, b"{}", JSON)
@@ -134,8 +134,8 @@
         """Wait until this process leads.
 
         Raises:
-            CallRejectedError: another process leads (a redirect to it), no leader is known in time, or this
-                process leads and its store refuses writes, so that it can decide nothing.
+            CallRejectedError: another process leads (the response is a redirect to it), no leader is known
+                within the timeout, or this process leads but cannot commit, as its store refuses writes.
         """
         engine = self._node.engine
         deadline = time.monotonic() + LEADER_TIMEOUT_S
@@ -154,7 +154,7 @@
     # --- operators ---
 
     def _status(self) -> HttpResponse:
-        from hazelbend.system.control_status import control_status  # most processes are never asked
+        from hazelbend.system.control_status import control_status  # imported on demand: rarely used
 
         status = control_status(self._node.engine, self._node.config.version, clock())
         return HttpResponse(200, msgspec.json.encode(status) + b"\n", JSON)
@@ -170,7 +170,7 @@
 
 
 def _read_config_change(request: HttpRequest) -> _ConfigChange:
-    """Raises CallRejectedError."""
+    """Parse and check a change of the configuration. Raises CallRejectedError."""
     base_version = request.headers.get("base-version", "0")
     if not (base_version.isascii() and base_version.isdecimal()):
         raise CallRejectedError(HttpResponse(400, b"Base-Version: no whole number\n"))
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -1,4 +1,4 @@
-"""The control process: engine, API, publisher and phase orders, wired together."""
+"""The control process, which connects the engine, the API, the publisher and the sender of phase orders."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ControlDaemon:
-    """Everything that runs in a control process."""
+    """All components of a control process."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -51,10 +51,12 @@
         api = ControlApi(self._node, settings.control_address)
         self._api_server = AsgiServer(api.handle, MAX_CALL_BODY_BYTES)
         self._frame_server = FrameServer(self._frame_received, self._connection_closed)
-        self._peer_addresses: dict[FrameConnection, str] = {}  # of control processes that have said hello
+        self._peer_addresses: dict[
+            FrameConnection, str
+        ] = {}  # of control processes that have sent `PeerHello`
 
     async def start(self) -> None:
-        """Restore the saved state, then serve."""
+        """Restore the saved state, then start to serve."""
         await self._node.restore()
         await self._frame_server.listen(*split_address(self._settings.control_peer_address))
         await self._api_server.listen(*split_address(self._settings.control_address))
@@ -65,7 +67,7 @@
         self._node.advance()
 
     async def close(self) -> None:
-        """Hand over the leadership, answer the calls in flight, and end."""
+        """Hand over the leadership, complete the calls in flight, and stop."""
         self._phase_orders.close()
         await self._node.hand_over_leadership()
         await self._api_server.close()
@@ -75,7 +77,7 @@
         await self._frame_server.close()
 
     def reload(self, settings: Settings) -> None:
-        """Take changed seeds; all else holds until the next start."""
+        """Apply changed seeds. All other settings take effect only at the next start."""
         self._node.engine.learn_seeds(settings.seed_peer_addresses, clock())
 
     def _publish_config(self, config: StoredConfig) -> None:
--- a/hazelbend/system/control_event_log.py
+++ b/hazelbend/system/control_event_log.py
@@ -1,4 +1,4 @@
-"""Logs the changes of a control engine that an on-call engineer wants to know of, one line each."""
+"""Logs the changes of a control engine that matter to operators, one line each."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-QUORUM_LOST_AFTER_US = 1_500_000  # without a majority's confirmation
+QUORUM_LOST_AFTER_US = 1_500_000  # without a confirmation by a majority, the quorum counts as lost
 
 
 class ControlEventLog:
-    """Compares the state of an engine with its state at the last call."""
+    """Compares the state of an engine with its state at the previous call of `observe`."""
 
     def __init__(self) -> None:
         self._leader = ""
-        self._led_term = 0  # 0: it was not the leader
+        self._led_term = 0  # the term in which this process was the leader; 0: it was not
         self._voters: tuple[str, ...] = ()
         self._quorum_lost_at: int | None = None
         self._conflicting_epoch = 0
         self._catching_up: set[str] = set()
 
     def observe(self, engine: ControlEngine, now: int) -> None:
-        """Log what has changed."""
+        """Log all changes since the previous call."""
         self._observe_leader(engine)
         self._observe_voters(engine)
         self._observe_quorum(engine, now)
--- a/hazelbend/system/control_node.py
+++ b/hazelbend/system/control_node.py
@@ -1,4 +1,4 @@
-"""Runs a control engine: gives it the time and messages, persists its state, and sends its output."""
+"""Runs a control engine: passes the time and messages to it, persists its state, and sends its output."""
 
 from __future__ import annotations
 
@@ -25,25 +25,26 @@
 log = picologging.getLogger("hazelbend.control")
 
 OUTCOME_TIMEOUT_S = 0.9  # for an API call that waits for the engine
-SAVE_RETRY_DELAY_S = 0.2  # after a write that the disk refused
+SAVE_RETRY_DELAY_S = 0.2  # after a failed write
 MIN_TICK_INTERVAL_S = 0.001
-HAND_OVER_TIMEOUT_S = 0.6  # at the end, for another process to become leader
+HAND_OVER_TIMEOUT_S = 0.6  # at shutdown, for another process to become leader
 HAND_OVER_POLL_S = 0.02
-LAST_SAVE_TIMEOUT_S = 0.6  # at the end, for a save that runs
-IDENTITY_BYTES = 4  # of randomness in the identity of a process without saved state
+LAST_SAVE_TIMEOUT_S = 0.6  # at shutdown, for a save that is in progress
+IDENTITY_BYTES = 4  # random bytes in the identity of a process without saved state
 SEED_BITS = 63
 
 
 class ControlNode:
     """One running control engine.
 
-    Output that depends on the state that must survive a crash is sent once this state is saved (Raft,
+    Output that depends on state that must survive a crash is sent only after that state is saved (Raft,
     figure 2: "updated on stable storage before responding to RPCs"); all other output is sent at once.
 
-    `on_config` gets each configuration that comes into force, `on_workers` the workers that have changed.
+    `on_config` is called with each configuration that comes into force, `on_workers` with the workers that
+    have changed.
     """
 
-    engine: ControlEngine  # from `restore` on
+    engine: ControlEngine  # set by `restore`
 
     def __init__(
         self,
@@ -52,24 +53,24 @@
         on_config: Callable[[StoredConfig], None],
         on_workers: Callable[[list[WorkerRecord]], None],
     ) -> None:
-        self.config = StoredConfig()  # the one in force
-        self.confirmed_at: int | None = None  # when a majority confirmed that `config` was the newest
+        self.config = StoredConfig()  # the configuration in force
+        self.confirmed_at: int | None = None  # when a majority last confirmed that `config` is the newest
         self._settings = settings
         self._persister = StatePersister(store)
         self._on_config = on_config
         self._on_workers = on_workers
-        self._links: dict[str, FrameLink] = {}  # by address of the control process
+        self._links: dict[str, FrameLink] = {}  # to other control processes, by address
         self._pending_calls: dict[int, asyncio.Future[CallOutcome]] = {}  # by request id
         self._save_task: asyncio.Task[None] | None = None
         self._tick_timer = RepeatingTimer("control engine", self.advance)
         self._event_log = ControlEventLog()
         self._closed = False
-        self.is_abstaining = False  # the store has refused the last write: nothing that rests on it is sent
+        self.is_abstaining = False  # the last write to the store failed: dependent output is discarded
 
-    # --- start and end ---
+    # --- start and shutdown ---
 
     async def restore(self) -> None:
-        """Create the engine, from the saved state if there is any."""
+        """Create the engine, with the saved state if there is any."""
         restored = await self._persister.restore(self._settings.address)
         state = restored[0] if restored is not None else None
         identity = f"{secrets.token_hex(IDENTITY_BYTES)}@{self._settings.address}"
@@ -82,7 +83,7 @@
         log.info("control: started as %s, %s", self.engine.identity, "restored" if state else "new")
 
     async def hand_over_leadership(self) -> None:
-        """Before a graceful shutdown: tell the others, and wait until another one leads, if this one did."""
+        """Prepare a graceful shutdown: announce it, and if this process leads, wait for another leader."""
         handed_over = self.engine.leave(clock())
         self.advance()
         if not handed_over:
@@ -92,7 +93,7 @@
             await asyncio.sleep(HAND_OVER_POLL_S)
 
     async def close(self) -> None:
-        """Stop the engine; a save that runs is completed."""
+        """Stop the engine, after a save in progress has completed."""
         self._closed = True
         self._tick_timer.cancel()
         if self._save_task is not None:
@@ -103,14 +104,14 @@
     # --- running the engine ---
 
     def receive(self, sender: str, body: m.Body) -> None:
-        """A message of the control process at this address has arrived."""
+        """Handle a message from the control process at this address."""
         self.engine.receive(sender, body, clock())
         self.advance()
 
     def advance(self) -> None:
-        """Tick the engine if it is time, take its output, and set the timer for the next tick.
+        """Tick the engine if a tick is due, process its output, and set the timer for the next tick.
 
-        To be called after each call that may leave output in the engine.
+        Must be called after each call of the engine that may produce output.
         """
         if self._closed:
             return
@@ -130,7 +131,7 @@
         self._tick_timer.set(max((self.engine.next_tick_at - clock()) / SECOND_US, MIN_TICK_INTERVAL_S))
 
     async def wait_for_outcome(self, request_id: int) -> CallOutcome | None:
-        """Wait for the outcome of this request to the engine; None where it does not come in time."""
+        """Wait for the outcome of a request to the engine. Returns None after the timeout."""
         self.advance()
         future: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._pending_calls[request_id] = future
@@ -143,14 +144,14 @@
             del self._pending_calls[request_id]
 
     def confirmation(self, ping: m.Ping) -> m.Pong:
-        """The answer to a router's ping: which configuration is in force, and how old its confirmation is."""
+        """Return the answer to a router's ping: the configuration in force, and its confirmation's age."""
         age = None if self.confirmed_at is None else max(clock() - self.confirmed_at, 0)
         return m.Pong(ping.sent_at, self.config.version, age)
 
     # --- output ---
 
     async def _save_and_send(self) -> None:
-        """Save, then send, until nothing is left; output that arises meanwhile is included."""
+        """Save the state and send the output, repeatedly until there is no more of either."""
         engine = self.engine
         unsent = DurableOutput()
         try:
@@ -168,8 +169,9 @@
             self._save_task = None
 
     def _abstain(self, unsent: DurableOutput, error: StateNotSavedError) -> None:
-        """Lose the output, as on a bad link, until the store takes a write. Callers are told at once that
-        their outcomes are unknown: nothing will decide them here any more.
+        """Discard the output, as if the network had lost it, until a write to the store succeeds.
+
+        Pending calls are answered at once that their outcome is unknown, as this process cannot decide them.
         """
         if not self.is_abstaining:
             log.error("control: store: %s; this process abstains until writes succeed", error)
@@ -186,7 +188,7 @@
         for address, body in output.messages:
             self.send(address, m.encode(body))
         for outcome in output.outcomes:
-            # Later, since its caller comes to wait for it only after this call.
+            # Deferred, since the caller begins to wait for the outcome only after this method returns.
             asyncio.get_running_loop().call_soon(self._resolve, outcome)
         if output.changed_workers:
             self._on_workers(output.changed_workers)
@@ -208,7 +210,7 @@
             future.set_result(outcome)
 
     def send(self, address: str, frame: bytes) -> None:
-        """Send an encoded message to the control process at this address; it may be lost."""
+        """Send an encoded message to the control process at this address. Delivery is not guaranteed."""
         link = self._links.get(address)
         if link is None:
             link = FrameLink(address, _ignore_frame, lambda: self._link_opened(address))
@@ -216,10 +218,10 @@
         link.send(frame)
 
     def _link_opened(self, address: str) -> None:
-        """Messages to this address may have been lost before: it is sent all workers."""
+        """Send all workers, since earlier messages to this address may have been lost."""
         self.engine.send_worker_snapshot(address, clock())
         asyncio.get_running_loop().call_soon(self.advance)
 
 
 def _ignore_frame(content: bytes) -> None:
-    """Control processes answer over links of their own."""
+    """Ignore what a control process sends over this link: it answers over a link that it opens itself."""
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -1,6 +1,6 @@
-"""The body of `GET /status`: what a control process knows, for operators.
+"""The body of `GET /status`, with which operators see the state of a control process.
 
-The names of the JSON's keys are those of the fields, except where a field says otherwise.
+The JSON keys are the names of the fields, except where a field sets another name.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """What the leader knows of another replica of the log."""
+    """Another replica of the log, as the leader knows it."""
 
-    confirms: bool  # it answered the last heartbeat or the one before
+    confirms: bool  # whether it answered the last heartbeat or the previous one
     answered_ms_ago: int
-    behind: int  # entries of the log
-    bytes_to_come: int  # of a snapshot that is being sent
+    behind: int  # log entries that it lacks
+    bytes_to_come: int  # remaining bytes of a snapshot transfer
 
 
 class WorkerStatus(msgspec.Struct, frozen=True):
-    """A worker as this process knows it."""
+    """A worker, as this process knows it."""
 
     instance: str
     service: str
@@ -33,28 +33,28 @@
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
-    """A control process. Addresses are those for traffic inside the fleet."""
+    """The state of a control process. Addresses are those for traffic inside the fleet."""
 
     identity: str = msgspec.field(name="me")
-    leader: str  # empty where it is unknown
+    leader: str  # empty if unknown
     epoch: int  # of the cluster
     conflicting_epoch: int | None = msgspec.field(name="foreign_epoch")  # of a cluster bootstrapped elsewhere
     term: int
     voters: tuple[str, ...]
-    lost: list[str]  # voters that may be replaced
-    joining: list[str]  # processes that catch up before they become voters
+    lost: list[str]  # voters that have failed and may be replaced
+    joining: list[str]  # learners: processes that catch up before they become voters
     commit_index: int = msgspec.field(name="commit")
-    config_version: int = msgspec.field(name="version")  # in force
-    confirmed_ms_ago: int | None  # since a majority has confirmed this process's state
+    config_version: int = msgspec.field(name="version")  # of the configuration in force
+    confirmed_ms_ago: int | None  # since a majority last confirmed this process's state
     replicas: dict[str, ReplicaStatus]  # by identity; only at the leader
     control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of processes that are alive
-    routers: list[str]  # that are subscribed here
+    routers: list[str]  # the routers subscribed to this process
     workers: list[WorkerStatus]
-    unexpected_errors: dict[str, WorkFailure]  # by the background work that had them, since the start
+    unexpected_errors: dict[str, WorkFailure]  # since the start, by the name of the background work
 
 
 def control_status(engine: ControlEngine, config_version: int, now: int) -> ControlStatus:
-    """The status at this time. `config_version`: of the configuration in force."""
+    """Return the status at this time. `config_version` is that of the configuration in force."""
     raft = engine.raft
     confirmed_age = raft.confirmed_age(now)
     other_voters = [voter for voter in raft.voters if voter != engine.identity]
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -1,8 +1,9 @@
-"""A router's subscriptions to control processes, over which all updates on the fleet come.
+"""A router's subscriptions to control processes, over which it receives all updates about the fleet.
 
-A router subscribes to `SUBSCRIPTIONS` control processes at a time, so that the loss of one loses no update.
-Loads are reported and received over one of them, the primary. A subscription is replaced, by one to another
-control process, when it is rejected, silent, or cut off from the majority.
+A router is subscribed to `SUBSCRIPTIONS` control processes at a time, so it misses no update when one fails.
+Loads are reported and received over only one of them, the primary. A subscription is replaced by one to
+another control process when it is rejected, when it is silent, or when its control process is cut off from
+the majority.
 """
 
 from __future__ import annotations
@@ -24,38 +25,41 @@
 log = picologging.getLogger("hazelbend.watch")
 
 SUBSCRIPTIONS = 2  # control processes that a router is subscribed to
-CHECK_PERIOD_S = 0.2  # between two checks of the subscriptions
+CHECK_PERIOD_S = 0.2  # between checks of the subscriptions
 PING_PERIOD_S = 0.4
-REJECTED_WITHIN_S = 0.1  # a connection that ends so soon after its beginning was rejected
-SILENCE_TIMEOUT_S = 1.3  # without a message, after which a subscription is replaced
-UNCONFIRMED_TIMEOUT_S = 1.5  # without a majority's confirmation, after which a subscription is replaced
-CACHE_STATE_TTL_S = 5.0  # without an open subscription, after which all cache contents are requested anew
+REJECTED_WITHIN_S = 0.1  # a connection closed so soon after it was opened counts as rejected
+SILENCE_TIMEOUT_S = 1.3  # a subscription without a message for this time is replaced
+UNCONFIRMED_TIMEOUT_S = 1.5  # a subscription without a majority's confirmation for this time is replaced
+CACHE_STATE_TTL_S = 5.0  # after so long without an open subscription, all cache contents are requested again
 
 
 class UpdateHandler(Protocol):
-    """Receives the updates of all subscriptions. The same update may come more than once."""
+    """Receives the updates of all subscriptions. It may receive the same update more than once."""
 
     def config_version(self) -> int:
-        """The version of the configuration that is in force here; 0 where there is none."""
+        """Return the version of the configuration in force at this router; 0 if there is none."""
 
     def apply_config(self, update: m.ConfigUpdate) -> None:
-        """A configuration is in force."""
+        """Handle a configuration that has come into force."""
 
     def apply_workers(self, update: m.WorkerUpdate) -> None:
-        """Workers have changed."""
+        """Handle changes of workers."""
 
     def apply_fleet_status(self, update: m.FleetStatus) -> None:
-        """The periodic update on control processes, routers and silent workers."""
+        """Handle the periodic update about control processes, routers and silent workers."""
 
     def apply_loads(self, update: LoadUpdate) -> None:
-        """The requests that other routers have in flight, and new cache contents."""
+        """Handle the requests in flight of the other routers, and new cache contents."""
 
     def config_confirmed(self, version: int, at_s: float) -> None:
-        """A majority has confirmed that no configuration was newer than this version at this loop time."""
+        """Handle a majority's confirmation that no configuration was newer than this version at `at_s`.
+
+        `at_s` is a time of the event loop, in seconds.
+        """
 
 
 class ControlSubscription:
-    """One connection to one control process, and what is known of it. Times are loop times in seconds."""
+    """A connection to a control process, and its state. Times are those of the event loop, in seconds."""
 
     def __init__(
         self,
@@ -67,10 +71,10 @@
         self.address = address
         self.created_at = now()
         self.last_received_at = self.created_at
-        self.confirmed_at = self.created_at  # a majority confirmed then that its updates were the newest
+        self.confirmed_at = self.created_at  # when a majority last confirmed that its updates are the newest
         self.last_ping_at = 0.0
-        self.carries_loads = False  # loads are reported and received over this one
-        self.has_sent_caches = False  # all cache contents have been received over this one
+        self.carries_loads = False  # whether loads are reported and received over this subscription
+        self.has_sent_caches = False  # whether all cache contents have been received over it
         self.rejected = False
         self._handler = handler
         self._on_open = on_open
@@ -80,26 +84,26 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it is connected."""
+        """Whether the connection is open."""
         return self._link.is_open
 
     def send(self, frame: bytes) -> None:
-        """Send an encoded message, or drop it."""
+        """Send an encoded message. It is dropped if the connection is not open."""
         self._link.send(frame)
 
     def subscribe(self, router: str, *, loads: bool, caches: bool) -> None:
-        """Ask for all updates from now on. `loads`, `caches`: whether those of that kind are wanted too."""
+        """Request all updates from now on. `loads`, `caches`: whether to include updates of that kind."""
         self.carries_loads = loads
         self._link.send(m.encode(m.SubscribeRequest(router, self._handler.config_version(), loads, caches)))
         self.ping()
 
     def ping(self) -> None:
-        """Ask for a sign of life, and for the age of the majority's confirmation."""
+        """Send a ping. The pong contains the age of the majority's confirmation."""
         self.last_ping_at = self._now()
         self._link.send(m.encode(m.Ping(round(self.last_ping_at * SECOND_US))))
 
     async def close(self) -> None:
-        """End the connection for good."""
+        """Close the connection and do not reconnect."""
         await self._link.close()
 
     def _opened(self) -> None:
@@ -129,7 +133,7 @@
             case LoadUpdate() if self.carries_loads:
                 self._handler.apply_loads(body)
             case LoadUpdate():
-                # The loads are changes to what the primary has sent; cache contents stand by themselves.
+                # Loads are relative to what the primary has sent; cache contents are independent of it.
                 self._handler.apply_loads(LoadUpdate({}, body.cached))
             case m.CacheUpdate():
                 self._caches_received(body)
@@ -146,43 +150,43 @@
     def _pong_received(self, pong: m.Pong) -> None:
         if pong.confirmed_age is None:
             return
-        # The pong was made after the ping was sent, so by this clock the confirmation is at least as new.
+        # The pong is later than the ping, so by this clock the confirmation is at least this new.
         confirmed_at = (pong.sent_at - pong.confirmed_age) / SECOND_US
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
         self._handler.config_confirmed(pong.version, confirmed_at)
 
 
 class ControlSubscriptions:
-    """Keeps `SUBSCRIPTIONS` subscriptions to control processes that answer."""
+    """Maintains `SUBSCRIPTIONS` subscriptions to control processes that respond."""
 
     def __init__(self, router: str, seeds: tuple[str, ...], handler: UpdateHandler, seed: int) -> None:
-        self.seeds = seeds  # addresses of control processes from the settings
+        self.seeds = seeds  # addresses of control processes, from the settings
         self._router = router
         self._handler = handler
         self._random = random.Random(seed)
-        self._alive: tuple[str, ...] = ()  # addresses that control processes have reported as alive
+        self._alive: tuple[str, ...] = ()  # addresses of control processes that are reported to be alive
         self._subscriptions: dict[str, ControlSubscription] = {}  # by address
         self._failed_at: dict[str, float] = {}  # by address
-        self._caches_known_at: float | None = None  # when all cache contents were last known here
+        self._caches_known_at: float | None = None  # when this router last had the complete cache contents
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Subscribe."""
+        """Start to subscribe and to maintain the subscriptions."""
         self._task = start_background_task("control subscriptions", self._maintain_regularly)
 
     async def close(self) -> None:
-        """End all subscriptions."""
+        """Close all subscriptions."""
         if self._task is not None:
             self._task.cancel()
         for subscription in self._subscriptions.values():
             await subscription.close()
 
     def set_alive(self, addresses: tuple[str, ...]) -> None:
-        """These control processes are alive."""
+        """Set the addresses of the control processes that are reported to be alive."""
         self._alive = addresses
 
     def send(self, body: m.Body) -> None:
-        """Send a message to the primary's control process, which forwards it to the others."""
+        """Send a message to the control process of the primary, which forwards it to the others."""
         frame = m.encode(body)
         primary = self._primary()
         if primary is not None:
@@ -192,23 +196,23 @@
         return [subscription for subscription in self._subscriptions.values() if subscription.is_open]
 
     def _primary(self) -> ControlSubscription | None:
-        """The oldest open one."""
+        """Return the primary: the oldest open subscription."""
         return min(self._open_subscriptions(), key=lambda subscription: subscription.created_at, default=None)
 
     # --- cache contents ---
 
     def _caches_known(self, now: float) -> bool:
-        """Whether this router has received all cache contents, and hardly a change to them can be missing."""
+        """Whether this router has all cache contents, recent enough that few changes can be missing."""
         return self._caches_known_at is not None and now - self._caches_known_at <= CACHE_STATE_TTL_S
 
     def _note_caches_known(self, now: float) -> None:
-        """Once received, cache contents stay known as long as any subscription brings their changes."""
+        """Update `_caches_known_at`. Cache contents stay known while a subscription delivers changes."""
         open_ones = self._open_subscriptions()
         received = any(subscription.has_sent_caches for subscription in open_ones)
         if received or (open_ones and self._caches_known(now)):
             self._caches_known_at = now
 
-    # --- upkeep ---
+    # --- maintenance ---
 
     async def _maintain_regularly(self) -> None:
         while True:
@@ -238,9 +242,9 @@
             self._subscribe(subscription)
 
     def _subscribe(self, subscription: ControlSubscription) -> None:
-        """At each connection, and again when the primary has changed."""
+        """Subscribe, at each new connection and again when the primary has changed."""
         is_primary = subscription is self._primary()
-        # Cache contents are by far the largest update: they are asked for only where they are not known.
+        # Cache contents are by far the largest update, so they are requested only if they are not known.
         caches = is_primary and not self._caches_known(asyncio.get_running_loop().time())
         subscription.subscribe(self._router, loads=is_primary, caches=caches)
 
@@ -249,7 +253,7 @@
             address for address in {*self.seeds, *self._alive} if address not in self._subscriptions
         ]
         self._random.shuffle(candidates)
-        # The longest ago failed (or never) first, and among equals those that are reported as alive.
+        # Prefer those that never failed, or failed longest ago; among equals, those reported to be alive.
         candidates.sort(
             key=lambda address: (self._failed_at.get(address, 0.0), address not in self._alive),
         )
@@ -258,9 +262,9 @@
             self._subscriptions[address] = ControlSubscription(address, self._handler, self._subscribe, now)
 
     def _unconfirmed(self, now: float) -> ControlSubscription | None:
-        """One to be replaced, as no majority confirms the updates of its control process.
+        """Return a subscription to replace because no majority confirms the updates of its control process.
 
-        Where this is so for all of them the primary stays: stale updates are better than none.
+        If none of the subscriptions is confirmed, the primary is kept: stale updates are better than none.
         """
         stale = [
             subscription
--- a/hazelbend/system/daemon_runner.py
+++ b/hazelbend/system/daemon_runner.py
@@ -1,4 +1,4 @@
-"""Runs a role's daemon until a signal ends it, and passes on changes of the settings file."""
+"""Runs the daemon of a role until a signal stops it, and reloads the settings file when it changes."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 log = picologging.getLogger("hazelbend")
 
-SETTINGS_POLL_PERIOD_S = 1.0  # between two checks of whether the settings file has changed
+SETTINGS_POLL_PERIOD_S = 1.0  # between checks of whether the settings file has changed
 
 
 class Daemon(Protocol):
-    """The process of a role."""
+    """The daemon of a role."""
 
     def start(self) -> Awaitable[None]:
-        """Begin to serve."""
+        """Start to serve."""
 
     def close(self) -> Awaitable[None]:
-        """Drain, then end."""
+        """Drain, then stop."""
 
     def reload(self, settings: Settings) -> None:
-        """Apply changed settings, as far as they can be changed while it runs."""
+        """Apply those of the changed settings that can be changed at run time."""
 
 
 async def run_daemon(role: str, path: Path, settings: Settings) -> None:
@@ -44,7 +44,7 @@
     count_loop_errors()
     daemon = _create_daemon(role, settings)
     await daemon.start()
-    gc.freeze()  # what was loaded at the start stays: the collector need not look at it again
+    gc.freeze()  # objects created at startup live on: the collector need not traverse them
     reloading = start_background_task("reload", lambda: _reload_on_change(daemon, path, reload_requested))
     await stopping.wait()
     log.info("%s: shutting down", role)
@@ -53,12 +53,12 @@
 
 
 def _create_daemon(role: str, settings: Settings) -> Daemon:
-    """Imports only what the role uses, as imports are most of a start's time."""
+    """Create the role's daemon. Imports only its modules, since imports take most of the startup time."""
     if role == "control":
         from hazelbend.system.control_daemon import ControlDaemon
 
         return ControlDaemon(settings)
-    # aiohttp loads the machine's certificates as it is imported, a tenth of a second; no TLS is spoken here.
+    # Importing aiohttp loads the system's certificates, which takes 0.1 s. No TLS is used here.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     from hazelbend.system.router_daemon import RouterDaemon
 
@@ -66,18 +66,18 @@
 
 
 class _SettingsFile:
-    """The settings file, and when it was last modified as far as it was read."""
+    """The settings file, with the modification time of the content that was last read."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._modified_at = self._last_modified()
 
     def read_if_changed(self, *, force: bool) -> Settings | None:
-        """The settings, if the file was modified since it was last read, or by `force`.
+        """Return the settings if the file was modified since it was last read, or if `force` is set.
 
         Raises:
-            OSError: the file can't be read.
-            SettingsError: its content can't be used. It is not read again until it is modified.
+            OSError: the file cannot be read.
+            SettingsError: its content is invalid. It is not read again until it is modified.
         """
         modified_at = self._last_modified()
         if modified_at == self._modified_at and not force:
@@ -106,7 +106,7 @@
 
 
 async def _wait_for_signal(reload_requested: asyncio.Event) -> bool:
-    """Wait for a signal, at most for the poll period. Whether one has come."""
+    """Wait for a signal, at most for the poll period. Returns whether one was received."""
     try:
         async with asyncio.timeout(SETTINGS_POLL_PERIOD_S):
             await reload_requested.wait()
--- a/hazelbend/system/load_reporter.py
+++ b/hazelbend/system/load_reporter.py
@@ -1,4 +1,4 @@
-"""Reports a router's requests in flight, and how its attempts have ended, to the other routers."""
+"""Reports a router's requests in flight and the outcomes of its attempts to the other routers."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hazelbend.placement.engine import PlacementEngine
 from hazelbend.system.clock import clock
 
-REPORT_DELAY_S = 0.015  # changes within this time go into one report
+REPORT_DELAY_S = 0.015  # all changes within this time are sent in one report
 
 
 class LoadReporter:
-    """Sends one report for all changes of a short time. `send` gets it; it may be lost."""
+    """Batches changes into reports. Each report is passed to `send`; delivery is not guaranteed."""
 
     def __init__(
         self, node_name: str, placement: PlacementEngine, send: Callable[[RouterLoad], None]
@@ -22,10 +22,10 @@
         self._placement = placement
         self._send = send
         self._timer: asyncio.TimerHandle | None = None
-        self._sequence = clock()  # also above all numbers of this router's earlier processes
+        self._sequence = clock()  # higher than all numbers of this router's earlier processes
 
     def schedule_report(self) -> None:
-        """The load has changed, or is to be reported again: send a report soon."""
+        """Send a report after the delay, because the load has changed or is to be reported again."""
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(REPORT_DELAY_S, self._send_report)
 
--- a/hazelbend/system/main.py
+++ b/hazelbend/system/main.py
@@ -1,6 +1,6 @@
 """The command line of the router fleet: `python -m hazelbend.system COMMAND`.
 
-Exit codes: 0 success, 1 findings or a refused call, 2 a wrong command line or settings that can't be used.
+Exit codes: 0 success; 1 findings, or a call that failed; 2 an invalid command line or invalid settings.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def run() -> None:
-    """Entry point."""
+    """Parse the command line and run the command."""
     app.run(_main)
 
 
@@ -59,7 +59,7 @@
     settings = _read_settings_or_report(path)
     if settings is None:
         return EXIT_USAGE
-    logging.getLogger().setLevel(logging.WARNING)  # of libraries, which log by the standard module
+    logging.getLogger().setLevel(logging.WARNING)  # for libraries, which use the standard module
     picologging.basicConfig(level=getattr(picologging, FLAGS.log_level), format=LOG_FORMAT, stream=sys.stderr)
     asyncio.run(run_daemon(role, path, settings))
     return EXIT_OK
@@ -77,7 +77,7 @@
 
 
 def _check(path: Path) -> int:
-    """Print all findings of a settings file (YAML) or a configuration (JSON)."""
+    """Print all findings in a settings file (YAML) or a configuration (JSON)."""
     from hazelbend.control.configuration import InvalidConfigurationError, check_configuration
 
     try:
@@ -97,7 +97,7 @@
 
 
 def _call(address: str, method: str, path: str) -> int:
-    """Print the response of a control process."""
+    """Call a control process and print its response."""
     import httpcore
 
     try:
--- a/hazelbend/system/metrics.py
+++ b/hazelbend/system/metrics.py
@@ -1,7 +1,7 @@
-"""A router's statistics in the text format of Prometheus, by its client library.
+"""A router's statistics in the text format of Prometheus, created by its client library.
 
-The library takes longer to import than a router takes to start, so this module, and with it the library, is
-to be imported only when metrics are first requested.
+The library takes longer to import than a router takes to start, so this module must be imported only when
+metrics are first requested.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 
 def render(statistics: Statistics) -> bytes:
-    """All metrics of this router, with their present values."""
+    """Return all metrics of this router with their current values."""
     registry = CollectorRegistry()
     registry.register(_StatisticsCollector(statistics))
     return generate_latest(registry)
 
 
 class _StatisticsCollector:
-    """Implements the library's collector protocol over plain counters."""
+    """Implements the library's collector protocol for the router's own counters."""
 
     def __init__(self, statistics: Statistics) -> None:
         self._statistics = statistics
 
     def collect(self) -> Iterator[Metric]:
-        """All metric families, built anew at each call."""
+        """Create all metric families."""
         yield self._attempts()
         yield self._prompt_tokens()
         yield self._histogram(
@@ -95,5 +95,5 @@
 
 
 def _bucket_label(bound: float) -> str:
-    """The value of the label `le`, an upper bound."""
+    """Return the value of the label `le` for a bucket's upper bound."""
     return "+Inf" if bound == float("inf") else str(bound)
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -1,7 +1,8 @@
-"""Sends the phase planner's orders to workers, while this process leads.
+"""Sends the phase planner's orders to workers while this process is the leader.
 
-An order makes a worker change its phase (prefill or decode). It carries a fencing token, and is sent only
-once a majority has confirmed that this process still leads, so that two leaders never order at a time.
+An order makes a worker change its phase (prefill or decode). It contains a fencing token, and is sent only
+after a majority has confirmed that this process is still the leader, so two leaders never send orders at the
+same time.
 """
 
 from __future__ import annotations
@@ -21,14 +22,15 @@
 log = picologging.getLogger("hazelbend.control")
 
 PLAN_PERIOD_S = 0.5
-PLAN_DELAY_S = 0.05  # after a change of workers, so that several changes at once are planned for once
+PLAN_DELAY_S = 0.05  # after a change of workers, so that several changes are planned together
 ORDER_OPERATION = "phase"
 
 
 class PhaseOrderSender:
-    """Plans regularly, and soon after each change of workers.
+    """Plans periodically, and shortly after each change of workers.
 
-    `loads` gives the requests in flight by worker. `announce` tells routers that a worker changes its phase.
+    `loads` returns the requests in flight by worker. `announce` notifies the routers of the workers that
+    change their phase.
     """
 
     def __init__(
@@ -41,16 +43,16 @@
         self._workers_changed = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start to plan."""
         self._task = start_background_task("phase orders", self._plan_regularly)
 
     def close(self) -> None:
-        """Send no more orders."""
+        """Stop to plan and to send orders."""
         if self._task is not None:
             self._task.cancel()
 
     def workers_changed(self) -> None:
-        """Plan soon: a worker may have begun to drain."""
+        """Plan soon, since a worker may have started to drain."""
         self._workers_changed.set()
 
     async def _plan_regularly(self) -> None:
@@ -61,7 +63,7 @@
                 await self._send(order)
 
     async def _wait_for_change(self) -> None:
-        """Wait until shortly after a change of workers, or for the period."""
+        """Wait until shortly after a change of workers, or until the end of the period."""
         try:
             async with asyncio.timeout(PLAN_PERIOD_S):
                 await self._workers_changed.wait()
@@ -86,10 +88,11 @@
             engine.planner.order_rejected(order)
 
     async def _confirmed_token(self) -> int | None:
-        """The fencing token of an order, once a majority has confirmed that this process leads.
+        """Return the fencing token for an order, after a majority has confirmed that this process leads.
 
-        Routers are told meanwhile. The token is compared once more after the confirmation: a process that
-        has stepped down in between knows the next leader's term, whose token it must not use.
+        Returns None without that confirmation. The routers are notified while it is pending. The token is
+        compared again after it: a process that has stepped down in between knows the next leader's term, and
+        must not use the token of that term.
         """
         engine = self._node.engine
         token = engine.order_token(clock())
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -1,4 +1,4 @@
-"""The router process: subscriptions, placement, forwarder and listeners, wired together."""
+"""The router process, which connects the subscriptions, the placement, the forwarder and the listeners."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 log = picologging.getLogger("hazelbend.router")
 
-RESERVED_FILE_DESCRIPTORS = 64  # for all but clients and workers, which share the rest evenly
-READINESS_PROPAGATION_S = 2.6  # until the platform sends no new connections to one that is not ready
-SHUTDOWN_RESERVE_S = 0.8  # of the grace period, kept for closing
+RESERVED_FILE_DESCRIPTORS = 64  # for other uses; clients and workers get half of the rest each
+READINESS_PROPAGATION_S = 2.6  # until the platform sends no new connections to a router that is not ready
+SHUTDOWN_RESERVE_S = 0.8  # part of the grace period that is reserved for closing connections
 DRAIN_POLL_S = 0.02
 MAX_PROBE_BODY_BYTES = 64 * 1024
-MILLISECONDS = 1_000  # in a second
+MILLISECONDS = 1_000  # per second
 
 
 class RouterDaemon:
-    """Everything that runs in a router process."""
+    """All components of a router process."""
 
     def __init__(self, settings: Settings) -> None:
         seed = secrets.randbits(63)
@@ -59,7 +59,7 @@
         self._placement.on_suspicion_changed = _log_suspicion
 
     async def start(self) -> None:
-        """Serve; ready once a configuration is known."""
+        """Start to serve. The router is ready once it has a configuration."""
         self._client = HttpWorkerClient(self._max_connections)
         self._forwarder = Forwarder(self._state, self._client, clock, self._new_retry_budget, self._seed)
         self._listener = RequestListener(self._forwarder.serve, clock, self._max_connections)
@@ -69,10 +69,10 @@
         log.info("router: %s serves at %s", self._settings.node_name, self._settings.http_address)
 
     async def close(self) -> None:
-        """Report not ready, drain, then end.
+        """Report not ready, drain, then stop.
 
         Connections are accepted until the platform knows that this router is not ready. All requests that
-        were read get a response within the grace period.
+        were received get a response within the grace period.
         """
         loop = asyncio.get_running_loop()
         drain_deadline = loop.time() + self._settings.grace_us / SECOND_US - SHUTDOWN_RESERVE_S
@@ -89,7 +89,7 @@
         await self._client.close()
 
     def reload(self, settings: Settings) -> None:
-        """Take changed settings; addresses and limits on connections hold until the next start."""
+        """Apply changed settings. Addresses and limits on connections change only at the next start."""
         self._settings = settings
         self._updates.settings = settings
         self._subscriptions.seeds = settings.seed_peer_addresses
@@ -101,7 +101,7 @@
     async def _answer_probe(self, request: HttpRequest) -> HttpResponse:
         match request.path:
             case "/metrics":
-                from hazelbend.system import metrics  # slow to import, so not at the start
+                from hazelbend.system import metrics  # imported on demand: slow to import
 
                 return HttpResponse(200, metrics.render(self._placement.statistics), metrics.CONTENT_TYPE)
             case "/readyz" if self._is_ready:
@@ -121,9 +121,13 @@
 
     def _fleet_status_received(self, status: m.FleetStatus) -> None:
         self._subscriptions.set_alive(status.control_addresses)
-        self._load_reporter.schedule_report()  # reports may be lost, so the load is repeated regularly
+        self._load_reporter.schedule_report()  # reported again periodically, since reports may be lost
 
 
 def _log_suspicion(record: WorkerRecord, suspect: bool) -> None:
-    text = "fails or rejects requests: deprioritized" if suspect else "is healthy again"
+    text = (
+        "deprioritized: it fails or rejects requests"
+        if suspect
+        else "no longer deprioritized: it is healthy again"
+    )
     log.info("router: worker %s of %s %s", record.instance, record.service, text)
--- a/hazelbend/system/router_update_handler.py
+++ b/hazelbend/system/router_update_handler.py
@@ -1,4 +1,4 @@
-"""Applies the updates of control processes to what a router decides by."""
+"""Applies the updates of control processes to the state that a router's decisions are based on."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class RouterUpdateHandler:
     """Implements `control_subscriptions.UpdateHandler`.
 
-    `on_limits` gets the limits of each configuration that comes into force, `on_fleet_status` each periodic
-    update, once it is applied.
+    `on_limits` is called with the limits of each configuration that comes into force, `on_fleet_status` with
+    each periodic update after it was applied.
     """
 
     def __init__(
@@ -42,46 +42,46 @@
         self._config_confirmed_at = 0  # microseconds of this process's clock
 
     def has_current_config(self) -> bool:
-        """Whether a majority has confirmed recently that no configuration is newer than this router's."""
+        """Whether a majority has recently confirmed that this router's configuration is the newest."""
         return clock() - self._config_confirmed_at < self.settings.config_apply_us
 
     def config_version(self) -> int:
-        """The version of the configuration in force; 0 where there is none."""
+        """Return the version of the configuration in force; 0 if there is none."""
         route_table = self._state.route_table
         return route_table.configuration.version if route_table is not None else 0
 
     def apply_config(self, update: m.ConfigUpdate) -> None:
-        """Put a configuration in force, unless the present one is as new."""
+        """Put a configuration into force, unless it is not newer than the current one."""
         if update.version <= self.config_version():
             return
         try:
             route_table = decode_route_table(zlib.decompress(update.body))
         except (msgspec.DecodeError, zlib.error) as error:
-            log.error("router: configuration %d can't be decoded: %s", update.version, error)
+            log.error("router: configuration %d cannot be decoded: %s", update.version, error)
             return
         if self._state.apply_configuration(route_table):
             self._on_limits(route_table.configuration.limits)
             log.info("router: configuration %d is in force", update.version)
 
     def config_confirmed(self, version: int, at_s: float) -> None:
-        """A majority has confirmed that no configuration was newer than this version at this loop time."""
+        """Record a majority's confirmation that no configuration was newer than this version at `at_s`."""
         if self.config_version() >= version:
             self._config_confirmed_at = max(self._config_confirmed_at, round(at_s * SECOND_US))
 
     def apply_workers(self, update: m.WorkerUpdate) -> None:
-        """Merge the records of workers."""
+        """Merge the records of workers into the placement."""
         for record in update.records:
             self._placement.merge(record)
 
     def apply_fleet_status(self, update: m.FleetStatus) -> None:
-        """Take the number of routers, and which workers are silent or change their phase."""
+        """Apply the number of routers, the silent workers, and the workers that change their phase."""
         self._state.max_routers = max(self._state.max_routers, update.routers)
         self._placement.set_switching(set(update.switching))
         self._placement.update_silence(update.silent_ages_us, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
         self._on_fleet_status(update)
 
     def apply_loads(self, update: LoadUpdate) -> None:
-        """Take the other routers' requests in flight, cache contents, and how their attempts ended."""
+        """Apply the other routers' requests in flight, cache contents, and the outcomes of their attempts."""
         self._other_routers.apply(update)
         self._placement.apply_load_report(self._other_routers.loads, update.cached, clock())
         self._placement.apply_peer_outcomes(update.outcomes, clock())
--- a/hazelbend/system/settings.py
+++ b/hazelbend/system/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process: YAML, checked by marshmallow. Unknown keys are ignored.
+"""The settings file of a process: YAML, validated by marshmallow. Unknown keys are ignored.
 
-Times are milliseconds or seconds in the file, as its keys say, and microseconds in `Settings`.
+Times are milliseconds or seconds in the file, by the suffix of the key, and microseconds in `Settings`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class SettingsError(ValueError):
-    """A settings file that can't be used, with all findings."""
+    """A settings file is invalid. `findings` are all errors in it."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = tuple(findings)
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings of one process. Addresses are `IP:PORT`, and empty where the file names none."""
+    """The settings of one process. Addresses are `IP:PORT`, or empty if they are not set."""
 
     node_name: str
     role: str
@@ -107,18 +107,18 @@
     control_address: str  # of the API
     port_range: tuple[int, int]  # first and last port for traffic inside the fleet
     seeds: tuple[str, ...]  # API addresses of machines
-    bootstrap: bool  # may found a new cluster
-    counts_for_quorum: bool  # may become a voter
+    bootstrap: bool  # whether it may bootstrap a new cluster
+    counts_for_quorum: bool  # whether it may become a voter
     max_file_descriptors: int
     data_dir: Path | None
-    heartbeat_us: int  # between two heartbeats of a worker
-    tolerated_losses: int  # machines that may be lost at a time
-    grace_us: int  # from the signal to the end of the process
+    heartbeat_us: int  # between heartbeats of a worker
+    tolerated_losses: int  # machines that may fail at the same time
+    grace_us: int  # from the termination signal to the end of the process
     retry_ratio: float  # see `placement.retry_budget`
     retry_window_us: int
     retry_slack: float
     lease_us: int  # of phase orders
-    config_apply_us: int  # after which an acknowledged configuration is in force everywhere
+    config_apply_us: int  # time in which an acknowledged configuration comes into force everywhere
 
     @property
     def control_peer_address(self) -> str:
@@ -137,16 +137,16 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port."""
+    """Return the host and the port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def read_settings(text: str) -> Settings:
-    """The settings in a file's text.
+    """Return the settings in the text of a file.
 
     Raises:
-        SettingsError: with every finding and its path in the file.
+        SettingsError: the text is invalid. It contains every finding, with its path in the file.
     """
     try:
         document = YAML(typ="safe", pure=True).load(text)
--- a/hazelbend/system/soft_state_saver.py
+++ b/hazelbend/system/soft_state_saver.py
@@ -1,7 +1,7 @@
-"""Saves what a control process would rather not lose in a restart: workers, cache contents, router count.
+"""Saves the soft state of a control process: workers, cache contents and the number of routers.
 
-This is soft state: it is written every so often, may be older than the log, and the process starts without it
-too.
+Soft state is useful after a restart but not required: it is written periodically, may be older than the log,
+and the process also starts without it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class SoftStateSaver:
-    """Restores the soft state from a file, then writes the file when the state has changed.
+    """Restores the soft state from a file, and writes the file periodically if the state has changed.
 
     Without a path it does nothing.
     """
@@ -38,7 +38,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def restore(self) -> None:
-        """Give the engine and the cache table what the file holds; a damaged file is ignored."""
+        """Load the file into the engine and the cache table. A damaged file is ignored."""
         if self._path is None:
             return
         content = await asyncio.to_thread(read_soft_state, self._path)
@@ -55,13 +55,13 @@
         self._caches.add(state.cached)
 
     def start(self) -> None:
-        """Save from now on."""
+        """Start to save periodically."""
         if self._path is not None:
             path = self._path
             self._task = start_background_task("soft state", lambda: self._save_regularly(path))
 
     def close(self) -> None:
-        """Save no more."""
+        """Stop saving."""
         if self._task is not None:
             self._task.cancel()
 
--- a/hazelbend/system/state_persister.py
+++ b/hazelbend/system/state_persister.py
@@ -1,6 +1,6 @@
-"""Persists the consensus state of a control process, and restores it at the start.
+"""Persists the consensus state of a control process, and restores it at startup.
 
-Without a store (no data directory) nothing is persisted: such a process begins anew at each start.
+Without a store (no data directory) nothing is persisted, and the process starts with an empty state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class StateNotSavedError(Exception):
-    """The disk refused a write; what depends on it must not be sent."""
+    """A write to the store failed. Output that depends on it must not be sent."""
 
 
 class StatePersister:
@@ -31,18 +31,18 @@
     def __init__(self, store: ControlStore | None) -> None:
         self._store = store
         self._saved_commit_index = 0
-        self._has_full_state = False  # the store holds a full state, to which changes can be added
+        self._has_full_state = False  # whether the store contains a full state that changes can be added to
 
     async def restore(self, address: str) -> tuple[PersistentState, int] | None:
-        """The state that was saved by the process of this address, and its commit index; None: there is none.
+        """Return the state saved by the process at this address, and its commit index; None if there is none.
 
-        Waits for a disk that refuses to be read.
+        Retries until the store can be read.
         """
         while self._store is not None:
             try:
                 restored = await self._store.open(address)
             except STORE_ERRORS as error:
-                log.error("control: store: can't be opened, retrying: %s", error)
+                log.error("control: store: cannot be opened, retrying: %s", error)
                 await asyncio.sleep(RESTORE_RETRY_DELAY_S)
                 continue
             if restored is not None:
@@ -62,7 +62,7 @@
             await self._save(self._store, raft, records)
 
     async def save_commit_index(self, raft: RaftNode) -> None:
-        """Save the commit index if it has changed since it was last saved.
+        """Save the commit index if it has changed since the last save.
 
         Raises:
             StateNotSavedError: nothing was saved; the next call saves the full state.
@@ -78,7 +78,7 @@
             await store.save(records, commit_index)
         except STORE_ERRORS as error:
             self._has_full_state = False
-            raft.hard_state_changed = True  # so that there is something to save
+            raft.hard_state_changed = True  # makes the next call save the full state
             raise StateNotSavedError(str(error)) from error
         self._saved_commit_index = commit_index
         self._has_full_state = True
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -1,8 +1,8 @@
 """Publishes updates to the routers that are subscribed to this control process.
 
-A router that subscribes is sent all there is, then changes: configurations, workers, loads and cache
-contents. One that reads too slowly to be sent a change is disconnected; it subscribes again, and so begins
-with all there is.
+A new subscriber is sent the complete state and then changes of it: configurations, workers, loads and cache
+contents. A subscriber that reads so slowly that a change cannot be sent is disconnected. It subscribes again
+and is sent the complete state.
 """
 
 from __future__ import annotations
@@ -24,20 +24,22 @@
 log = picologging.getLogger("hazelbend.control")
 
 FLEET_STATUS_PERIOD_S = 0.5
-LOADS_PERIOD_S = 0.04  # the least time between two load updates, and with many routers
-LOADS_PERIOD_PER_ROUTER_S = 0.002  # this for each, so that a large fleet costs no more than a small one
-MAX_UNSENT_BEFORE_CONFIG_BYTES = 64 * 1024  # with more unsent, a subscriber gets no other configuration yet
+# The time between load updates grows with the number of routers, so that a large fleet costs no more than a
+# small one: it is the longer one of a minimum and of a time per router.
+LOADS_PERIOD_S = 0.04
+LOADS_PERIOD_PER_ROUTER_S = 0.002
+MAX_UNSENT_BEFORE_CONFIG_BYTES = 64 * 1024  # with more unsent bytes, a configuration stays pending
 
 
 @dataclass(slots=True)
 class _Subscriber:
     router: str
     wants_loads: bool
-    config_pending: bool = False  # the newest configuration is to be sent once it has read what was sent
+    config_pending: bool = False  # whether to send the newest configuration once it has read earlier data
 
 
 class UpdatePublisher:
-    """All subscriptions to this process."""
+    """Manages the subscriptions to this process, and sends the updates."""
 
     def __init__(self, node: ControlNode, caches: CacheTable) -> None:
         self.loads = LoadTable()
@@ -46,27 +48,28 @@
         self._subscribers: dict[FrameConnection, _Subscriber] = {}
         self._loads_changed = False
         self._unpublished_cached: list[CachedPrefix] = []
-        self._unpublished_outcomes: list[tuple[str, Outcomes]] = []  # with the router that reported them
+        self._unpublished_outcomes: list[tuple[str, Outcomes]] = []  # each with the router that reported it
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to send the periodic updates."""
+        """Start to send the periodic updates."""
         self._tasks += [
             start_background_task("fleet status", self._publish_fleet_status_regularly),
             start_background_task("loads", self._publish_loads_regularly),
         ]
 
     def close(self) -> None:
-        """Send no more periodic updates."""
+        """Stop the periodic updates."""
         for task in self._tasks:
             task.cancel()
 
     # --- from routers ---
 
     def subscribe(self, connection: FrameConnection, request: m.SubscribeRequest) -> None:
-        """Send a router all there is, and from now on what changes.
+        """Send a router the complete state, and all changes from now on.
 
-        A process without a vote has no configuration to send: it names those that have, and disconnects.
+        A process that cannot become a voter has no configuration to send. It sends the addresses of those
+        that can, and disconnects.
         """
         engine = self._node.engine
         if not engine.settings.counts_for_quorum:
@@ -79,12 +82,12 @@
             connection.send(m.encode(body))
 
     def connection_closed(self, connection: FrameConnection) -> None:
-        """Any connection to this process has ended."""
+        """Handle the end of a connection, which need not be that of a subscriber."""
         if self._subscribers.pop(connection, None) is not None:
             self._update_router_set()
 
     def merge_router_load(self, connection: FrameConnection, load: RouterLoad) -> None:
-        """Take a router's load report, from itself or as another control process has forwarded it."""
+        """Merge a router's load report, sent by the router or forwarded by another control process."""
         if not self.loads.merge(load, clock()):
             return
         self._unpublished_cached += load.cached
@@ -92,7 +95,7 @@
         self._caches.add(load.cached)
         self._loads_changed = True
         is_from_router = connection in self._subscribers
-        if is_from_router:  # other control processes have other subscribers
+        if is_from_router:  # forward it, since other control processes have other subscribers
             frame = m.encode(load)
             for address in self._node.engine.peers.alive_quorum_peers(clock()):
                 self._node.send(address, frame)
@@ -102,7 +105,7 @@
         self._node.engine.subscribed_routers = routers
 
     def _complete_state(self, request: m.SubscribeRequest) -> list[m.Body]:
-        """What a new subscriber is sent: what it can't serve without comes first, the largest last."""
+        """Return the messages with the complete state: those needed to serve first, the largest last."""
         engine = self._node.engine
         config = self._node.config
         loads = self.loads.all_other_loads(request.router) if request.loads else {}
@@ -118,10 +121,10 @@
     # --- to routers ---
 
     def publish_config(self, config: StoredConfig) -> None:
-        """A configuration is in force.
+        """Send a configuration that has come into force.
 
-        A slow subscriber is sent only the newest one, once it has read what was sent before. Else a burst of
-        large configurations would keep it from ever having a complete one.
+        A slow subscriber is sent only the newest one, after it has read the data sent before. Otherwise a
+        burst of large configurations would prevent it from ever receiving a complete one.
         """
         for subscriber in self._subscribers.values():
             subscriber.config_pending = True
@@ -136,7 +139,7 @@
             _send_or_disconnect(connection, frame)
 
     def publish_workers(self, records: list[WorkerRecord]) -> None:
-        """Workers have changed."""
+        """Send changed workers."""
         for record in records:
             if record.state is WorkerState.GONE:
                 self._caches.forget(record.instance)
@@ -145,7 +148,7 @@
         self._broadcast(m.WorkerUpdate(0, tuple(records)))
 
     def publish_fleet_status(self) -> None:
-        """Send the periodic update on the fleet now."""
+        """Send the fleet status now, in addition to the periodic updates."""
         self._broadcast(self._node.engine.fleet_status(clock()))
 
     def _broadcast(self, body: m.Body) -> None:
@@ -183,6 +186,6 @@
 
 
 def _send_or_disconnect(connection: FrameConnection, frame: bytes) -> None:
-    """Disconnect a subscriber that can't be sent a change: it subscribes again and is sent all there is."""
+    """Send a change, or disconnect: the subscriber then subscribes again and is sent the complete state."""
     if not connection.send(frame):
         connection.close()
--- a/tests/job_queue/test_waiting.py
+++ b/tests/job_queue/test_waiting.py
@@ -246,8 +246,8 @@
 
 
 def test_rejection_of_a_late_job_may_queue_a_child_that_is_the_first_of_its_class():
-    """The only slot is in use, and a job passes its latest start. It is rejected, and its child, the first job
-    of another class, runs next. Guards against a change of the queues while they are iterated over.
+    """The only slot is in use, and a job passes its latest start. It is rejected, and its child, the first
+    job of another class, runs next. Guards against a change of the queues while they are iterated over.
     """
     run = Run(in_service=1).submit("long").submit("late", wanted=1_200 * MS)
     assert not run.rejected
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the log, the state machine, both sides of time, and fleets with faults on virtual time."""
+"""Tests of leases: the log, the state machine, expiry at both sides, and simulated fleets with faults."""
 
 from __future__ import annotations
 
@@ -47,20 +47,25 @@
     return table
 
 
-def apply(to: LeaseTable, operation: Operation) -> LeaseResponse:
-    return to.apply(0, encode(operation))
+def apply(table: LeaseTable, operation: Operation) -> LeaseResponse:
+    return table.apply(0, encode(operation))
 
 
 def acquire(
-    to: LeaseTable, holder: str, name: str = "a", request_id: int = 1, ttl_us: int = 2 * S, wait_us: int = 0
+    table: LeaseTable,
+    holder: str,
+    name: str = "a",
+    request_id: int = 1,
+    ttl_us: int = 2 * S,
+    wait_us: int = 0,
 ) -> LeaseResponse:
-    return apply(to, Acquire(name, holder, request_id, ttl_us, wait_us))
+    return apply(table, Acquire(name, holder, request_id, ttl_us, wait_us))
 
 
 # --- the state machine ---
 
 
-def test_waiters_get_the_lease_in_order_and_tokens_grow():
+def test_waiters_are_granted_the_lease_in_order_with_increasing_tokens():
     table = open_table()
     first = acquire(table, "x").token
     assert first >> TOKEN_BITS == 7
@@ -80,7 +85,7 @@
     assert acquire(table, "w").token == second + 1
 
 
-def test_acquire_is_idempotent_and_a_second_request_of_one_holder_is_rejected():
+def test_repeated_acquire_is_idempotent_and_another_request_of_the_holder_is_rejected():
     table = open_table()
     token = acquire(table, "x").token
     assert acquire(table, "x").token == token and table.state.leases["a"].renewals == 1
@@ -89,7 +94,7 @@
     assert acquire(table, "y", wait_us=S).queue_position == 1 and len(table.state.leases["a"].waiters) == 1
 
 
-def test_a_renewal_ordered_before_an_expiry_makes_it_void():
+def test_expiry_after_a_renewal_has_no_effect():
     table = open_table()
     token = acquire(table, "x").token
     apply(table, Renew("a", token))
@@ -98,7 +103,7 @@
     assert apply(table, Renew("a", token)).reason == "free"
 
 
-def test_limits_and_an_epoch_that_is_not_open_are_reported():
+def test_acquire_beyond_a_limit_or_before_the_epoch_opens_is_rejected_with_a_reason():
     table = open_table()
     assert [acquire(table, "x", name=name).reason for name in ("a", "b", "c", "d")] == [
         "",
@@ -117,16 +122,16 @@
     assert acquire(table, "x").token >> TOKEN_BITS == 8
 
 
-def test_a_snapshot_holds_the_complete_state():
-    table, other = open_table(), LeaseTable(LIMITS)
+def test_snapshot_contains_the_complete_state():
+    table, restored = open_table(), LeaseTable(LIMITS)
     acquire(table, "x"), acquire(table, "y", wait_us=S)
-    other.restore(table.snapshot())
-    assert other.state == table.state
-    assert apply(other, Release("a", acquire(other, "x").token)).reason == "released"
-    assert acquire(other, "y", wait_us=S).token == table.state.leases["a"].token + 1
+    restored.restore(table.snapshot())
+    assert restored.state == table.state
+    assert apply(restored, Release("a", acquire(restored, "x").token)).reason == "released"
+    assert acquire(restored, "y", wait_us=S).token == table.state.leases["a"].token + 1
 
 
-def test_the_expiry_watcher_counts_from_what_it_applied_itself():
+def test_expiry_watcher_counts_from_when_it_observed_each_renewal():
     table, watcher = open_table(), ExpiryWatcher(LIMITS)
     watcher.observe(table, 0)
     token = acquire(table, "x").token
@@ -136,7 +141,9 @@
     watcher.observe(table, 6 * S)
     assert watcher.expired(table, 8 * S - 1) == []
     assert watcher.expired(table, 8 * S) == [Expire("a", token, 1)]
-    assert ExpireWaiter("a", "y", 1, 1) in watcher.expired(table, 15 * S), "a waiter polls again, or is gone"
+    assert ExpireWaiter("a", "y", 1, 1) in watcher.expired(table, 15 * S), (
+        "a waiter that stopped polling is removed"
+    )
     table.begin(9)
     watcher.observe(table, 20 * S)
     assert watcher.expired(table, 30 * S) == [] and watcher.expired(table, watcher.opens_at()) == [
@@ -165,7 +172,7 @@
     assert client.expires_at <= over * rates[0]
 
 
-def test_a_client_renews_in_time_and_ends_when_its_lease_is_lost():
+def test_client_renews_its_lease_and_ends_when_the_lease_is_lost():
     client = LeaseClient(Acquire("a", "x", 1, 6 * S, 20 * S), LIMITS, 0)
     [first] = client.tick(0)
     client.handle_response(first.number, LeaseResponse(queue_position=1), 1_000)
@@ -189,7 +196,7 @@
     assert (client.stage, client.reason) == (Stage.ENDED, "lost") and not client.may_act(5 * S)
 
 
-def test_a_client_that_releases_acts_no_more_and_retries_the_release():
+def test_client_stops_acting_when_it_releases_and_retries_the_release():
     client = LeaseClient(Acquire("a", "x", 1, 6 * S), LIMITS, 0)
     [first] = client.tick(0)
     client.handle_response(first.number, LeaseResponse(token=9), 10)
@@ -203,7 +210,7 @@
     assert (client.stage, client.reason) == (Stage.ENDED, "")
 
 
-def test_a_client_without_responses_ends_by_itself():
+def test_client_without_responses_ends_when_its_lease_or_its_wait_expires():
     client = LeaseClient(Acquire("a", "x", 1, 6 * S), LIMITS, 0)
     [first] = client.tick(0)
     client.handle_response(first.number, LeaseResponse(token=9), 10)
@@ -224,37 +231,37 @@
     return RaftNode(PersistentState(identity), LeaseTable(LIMITS), RaftConfig(), 1, 0)
 
 
-def test_one_voter_starts_an_epoch_and_never_a_lower_one():
+def test_single_voter_starts_an_epoch_and_rejects_one_that_is_not_higher():
     alone = raft_node()
     assert alone.propose(encode(OpenEpoch()), 0) is None, "there is no epoch yet"
     alone.force_new_cluster(5, 0)
     proposal_id = alone.propose(encode(OpenEpoch()), 0)
     assert alone.has_committed_in_term
-    assert [each.proposal_id for each in alone.outcomes if each.committed] == [proposal_id]
+    assert [outcome.proposal_id for outcome in alone.outcomes if outcome.committed] == [proposal_id]
     with pytest.raises(ValueError, match="not higher"):
         alone.force_new_cluster(5, 0)
     assert alone.hard_state_changed and alone.first_unsaved_index == 1
     first, second = next_epoch(0, 1.9e9, "a"), next_epoch(0, 1.9e9, "b")
-    assert max(first, second) << TOKEN_BITS < 1 << 63, "tokens fit into what is sent"
+    assert max(first, second) << TOKEN_BITS < 1 << 63, "tokens fit into a signed 64-bit integer"
     assert first != second and next_epoch(second, 3.0, "a") > second, "also after a step of the wall clock"
 
 
-def test_missing_entries_are_sent_and_an_old_response_causes_no_retransmission():
+def test_new_replica_gets_missing_entries_and_an_old_response_causes_no_retransmission():
     leader, new = raft_node("a.1"), raft_node("b.1")
     leader.force_new_cluster(5, 0)
     leader.set_learners({"b.1"}, 0)
     for _ in range(600):
         leader.propose(encode(OpenEpoch()), 0)
-    assert leader.persistent.last_included_index > 0, "what is applied goes into a snapshot"
+    assert leader.persistent.last_included_index > 0, "applied entries are compacted into a snapshot"
     now = 0
     for _ in range(40):
         now += 100_000
         leader.tick(now)
-        for each in leader.outbox:
-            new.receive(each, now)
+        for message in leader.outbox:
+            new.receive(message, now)
         leader.outbox.clear()
-        for each in new.outbox:
-            leader.receive(each, now)
+        for message in new.outbox:
+            leader.receive(message, now)
         new.outbox.clear()
     assert new.commit_index == leader.commit_index and new.state_machine.state.is_open
     leader.outbox.clear()
@@ -263,36 +270,36 @@
     assert leader.outbox == []
 
 
-def test_a_voter_marks_its_vote_unsaved_before_it_responds():
-    """The driver saves what these name before it sends the outbox."""
+def test_voter_marks_its_state_unsaved_before_it_responds():
+    """The driver must save the changes that are marked here before it sends the outbox."""
     voter = raft_node("b.1")
     voter.receive(Message("a.1", "b.1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a.1", "b.1")),), 0, 1)), 0)
     assert voter.hard_state_changed and voter.first_unsaved_index == 1 and voter.outbox
 
 
 @pytest.mark.parametrize(
-    "voters, members, lost, then",
+    "voters, members, lost, expected",
     [
         ("a", "ab", "", "ab"),
         ("ab", "abc", "", "abc"),
         ("abc", "abcd", "", None),
         ("abc", "abcd", "b", "abcd"),
         ("abcd", "acd", "b", "acd"),
-        ("abc", "ac", "b", None),  # two of three decide; two of two would be no better
+        ("abc", "ac", "b", None),  # two of three are a majority; two of two would tolerate no more failures
         ("abc", "bc", "a", None),
         ("abcde", "abcde", "", "abcd"),
         ("abcde", "abc", "de", "abce"),
     ],
 )
-def test_the_next_voters(voters, members, lost, then):
+def test_next_voters_adds_members_and_replaces_lost_voters(voters, members, lost, expected):
     found = next_voters(tuple(voters), "a" if "a" in members else "b", tuple(members), set(lost), 3)
-    assert found == (tuple(then) if then else None)
+    assert found == (tuple(expected) if expected else None)
 
 
-# --- all of it as one engine ---
+# --- the whole node ---
 
 
-def test_a_flood_of_acquires_is_rate_limited_and_renewals_are_not():
+def test_acquires_are_rate_limited_and_renewals_are_not():
     node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS, acquires_per_s=10.0), 1, 0)
     node.start_new_epoch(1.9e9, 0)
     node.tick(11 * S)
@@ -313,7 +320,7 @@
     assert client.stage is Stage.REQUESTING and client.next_at >= 2 * S // 12, "it retries after a delay"
 
 
-def test_a_waiter_is_answered_when_it_is_granted_the_lease_or_after_the_long_poll():
+def test_waiter_gets_its_response_with_the_grant_or_after_the_long_poll():
     node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS), 1, 0)
     node.start_new_epoch(1.9e9, 0)
     node.tick(11 * S)
@@ -328,7 +335,7 @@
     node.replies.clear()
     node.tick(12 * S)
     [(number, reply)] = node.replies
-    assert number == 2 and reply.response.queue_position == 2, "as of its request"
+    assert number == 2 and reply.response.queue_position == 2, "the position at the time of its request"
     client = LeaseClient(Acquire("a", "y", 1, 4 * S, 9 * S), LIMITS, 11 * S)
     [request] = client.tick(11 * S)
     client.handle_response(request.number, LeaseResponse(queue_position=1), 12 * S)
@@ -336,34 +343,34 @@
     [request] = client.tick(12 * S)
     client.handle_response(request.number, LeaseResponse(token=token + 1), 12 * S + S // 2)
     assert client.expires_at == 12 * S + client.holder_ttl_us, (
-        "from before the request, and so before the grant"
+        "counted from when the request was sent, which is before the grant"
     )
 
 
-def test_a_member_that_does_not_vote_knows_the_leader():
-    """Five members, three of which vote: the others hear of the record only what members tell each other."""
+def test_member_without_a_vote_knows_the_leader_by_gossip():
+    """Five members, three of which are voters. The other two receive no log entries."""
     names = [f"n{n}#1@h:{n}" for n in range(5)]
     settings = LeaseNodeSettings("f", ("h:0",), limits=LIMITS)
     by_address = {f"h:{n}": LeaseNode(name, settings, n, 0) for n, name in enumerate(names)}
     for now in range(0, 60 * S, S // 20):
         if now == 20 * S:
             by_address["h:0"].start_new_epoch(1.9e9, now)
-        for each in by_address.values():
-            each.tick(now)
-        while any(each.outbox for each in by_address.values()):
-            for each in by_address.values():
-                out, each.outbox = each.outbox, []
-                for address, item in out:
-                    by_address[address].receive(item, now)
-    leads = by_address["h:0"].raft
-    others = [each for each in by_address.values() if not each.raft.is_voter]
-    assert leads.is_leader and len(leads.voters) == 3 and len(others) == 2
-    for each in others:
-        each.submit(1, Acquire("a", "x", 1, 2 * S), 60 * S)
-        assert each.replies == [(1, Reply(leader=names[0]))] and each.view(60 * S).leader == names[0]
-
-
-def test_a_message_for_the_previous_process_at_an_address_is_ignored():
+        for node in by_address.values():
+            node.tick(now)
+        while any(node.outbox for node in by_address.values()):
+            for node in by_address.values():
+                messages, node.outbox = node.outbox, []
+                for address, message in messages:
+                    by_address[address].receive(message, now)
+    leader = by_address["h:0"].raft
+    others = [node for node in by_address.values() if not node.raft.is_voter]
+    assert leader.is_leader and len(leader.voters) == 3 and len(others) == 2
+    for node in others:
+        node.submit(1, Acquire("a", "x", 1, 2 * S), 60 * S)
+        assert node.replies == [(1, Reply(leader=names[0]))] and node.view(60 * S).leader == names[0]
+
+
+def test_message_to_the_previous_process_at_an_address_is_ignored():
     node = LeaseNode("a#2@h:1", LeaseNodeSettings("f", ()), 1, 0)
     node.receive(Message("b#1@h:2", "a#1@h:1", 5, 1, AppendEntries(0, 0, (Entry(1, ("a#1@h:1",)),), 0, 1)), 0)
     assert node.raft.persistent.epoch == 0 and not node.outbox
@@ -372,39 +379,41 @@
 # --- the persistent state in a file ---
 
 
-def kept() -> tuple[bytes, PersistentState]:
-    """A file of several writes, one of which takes entries back, and what it holds."""
+def saved_state() -> tuple[bytes, PersistentState]:
+    """Return a file of several writes, one of which removes entries, and the state that it contains."""
     voter = raft_node("b.1")
     content = state_codec.encode_state(voter.persistent)
     entries = [Entry(term, None, bytes([term])) for term in (1, 1, 2)]
-    for term, before, some in ((1, 0, entries[:2]), (2, 1, entries[2:]), (2, 2, entries[2:])):
-        before_term = 0 if before == 0 else entries[0].term if before == 1 else 2
+    for term, previous, new in ((1, 0, entries[:2]), (2, 1, entries[2:]), (2, 2, entries[2:])):
+        previous_term = 0 if previous == 0 else entries[0].term if previous == 1 else 2
         voter.receive(
-            Message("a.1", "b.1", 5, term, AppendEntries(before, before_term, tuple(some), 0, 1)), 0
+            Message("a.1", "b.1", 5, term, AppendEntries(previous, previous_term, tuple(new), 0, 1)), 0
         )
         content += state_codec.encode_changes(voter)
     return content, voter.persistent
 
 
-def test_a_file_returns_what_was_written_and_drops_only_an_incomplete_write():
-    content, memory = kept()
+def test_decoding_returns_all_complete_writes_and_drops_an_incomplete_one():
+    content, state = saved_state()
     first = len(state_codec.encode_state(PersistentState("b.1")))
-    found, good = state_codec.decode_state(content)
-    assert found == memory and good == len(content) and [each.term for each in found.entries] == [1, 2, 2]
+    found, valid_size = state_codec.decode_state(content)
+    assert (
+        found == state and valid_size == len(content) and [entry.term for entry in found.entries] == [1, 2, 2]
+    )
     sizes = {state_codec.decode_state(content[:cut])[1] for cut in range(first, len(content))}
     assert all(state_codec.decode_state(content[:size])[1] == size for size in sizes) and len(sizes) > 3
 
 
-def test_a_flipped_bit_is_always_detected():
-    content, _ = kept()
-    for place in range(len(content)):
+def test_flipped_bit_at_any_position_is_detected():
+    content, _ = saved_state()
+    for position in range(len(content)):
         changed = bytearray(content)
-        changed[place] ^= 0x10
+        changed[position] ^= 0x10
         with pytest.raises(CorruptStateError):
             state_codec.decode_state(bytes(changed))
 
 
-def test_a_store_has_one_process_and_rejects_files_of_another_version_or_address(tmp_path):
+def test_store_is_opened_by_one_process_and_rejects_files_of_another_address_or_format(tmp_path):
     store, other = FleetStore(tmp_path / "s"), FleetStore(tmp_path / "s")
     assert store.open("@h:1") is None
     with pytest.raises(OSError):
@@ -420,7 +429,7 @@
     again.append(state_codec.encode_frame(state_codec.HardState("n@h:1", 7, 5, "")))
     again.close()
     stored, _ = state_codec.decode_state((tmp_path / "s" / "memory").read_bytes())
-    assert stored.current_term == 5, "the torn end is gone"
+    assert stored.current_term == 5, "the incomplete write at the end was removed"
     moved = FleetStore(tmp_path / "s")
     assert moved.open("@h:2") is None
     moved.close()
@@ -435,15 +444,12 @@
 
 
 @pytest.mark.parametrize("nodes, schedules", [(3, 20), (5, 12), (7, 5)])
-def test_no_two_holders_act_at_once_under_any_fault(nodes, schedules):
-    """Schedules of ten seconds, with every fault; a longer run: benchmarks/fleet_sim.py."""
-    played = [simulate(seed, nodes, 10.0, "") for seed in range(schedules)]
-    assert [each["broken"] for each in played if each["broken"]] == []
-    assert (
-        sum(each["grants"] for each in played) > schedules
-        and sum(each.get("acts", 0) for each in played) > 100
-    )
-    assert played[0] == simulate(0, nodes, 10.0, ""), "the same seed is the same run"
+def test_no_two_holders_act_at_the_same_time_under_any_fault(nodes, schedules):
+    """Random schedules of ten seconds with all kinds of faults. benchmarks/fleet_sim.py runs longer ones."""
+    runs = [simulate(seed, nodes, 10.0, "") for seed in range(schedules)]
+    assert [run["broken"] for run in runs if run["broken"]] == []
+    assert sum(run["grants"] for run in runs) > schedules and sum(run.get("acts", 0) for run in runs) > 100
+    assert runs[0] == simulate(0, nodes, 10.0, ""), "the same seed gives the same run"
 
 
 @pytest.mark.parametrize(
@@ -457,9 +463,9 @@
         (37, 5, "token reset in a new epoch", "granted twice"),
     ],
 )
-def test_the_checks_of_the_simulation_find_planted_defects(seed, nodes, defect, found):
+def test_simulation_detects_planted_defects(seed, nodes, defect, found):
     assert found in str(simulate(seed, nodes, 20.0, defect)["broken"])
-    assert not simulate(seed, nodes, 20.0, "")["broken"], "it is the defect that they find"
+    assert not simulate(seed, nodes, 20.0, "")["broken"], "without the defect nothing is detected"
 
 
 @pytest.mark.parametrize(
@@ -470,20 +476,26 @@
         ("two voter changes at once", Left(2, 0, 0, 2), "completeness"),
     ],
 )
-def test_the_search_of_all_event_orders_finds_planted_defects(defect, left, found):
+def test_search_of_all_event_orders_detects_planted_defects(defect, left, found):
     assert found in str(search(defect, left, 20_000)["broken"])
     assert not search("", left, 4_000)["broken"]
 
 
-def test_a_history_is_linearizable_if_some_order_of_its_calls_is_possible():
-    def judged(*calls: tuple[int, int, str, int]) -> bool:
-        return linearizable([Call(*each) for each in calls])
+def test_history_is_linearizable_if_some_order_of_its_calls_is_valid():
+    def is_linearizable(*calls: tuple[int, int, str, int]) -> bool:
+        return linearizable([Call(*call) for call in calls])
 
-    assert judged((0, 9, "held", 5), (1, 2, "held", 4)), "the longer one took effect later"
-    assert not judged((0, 1, "held", 5), (2, 3, "held", 4)), "a token that was passed holds no more"
-    assert judged((0, 1, "held", 5), (2, 3, "ended", 5), (4, 5, "held", 6))
-    assert not judged((0, 1, "held", 5), (2, 3, "ended", 5), (4, 5, "held", 5)), "what is over stays over"
-    assert not judged((0, 1, "released", 5), (2, 3, "read", 5)), "a stale read"
-    assert judged((0, 3, "released", 5), (2, 3, "read", 5)) and judged((0, 1, "held", 5), (2, 3, "read", 0))
-    late = [(n, 1_000, "held", 5) for n in range(40)] + [(50, 60, "released", 5), (70, 80, "read", 6)]
-    assert judged(*late), "many that overlap are not tried in every order"
+    assert is_linearizable((0, 9, "held", 5), (1, 2, "held", 4)), "the longer call took effect later"
+    assert not is_linearizable((0, 1, "held", 5), (2, 3, "held", 4)), (
+        "a token lower than a later one is not held any more"
+    )
+    assert is_linearizable((0, 1, "held", 5), (2, 3, "ended", 5), (4, 5, "held", 6))
+    assert not is_linearizable((0, 1, "held", 5), (2, 3, "ended", 5), (4, 5, "held", 5)), (
+        "a lease that ended cannot be held again"
+    )
+    assert not is_linearizable((0, 1, "released", 5), (2, 3, "read", 5)), "a stale read"
+    assert is_linearizable((0, 3, "released", 5), (2, 3, "read", 5)) and is_linearizable(
+        (0, 1, "held", 5), (2, 3, "read", 0)
+    )
+    overlapping = [(n, 1_000, "held", 5) for n in range(40)] + [(50, 60, "released", 5), (70, 80, "read", 6)]
+    assert is_linearizable(*overlapping), "many overlapping calls are checked without trying every order"
--- a/tests/system/test_control_node.py
+++ b/tests/system/test_control_node.py
@@ -1,4 +1,4 @@
-"""A control process whose store refuses writes: it abstains, and answers at once. On virtual time."""
+"""Tests of a control process on virtual time, in particular while its store refuses writes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Store:
-    """Keeps nothing; refuses writes while its disk is full."""
+    """A store that discards what it is given, and refuses writes while its disk is full."""
 
     def __init__(self) -> None:
         self.is_full = False
@@ -41,7 +41,7 @@
 
 
 class Log:
-    """Keeps the lines that people are to act on."""
+    """Records the lines at level warning or error."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -55,12 +55,12 @@
     error = warning
 
 
-async def answered(api: ControlApi, request: HttpRequest) -> tuple[HttpResponse, float]:
-    """The response, and how long it took."""
+async def timed_call(api: ControlApi, request: HttpRequest) -> tuple[HttpResponse, float]:
+    """Return the response to a request, and the seconds that it took."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     response = await api.handle(request)
-    return response, loop.time() - began
+    return response, loop.time() - started_at
 
 
 Scenario = Callable[[ControlNode, ControlApi, Store], Awaitable[None]]
@@ -68,7 +68,7 @@
 
 @pytest.fixture
 def play(monkeypatch):
-    """Runs a scenario with a process that leads a cluster of its own."""
+    """Return a function that runs a scenario with a process that is the only one of its cluster."""
 
     async def run(scenario: Scenario) -> None:
         loop = asyncio.get_running_loop()
@@ -102,13 +102,14 @@
     return play
 
 
-def test_calls_whose_output_was_taken_as_the_disk_fills_are_answered_at_once(play):
-    """Given a full disk, when a configuration is put or read, then the answer is 503 at once, not after the
-    time-out, as nothing will decide the call any more; and nothing is in force."""
+def test_call_in_flight_when_the_disk_fills_gets_503_at_once(play):
+    """Guards against a response only after the timeout: once the write failed, the outcome stays unknown. No
+    configuration comes into force.
+    """
 
     async def scenario(node: ControlNode, api: ControlApi, store: Store) -> None:
         store.is_full = True
-        response, seconds = await answered(api, PUT)
+        response, seconds = await timed_call(api, PUT)
         assert (response.status, response.body) == (503, control_api.CONFIG_OUTCOME_UNKNOWN.body)
         assert seconds < AT_ONCE_S < OUTCOME_TIMEOUT_S
         assert node.config.version == 0 and node.is_abstaining
@@ -116,31 +117,31 @@
     play(scenario)
 
 
-def test_while_the_store_refuses_writes_calls_are_refused_and_then_taken_again(play):
+def test_calls_are_rejected_while_the_store_refuses_writes_and_accepted_again_afterwards(play):
     async def scenario(node: ControlNode, api: ControlApi, store: Store) -> None:
         store.is_full = True
-        await answered(api, PUT)
+        await timed_call(api, PUT)
         for request in (PUT, GET):
-            response, seconds = await answered(api, request)
+            response, seconds = await timed_call(api, request)
             assert (response.status, response.body) == (503, b"the store refuses writes\n")
             assert seconds < AT_ONCE_S
         store.is_full = False
         await asyncio.sleep(2 * SAVE_RETRY_DELAY_S)
         assert not node.is_abstaining
-        # The first call's change was in the log: it is in force now, and sending it again says so.
-        response, _ = await answered(api, PUT)
+        # The change of the first call was in the log and is in force now, so repeating the call succeeds.
+        response, _ = await timed_call(api, PUT)
         assert (response.status, response.body) == (200, b'{"version":1}')
 
     play(scenario)
 
 
-def test_the_log_says_once_that_the_process_abstains_and_once_that_it_goes_on(play, monkeypatch):
+def test_refused_writes_and_their_end_are_logged_once_each(play, monkeypatch):
     log = Log()
     monkeypatch.setattr(control_node, "log", log)
 
     async def scenario(node: ControlNode, api: ControlApi, store: Store) -> None:
         store.is_full = True
-        await answered(api, PUT)
+        await timed_call(api, PUT)
         await asyncio.sleep(5 * SAVE_RETRY_DELAY_S)
         store.is_full = False
         await asyncio.sleep(2 * SAVE_RETRY_DELAY_S)
@@ -152,8 +153,8 @@
     ]
 
 
-def test_an_engine_that_fails_in_a_tick_goes_on_and_its_status_shows_the_error(play, monkeypatch):
-    """Given an engine that raises an error once, then its timer is set again, and the error is counted."""
+def test_engine_continues_after_an_error_in_a_tick_and_the_status_counts_it(play, monkeypatch):
+    """The engine raises an error in one tick. Its timer must still be set for the next one."""
     failures = FailureRegistry()
     monkeypatch.setattr(control_status, "FAILURES", failures)
 
@@ -171,7 +172,7 @@
         monkeypatch.setattr(node.engine, "tick", fail_once)
         await asyncio.sleep(3)
         assert len(ticks) > 2
-        response, _ = await answered(api, HttpRequest("GET", "/status", {}, b""))
+        response, _ = await timed_call(api, HttpRequest("GET", "/status", {}, b""))
         errors = json.loads(response.body)["unexpected_errors"]
         assert errors == {"control engine": {"count": 1, "last_error": "KeyError('not expected')"}}
 
--- a/tests/system/test_control_subscriptions.py
+++ b/tests/system/test_control_subscriptions.py
@@ -1,4 +1,4 @@
-"""A router's subscriptions to control processes, on real sockets."""
+"""Tests of a router's subscriptions to control processes, on real sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hazelbend.transport.peer.frame_link import FrameConnection, FrameServer
 
 pytestmark = pytest.mark.anyio
-SOON = 5.0
+EVENTUALLY_TIMEOUT_S = 5.0
 
 
 @pytest.fixture
@@ -25,25 +25,27 @@
 
 @pytest.fixture(autouse=True)
 def short_periods(monkeypatch):
-    """Checks come often, and the time-out for silence is short."""
+    """Shorten the periods between checks and the timeout for silence."""
     monkeypatch.setattr(control_subscriptions, "CHECK_PERIOD_S", 0.02)
     monkeypatch.setattr(control_subscriptions, "PING_PERIOD_S", 0.05)
     monkeypatch.setattr(control_subscriptions, "SILENCE_TIMEOUT_S", 0.4)
 
 
-async def eventually(holds) -> None:
-    """Wait until this holds."""
-    async with asyncio.timeout(SOON):
-        while not holds():
+async def eventually(condition) -> None:
+    """Wait until the condition is true."""
+    async with asyncio.timeout(EVENTUALLY_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 class Control:
-    """A control process that only has subscribers."""
+    """A control process that only accepts subscriptions."""
 
     def __init__(self, version: int = 1) -> None:
-        self.version, self.mute = version, False
-        self.reject: Callable[[FrameConnection], object] | None = None  # called in place of a subscription
+        self.version, self.is_silent = version, False
+        self.reject: Callable[[FrameConnection], object] | None = (
+            None  # called instead of accepting a subscription
+        )
         self.subscribers: dict[FrameConnection, m.SubscribeRequest] = {}
         self.loads: list[RouterLoad] = []
         self.server = FrameServer(
@@ -56,7 +58,7 @@
         self.address = f"127.0.0.1:{self.server._server.sockets[0].getsockname()[1]}"
 
     def _frame_received(self, connection: FrameConnection, frame: bytes) -> None:
-        if self.mute:
+        if self.is_silent:
             return
         match m.decode(frame):
             case m.SubscribeRequest() if self.reject is not None:
@@ -100,11 +102,11 @@
 
 @pytest.fixture
 async def controls():
-    made = [Control(version) for version in (3, 3, 4)]
-    for control in made:
+    started = [Control(version) for version in (3, 3, 4)]
+    for control in started:
         await control.start()
-    yield made
-    for control in made:
+    yield started
+    for control in started:
         await control.server.close()
 
 
@@ -121,7 +123,7 @@
     return [control for control in controls if control.subscribers]
 
 
-async def test_a_router_subscribes_to_two_control_processes_and_reports_loads_to_one(controls):
+async def test_router_subscribes_to_two_control_processes_and_reports_loads_to_one(controls):
     subscriptions, updates = await subscribed(controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2 and updates.version >= 3)
     await eventually(
@@ -132,8 +134,8 @@
     await subscriptions.close()
 
 
-async def test_load_updates_are_taken_from_the_primary_only(controls):
-    """Guards the router's copy of the loads: changes hold only for what the same control process has sent."""
+async def test_load_updates_are_applied_only_from_the_primary(controls):
+    """Guards the router's copy of the loads: load updates are relative to earlier ones of one process."""
     subscriptions, updates = await subscribed(controls)
     await eventually(
         lambda: sum(request.loads for control in controls for request in control.subscribers.values()) == 1
@@ -145,14 +147,14 @@
             connection.send(m.encode(LoadUpdate({"i": Load(1, 1)}, (part,))))
     await eventually(lambda: len(updates.received) == 2)
     loads = {update.cached[0].instance: update.loads for update in updates.received}
-    assert loads == {"i-True": {"i": Load(1, 1)}, "i-False": {}}, "cache contents are taken from both"
+    assert loads == {"i-True": {"i": Load(1, 1)}, "i-False": {}}, "cache contents are applied from both"
     await subscriptions.close()
 
 
-async def test_a_process_without_a_vote_names_the_voters(controls):
-    """Guards a start whose seeds are processes without a vote: only they know the others' addresses."""
-    for observer, known in ((controls[0], controls[2]), (controls[1], controls[2])):
-        status = m.FleetStatus((known.address,), 1, {})
+async def test_router_learns_the_voters_addresses_from_a_process_without_a_vote(controls):
+    """Guards the start of a router all of whose seeds are processes without a vote."""
+    for observer, voter in ((controls[0], controls[2]), (controls[1], controls[2])):
+        status = m.FleetStatus((voter.address,), 1, {})
         observer.reject = lambda connection, status=status: (
             connection.send(m.encode(status)),
             connection.close(),
@@ -163,20 +165,20 @@
     await subscriptions.close()
 
 
-async def test_a_silent_or_dead_control_process_is_replaced(controls):
+async def test_subscription_to_a_silent_or_failed_control_process_is_replaced(controls):
     subscriptions, _updates = await subscribed(controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
-    silent, dies = with_subscribers(controls)
+    silent, failing = with_subscribers(controls)
     [third] = [control for control in controls if not control.subscribers]
-    silent.mute = True
+    silent.is_silent = True
     await eventually(lambda: bool(third.subscribers))
-    await dies.server.close()
-    silent.mute = False
+    await failing.server.close()
+    silent.is_silent = False
     await eventually(lambda: bool(silent.subscribers) and bool(third.subscribers))
     await subscriptions.close()
 
 
-async def test_a_router_asks_for_updates_after_its_version_and_learns_other_addresses(controls):
+async def test_router_learns_addresses_from_the_fleet_status_and_requests_only_newer_versions(controls):
     subscriptions, updates = await subscribed(controls, count=1)
     await eventually(lambda: updates.version == 3 and len(with_subscribers(controls)) == 1)
     controls[0].broadcast(m.FleetStatus(tuple(control.address for control in controls), 5, {}))
@@ -188,7 +190,7 @@
     await subscriptions.close()
 
 
-async def test_an_undecodable_message_makes_it_reconnect(controls):
+async def test_undecodable_message_causes_a_reconnect(controls):
     subscriptions, _updates = await subscribed(controls, count=1)
     await eventually(lambda: len(with_subscribers(controls)) == 1)
     [connection] = controls[0].subscribers
@@ -198,8 +200,9 @@
 
 
 async def test_cache_contents_are_requested_once_and_not_again_from_a_replacement(controls):
-    """Guards links of 5 Mbit/s: at each loss of a control process a third of the routers was sent all of it
-    twice, and a configuration waited behind it."""
+    """Guards links of 5 Mbit/s. At each failure of a control process, a third of the routers received all
+    cache contents twice, and a configuration was delayed behind them.
+    """
     subscriptions, updates = await subscribed(controls)
     await eventually(
         lambda: sum(request.caches for control in controls for request in control.subscribers.values()) == 1
@@ -224,7 +227,7 @@
     await subscriptions.close()
 
 
-async def test_cache_contents_expire_without_subscriptions(controls):
+async def test_known_cache_contents_expire_without_an_open_subscription(controls):
     subscriptions, _ = await subscribed(controls)
     await eventually(lambda: len(with_subscribers(controls)) == 2)
     now = asyncio.get_running_loop().time()
--- a/tests/system/test_system_processes.py
+++ b/tests/system/test_system_processes.py
@@ -1,4 +1,4 @@
-"""The router fleet's real processes on loopback, with stand-in workers: the example, and killed processes."""
+"""Tests of the router fleet's real processes on loopback with simulated workers, using the example fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 pytestmark = pytest.mark.anyio
 [ROUTE] = CONFIGURATION["routes"]
-TIMEOUT_S = 20.0  # for what is awaited, also on a busy machine
+TIMEOUT_S = 20.0  # for any condition, also on a busy machine
 
 
 @pytest.fixture
@@ -43,16 +43,16 @@
         return json.loads(await response.text())
 
 
-async def eventually(holds) -> None:
-    """Wait until this holds."""
+async def eventually(condition) -> None:
+    """Wait until the condition is true."""
     async with asyncio.timeout(TIMEOUT_S):
-        while not await holds():
+        while not await condition():
             await asyncio.sleep(0.05)
 
 
-async def test_a_fleet_serves_through_the_loss_of_its_leader_and_shuts_down_gracefully(fleet):
+async def test_fleet_serves_after_the_loss_of_its_leader_and_a_router_shuts_down_gracefully(fleet):
     async def complete() -> bool:
-        """All control processes know all of it: a router may be subscribed to any two of them."""
+        """Whether all control processes know all workers: a router may be subscribed to any two of them."""
         try:
             statuses = [await status_of(machine) for machine in MACHINES]
         except aiohttp.ClientError:
@@ -66,14 +66,14 @@
     [decode_worker] = [worker for worker in fleet.workers if worker.received.decode]
     assert (prefill_worker.settings.phase, decode_worker.settings.phase) == ("prefill", "decode")
 
-    # The leader is killed: the others accept a change, and it catches up after a restart.
+    # The leader is killed. The others accept a change, and the killed process catches up after a restart.
     leader = (await status_of(MACHINES[0]))["leader"].rpartition("@")[2].partition(":")[0]
     fleet.processes["control", leader].kill()
     await fleet.processes["control", leader].wait()
     second = CONFIGURATION | {"version": 2, "routes": [ROUTE | {"prefix": "/talk/"}]}
     assert await fleet.put_configuration(1, second) == 200
     assert await fleet.put_configuration(1, second | {"version": 3}) == 412
-    assert (await fleet.send_prompt(MACHINES[1], "a2"))[0] == 404, "the route of version 1 is no more"
+    assert (await fleet.send_prompt(MACHINES[1], "a2"))[0] == 404, "the route of version 1 was removed"
     await fleet.start_process(MACHINES.index(leader) + 1, leader, "control")
 
     async def caught_up() -> bool:
@@ -84,7 +84,7 @@
 
     await eventually(caught_up)
 
-    # A graceful shutdown: not ready at once, then exit code 0.
+    # Graceful shutdown: the router is not ready at once, and exits with code 0.
     router = fleet.processes["router", MACHINES[2]]
     router.send_signal(signal.SIGTERM)
 
@@ -110,7 +110,7 @@
     )
 
 
-def test_all_findings_in_settings_and_configurations_are_printed_with_their_paths(tmp_path):
+def test_check_prints_all_findings_in_settings_and_configurations_with_their_paths(tmp_path):
     settings = tmp_path / "s.yaml"
     settings.write_text("ip: 3\nportRange: [0]\nlisten: {http: nowhere}\n")
     done = run_command("check", str(settings))
--- a/tests/system/test_update_publisher.py
+++ b/tests/system/test_update_publisher.py
@@ -1,4 +1,4 @@
-"""What a control process publishes to subscribed routers."""
+"""Tests of the updates that a control process publishes to subscribed routers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SlowSubscriber:
-    """A connection whose peer reads only when the test sets `unsent_bytes`."""
+    """A connection whose peer reads only when the test resets `unsent_bytes`."""
 
     def __init__(self) -> None:
         self.unsent_bytes, self.sent = 0, []
@@ -32,11 +32,11 @@
         return True
 
     def close(self) -> None:
-        raise AssertionError("it is slow, not gone")
+        raise AssertionError("a slow subscriber must not be disconnected")
 
 
 class FakeControlNode:
-    """What an update publisher needs of a control node, with a real engine."""
+    """The part of a control node that an update publisher uses, with a real engine."""
 
     def __init__(self) -> None:
         settings = ControlSettings("10.0.1.1:7", ("10.0.1.1:7",), True, True, 0, 1_200_000)
@@ -44,7 +44,7 @@
         self.config = StoredConfig(1, b"x")
 
 
-async def test_a_slow_subscriber_is_sent_the_newest_configuration_and_none_in_between():
+async def test_slow_subscriber_is_sent_the_newest_configuration_and_none_in_between():
     node, subscriber = FakeControlNode(), SlowSubscriber()
     publisher = UpdatePublisher(node, CacheTable())
     publisher.subscribe(subscriber, control_messages.SubscribeRequest("r", 1))
