--- a/hazelbend/job_queue/admission.py
+++ b/hazelbend/job_queue/admission.py
@@ -35,7 +35,7 @@
         self._jobs = jobs
         self._in_time: Queues = {}
         self._aged: Queues = {}
-        self._entries = 0
+        self._entry_count = 0
 
     # --- estimates ---
 
@@ -101,8 +101,8 @@
         assert job.request is not None
         queues = self._aged if job.aged else self._in_time
         queue = queues.setdefault(job.request.class_index, [])
-        self._entries += 1
-        job.queue_entry = self._entries
+        self._entry_count += 1
+        job.queue_entry = self._entry_count
         heapq.heappush(queue, (job.queued_at if job.aged else latest_start, job.queue_entry, job.key))
         if not job.aged:
             self.queued_in_time[job.request.class_index] += 1
@@ -127,16 +127,16 @@
         return self._pop(self._in_time, in_time)
 
     def pop_late(self, now: int) -> Iterator[tuple[QueuedJob, int]]:
-        """Remove the jobs that missed their latest start, mark them as aged, and yield each with that start.
+        """Remove the jobs that missed their latest start without a slot, and yield each with that start.
 
-        The caller must queue or reject each job before it requests the next one.
+        They are marked as aged. The caller must queue or reject each job before it requests the next one.
         """
         # A copy, since the rejection of a job may queue a child that is the first job of its class.
         for queue in list(self._in_time.values()):
-            while queue and (queue[0][0] < now or self._is_void(queue[0])):
+            while queue and (queue[0][0] < now or self._is_invalid(queue[0])):
                 latest_start, _, key = queue[0]
                 job = self._jobs.get(key)
-                if job is None or self._is_void(queue[0]):
+                if job is None or self._is_invalid(queue[0]):
                     heapq.heappop(queue)
                     continue
                 if self.has_slot_for(job):
@@ -152,7 +152,7 @@
         """Return the latest start at the head of each queue of jobs in time."""
         return [queue[0][0] for queue in self._in_time.values() if queue]
 
-    def _is_void(self, entry: QueueEntry) -> bool:
+    def _is_invalid(self, entry: QueueEntry) -> bool:
         job = self._jobs.get(entry[2])
         return job is None or job.queue_entry != entry[1]
 
@@ -160,7 +160,7 @@
         """Return the first job, over the queues of all classes, that a slot is free for."""
         best: QueueEntry | None = None
         for queue in queues.values():
-            while queue and self._is_void(queue[0]):
+            while queue and self._is_invalid(queue[0]):
                 heapq.heappop(queue)
             if queue and (best is None or queue[0] < best) and self.has_slot_for(self._jobs[queue[0][2]]):
                 best = queue[0]
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -119,7 +119,7 @@
         job.request = request
         job.arrived_at = now
         self.jobs[request.key] = job
-        self._count(job, 1)
+        self._add_to_counts(job, 1)
         self.graph.set_depth(job, max((self.graph.depth_of(key) + 1 for key in parents), default=0))
         failed: tuple[JobKey, JobOutcome] | None = None
         for key, edge in parents.items():
@@ -131,24 +131,24 @@
         self._admit(now)
         return self._effects
 
-    def ended(self, key: JobKey, end: JobOutcome, result: bytes, now: int) -> list[Effect]:
+    def ended(self, key: JobKey, outcome: JobOutcome, result: bytes, now: int) -> list[Effect]:
         """Record the final answer of a released job. Has no effect on a job that is not running."""
         self._effects = []
         job = self.jobs.get(key)
         if job is None or job.state is not JobState.RUNNING:
             return self._effects
-        if end is JobOutcome.SERVED and job.request is not None:
+        if outcome is JobOutcome.SERVED and job.request is not None:
             self.admission.observe_run_time(job.request.class_index, max(now - job.started_at, 1))
-        self._finish(job, end, result, now)
+        self._finish(job, outcome, result, now)
         self._admit(now)
         return self._effects
 
-    def cancel(self, key: JobKey, end: JobOutcome, now: int, reason: str = "") -> list[Effect]:
+    def cancel(self, key: JobKey, outcome: JobOutcome, now: int, reason: str = "") -> list[Effect]:
         """End a waiting job whose client cancelled it or disconnected. Has no effect on a running job."""
         self._effects = []
         job = self.jobs.get(key)
         if job is not None and job.is_waiting:
-            self._reject(job, end, reason or end.value, now)
+            self._reject(job, outcome, reason or outcome.value, now)
             self._admit(now)
         return self._effects
 
@@ -227,7 +227,7 @@
         self._effects.append(rejection)
         self.graph.remember(key, JobOutcome.REFUSED, b"", now)
         if known is not None:
-            self._end_parent(known, JobOutcome.REFUSED, b"", now)
+            self._resolve_children(known, JobOutcome.REFUSED, b"", now)
             del self.jobs[key]
 
     def _add_parent(
@@ -258,7 +258,7 @@
         if job.parents or job.not_before is not None:
             self.totals.waited += 1
         elif request.bypasses_admission:
-            self._count(job, -1)
+            self._add_to_counts(job, -1)
             job.state = JobState.RUNNING
             job.started_at = now
             self._effects.append(Release(job.key))
@@ -275,12 +275,12 @@
     def _check_deadline(self, job: QueuedJob, now: int) -> None:
         if job.state is JobState.EXPECTED and job.submission_deadline <= now:
             self.graph.remember(job.key, JobOutcome.NEVER_SUBMITTED, b"", now)
-            self._end_parent(job, JobOutcome.NEVER_SUBMITTED, b"", now)
+            self._resolve_children(job, JobOutcome.NEVER_SUBMITTED, b"", now)
             del self.jobs[job.key]
         elif job.is_waiting and job.request and job.request.deadline <= now:
             self._reject(job, JobOutcome.EXPIRED, DEADLINE_PASSED, now)
 
-    def _end_parent(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
+    def _resolve_children(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
         """Unblock or reject the children of a parent that has ended, and so on for rejected children.
 
         It uses a list in place of recursion, since a chain may be longer than the stack allows.
@@ -310,24 +310,24 @@
         request = job.request
         job.state = JobState.QUEUED
         job.queued_at = now
-        run = self.admission.expected_run_us(request.class_index)
+        run_us = self.admission.expected_run_us(request.class_index)
         objective = now + request.objective if request.objective else request.deadline
         due_at = min(request.terms.due_at or objective, request.deadline)
         if self.bounds.in_service:
-            wait = self.admission.expected_wait_us(request.class_index)
-            late = now + wait + run > due_at and not self.admission.has_slot_for(job)
+            wait_us = self.admission.expected_wait_us(request.class_index)
+            late = now + wait_us + run_us > due_at and not self.admission.has_slot_for(job)
             if late and not request.late_value:
-                self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
+                self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait_us) or 1)
                 return
             # In the queue of jobs in time, it would delay jobs that were admitted to it before.
             job.aged = late or self.admission.is_over_share(request.tenant)
-        self.admission.enqueue(job, round(due_at - run))
+        self.admission.enqueue(job, round(due_at - run_us))
 
     def _admit(self, now: int) -> None:
         """Fill the free slots."""
         while (job := self._next_to_run(now)) is not None:
             assert job.request is not None
-            self._count(job, -1)
+            self._add_to_counts(job, -1)
             job.state = JobState.RUNNING
             job.started_at = now
             self.admission.occupy(job)
@@ -349,37 +349,39 @@
         assert job.request is not None
         self.totals.missed += 1
         if not job.request.late_value and self.bounds.in_service:
-            wait = round(self.admission.expected_wait_us(job.request.class_index))
-            self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait or 1)
+            wait_us = round(self.admission.expected_wait_us(job.request.class_index))
+            self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait_us or 1)
         else:
             self.admission.enqueue(job, latest_start)
 
     # --- ends ---
 
-    def _reject(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
-        self._remove_rejected(job, end, reason, now, retry_after)
-        self._end_parent(job, end, b"", now)
+    def _reject(
+        self, job: QueuedJob, outcome: JobOutcome, reason: str, now: int, retry_after: int = 0
+    ) -> None:
+        self._remove_rejected(job, outcome, reason, now, retry_after)
+        self._resolve_children(job, outcome, b"", now)
 
     def _remove_rejected(
-        self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0
+        self, job: QueuedJob, outcome: JobOutcome, reason: str, now: int, retry_after: int = 0
     ) -> None:
         """Reject a job that has not run. The caller must then handle its children."""
         self.admission.discard(job)
         self.graph.remove(job)
-        self._count(job, -1)
-        self.totals.rejected[end] += 1
-        self.graph.remember(job.key, end, b"", now)
-        self._effects.append(Rejection(job.key, end, reason, retry_after))
+        self._add_to_counts(job, -1)
+        self.totals.rejected[outcome] += 1
+        self.graph.remember(job.key, outcome, b"", now)
+        self._effects.append(Rejection(job.key, outcome, reason, retry_after))
 
-    def _finish(self, job: QueuedJob, end: JobOutcome, result: bytes, now: int) -> None:
+    def _finish(self, job: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
         assert job.request is not None
         if not job.request.bypasses_admission:
             self.admission.vacate(job)
         del self.jobs[job.key]
-        self.graph.remember(job.key, end, result, now)
-        self._end_parent(job, end, result, now)
+        self.graph.remember(job.key, outcome, result, now)
+        self._resolve_children(job, outcome, result, now)
 
-    def _count(self, job: QueuedJob, by: int) -> None:
+    def _add_to_counts(self, job: QueuedJob, by: int) -> None:
         """Add a job to the counts of waiting jobs (`by` is 1), or remove it from them (-1)."""
         assert job.request is not None
         client = job.key[0]
@@ -390,5 +392,5 @@
             del self.by_client[client]
 
 
-def _parent_reason(key: JobKey, end: JobOutcome) -> str:
-    return f"{key[1]}, for which it waited: {end.value}"
+def _parent_reason(key: JobKey, outcome: JobOutcome) -> str:
+    return f"{key[1]}, for which it waited: {outcome.value}"
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -152,12 +152,12 @@
         self._reset_timer()
         return pending
 
-    def cancel(self, key: JobKey, end: JobOutcome = JobOutcome.CANCELLED) -> bool:
+    def cancel(self, key: JobKey, outcome: JobOutcome = JobOutcome.CANCELLED) -> bool:
         """Cancel a waiting job. Returns False if no such job is waiting; a running job continues."""
         pending = self.pending.get(key)
         if pending is None or pending.context is not None:
             return False
-        self._carry_out(self.engine.cancel(key, end, self.router.clock.now()))
+        self._carry_out(self.engine.cancel(key, outcome, self.router.clock.now()))
         self._reset_timer()
         return True
 
@@ -260,9 +260,9 @@
 
     def _ended(self, pending: PendingJob, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
-        end = JobOutcome.CLIENT_DISCONNECTED if pending.client_left else OUTCOMES[answer.verdict]
+        outcome = JobOutcome.CLIENT_DISCONNECTED if pending.client_left else OUTCOMES[answer.verdict]
         self._complete(pending, answer)
-        self._carry_out(self.engine.ended(pending.key, end, answer.result, self.router.clock.now()))
+        self._carry_out(self.engine.ended(pending.key, outcome, answer.result, self.router.clock.now()))
         self._reset_timer()
 
     def _reject(self, pending: PendingJob, rejection: Rejection) -> None:
--- a/hazelbend/job_queue/timers.py
+++ b/hazelbend/job_queue/timers.py
@@ -19,17 +19,17 @@
     def __init__(self) -> None:
         self.starts: list[TimerEntry] = []  # wall clock
         self.deadlines: list[TimerEntry] = []  # monotonic clock; also submission timeouts
-        self._entries = 0
+        self._entry_count = 0
 
     def add_start(self, at: int, key: JobKey) -> None:
         """Add the wall time from which a job may start."""
-        self._entries += 1
-        heapq.heappush(self.starts, (at, self._entries, key))
+        self._entry_count += 1
+        heapq.heappush(self.starts, (at, self._entry_count, key))
 
     def add_deadline(self, at: int, key: JobKey) -> None:
         """Add the monotonic time at which a job's deadline or submission timeout is to be checked."""
-        self._entries += 1
-        heapq.heappush(self.deadlines, (at, self._entries, key))
+        self._entry_count += 1
+        heapq.heappush(self.deadlines, (at, self._entry_count, key))
 
     def pop_start(self, wall: int) -> JobKey | None:
         """Remove and return the next job whose start time has passed, if there is one."""
--- a/hazelbend/leases/lease_table.py
+++ b/hazelbend/leases/lease_table.py
@@ -21,8 +21,8 @@
 A new epoch starts without leases, and grants none until the longest TTL has passed since it was created.
 Leases of the previous epoch cannot be renewed, so all of them have expired by then.
 
-Invariants, checked by the tests after every step: each grant's token is higher than the one before; a lease
-has one holder; a holder does not wait for its own lease; a free lease has no waiters; counts and sizes stay
+Invariants, checked by the tests after every step: tokens increase with every grant; a lease has one
+holder; a holder does not wait for its own lease; a free lease has no waiters; counts and sizes stay
 within their limits.
 """
 
--- a/hazelbend/quotas/allocation.py
+++ b/hazelbend/quotas/allocation.py
@@ -3,15 +3,15 @@
     EMPTY  --response to Allocate, with units-->              OPEN, until `expires_at`
     OPEN   --response to a later Allocate-->                  OPEN, with a later `expires_at`
     OPEN   --expired, or response that it is lost-->          EMPTY; jobs still running count as in doubt
-    OPEN   --units idle, or wanted by others: ReturnUnits-->  OPEN, with fewer units already before sending
+    OPEN   --units idle, or wanted by others: ReturnUnits-->  OPEN, with fewer units even before it is sent
 
 `admit` decides on a job without a request to the ledger. Each admitted job has a `Permit`, which returns its
 unit once. A permit of an earlier allocation returns no unit, since the ledger counts that unit as in doubt.
 
 Time: the holder counts a shortened TTL from before it sent its request (leases/time_bounds.py). At most one
-request is in flight, and requests are numbered: so a response refers to the current allocation, and a request
-that reaches the ledger late changes nothing. A response about an allocation that has ended in the meantime is
-ignored: its jobs still run, and would not be counted.
+request is in flight, and requests are numbered. A response therefore refers to the current allocation, and a
+request that reaches the ledger late changes nothing. A response about an allocation that has ended in the
+meantime is ignored: its jobs still run, and would not be counted.
 
 Invariant: whenever `admit` returns a permit, used <= units <= the ledger's units for this token, and now <
 expires_at.
@@ -29,8 +29,10 @@
 RENEWALS_PER_TTL = 3
 REQUEST_TIMEOUTS_PER_TTL = 6  # a request counts as lost after TTL / 6
 MIN_REQUEST_INTERVAL_US = 50_000  # when more units are wanted, or some are wanted back
-IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, to learn whether others want them
-KEEP_AFTER_REJECTION_US = 100_000  # for so long after rejecting a job, a holder returns no units to others
+IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, which polls whether others want them
+KEEP_AFTER_REJECTION_US = (
+    100_000  # for this time after it rejected a job, a holder returns no units to others
+)
 ARRIVAL_WINDOW_US = 300_000  # time constant of the arrival rate
 INITIAL_SERVICE_TIME_US = 500_000.0  # the mean before any job has ended
 SERVICE_TIME_SAMPLES = 20.0  # a new sample has the weight 1 / 20 in the mean service time
@@ -120,7 +122,7 @@
     def tick(self, now: int) -> Request | None:
         """Return the request to send now, if there is one."""
         if self.token and now >= self.expires_at:
-            self._lose()
+            self._drop_allocation()
         if self.in_flight is not None and now >= self._request_deadline():
             self.in_flight = None
         if self.in_flight is not None or now < self.next_at:
@@ -142,7 +144,7 @@
             return
         if not response.token:
             if self.token:
-                self._lose()
+                self._drop_allocation()
             return
         self.wanted_back = response.wanted_back
         if isinstance(request, Allocate) and request.token == self.token:
@@ -161,7 +163,7 @@
             return ReturnUnits(self.account, self.holder, self.token, idle, number)
         wanted = max(self._wanted_units(now), 1 if self.rejections else 0)
         if not wanted and not self.units:
-            self._lose()  # no units are held or wanted: the allocation expires in the ledger
+            self._drop_allocation()  # no units are held or wanted: the allocation expires in the ledger
             return None
         return Allocate(self.account, self.holder, wanted, number, self.token)
 
@@ -170,9 +172,9 @@
         self.units = response.units
         self.expires_at = max(self.expires_at, self.sent_at + self.holder_ttl_us)
         if now >= self.expires_at:
-            self._lose()
+            self._drop_allocation()
 
-    def _lose(self) -> None:
+    def _drop_allocation(self) -> None:
         self.token = 0
         self.units = 0
         self.used = 0
--- a/hazelbend/quotas/ledger.py
+++ b/hazelbend/quotas/ledger.py
@@ -16,16 +16,18 @@
 allocation that may have expired in the ledger, and the jobs of an expired allocation that still run count
 against its units in doubt, not against the holder's next allocation.
 
-The number of units that an account may still get depends on its `limit`, on its parent's `limit` and on the
-units `guaranteed` to each account. It is the lower one of
+The number of units that an account may still get is the lower one of
 
-    limit - allocated(account)
-    parent's limit - allocated to the parent's accounts - guaranteed to the others, if idle and not lent
+    account's limit - units allocated to the account
+    parent's limit  - units allocated to all its accounts - units reserved for its other accounts
 
-An account gets its guaranteed units at once, unless they are lent to others. Lent units are returned: an
-account that has more units than its guarantee, while another one wants and lacks units of its guarantee, is
-asked to return those that it does not use (`QuotaResponse.wanted_back`), and gets no more. Allocated units
-are never revoked: if a limit is lowered below the units allocated, no more are allocated until they fit.
+The units reserved for an account are its idle guaranteed units, except those that may be lent: the share
+`lendable_share` of them, as long as the account has no shortfall.
+
+An account gets its guaranteed units at once, unless they are lent. Lent units are returned: an account that
+has more units than its guarantee, while another one wants and lacks units of its guarantee, is requested to
+return those that it does not use (`QuotaResponse.wanted_back`), and gets no more. Allocated units are never
+revoked: if a limit is lowered below the units allocated, no more are allocated until they fit.
 
 The invariants are in invariants.py.
 """
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -30,7 +30,7 @@
 REJECTED_WITHIN_S = 0.1  # a connection closed so soon after it was opened counts as rejected
 SILENCE_TIMEOUT_S = 1.3  # a subscription without a message for this time is replaced
 UNCONFIRMED_TIMEOUT_S = 1.5  # a subscription without a majority's confirmation for this time is replaced
-CACHE_STATE_TTL_S = 5.0  # after so long without an open subscription, all cache contents are requested again
+CACHE_STATE_TTL_S = 5.0  # without an open subscription for this time, all cache contents are requested again
 
 
 class UpdateHandler(Protocol):
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -65,23 +65,23 @@
     assert allocate(ledger, "b", "m2", 3, 1).reason is Reason.NO_TOKENS
     assert ledger.state.allocations == {}
     ledger.state.grants = 1
-    held = allocate(ledger, "a", "m1", 2, 1)
+    allocation = allocate(ledger, "a", "m1", 2, 1)
     ledger.state.grants = MAX_GRANTS
-    assert allocate(ledger, "a", "m1", 2, 2, held.token + 1).reason in (Reason.NO_TOKENS, Reason.LOST)
+    assert allocate(ledger, "a", "m1", 2, 2, allocation.token + 1).reason in (Reason.NO_TOKENS, Reason.LOST)
     assert ledger.state.allocations == {} and ledger.allocated("a") == 2, "units in doubt"
 
 
 def test_units_of_an_expired_allocation_stay_in_doubt_until_its_jobs_can_no_longer_run():
     ledger, watcher = open_ledger(), AllocationExpiryWatcher(QuotaParameters())
-    held = allocate(ledger, "a", "m1", 8, 1)
+    allocation = allocate(ledger, "a", "m1", 8, 1)
     watcher.observe(ledger, 0)
     assert not watcher.expired(ledger, QuotaParameters().allocation_ttl_us - 1)
     [expire] = watcher.expired(ledger, QuotaParameters().allocation_ttl_us)
-    assert expire == Expire("a", "m1", held.token, 1)
+    assert expire == Expire("a", "m1", allocation.token, 1)
     ledger.execute(expire)
     watcher.observe(ledger, QuotaParameters().allocation_ttl_us)
     assert allocate(ledger, "a", "m2", 8, 1).units == 0, "the failure of a dispatcher frees no units"
-    assert allocate(ledger, "a", "m1", 8, 2, held.token).reason == "lost"
+    assert allocate(ledger, "a", "m1", 8, 2, allocation.token).reason == "lost"
     end = QuotaParameters().allocation_ttl_us + watcher.parameters.reclaim_after_us
     assert (
         watcher.parameters.reclaim_after_us
@@ -90,30 +90,30 @@
     assert not [operation for operation in watcher.expired(ledger, end - 1) if isinstance(operation, Reclaim)]
     for operation in watcher.expired(ledger, end):
         ledger.execute(operation)
-    assert ledger.execute(Reclaim("a", held.token)).reason == "settled", "units are reclaimed only once"
+    assert ledger.execute(Reclaim("a", allocation.token)).reason == "settled", "units are reclaimed only once"
     assert allocate(ledger, "a", "m2", 8, 2).units == 8
 
 
 def test_repeated_request_is_idempotent_and_late_request_is_rejected():
     ledger = open_ledger()
-    held = allocate(ledger, "a", "m1", 4, 1)
-    assert allocate(ledger, "a", "m1", 4, 1) == held, "a repeated request"
-    held = allocate(ledger, "a", "m1", 4, 3, held.token)
-    assert ledger.execute(ReturnUnits("a", "m1", held.token, 2, 2)).reason == "late"
+    allocation = allocate(ledger, "a", "m1", 4, 1)
+    assert allocate(ledger, "a", "m1", 4, 1) == allocation, "a repeated request"
+    allocation = allocate(ledger, "a", "m1", 4, 3, allocation.token)
+    assert ledger.execute(ReturnUnits("a", "m1", allocation.token, 2, 2)).reason == "late"
     assert ledger.allocated("a") == 4
 
 
 def test_limit_lowered_below_allocated_units_revokes_none_and_allocates_none_until_they_fit():
     ledger = open_ledger()
-    held = allocate(ledger, "a", "m1", 8, 1)
+    allocation = allocate(ledger, "a", "m1", 8, 1)
     before = check_ledger(ledger)
     lower = (ACCOUNTS[0], Account("a", 3, 0, "all"), ACCOUNTS[2])
     assert not ledger.execute(SetAccounts(lower)).reason
     check_ledger(ledger, before)
-    again = ledger.execute(Allocate("a", "m1", 9, 2, held.token))
+    again = ledger.execute(Allocate("a", "m1", 9, 2, allocation.token))
     assert (again.units, again.wanted_back) == (8, 5), "running jobs keep their units, others are wanted back"
     assert ledger.execute(Allocate("a", "m2", 1, 1)).units == 0
-    ledger.execute(ReturnUnits("a", "m1", held.token, 6, 3))
+    ledger.execute(ReturnUnits("a", "m1", allocation.token, 6, 3))
     assert ledger.execute(Allocate("a", "m2", 1, 2)).units == 1
     without_a = (ACCOUNTS[0], ACCOUNTS[2])
     assert not ledger.execute(SetAccounts(without_a)).reason and ledger.state.accounts["a"].limit == 0
@@ -190,8 +190,8 @@
         tokens = [0]
         for number in range(120):
             account, holder = rng.choice("ab"), rng.choice(("m1", "m2", "m3"))
-            held = ledger.state.allocations.get(account, {}).get(holder)
-            token = held.token if held and rng.random() < 0.7 else rng.choice(tokens)
+            allocation = ledger.state.allocations.get(account, {}).get(holder)
+            token = allocation.token if allocation and rng.random() < 0.7 else rng.choice(tokens)
             kind, units = rng.randrange(7), rng.randrange(12)
             if kind < 3:
                 response = ledger.execute(Allocate(account, holder, units, number, token))
@@ -199,7 +199,7 @@
             elif kind == 3:
                 ledger.execute(ReturnUnits(account, holder, token, units, number))
             elif kind == 4:
-                ledger.execute(Expire(account, holder, token, held.renewals if held else 0))
+                ledger.execute(Expire(account, holder, token, allocation.renewals if allocation else 0))
             elif kind == 5:
                 ledger.execute(Reclaim(account, rng.choice(tokens)))
             else:
@@ -214,8 +214,8 @@
 
 def test_snapshot_contains_the_complete_ledger():
     ledger = open_ledger()
-    held = allocate(ledger, "a", "m1", 5, 1)
-    ledger.execute(Expire("a", "m1", held.token, 1))
+    allocation = allocate(ledger, "a", "m1", 5, 1)
+    ledger.execute(Expire("a", "m1", allocation.token, 1))
     other = QuotaLedger(QuotaParameters())
     other.restore(ledger.snapshot())
     assert other.state == ledger.state and check_ledger(other) == check_ledger(ledger)
@@ -223,12 +223,12 @@
 
 def test_invariant_check_detects_a_corrupted_state():
     ledger = open_ledger()
-    held = allocate(ledger, "a", "m1", 5, 1)
+    allocation = allocate(ledger, "a", "m1", 5, 1)
     ledger.state.allocations["a"]["m1"].units = 9
     with pytest.raises(BrokenInvariantError, match="limit: a has 9 units, the limit is 8"):
         check_ledger(ledger)
     ledger.state.allocations["a"]["m1"].units = 5
-    ledger.state.in_doubt["a"] = {held.token: 1}
+    ledger.state.in_doubt["a"] = {allocation.token: 1}
     with pytest.raises(BrokenInvariantError, match="tokens: a token occurs twice"):
         check_ledger(ledger)
 
