--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -239,7 +239,7 @@
     # --- effects of the engine ---
 
     def _carry_out(self, effects: list[Effect]) -> None:
-        # This may recurse: a released job may end at once, and then release others.
+        # This may recurse, since a released job may end at once and release others.
         for effect in effects:
             pending = self.pending.get(effect.key)
             if pending is None:
--- a/hazelbend/system/__init__.py
+++ b/hazelbend/system/__init__.py
@@ -1,1 +1,1 @@
-"""The router fleet's processes: settings, wiring, command line."""
+"""The processes of the router fleet: settings, daemons and command line."""
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -34,7 +34,7 @@
 
 
 class CallRejectedError(Exception):
-    """The call is answered with this error response."""
+    """A call is rejected with an error response, given in `response`."""
 
     def __init__(self, response: HttpResponse) -> None:
         self.response = response
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -51,12 +51,10 @@
         api = ControlApi(self._node, settings.control_address)
         self._api_server = AsgiServer(api.handle, MAX_CALL_BODY_BYTES)
         self._frame_server = FrameServer(self._frame_received, self._connection_closed)
-        self._peer_addresses: dict[
-            FrameConnection, str
-        ] = {}  # of control processes that have sent `PeerHello`
+        self._peer_addresses: dict[FrameConnection, str] = {}  # of processes that have sent `PeerHello`
 
     async def start(self) -> None:
-        """Restore the saved state, then start to serve."""
+        """Restore the saved state, then start serving."""
         await self._node.restore()
         await self._frame_server.listen(*split_address(self._settings.control_peer_address))
         await self._api_server.listen(*split_address(self._settings.control_address))
--- a/hazelbend/system/control_event_log.py
+++ b/hazelbend/system/control_event_log.py
@@ -11,7 +11,9 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-QUORUM_LOST_AFTER_US = 1_500_000  # without a confirmation by a majority, the quorum counts as lost
+QUORUM_LOST_AFTER_US = (
+    1_500_000  # the quorum counts as lost after this time without a majority's confirmation
+)
 
 
 class ControlEventLog:
--- a/hazelbend/system/control_subscriptions.py
+++ b/hazelbend/system/control_subscriptions.py
@@ -171,7 +171,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to subscribe and to maintain the subscriptions."""
+        """Start subscribing, and maintain the subscriptions from then on."""
         self._task = start_background_task("control subscriptions", self._maintain_regularly)
 
     async def close(self) -> None:
--- a/hazelbend/system/daemon_runner.py
+++ b/hazelbend/system/daemon_runner.py
@@ -24,7 +24,7 @@
     """The daemon of a role."""
 
     def start(self) -> Awaitable[None]:
-        """Start to serve."""
+        """Start serving."""
 
     def close(self) -> Awaitable[None]:
         """Drain, then stop."""
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -43,11 +43,11 @@
         self._workers_changed = asyncio.Event()
 
     def start(self) -> None:
-        """Start to plan."""
+        """Start planning."""
         self._task = start_background_task("phase orders", self._plan_regularly)
 
     def close(self) -> None:
-        """Stop to plan and to send orders."""
+        """Stop planning and sending orders."""
         if self._task is not None:
             self._task.cancel()
 
--- a/hazelbend/system/router_daemon.py
+++ b/hazelbend/system/router_daemon.py
@@ -59,7 +59,7 @@
         self._placement.on_suspicion_changed = _log_suspicion
 
     async def start(self) -> None:
-        """Start to serve. The router is ready once it has a configuration."""
+        """Start serving. The router is ready once it has a configuration."""
         self._client = HttpWorkerClient(self._max_connections)
         self._forwarder = Forwarder(self._state, self._client, clock, self._new_retry_budget, self._seed)
         self._listener = RequestListener(self._forwarder.serve, clock, self._max_connections)
--- a/hazelbend/system/soft_state_saver.py
+++ b/hazelbend/system/soft_state_saver.py
@@ -55,7 +55,7 @@
         self._caches.add(state.cached)
 
     def start(self) -> None:
-        """Start to save periodically."""
+        """Start saving periodically."""
         if self._path is not None:
             path = self._path
             self._task = start_background_task("soft state", lambda: self._save_regularly(path))
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -52,7 +52,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start to send the periodic updates."""
+        """Start sending the periodic updates."""
         self._tasks += [
             start_background_task("fleet status", self._publish_fleet_status_regularly),
             start_background_task("loads", self._publish_loads_regularly),
