--- a/hazelbend/system/control_event_log.py
+++ b/hazelbend/system/control_event_log.py
@@ -11,9 +11,7 @@
 
 log = picologging.getLogger("hazelbend.control")
 
-QUORUM_LOST_AFTER_US = (
-    1_500_000  # the quorum counts as lost after this time without a majority's confirmation
-)
+QUORUM_LOST_AFTER_US = 1_500_000  # without a majority's confirmation, the quorum counts as lost
 
 
 class ControlEventLog:
