--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -35,7 +35,7 @@
             context.router,
             self._bounds(),
             self.settings.ordinary,
-            lambda index: context.conf.settings.classes[index].late_worth,
+            lambda index: context.conf.settings.classes[index].late_value_fraction,
             lambda index: context.conf.settings.classes[index].objective,
         )
         self._join()
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -249,7 +249,7 @@
                 member.identity,
                 member.status.name.lower(),
                 member.incarnation,
-                (now - member.since) / US_PER_S,
+                (now - member.status_since) / US_PER_S,
             )
             for member in sorted(members, key=lambda member: member.identity)
         )
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -76,7 +76,7 @@
 
     def reload(self, settings: Settings) -> None:
         """Apply changed seeds. All other settings take effect only at the next start."""
-        self._node.engine.learn_seeds(settings.seed_peer_addresses, clock())
+        self._node.engine.add_seed_addresses(settings.seed_peer_addresses, clock())
 
     def _publish_config(self, config: StoredConfig) -> None:
         self._publisher.publish_config(config)
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -599,7 +599,7 @@
     state = handover.HandoverState(
         ("nearby",), reader.from_object(kit.ENDPOINT_LIST), ("h1",), ("f1",), {"a": 1}, {"srv": {"b": 2}}
     )
-    news = (handover.FlowIdUpdate("f1", True), handover.FlowIdUpdate("f1", False))
+    news = (handover.JobIdUpdate("f1", True), handover.JobIdUpdate("f1", False))
     lines = [handover.encode_state(state, reader), *map(handover.encode_update, news)]
     return "".join(line.decode() for line in lines)
 
