--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from benchmarks.control.faults import Fault, FaultInjector
-from benchmarks.control.fleet import InvariantViolationError, Fleet, has_formed
+from benchmarks.control.fleet import Fleet, InvariantViolationError, has_formed
 from benchmarks.control.network import MS, S
 from benchmarks.control.observers import DrainingWorkers, LeaderMonitor, OrderMonitor, RouterMonitor
 from benchmarks.control.operators import Operators
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-from benchmarks.control.fleet import USUAL_SYNC_US, InvariantViolationError, Fleet, Machine
+from benchmarks.control.fleet import USUAL_SYNC_US, Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import DELAY_RANGE_US, MS, S
 from benchmarks.control.operators import Operators
 from hazelbend.control.config_state_machine import StoredConfig
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from benchmarks.control.fleet import InvariantViolationError, Fleet, Machine
+from benchmarks.control.fleet import Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import MS
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -23,7 +23,7 @@
 from hazelbend.dispatcher.shutdown import GracefulShutdown
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
-from hazelbend.routing.overview import Figures, Overview, collect_figures, build_overview
+from hazelbend.routing.overview import Figures, Overview, build_overview, collect_figures
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
--- a/hazelbend/dispatcher/settings_report.py
+++ b/hazelbend/dispatcher/settings_report.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Settings
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Settings
 from hazelbend.decisions.settings import (
-    IDEMPOTENCY_BY_SEMANTICS,
     DEDUP_SCOPES,
+    IDEMPOTENCY_BY_SEMANTICS,
     report_fields,
     rows_in,
     table_in,
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.control.defects import DEFECTS, POINTS, planted_defect
-from benchmarks.control.fleet import MS, InvariantViolationError, Fleet, S, has_formed
+from benchmarks.control.fleet import MS, Fleet, InvariantViolationError, S, has_formed
 from benchmarks.control.history import play, shrink
 from benchmarks.control.model import Left, search
 from benchmarks.control.operators import Change, Operators
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -8,8 +8,8 @@
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
 from tests.support.site_kit import FakeStompClient, site, wait_until
-from tests.transport.test_client_listener import request, send_and_receive
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
+from tests.transport.test_client_listener import request, send_and_receive
 
 
 async def stats(app) -> dict[str, int]:
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -10,8 +10,8 @@
 from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
 from hazelbend.endpoints.merger import EndpointMerger, Tombstone
 from hazelbend.endpoints.precedence import (
-    PrecedenceResult,
     ListReport,
+    PrecedenceResult,
     SrvReport,
     apply_precedence,
     srv_report,
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Outcome, Settings, WorkerState
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -8,8 +8,8 @@
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import (
-    Idempotency,
     DedupScope,
+    Idempotency,
     JobClass,
     Outcome,
     Settings,
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -15,7 +15,6 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    JobIdUpdate,
     HandoverState,
     JobIdUpdate,
     decode_state,
@@ -272,7 +271,7 @@
             running = asyncio.create_task(
                 send_and_receive(app.client_listener.port, request("a", b"300", more="Connection: close\r\n"))
             )
-            await wait_until(lambda: toy.is_open_elsewhere)
+            await wait_until(lambda: toy.holds)
             state = await there.fetch_state()
             assert state.open_job_ids == ("a",) and [each.host for each in state.endpoints.entries] == [
                 "toy-0"
