--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -59,7 +59,7 @@
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
     context: RequestContext | None = None
-    client_left: bool = False
+    client_disconnected: bool = False
 
     def reply(self) -> asyncio.Future[Answer]:
         """Return a future of the final answer. Cancelling it does not cancel `answered`."""
@@ -67,7 +67,7 @@
 
     def leave(self) -> None:
         """Handle that the client has disconnected: cancel a waiting job, abandon a running one."""
-        self.client_left = True
+        self.client_disconnected = True
         if self.context is not None:
             self.context.leave()
         else:
@@ -260,14 +260,14 @@
 
     def _ended(self, pending: PendingJob, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
-        outcome = JobOutcome.CLIENT_DISCONNECTED if pending.client_left else OUTCOMES[answer.verdict]
+        outcome = JobOutcome.CLIENT_DISCONNECTED if pending.client_disconnected else OUTCOMES[answer.verdict]
         self._complete(pending, answer)
         self._carry_out(self.engine.ended(pending.key, outcome, answer.result, self.router.clock.now()))
         self._reset_timer()
 
     def _reject(self, pending: PendingJob, rejection: Rejection) -> None:
         self.router.release_id(pending.job.id)
-        if pending.client_left:
+        if pending.client_disconnected:
             self.router.count_abandoned()
             answer = Answer(Verdict.REFUSED)
         else:
