--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -1,7 +1,7 @@
 """Mutations of the code under test, to see that the checks of histories find each.
 
-A defect replaces one function of the code under test, or of the simulated driver, for as long as `planted`
-holds. `POINTS` says which of the five points of docs/design/0007 it belongs to.
+A defect replaces one function of the code under test, or of the simulated driver, while the context manager
+`planted_defect` is active. `POINTS` maps each of the five points of docs/design/0007 to its defects.
 """
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
         return peer is not None and not self._heard(peer)
 
     def heard(self: PeerTable, peer: Any) -> bool:
-        return max(each.heard_at for each in self._peers.values()) - peer.heard_at < 800_000
+        return max(each.last_hello_at for each in self._peers.values()) - peer.last_hello_at < 800_000
 
     return [
         (PeerTable, "has_lost_state", has_lost_state),
@@ -245,7 +245,7 @@
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def planted_defect(name: str) -> Iterator[None]:
     """With this defect in the code; an empty name: with none."""
     patches = DEFECTS[name]() if name else []
     absent = object()
--- a/benchmarks/control/exploration.py
+++ b/benchmarks/control/exploration.py
@@ -15,9 +15,9 @@
 
 import click
 
-from benchmarks.control.defects import planted
+from benchmarks.control.defects import planted_defect
 from benchmarks.control.faults import Fault, FaultInjector
-from benchmarks.control.fleet import BrokenRuleError
+from benchmarks.control.fleet import InvariantViolationError
 from benchmarks.control.history import HistoryResult, play, shrink
 from benchmarks.control.network import S
 
@@ -120,17 +120,17 @@
 
 
 def _play(task: Task) -> Played:
-    with planted(task.defect):
+    with planted_defect(task.defect):
         try:
             return Played(task, play(task.seed, task.machines, task.tolerance))
-        except BrokenRuleError as error:
+        except InvariantViolationError as error:
             return Played(task, None, str(error))
 
 
 def record(played: Played, folder: Path = RECORDED) -> Path:
     """Shrink a history that breaks a rule to its fewest faults, and write it for the test that replays it."""
     task = played.task
-    with planted(task.defect):
+    with planted_defect(task.defect):
         broken, faults = shrink(task.seed, task.machines, task.tolerance)
     content = {
         "seed": task.seed,
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -26,7 +26,7 @@
 SAVED_IN_SPITE_SHARE = 0.5  # of saves whose sync has reported an error
 
 
-class BrokenRuleError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A rule of the system was broken. `faults`: those that were injected before."""
 
     faults: tuple[Any, ...] = ()
@@ -305,7 +305,7 @@
             self._resolve(machine, outcome)
         is_behind = output.config.version < machine.published_version
         if is_behind and not self.operator_started_epoch:
-            raise BrokenRuleError(f"{machine.address} went back to {output.config.version}")
+            raise InvariantViolationError(f"{machine.address} went back to {output.config.version}")
         machine.confirmed_at = output.confirmed_at
         if output.config.version > machine.published_version:
             machine.published_version = output.config.version
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from benchmarks.control.faults import Fault, FaultInjector
-from benchmarks.control.fleet import BrokenRuleError, Fleet, has_formed
+from benchmarks.control.fleet import Fleet, InvariantViolationError, has_formed
 from benchmarks.control.network import MS, S
 from benchmarks.control.observers import DrainingWorkers, LeaderMonitor, OrderMonitor, RouterMonitor
 from benchmarks.control.operators import Operators
@@ -53,12 +53,12 @@
         """Run the history.
 
         Raises:
-            BrokenRuleError: a rule of the system was broken.
+            InvariantViolationError: a rule of the system was broken.
         """
         fleet = self.fleet
         fleet.run_until(lambda: self._has_formed(), START_TIMEOUT_US)
         if not self._has_formed():
-            raise BrokenRuleError("the first start has not brought all machines together")
+            raise InvariantViolationError("the first start has not brought all machines together")
         end = fleet.now + length
         while fleet.now < end:
             self._run_and_check(self._rng.randint(20 * MS, 600 * MS))
@@ -100,24 +100,24 @@
         """All that stand, also those that came back or are new, hold what the leader holds."""
         leader = self.fleet.leader
         if leader is None:
-            raise BrokenRuleError("nobody leads though all is well")
+            raise InvariantViolationError("nobody leads though all is well")
         standing = {machine.engine.identity for machine in self.fleet.alive}
         gone = set(leader.engine.raft.voters) - standing
         if gone:
-            raise BrokenRuleError(f"{min(gone)} is still listed {RECOVERY_US / S:.0f} s after all")
+            raise InvariantViolationError(f"{min(gone)} is still listed {RECOVERY_US / S:.0f} s after all")
         digests = {
             machine.engine.registry.digest
             for machine in self.fleet.alive
             if machine.address not in self.fleet.observers
         }
         if len(digests) > 1:
-            raise BrokenRuleError("control processes know different workers though all is well")
+            raise InvariantViolationError("control processes know different workers though all is well")
         for machine in self.fleet.alive:
             if machine.address in self.fleet.observers:
                 continue
             record = machine.engine.raft
             if record.commit_index < leader.engine.raft.commit_index or not record.is_voter:
-                raise BrokenRuleError(
+                raise InvariantViolationError(
                     f"{machine.address} has not caught up {RECOVERY_US / S:.0f} s after all"
                 )
 
@@ -147,14 +147,14 @@
     that are, without all others.
 
     Raises:
-        BrokenRuleError: a rule was broken; `faults` lists those that were injected.
+        InvariantViolationError: a rule was broken; `faults` lists those that were injected.
     """
     if injected is not None:
         skipped = frozenset(range(MAX_FAULTS)) - injected
     history = History(seed, machines, tolerance, skipped)
     try:
         history.play(length)
-    except BrokenRuleError as error:
+    except InvariantViolationError as error:
         error.faults = tuple(history.fault_injector.injected)
         raise
     return history.result()
@@ -184,9 +184,11 @@
     return str(broken), broken.faults
 
 
-def _broken(seed: int, machines: int, tolerance: int, skipped: frozenset[int]) -> BrokenRuleError | None:
+def _broken(
+    seed: int, machines: int, tolerance: int, skipped: frozenset[int]
+) -> InvariantViolationError | None:
     try:
         play(seed, machines, tolerance, skipped=skipped)
-    except BrokenRuleError as error:
+    except InvariantViolationError as error:
         return error
     return None
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -32,7 +32,7 @@
 from typing import NamedTuple
 
 from benchmarks import breadth_first
-from benchmarks.control.defects import DEFECTS, planted
+from benchmarks.control.defects import DEFECTS, planted_defect
 from hazelbend.consensus.messages import Entry, Message, VoteResponse
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import ProposalOutcome, RaftNode, ReadIndexOutcome, Role
@@ -373,7 +373,7 @@
     made.votes, made.learners = set(record.votes), set(record.learners)
     made.peers = {name: Progress(peer.next_index, peer.match_index) for name, peer in record.peers.items()}
     for name, peer in record.peers.items():
-        made.peers[name].answered_round = peer.answered_round
+        made.peers[name].last_acked_round = peer.last_acked_round
     made.incoming_transfer = IncomingTransfer()  # an exchange that is lost midway begins anew
     made.outbox, made.outcomes, made.pending_reads = [], [], []
     made.pending_proposals = dict(record.pending_proposals)
@@ -399,7 +399,7 @@
     options = parser.parse_args()
     began = time.monotonic()
     left = Left(*(getattr(options, name) for name in Left._fields))
-    with planted(options.defect):
+    with planted_defect(options.defect):
         found = search(left, options.most)
     print(json.dumps(vars(options) | found | {"seconds": round(time.monotonic() - began, 1)}))
     return 1 if found["broken"] else 0
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-from benchmarks.control.fleet import USUAL_SYNC_US, BrokenRuleError, Fleet, Machine
+from benchmarks.control.fleet import USUAL_SYNC_US, Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import DELAY_RANGE_US, MS, S
 from benchmarks.control.operators import Operators
 from hazelbend.control.config_state_machine import StoredConfig
@@ -37,7 +37,7 @@
 
     incarnation: int  # of the machine's process
     begun_at: int
-    heard_at: int
+    last_pong_at: int
     confirmed_at: int
     pinged_at: int = 0
 
@@ -76,7 +76,7 @@
         for address, watch in list(self._watches.items()):
             machine = self.fleet.machines[address]
             ended = machine.engine is None or machine.incarnation != watch.incarnation
-            if ended or now - watch.heard_at > SILENCE_TIMEOUT_US or address in stale[:1]:
+            if ended or now - watch.last_pong_at > SILENCE_TIMEOUT_US or address in stale[:1]:
                 del self._watches[address]
             elif now - watch.pinged_at > PING_PERIOD_US:
                 self._ping(address, watch)
@@ -140,7 +140,7 @@
             self.fleet.call_later(DELAY_RANGE_US[1], lambda: answer(version, age))
 
         def answer(version: int, age: int | None) -> None:
-            watch.heard_at = self.fleet.now
+            watch.last_pong_at = self.fleet.now
             if age is None:
                 return
             watch.confirmed_at = max(watch.confirmed_at, sent_at - age)
@@ -155,12 +155,14 @@
             return
         needed = operators.newest_before(self.fleet.now - CONFIG_APPLY_US)
         if self.version < needed:
-            raise BrokenRuleError(
+            raise InvariantViolationError(
                 f"router {self.number} counts {self.version} as current, {needed} was acknowledged"
             )
         unknown = workers.acknowledged_before(self.fleet.now - DRAIN_US) - self.drained
         if unknown:
-            raise BrokenRuleError(f"router {self.number} does not know of the drain of {min(unknown)}")
+            raise InvariantViolationError(
+                f"router {self.number} does not know of the drain of {min(unknown)}"
+            )
 
 
 @dataclass(slots=True)
@@ -238,11 +240,11 @@
         if self.given:
             before, other, highest = self.given[-1]
             if holder != other and token == highest:
-                raise BrokenRuleError(f"{holder} and {other} share the fencing token {token}")
+                raise InvariantViolationError(f"{holder} and {other} share the fencing token {token}")
             if token < highest:
-                raise BrokenRuleError(f"{holder} orders with {token} after {highest}")
+                raise InvariantViolationError(f"{holder} orders with {token} after {highest}")
             if holder != other and now - before < LEASE_US - THAW_US:
-                raise BrokenRuleError(f"{holder} orders {(now - before) / S:.2f} s after {other}")
+                raise InvariantViolationError(f"{holder} orders {(now - before) / S:.2f} s after {other}")
         self.given.append((now, holder, token))
 
 
@@ -269,7 +271,7 @@
             return
         age = leader.engine.raft.confirmed_age(fleet.now)
         if fleet.now - self._healthy_since > LEADER_SETTLED_US and (age is None or age > LEADER_AGE_US):
-            raise BrokenRuleError(f"{identity} leads and no majority has confirmed it for {age} us")
+            raise InvariantViolationError(f"{identity} leads and no majority has confirmed it for {age} us")
 
     def _has_healthy_majority(self, leader: Machine) -> bool:
         if not self._is_healthy(leader):
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from benchmarks.control.fleet import BrokenRuleError, Fleet, Machine
+from benchmarks.control.fleet import Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import MS
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
@@ -135,20 +135,20 @@
         known = self.acknowledged.get(change.version)
         if result is ChangeResult.ACCEPTED:
             if (change.version, change.body) in self.rejected:
-                raise BrokenRuleError(f"version {change.version} was refused and then accepted")
+                raise InvariantViolationError(f"version {change.version} was refused and then accepted")
         elif result in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER):
             self.resends += 1 if known == change else 0
             if known == change:
-                raise BrokenRuleError(f"version {change.version} was acknowledged and then refused")
+                raise InvariantViolationError(f"version {change.version} was acknowledged and then refused")
             self.rejected[change.version, change.body] = change
 
     def _acknowledge(self, change: Change) -> None:
         known = self.acknowledged.get(change.version)
         if known is not None and known != change:
-            raise BrokenRuleError(f"two changes acknowledged as version {change.version}")
+            raise InvariantViolationError(f"two changes acknowledged as version {change.version}")
         rivals = [each for each in self.acknowledged.values() if each.base == change.base and each != change]
         if rivals:
-            raise BrokenRuleError(
+            raise InvariantViolationError(
                 f"versions {rivals[0].version} and {change.version} both acknowledged on {change.base}"
             )
         if known is None:
@@ -167,9 +167,13 @@
             return
         body = decompress_body(config)
         if (config.version, body) in self.rejected:
-            raise BrokenRuleError(f"{machine.address} has {config.version} in force, which was refused")
+            raise InvariantViolationError(
+                f"{machine.address} has {config.version} in force, which was refused"
+            )
         if body not in self.sent.get(config.version, set()):
-            raise BrokenRuleError(f"version {config.version} differs from what was sent under its number")
+            raise InvariantViolationError(
+                f"version {config.version} differs from what was sent under its number"
+            )
 
     # --- reads ---
 
@@ -182,7 +186,9 @@
                 return
             self.reads += 1
             if config.version < began_with:
-                raise BrokenRuleError(f"read {config.version} after {began_with} was acknowledged or read")
+                raise InvariantViolationError(
+                    f"read {config.version} after {began_with} was acknowledged or read"
+                )
             self._newest_read = max(self._newest_read, config.version)
 
         self.fleet.read(address or self._next_machine(), on_result)
@@ -198,6 +204,6 @@
             if found:
                 break
         if not found:
-            raise BrokenRuleError("no leader answers though all is well")
+            raise InvariantViolationError("no leader answers though all is well")
         if found[-1].version < self.newest:
-            raise BrokenRuleError(f"{self.newest} was acknowledged and {found[-1].version} is left")
+            raise InvariantViolationError(f"{self.newest} was acknowledged and {found[-1].version} is left")
--- a/benchmarks/control_sim.py
+++ b/benchmarks/control_sim.py
@@ -18,8 +18,8 @@
 import sys
 
 from benchmarks.control import exploration
-from benchmarks.control.defects import DEFECTS, planted
-from benchmarks.control.fleet import BrokenRuleError
+from benchmarks.control.defects import DEFECTS, planted_defect
+from benchmarks.control.fleet import InvariantViolationError
 from benchmarks.control.history import play, shrink
 
 SIZES = ((3, 1), (4, 1), (5, 2), (6, 2), (7, 3))  # machines and tolerance, with `--all-sizes`
@@ -57,9 +57,9 @@
     """Play one seed after the other until the defect is found; the exit status is 1 where it is not."""
     for seed in range(options.first, options.first + options.seeds):
         try:
-            with planted(options.defect):
+            with planted_defect(options.defect):
                 play(seed, options.machines, options.tolerance)
-        except BrokenRuleError as error:
+        except InvariantViolationError as error:
             print(json.dumps({"defect": options.defect, "seed": seed, "broken": str(error)}))
             return 0
     print(json.dumps({"defect": options.defect, "seeds": options.seeds, "broken": None}))
@@ -67,7 +67,7 @@
 
 
 def _shrink(options: argparse.Namespace) -> int:
-    with planted(options.defect):
+    with planted_defect(options.defect):
         rule, fewest = shrink(options.seed, options.machines, options.tolerance)
     print(json.dumps({"seed": options.seed, "broken": rule, "faults": [str(each) for each in fewest]}))
     return 1
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -96,7 +96,7 @@
         self.at(max(member.next_at - self.now, 1_000), lambda: self._due(member))
 
     def _due(self, member: SwimNode) -> None:
-        address = address_of(member.me)
+        address = address_of(member.identity)
         if self.by_address.get(address) is member and address not in self.paused:
             self._pump(member)
             self._wake(member)
@@ -116,7 +116,7 @@
         for change in member.table.status_changes:
             if change.status is MemberStatus.DEAD:
                 self.deaths_declared += 1
-                self.dead_at.setdefault((member.me, change.identity), self.now)
+                self.dead_at.setdefault((member.identity, change.identity), self.now)
         member.table.status_changes.clear()
 
     def _arrive(self, packet: Packet) -> None:
@@ -129,7 +129,7 @@
 
     def converged(self) -> bool:
         """Whether every running process knows exactly the running processes."""
-        running = {each.me for each in self.by_address.values()}
+        running = {each.identity for each in self.by_address.values()}
         return all(set(each.table.active()) == running for each in self.by_address.values())
 
 
@@ -142,7 +142,7 @@
     cluster.run(seconds)
     cpu = time.process_time() - began
     calm, bytes_, alarms = cluster.packets, cluster.bytes, cluster.deaths_declared
-    gone = cluster.by_address["10.0.0.1:1"].me
+    gone = cluster.by_address["10.0.0.1:1"].identity
     killed = cluster.now
     cluster.kill("10.0.0.1:1")
     cluster.run_until(cluster.converged, 300.0)
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -353,7 +353,7 @@
         if peer is None:
             return
         peer.last_contact_at = now
-        peer.answered_round = max(peer.answered_round, response.round)
+        peer.last_acked_round = max(peer.last_acked_round, response.round)
         transfer = peer.transfer
         if transfer is not None and transfer.transfer_id == response.transfer_id:
             # A duplicate must not send a chunk twice; a replica that has nothing of it was restarted.
@@ -368,7 +368,7 @@
         if peer is None:
             return
         peer.last_contact_at = now
-        peer.answered_round = max(peer.answered_round, response.round)
+        peer.last_acked_round = max(peer.last_acked_round, response.round)
         self._confirm_rounds()  # first: a timestamp that it confirms makes room for the next one
         if response.timestamp is not None and peer.pending_timestamp is None:
             peer.pending_timestamp = response.timestamp
@@ -414,7 +414,7 @@
     def _apply_committed(self, index: int, now: int) -> None:
         if index <= self.commit_index:
             return
-        for applied in self.apply_to(index):
+        for applied in self.commit_and_apply(index):
             proposal_id = self.pending_proposals.pop(applied.index, None)
             if proposal_id is not None:
                 self.outcomes.append(ProposalOutcome(proposal_id, True, applied.result))
--- a/hazelbend/consensus/replicated_log.py
+++ b/hazelbend/consensus/replicated_log.py
@@ -96,7 +96,7 @@
             hint -= 1
         return max(hint - 1, self.commit_index)
 
-    def apply_to(self, index: int) -> list[AppliedEntry]:
+    def commit_and_apply(self, index: int) -> list[AppliedEntry]:
         """Commit and apply all entries up to this index."""
         first = self.commit_index + 1
         self.commit_index = max(self.commit_index, index)
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -53,7 +53,7 @@
     next_index: int  # of the entry to send next
     match_index: int = 0  # the log matches the leader's up to here
     last_contact_at: int = 0
-    answered_round: int = 0  # the leader's last heartbeat round that it has answered
+    last_acked_round: int = 0  # the leader's last heartbeat round that it has answered
     transfer: OutgoingTransfer | None = None
     pending_timestamp: Timestamp | None = None  # a round that starts after its arrival confirms it
     pending_timestamp_round: int = 0
--- a/hazelbend/consensus/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -89,9 +89,9 @@
         peer = self.peers.get(name)
         return peer is not None and peer.match_index >= self._catch_up_target.index
 
-    def has_answered_lately(self, peer: Progress, now: int) -> bool:
+    def is_recently_active(self, peer: Progress, now: int) -> bool:
         """Whether this replica has answered a message of this leadership within the last two heartbeats."""
-        return peer.answered_round > 0 and now - peer.last_contact_at <= 2 * self.config.heartbeat_us
+        return peer.last_acked_round > 0 and now - peer.last_contact_at <= 2 * self.config.heartbeat_us
 
     # --- sending ---
 
@@ -198,7 +198,7 @@
                 peer.pending_timestamp = None
 
     def _is_round_confirmed(self, number: int) -> bool:
-        answered = {name for name, peer in self.peers.items() if peer.answered_round >= number}
+        answered = {name for name, peer in self.peers.items() if peer.last_acked_round >= number}
         return self._has_quorum(answered | {self.identity})
 
     def _note_confirmation(self, append: AppendEntries) -> None:
--- a/hazelbend/control/cluster_membership.py
+++ b/hazelbend/control/cluster_membership.py
@@ -81,7 +81,7 @@
         if voters is not None:
             raft.change_voters(voters, now, without_state)
 
-    def hand_over_leadership(self, now: int) -> bool:
+    def transfer_leadership(self, now: int) -> bool:
         """Let another voter lead. False: this process does not lead, or no other voter can take over."""
         staying = {peer.identity for peer in self._peers.alive(now).values() if not peer.leaving}
         successors = [voter for voter in self._raft.voters if voter in staying]
--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -270,9 +270,9 @@
         """Send all workers to a peer that may have lost what was sent to it before."""
         self._workers.send_snapshot(address, now)
 
-    def learn_seeds(self, addresses: tuple[str, ...], now: int) -> None:
+    def add_seed_addresses(self, addresses: tuple[str, ...], now: int) -> None:
         """Say hello to these control processes too."""
-        self.peers.learn(addresses, now)
+        self.peers.add_addresses(addresses, now)
 
     def leave(self, now: int) -> bool:
         """Before a planned end: announce it to the peers, and hand the leadership over.
@@ -281,7 +281,7 @@
         """
         self.peers.leaving = True
         self._send_hellos(now)
-        return self._membership.hand_over_leadership(now)
+        return self._membership.transfer_leadership(now)
 
     def _send_hellos(self, now: int) -> None:
         self._next_hello_at = now + HELLO_PERIOD_US
--- a/hazelbend/control/load_table.py
+++ b/hazelbend/control/load_table.py
@@ -85,7 +85,7 @@
             while len(prefixes) > MAX_PREFIXES_PER_WORKER:
                 del prefixes[next(iter(prefixes))]
 
-    def forget(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Drop the cache of a worker that has ended."""
         self._prefixes.pop(instance, None)
 
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -27,13 +27,13 @@
     identity: str = ""
     counts_for_quorum: bool = False
     leaving: bool = False
-    heard_at: int = 0
+    last_hello_at: int = 0
     leader: str = ""  # that it follows, if it has a vote
     routers: tuple[str, ...] = ()  # that watch it
     switching: tuple[str, ...] = ()  # workers that it has ordered to another phase
     stamp: Timestamp | None = None  # of its last hello, to be echoed
-    proven_identity: str = ""  # that it surely had after `proven_at`
-    proven_at: int = 0
+    verified_identity: str = ""  # that it surely had after `verified_at`
+    verified_at: int = 0
     digest_mismatches: int = 0  # messages in a row by which it knows other workers
 
 
@@ -67,16 +67,18 @@
         """How many peers say that they may vote, alive or not."""
         return sum(peer.counts_for_quorum for peer in self._peers.values())
 
-    def learn(self, addresses: Iterable[str], now: int) -> None:
+    def add_addresses(self, addresses: Iterable[str], now: int) -> None:
         """Send hellos to these addresses too, without counting them as alive."""
         for address in addresses:
             if address != self.address:
-                self._peers.setdefault(address, Peer(heard_at=now - ALIVE_TIMEOUT_US))
+                self._peers.setdefault(address, Peer(last_hello_at=now - ALIVE_TIMEOUT_US))
 
     def alive(self, now: int) -> dict[str, Peer]:
         """Peers that were heard within `ALIVE_TIMEOUT_US`."""
         return {
-            address: peer for address, peer in self._peers.items() if now - peer.heard_at < ALIVE_TIMEOUT_US
+            address: peer
+            for address, peer in self._peers.items()
+            if now - peer.last_hello_at < ALIVE_TIMEOUT_US
         }
 
     def alive_quorum_peers(self, now: int) -> tuple[str, ...]:
@@ -86,7 +88,7 @@
     def reported_leader(self) -> str:
         """The leader, as the voting peer that was heard last reports it."""
         reporters = [peer for peer in self._peers.values() if peer.counts_for_quorum and peer.leader]
-        return max(reporters, key=lambda peer: peer.heard_at).leader if reporters else ""
+        return max(reporters, key=lambda peer: peer.last_hello_at).leader if reporters else ""
 
     # --- hellos ---
 
@@ -96,7 +98,7 @@
         stamp = Timestamp(self._incarnation, now)
         hellos = []
         for address, peer in list(self._peers.items()):
-            is_forgotten = now - max(peer.heard_at, self._started_at) > FORGET_TIMEOUT_US
+            is_forgotten = now - max(peer.last_hello_at, self._started_at) > FORGET_TIMEOUT_US
             if is_forgotten and address not in self.seeds:
                 del self._peers[address]
                 continue
@@ -114,15 +116,15 @@
         peer.counts_for_quorum = hello.counts_for_quorum
         peer.leaving = hello.leaving
         peer.leader = hello.leader
-        peer.heard_at = now
+        peer.last_hello_at = now
         peer.stamp = hello.stamp
         self._known_alive_at[hello.identity] = now
         echo = hello.echoed_stamp
         # A late hello must not undo a newer proof.
-        if echo is not None and echo.incarnation == self._incarnation and echo.time_us >= peer.proven_at:
-            peer.proven_identity = hello.identity
-            peer.proven_at = echo.time_us
-        self.learn(hello.control_addresses, now)
+        if echo is not None and echo.incarnation == self._incarnation and echo.time_us >= peer.verified_at:
+            peer.verified_identity = hello.identity
+            peer.verified_at = echo.time_us
+        self.add_addresses(hello.control_addresses, now)
         return is_new
 
     # --- voters ---
@@ -141,7 +143,7 @@
         for identity in voter_set:
             address = address_of(identity)
             if address != self.address:
-                self._peers.setdefault(address, Peer(identity, counts_for_quorum=True, heard_at=now))
+                self._peers.setdefault(address, Peer(identity, counts_for_quorum=True, last_hello_at=now))
 
     def has_lost_state(self, identity: str) -> bool:
         """Whether this voter's stored state is surely gone.
@@ -152,9 +154,9 @@
         if address_of(identity) == self.address:
             return identity != self.identity
         peer = self._peers.get(address_of(identity))
-        if peer is None or not peer.proven_identity or peer.proven_identity == identity:
+        if peer is None or not peer.verified_identity or peer.verified_identity == identity:
             return False
-        return peer.proven_at > self._known_alive_at.get(identity, 0)
+        return peer.verified_at > self._known_alive_at.get(identity, 0)
 
     def is_replaceable(self, identity: str, now: int) -> bool:
         """Whether this voter has lost its state, has been silent for long, or is about to end."""
@@ -164,7 +166,7 @@
         if peer is None:
             return False
         is_leaving = peer.leaving and peer.identity == identity
-        return is_leaving or now - peer.heard_at > REPLACEMENT_TIMEOUT_US
+        return is_leaving or now - peer.last_hello_at > REPLACEMENT_TIMEOUT_US
 
     def voter_candidates(self, voters: Iterable[str], replaceable: set[str], now: int) -> list[str]:
         """Identities of the peers alive that may vote and stay, sorted.
--- a/hazelbend/control/phase_planner.py
+++ b/hazelbend/control/phase_planner.py
@@ -83,7 +83,7 @@
         """Drop all state: this process does not lead, and its samples will be old when it leads again."""
         self._services.clear()
 
-    def order_rejected(self, order: PhaseOrder) -> None:
+    def discard_order(self, order: PhaseOrder) -> None:
         """The worker has not accepted this order, or it was never sent."""
         for service in self._services.values():
             service.pending.pop(order.instance, None)
--- a/hazelbend/control/worker_sync.py
+++ b/hazelbend/control/worker_sync.py
@@ -89,10 +89,12 @@
         They were not heard because nobody listened: they have a little more than a heartbeat to be heard
         before they count as silent.
         """
-        heard_at = now - round((SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us)
+        last_heartbeat_at = now - round(
+            (SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us
+        )
         for record in records:
             if record.state is not WorkerState.GONE:
-                self._forward(self.registry.merge(record, heard_at))
+                self._forward(self.registry.merge(record, last_heartbeat_at))
 
     def send_snapshot(self, address: str, now: int) -> None:
         """Send all workers to a peer that may have lost what was sent to it before."""
@@ -102,15 +104,15 @@
     def send_ages(self, routers: tuple[str, ...], switching: tuple[str, ...], now: int) -> None:
         """Send peers the ages of the workers heard since the last time, and this registry's digest."""
         self.registry.expire(now)
-        heard_ages = self.registry.take_heard_ages(now)
+        heard_ages = self.registry.take_recent_ages(now)
         ages = m.WorkerAges(heard_ages, routers, switching, self.registry.digest)
         self._outbox.broadcast(self._peers.alive_quorum_peers(now), ages)
 
     def handle_update(self, sender: str, update: m.WorkerUpdate, now: int) -> None:
         """Merge a peer's records; acknowledge them if it waits for that."""
         for record in update.records:
-            heard_at = now - update.ages.get(record.instance, 0)
-            self._forward(self.registry.merge(record, heard_at))
+            last_heartbeat_at = now - update.ages.get(record.instance, 0)
+            self._forward(self.registry.merge(record, last_heartbeat_at))
         if update.request_id and self._settings.counts_for_quorum:
             self._outbox.send(sender, self._ack(update))
 
@@ -132,7 +134,7 @@
                 peer.digest_mismatches = 0
                 self._outbox.send(sender, m.WorkerSyncRequest())
         for instance, age in ages.ages.items():
-            self.registry.mark_heard(instance, now - age)
+            self.registry.record_heartbeat(instance, now - age)
 
     def _ack(self, update: m.WorkerUpdate) -> m.WorkerUpdateAck:
         return m.WorkerUpdateAck(
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -58,7 +58,7 @@
     """A record, and when the worker was last heard by any control process."""
 
     record: WorkerRecord
-    heard_at: int
+    last_heartbeat_at: int
 
 
 class WorkerRegistry:
@@ -70,23 +70,23 @@
         self.tracked: dict[str, TrackedWorker] = {}
         self.digest = 0  # over all records that have not ended: equal where the same workers are known
         self._instance_by_address: dict[str, str] = {}
-        self._heard_instances: set[str] = set()  # since the last `take_heard_ages`
+        self._heard_instances: set[str] = set()  # since the last `take_recent_ages`
 
-    def merge(self, record: WorkerRecord, heard_at: int) -> list[WorkerRecord]:
+    def merge(self, record: WorkerRecord, last_heartbeat_at: int) -> list[WorkerRecord]:
         """Merge a record; returns the records that changed by it, which peers and routers must learn of."""
         known = self.tracked.get(record.instance)
         if known is not None and record.rank <= known.record.rank:
-            self.mark_heard(record.instance, heard_at)
+            self.record_heartbeat(record.instance, last_heartbeat_at)
             return []
         changed = []
         if record.state is not WorkerState.GONE:
-            changed = self._end_previous_instance(record, heard_at)
+            changed = self._end_previous_instance(record, last_heartbeat_at)
         differs = known is None or _differs(known.record, record)
         if differs:
             changed.append(record)
-        previous_heard_at = known.heard_at if known is not None else heard_at - 1
+        previous_heard_at = known.last_heartbeat_at if known is not None else last_heartbeat_at - 1
         self._track(TrackedWorker(record, previous_heard_at), differs=differs)
-        self.mark_heard(record.instance, heard_at)
+        self.record_heartbeat(record.instance, last_heartbeat_at)
         return changed
 
     def tombstone(self, instance: str) -> WorkerRecord | None:
@@ -94,11 +94,11 @@
         known = self.tracked.get(instance)
         return None if known is None else msgspec.structs.replace(known.record, state=WorkerState.GONE)
 
-    def mark_heard(self, instance: str, heard_at: int) -> None:
+    def record_heartbeat(self, instance: str, last_heartbeat_at: int) -> None:
         """Note that some control process has heard this instance."""
         known = self.tracked.get(instance)
-        if known is not None and heard_at > known.heard_at:
-            known.heard_at = heard_at
+        if known is not None and last_heartbeat_at > known.last_heartbeat_at:
+            known.last_heartbeat_at = last_heartbeat_at
             self._heard_instances.add(instance)
 
     def expire(self, now: int) -> None:
@@ -106,12 +106,12 @@
         worker_expiry_us = CONTROL_EXPIRY_HEARTBEATS * self._heartbeat_us
         for instance, worker in list(self.tracked.items()):
             has_ended = worker.record.state is WorkerState.GONE
-            if now - worker.heard_at > (TOMBSTONE_US if has_ended else worker_expiry_us):
+            if now - worker.last_heartbeat_at > (TOMBSTONE_US if has_ended else worker_expiry_us):
                 self._drop(instance)
 
     def is_silent(self, worker: TrackedWorker, now: int) -> bool:
         """Whether its heartbeats have been missing for longer than chance explains."""
-        return now - worker.heard_at > SILENT_HEARTBEATS * self._heartbeat_us
+        return now - worker.last_heartbeat_at > SILENT_HEARTBEATS * self._heartbeat_us
 
     def records(self) -> tuple[WorkerRecord, ...]:
         """All records, tombstones included."""
@@ -123,13 +123,13 @@
         return tuple(
             worker.record
             for worker in self.tracked.values()
-            if worker.record.state is WorkerState.GONE or now - worker.heard_at < expiry_us
+            if worker.record.state is WorkerState.GONE or now - worker.last_heartbeat_at < expiry_us
         )
 
     def ages(self, now: int) -> dict[str, int]:
         """Microseconds since each worker that has not ended was heard."""
         return {
-            instance: max(now - worker.heard_at, 0)
+            instance: max(now - worker.last_heartbeat_at, 0)
             for instance, worker in self.tracked.items()
             if worker.record.state is not WorkerState.GONE
         }
@@ -142,12 +142,13 @@
             if age > SILENT_HEARTBEATS * self._heartbeat_us
         }
 
-    def take_heard_ages(self, now: int) -> dict[str, int]:
+    def take_recent_ages(self, now: int) -> dict[str, int]:
         """Microseconds since each worker was heard, of those heard anywhere since the last call."""
         heard = self._heard_instances
         self._heard_instances = set()
         return {
-            instance: max(now - self.tracked[instance].heard_at, 0) for instance in heard & set(self.tracked)
+            instance: max(now - self.tracked[instance].last_heartbeat_at, 0)
+            for instance in heard & set(self.tracked)
         }
 
     def _end_previous_instance(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
--- a/hazelbend/gossip/member_table.py
+++ b/hazelbend/gossip/member_table.py
@@ -32,8 +32,8 @@
     identity: str
     incarnation: int
     status: MemberStatus
-    since: int  # in this status
-    joined: int  # known to this process
+    status_since: int  # in this status
+    first_seen_at: int  # known to this process
     suspected_by: set[str] = field(default_factory=set)
 
     @property
@@ -46,7 +46,7 @@
     """All members that this process knows, itself included. It queues what it learns for dissemination."""
 
     def __init__(self, me: str, max_confirmations: int, updates: DisseminationQueue, now: int) -> None:
-        self.me = me
+        self.identity = me
         self.members = {me: Member(me, 1, MemberStatus.ALIVE, now, now)}
         self.status_changes: list[Member] = []  # for an observer, which clears it
         self._max_confirmations = max_confirmations
@@ -61,7 +61,7 @@
     def active(self) -> list[str]:
         """Identities of active members, the longest known first."""
         found = [member for member in self.members.values() if member.is_active]
-        found.sort(key=lambda member: (member.joined, member.identity))
+        found.sort(key=lambda member: (member.first_seen_at, member.identity))
         return [member.identity for member in found]
 
     def inactive(self) -> set[str]:
@@ -75,13 +75,13 @@
     def forget_inactive(self, before: int) -> None:
         """Drop members that became dead, or left, before this time."""
         for member in list(self.members.values()):
-            if not member.is_active and member.since < before:
+            if not member.is_active and member.status_since < before:
                 del self.members[member.identity]
 
     def apply(self, update: MembershipUpdate, now: int) -> None:
         """Take in an update about another member. An old one changes nothing."""
         if self._address_is_taken(update):
-            update = MembershipUpdate(update.member, update.incarnation, MemberStatus.DEAD, self.me)
+            update = MembershipUpdate(update.member, update.incarnation, MemberStatus.DEAD, self.identity)
         member = self.members.get(update.member)
         if member is None:
             # The dead are added as well, so that an older update does not bring them back.
@@ -93,7 +93,7 @@
         elif self._is_newer(member, update):
             member.incarnation = update.incarnation
             member.status = update.status
-            member.since = now
+            member.status_since = now
             self._status_changed(member, update, now)
 
     def _address_is_taken(self, update: MembershipUpdate) -> bool:
@@ -101,7 +101,7 @@
         if update.status >= MemberStatus.DEAD:
             return False
         address = address_of(update.member)
-        if address == address_of(self.me):
+        if address == address_of(self.identity):
             return True
         other = self._active_by_address.get(address, update.member)
         return other != update.member and update.status is MemberStatus.SUSPECT
@@ -143,4 +143,4 @@
         if before != member.identity:
             # Of two identities at one address the process that was heard of last is the one that runs.
             incarnation = self.members[before].incarnation
-            self.apply(MembershipUpdate(before, incarnation, MemberStatus.DEAD, self.me), now)
+            self.apply(MembershipUpdate(before, incarnation, MemberStatus.DEAD, self.identity), now)
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -78,7 +78,7 @@
         self, me: str, fleet: str, seeds: tuple[str, ...], timing: GossipTiming, seed: int, now: int
     ) -> None:
         """`seeds`: addresses at which to join the fleet. `seed`: of the random numbers."""
-        self.me = me
+        self.identity = me
         self.fleet = fleet
         self.timing = timing
         self.seeds = [address for address in seeds if address != address_of(me)]
@@ -113,8 +113,8 @@
     def leave(self, now: int) -> None:
         """Announce to some members that this process leaves; they tell the others."""
         self.leaving = True
-        me = self.table.members[self.me]
-        self._apply(MembershipUpdate(self.me, me.incarnation, MemberStatus.LEFT), now)
+        me = self.table.members[self.identity]
+        self._apply(MembershipUpdate(self.identity, me.incarnation, MemberStatus.LEFT), now)
         for member in self._random_alive(self.timing.indirect_probes, without=set()):
             self._send(member, FullState(reply_wanted=False))
 
@@ -145,7 +145,7 @@
         self.relayed_probes.clear()
         self._change_health(1)
         for suspect in self.table.with_status(MemberStatus.SUSPECT):
-            suspect.since += gap
+            suspect.status_since += gap
 
     def _check_pending_probe(self, now: int) -> None:
         probe = self.pending_probe
@@ -189,16 +189,16 @@
 
     def _suspicion_deadline(self, suspect: Member) -> int:
         confirmations = len(suspect.suspected_by) - 1
-        return suspect.since + self.timing.suspicion_timeout_us(
+        return suspect.status_since + self.timing.suspicion_timeout_us(
             self.table.size, confirmations, self.health_score
         )
 
     def _declare(self, member: Member, status: MemberStatus, now: int) -> None:
-        self._apply(MembershipUpdate(member.identity, member.incarnation, status, self.me), now)
+        self._apply(MembershipUpdate(member.identity, member.incarnation, status, self.identity), now)
 
     def _start_probe(self, now: int) -> None:
         if not self.probe_order:
-            self.probe_order = [identity for identity in self.table.active() if identity != self.me]
+            self.probe_order = [identity for identity in self.table.active() if identity != self.identity]
             self.random.shuffle(self.probe_order)
         while self.probe_order:
             target = self.probe_order.pop()
@@ -235,7 +235,7 @@
         if packet.fleet != self.fleet:
             self.foreign_fleets[address_of(packet.sender)] = packet.fleet
             return
-        if packet.to not in (self.me, address_of(self.me)) or packet.sender == self.me:
+        if packet.to not in (self.identity, address_of(self.identity)) or packet.sender == self.identity:
             return
         if packet.leader_hint[:2] > self.leader_hint[:2]:
             self.leader_hint = packet.leader_hint
@@ -280,16 +280,16 @@
         self._send(ping.target, Ping(self.sequence_number))
 
     def _apply(self, update: MembershipUpdate, now: int) -> None:
-        if update.member == self.me:
+        if update.member == self.identity:
             self._apply_about_self(update, now)
         else:
             self.table.apply(update, now)
 
     def _apply_about_self(self, update: MembershipUpdate, now: int) -> None:
-        me = self.table.members[self.me]
+        me = self.table.members[self.identity]
         if update.status is MemberStatus.LEFT and self.leaving:
             me.status = MemberStatus.LEFT
-            me.since = now
+            me.status_since = now
             self.updates.add(update)
         elif (
             update.status is not MemberStatus.ALIVE
@@ -302,7 +302,7 @@
 
     def _refute(self, me: Member, update: MembershipUpdate) -> None:
         me.incarnation = update.incarnation + 1
-        self.updates.add(MembershipUpdate(self.me, me.incarnation, MemberStatus.ALIVE))
+        self.updates.add(MembershipUpdate(self.identity, me.incarnation, MemberStatus.ALIVE))
         self._change_health(1)  # somebody had no ack from here in time
 
     # --- packets out ---
@@ -310,16 +310,16 @@
     def _random_alive(self, count: int, without: set[str]) -> list[str]:
         """Other members without suspicion. A suspect relay may be partitioned like the target."""
         alive = [member.identity for member in self.table.with_status(MemberStatus.ALIVE)]
-        others = [identity for identity in alive if identity != self.me and identity not in without]
+        others = [identity for identity in alive if identity != self.identity and identity not in without]
         return self.random.sample(others, min(count, len(others)))
 
     def _send(self, to: str, body: PacketBody) -> None:
         updates = self._all_updates() if isinstance(body, FullState) else self._piggybacked_updates(to)
-        self.outbox.append(Packet(self.fleet, self.me, to, body, updates, self.leader_hint))
+        self.outbox.append(Packet(self.fleet, self.identity, to, body, updates, self.leader_hint))
 
     def _all_updates(self) -> tuple[MembershipUpdate, ...]:
         return tuple(
-            MembershipUpdate(member.identity, member.incarnation, member.status, self.me)
+            MembershipUpdate(member.identity, member.incarnation, member.status, self.identity)
             for member in self.table.members.values()
         )
 
@@ -330,7 +330,7 @@
         updates: list[MembershipUpdate] = []
         member = self.table.members.get(to)
         if member is not None and member.status is not MemberStatus.ALIVE:
-            updates.append(MembershipUpdate(to, member.incarnation, member.status, self.me))
+            updates.append(MembershipUpdate(to, member.incarnation, member.status, self.identity))
         transmit_limit = self.timing.transmit_limit(self.table.size)
         updates += self.updates.take(self.timing.updates_per_packet, transmit_limit)
         return tuple(updates)
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -122,7 +122,7 @@
     @property
     def me(self) -> str:
         """This process's identity."""
-        return self.members.me
+        return self.members.identity
 
     @property
     def has_output(self) -> bool:
@@ -248,7 +248,7 @@
                 member.identity,
                 member.status.name.lower(),
                 member.incarnation,
-                (now - member.since) / US_PER_S,
+                (now - member.status_since) / US_PER_S,
             )
             for member in sorted(members, key=lambda member: member.identity)
         )
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -76,7 +76,7 @@
 
     def reload(self, settings: Settings) -> None:
         """Take changed seeds; all else holds until the next start."""
-        self._node.engine.learn_seeds(settings.seed_peer_addresses, clock())
+        self._node.engine.add_seed_addresses(settings.seed_peer_addresses, clock())
 
     def _publish_config(self, config: StoredConfig) -> None:
         self._publisher.publish_config(config)
--- a/hazelbend/system/control_status.py
+++ b/hazelbend/system/control_status.py
@@ -82,7 +82,7 @@
     raft = engine.raft
     return {
         identity: ReplicaStatus(
-            confirms=raft.has_answered_lately(peer, now),
+            confirms=raft.is_recently_active(peer, now),
             answered_ms_ago=(now - peer.last_contact_at) // MILLISECOND_US,
             behind=raft.persistent.last_index - peer.match_index,
             bytes_to_come=len(peer.transfer.content) - peer.transfer.offset if peer.transfer else 0,
@@ -99,7 +99,7 @@
             address=worker.record.address,
             state=worker.record.state.name.lower(),
             phase=worker.record.phase,
-            heard_ms_ago=(now - worker.heard_at) // MILLISECOND_US,
+            heard_ms_ago=(now - worker.last_heartbeat_at) // MILLISECOND_US,
         )
         for worker in engine.registry.tracked.values()
     ]
--- a/hazelbend/system/phase_orders.py
+++ b/hazelbend/system/phase_orders.py
@@ -77,13 +77,13 @@
         token = await self._confirmed_token()
         if token is None:
             log.warning("control: %s not ordered to %s: no quorum", order.instance, order.phase)
-            engine.planner.order_rejected(order)
+            engine.planner.discard_order(order)
             return
         body = WorkerOrder(ORDER_OPERATION, order.phase, engine.identity, token)
         result = await send_order(order.address, order.instance, body)
         log.info("control: %s ordered to %s: %s", order.instance, order.phase, result.value)
         if result is OrderResult.REJECTED:
-            engine.planner.order_rejected(order)
+            engine.planner.discard_order(order)
 
     async def _confirmed_token(self) -> int | None:
         """The fencing token of an order, once a majority has confirmed that this process leads.
--- a/hazelbend/system/update_publisher.py
+++ b/hazelbend/system/update_publisher.py
@@ -139,7 +139,7 @@
         """Workers have changed."""
         for record in records:
             if record.state is WorkerState.GONE:
-                self._caches.forget(record.instance)
+                self._caches.remove(record.instance)
             state = record.state.name.lower()
             log.info("control: worker %s %s %s %s", record.instance, record.service, record.phase, state)
         self._broadcast(m.WorkerUpdate(0, tuple(records)))
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from benchmarks.control.defects import DEFECTS, POINTS, planted
-from benchmarks.control.fleet import MS, BrokenRuleError, Fleet, S, has_formed
+from benchmarks.control.defects import DEFECTS, POINTS, planted_defect
+from benchmarks.control.fleet import MS, Fleet, InvariantViolationError, S, has_formed
 from benchmarks.control.history import play, shrink
 from benchmarks.control.model import Left, search
 from benchmarks.control.operators import Change, Operators
@@ -159,7 +159,7 @@
     assert not registry.is_silent(listed, 2 * S) and registry.is_silent(listed, 3 * S)
     registry.expire(9 * S)
     assert "i-1" in registry.tracked
-    registry.mark_heard("i-1", 8 * S)
+    registry.record_heartbeat("i-1", 8 * S)
     registry.expire(11 * S)
     assert "i-1" in registry.tracked, "another process has heard it"
     registry.expire(30 * S)
@@ -170,11 +170,11 @@
     registry = WorkerRegistry(S)
     registry.merge(record("i-1", address="10.0.0.1:1"), 0)
     registry.merge(record("i-2", address="10.0.0.2:1"), 0)
-    registry.take_heard_ages(0)
-    registry.mark_heard("i-1", 2 * S)
-    registry.mark_heard("i-2", 0)
-    assert registry.take_heard_ages(3 * S) == {"i-1": S}, "what is known already is not sent again"
-    assert registry.take_heard_ages(3 * S) == {}
+    registry.take_recent_ages(0)
+    registry.record_heartbeat("i-1", 2 * S)
+    registry.record_heartbeat("i-2", 0)
+    assert registry.take_recent_ages(3 * S) == {"i-1": S}, "what is known already is not sent again"
+    assert registry.take_recent_ages(3 * S) == {}
     assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers learn of silent workers alone"
 
 
@@ -242,7 +242,7 @@
 def test_cached_prefixes_are_known_by_worker_until_it_ends():
     table = CacheTable()
     table.add([CachedPrefix("i", "p", 10), CachedPrefix("j", "q", 20)])
-    table.forget("i")
+    table.remove("i")
     assert table.all() == (CachedPrefix("j", "q", 20),)
 
 
@@ -500,7 +500,7 @@
     ],
 )
 def test_the_model_finds_planted_defects_in_few_steps(defect, left):
-    with planted(defect) if defect != "stale_read" else nobody_is_asked():
+    with planted_defect(defect) if defect != "stale_read" else nobody_is_asked():
         found = search(left, 20_000)
     assert found["broken"] and len(found["steps"]) <= 8
 
@@ -541,7 +541,7 @@
 @pytest.mark.parametrize("defect", sorted(DEFECTS))
 def test_the_checks_find_each_planted_defect_and_nothing_without_it(defect):
     seed, machines, tolerance = FOUND[defect]
-    with planted(defect), pytest.raises(BrokenRuleError):
+    with planted_defect(defect), pytest.raises(InvariantViolationError):
         play(seed, machines, tolerance)
     play(seed, machines, tolerance)
 
@@ -552,7 +552,7 @@
 
 
 def test_a_failing_history_shrinks_to_few_faults_and_replays_alike():
-    with planted("wiped_voter_votes"):
+    with planted_defect("wiped_voter_votes"):
         seed, whole_history = first_broken(range(60))
         rule, fewest = shrink(seed)
         assert 1 <= len(fewest) <= 3 and len(fewest) <= len(whole_history)
@@ -563,7 +563,7 @@
     for seed in seeds:
         try:
             play(seed)
-        except BrokenRuleError as error:
+        except InvariantViolationError as error:
             return seed, error.faults
     raise AssertionError("no seed breaks a rule")
 
--- a/tests/control/test_control_faults.py
+++ b/tests/control/test_control_faults.py
@@ -445,7 +445,7 @@
     fleet._send = send
     for _ in range(25):
         fleet.run(1 * S)
-        fleet.alive[0].engine.registry.mark_heard("i-1", fleet.now)
+        fleet.alive[0].engine.registry.record_heartbeat("i-1", fleet.now)
     assert asked == []
 
 
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -468,7 +468,7 @@
             if chance.random() < 0.8:
                 phases[order.instance] = order.phase
             else:
-                planner.order_rejected(order)
+                planner.discard_order(order)
     return trace
 
 
--- a/tests/gossip/test_members.py
+++ b/tests/gossip/test_members.py
@@ -24,16 +24,16 @@
 
 def status(cluster: GossipCluster, of: str) -> set[MemberStatus]:
     """As the others that run see it."""
-    others = [each for each in cluster.by_address.values() if each.me != of]
+    others = [each for each in cluster.by_address.values() if each.identity != of]
     return {each.table.members[of].status for each in others}
 
 
 def test_a_crash_is_known_to_all_and_a_restarted_process_is_a_new_member():
     cluster = stable_cluster()
-    before = cluster.by_address[B].me
+    before = cluster.by_address[B].identity
     cluster.kill(B)
     assert cluster.run_until(cluster.converged, 30.0) > 1.0
-    after = cluster.start(B, "b").me
+    after = cluster.start(B, "b").identity
     cluster.run_until(cluster.converged, 30.0)
     assert status(cluster, before) == {MemberStatus.DEAD} and status(cluster, after) == {MemberStatus.ALIVE}
     assert (
@@ -43,7 +43,7 @@
 
 def test_an_address_reused_at_once_has_one_active_member():
     cluster = stable_cluster()
-    before = cluster.by_address[B].me
+    before = cluster.by_address[B].identity
     cluster.kill(B)
     cluster.start(B, "b")
     cluster.run_until(cluster.converged, 5.0)
@@ -58,7 +58,7 @@
     cluster.run(0.1)
     cluster.kill(B)
     cluster.run_until(cluster.converged, 6.0)
-    assert status(cluster, member.me) == {MemberStatus.LEFT} and cluster.deaths_declared == 0
+    assert status(cluster, member.identity) == {MemberStatus.LEFT} and cluster.deaths_declared == 0
 
 
 @pytest.mark.parametrize("pause", [30.0, 2.0])
@@ -70,7 +70,7 @@
     cluster.resume(B)
     cluster.run_until(cluster.converged, 30.0)
     assert cluster.deaths_declared == others, "acks missed during the pause say nothing"
-    assert all(whom == cluster.by_address[B].me for _, whom in cluster.dead_at)
+    assert all(whom == cluster.by_address[B].identity for _, whom in cluster.dead_at)
     assert (others > 0) == (pause > 20.0)
 
 
@@ -85,7 +85,7 @@
     """An asymmetric partition: it receives everything, and nobody receives from it."""
     cluster = stable_cluster()
     cluster.is_cut = lambda source, to: source == B
-    member = cluster.by_address[B].me
+    member = cluster.by_address[B].identity
     cluster.run_until(lambda: status(cluster, member) == {MemberStatus.DEAD}, 60.0)
     cluster.is_cut = lambda source, to: False
     cluster.run_until(cluster.converged, 60.0)
