--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -1,4 +1,4 @@
-"""Mutations of the code under test, to see that the checks of histories find each.
+"""Mutations of the code under test, used to test that the checks of histories detect each of them.
 
 A defect replaces one function of the code under test, or of the simulated driver, while the context manager
 `planted_defect` is active. `POINTS` maps each of the five points of docs/design/0007 to its defects.
@@ -23,18 +23,19 @@
 from hazelbend.control.messages import WorkerUpdateAck
 from hazelbend.control.peers import PeerTable
 
-STALE = 1_000_000  # ids of reads that are answered without asking a majority
+STALE_READ_ID_OFFSET = 1_000_000  # offset of the ids of reads that are answered without a majority
 NEVER = 1 << 40
 
 Patch = tuple[Any, str, Any]
 
 
-def _acknowledge_before_majority() -> list[Patch]:
+def _commit_before_majority() -> list[Patch]:
+    """A leader commits its entries as soon as it has appended them."""
     return [(RaftNode, "_quorum_match_index", lambda self: self.persistent.last_index)]
 
 
-def _unconfirmed_counts() -> list[Patch]:
-    """The configuration of a process counts as confirmed though no majority was asked."""
+def _confirm_without_majority() -> list[Patch]:
+    """The configuration of a process counts as confirmed although no majority has confirmed it."""
     original = ControlEngine.take_durable_output
 
     def take_durable_output(self: ControlEngine) -> outputs.DurableOutput:
@@ -45,8 +46,8 @@
     return [(ControlEngine, "take_durable_output", take_durable_output)]
 
 
-def _leads_without_majority() -> list[Patch]:
-    """A leader's rounds count as answered, and it never steps down by itself."""
+def _lead_without_majority() -> list[Patch]:
+    """A leader's rounds count as answered at once, and it never steps down because of a timeout."""
 
     def confirm(self: RaftNode) -> None:
         started_at = self.rounds.confirm(lambda number: True)
@@ -56,8 +57,8 @@
     return [(RaftNode, "_confirm_rounds", confirm), (RaftNode, "_quorum_is_active", lambda self, now: True)]
 
 
-def _busy_leader_begins_no_round() -> list[Patch]:
-    """Messages with entries put the heartbeat off, and only a heartbeat or a read begins a round."""
+def _start_rounds_with_heartbeats_only() -> list[Patch]:
+    """Messages with entries postpone the heartbeat, but only a heartbeat or a read starts a round."""
     tick = RaftNode.tick
     request_read = RaftNode.request_read
 
@@ -84,17 +85,21 @@
     ]
 
 
-def _stale_read() -> list[Patch]:
+def _read_without_majority() -> list[Patch]:
+    """A read is answered from the local state at once."""
+
     def read_config(self: ControlEngine, now: int) -> int:
-        number = self._next_request_id()
-        self.raft.outcomes.append(ReadIndexOutcome(number + STALE, True))
-        self._config_calls._reads[number + STALE] = number
-        return number
+        request_id = self._next_request_id()
+        self.raft.outcomes.append(ReadIndexOutcome(request_id + STALE_READ_ID_OFFSET, True))
+        self._config_calls._reads[request_id + STALE_READ_ID_OFFSET] = request_id
+        return request_id
 
     return [(ControlEngine, "read_config", read_config)]
 
 
-def _no_compare() -> list[Patch]:
+def _apply_without_comparing_versions() -> list[Patch]:
+    """The state machine accepts every change, whatever its base."""
+
     def apply(self: ConfigStateMachine, index: int, op: bytes) -> ChangeResult:
         change = config_state_machine._entry_decoder.decode(op)
         self.current = StoredConfig(change.version, change.body)
@@ -103,12 +108,13 @@
     return [(ConfigStateMachine, "apply", apply)]
 
 
-def _resend_not_known() -> list[Patch]:
+def _forget_accepted_changes() -> list[Patch]:
+    """No digest of an accepted change is kept, so a resend counts as a new change."""
     return [(ConfigStateMachine, "_remember", lambda self, change: None)]
 
 
-def _old_resend_refused() -> list[Patch]:
-    """Digests are dropped, and a resend of a dropped one counts as rejected."""
+def _reject_resends_of_dropped_digests() -> list[Patch]:
+    """Old digests are dropped, and a resend of such a change is rejected instead of reported as too old."""
     original = ConfigStateMachine._remember
 
     def remember(self: ConfigStateMachine, change: config_state_machine.ConfigChange) -> None:
@@ -118,7 +124,8 @@
     return [(config_state_machine, "MAX_ACCEPTED_DIGESTS", 4), (ConfigStateMachine, "_remember", remember)]
 
 
-def _wiped_voter_votes() -> list[Patch]:
+def _keep_identity_of_wiped_voter() -> list[Patch]:
+    """A voter that has lost its log and its vote continues to vote under its old identity."""
     original = Fleet.wipe
 
     def wipe(self: Fleet, address: str) -> None:
@@ -130,32 +137,32 @@
     return [(Fleet, "wipe", wipe)]
 
 
-def _silent_is_erased() -> list[Patch]:
-    """A voter that is merely unheard is replaced in one step, before its copy is known to be gone."""
+def _treat_silent_voter_as_wiped() -> list[Patch]:
+    """A silent voter is replaced in one step, before its state is known to be lost."""
 
     def has_lost_state(self: PeerTable, identity: str) -> bool:
         peer = self._peers.get(identity.rpartition("@")[2])
-        return peer is not None and not self._heard(peer)
+        return peer is not None and not self._sent_hello_recently(peer)
 
-    def heard(self: PeerTable, peer: Any) -> bool:
-        return max(each.last_hello_at for each in self._peers.values()) - peer.last_hello_at < 800_000
+    def sent_hello_recently(self: PeerTable, peer: Any) -> bool:
+        return max(other.last_hello_at for other in self._peers.values()) - peer.last_hello_at < 800_000
 
     return [
         (PeerTable, "has_lost_state", has_lost_state),
-        (PeerTable, "_heard", heard),
+        (PeerTable, "_sent_hello_recently", sent_hello_recently),
         (PeerTable, "is_replaceable", lambda self, identity, now: has_lost_state(self, identity)),
     ]
 
 
-def _list_shrinks() -> list[Patch]:
-    """Voters that are unheard are removed, however few are left, without a majority's confirmation."""
+def _remove_silent_voters() -> list[Patch]:
+    """Silent voters are removed, however few are left, without a majority's confirmation."""
 
-    def next_voters(voters: Any, me: str, members: Any, *rest: Any) -> tuple[str, ...] | None:
-        gone = [each for each in voters if each not in members and each != me]
-        if gone:
-            return tuple(each for each in voters if each != gone[0])
-        fresh = [each for each in members if each not in voters]
-        return tuple(sorted((*voters, fresh[0]))) if fresh else None
+    def next_voters(voters: Any, leader: str, members: Any, *rest: Any) -> tuple[str, ...] | None:
+        silent = [voter for voter in voters if voter not in members and voter != leader]
+        if silent:
+            return tuple(voter for voter in voters if voter != silent[0])
+        candidates = [member for member in members if member not in voters]
+        return tuple(sorted((*voters, candidates[0]))) if candidates else None
 
     return [
         (cluster_membership, "next_voters", next_voters),
@@ -164,31 +171,35 @@
     ]
 
 
-def _say_before_save() -> list[Patch]:
+def _send_before_save() -> list[Patch]:
+    """Messages are sent before the state that they depend on is stored."""
     original = Fleet._flush
 
     def flush(self: Fleet, machine: Machine) -> None:
-        process = machine.engine
-        if process is not None and not machine.saving and process.has_durable_output:
-            self._send_durable(machine, process.take_durable_output())
+        engine = machine.engine
+        if engine is not None and not machine.saving and engine.has_durable_output:
+            self._send_durable(machine, engine.take_durable_output())
         original(self, machine)
 
     return [(Fleet, "_flush", flush)]
 
 
-def _snapshot_without_digests() -> list[Patch]:
+def _drop_digests_from_snapshot() -> list[Patch]:
+    """A snapshot has the configuration, but not the digests of the accepted changes."""
+
     def snapshot(self: ConfigStateMachine) -> bytes:
         return config_state_machine._encoder.encode(config_state_machine._Snapshot(self.current, []))
 
     return [(ConfigStateMachine, "snapshot", snapshot)]
 
 
-def _lost_piece_is_not_sent_again() -> list[Patch]:
+def _never_resend_chunks() -> list[Patch]:
+    """A transfer stops for good after a chunk or its answer was lost."""
     return [(replicator, "CHUNK_RETRY_HEARTBEATS", NEVER)]
 
 
-def _number_alone() -> list[Patch]:
-    """An acknowledgement counts whatever incarnation it is for."""
+def _ignore_incarnation_of_acks() -> list[Patch]:
+    """An acknowledgement counts even if it is for another incarnation."""
     original = Announcements.acknowledge
 
     def acknowledge(self: Announcements, ack: WorkerUpdateAck) -> None:
@@ -197,12 +208,14 @@
     return [(Announcements, "acknowledge", acknowledge)]
 
 
-def _drain_by_one() -> list[Patch]:
-    """A drain is acknowledged before anybody else holds it."""
+def _acknowledge_drain_without_majority() -> list[Patch]:
+    """A drain is acknowledged before any other process holds it."""
     return [(announcements._PendingAnnouncement, "is_durable", lambda self, tolerance: bool(self.holders))]
 
 
-def _no_lease_before_orders() -> list[Patch]:
+def _order_without_waiting_for_lease() -> list[Patch]:
+    """A new leader sends orders before the lease of its predecessor has expired."""
+
     def order_token(self: ControlEngine, now: int) -> int | None:
         return self.fencing_token if self.raft.has_committed_in_term else None
 
@@ -210,23 +223,23 @@
 
 
 DEFECTS: dict[str, Callable[[], list[Patch]]] = {
-    "acknowledge_before_majority": _acknowledge_before_majority,
-    "unconfirmed_counts": _unconfirmed_counts,
-    "leads_without_majority": _leads_without_majority,
-    "busy_leader_begins_no_round": _busy_leader_begins_no_round,
-    "stale_read": _stale_read,
-    "no_compare": _no_compare,
-    "resend_not_known": _resend_not_known,
-    "old_resend_refused": _old_resend_refused,
-    "wiped_voter_votes": _wiped_voter_votes,
-    "silent_is_erased": _silent_is_erased,
-    "list_shrinks": _list_shrinks,
-    "say_before_save": _say_before_save,
-    "snapshot_without_digests": _snapshot_without_digests,
-    "lost_piece_is_not_sent_again": _lost_piece_is_not_sent_again,
-    "number_alone": _number_alone,
-    "drain_by_one": _drain_by_one,
-    "no_lease_before_orders": _no_lease_before_orders,
+    "acknowledge_before_majority": _commit_before_majority,
+    "unconfirmed_counts": _confirm_without_majority,
+    "leads_without_majority": _lead_without_majority,
+    "busy_leader_begins_no_round": _start_rounds_with_heartbeats_only,
+    "stale_read": _read_without_majority,
+    "no_compare": _apply_without_comparing_versions,
+    "resend_not_known": _forget_accepted_changes,
+    "old_resend_refused": _reject_resends_of_dropped_digests,
+    "wiped_voter_votes": _keep_identity_of_wiped_voter,
+    "silent_is_erased": _treat_silent_voter_as_wiped,
+    "list_shrinks": _remove_silent_voters,
+    "say_before_save": _send_before_save,
+    "snapshot_without_digests": _drop_digests_from_snapshot,
+    "lost_piece_is_not_sent_again": _never_resend_chunks,
+    "number_alone": _ignore_incarnation_of_acks,
+    "drain_by_one": _acknowledge_drain_without_majority,
+    "no_lease_before_orders": _order_without_waiting_for_lease,
 }
 
 POINTS = {
@@ -246,7 +259,7 @@
 
 @contextmanager
 def planted_defect(name: str) -> Iterator[None]:
-    """With this defect in the code; an empty name: with none."""
+    """Activate this defect for the duration of the context. An empty name activates none."""
     patches = DEFECTS[name]() if name else []
     absent = object()
     before = [(owner, attribute, owner.__dict__.get(attribute, absent)) for owner, attribute, _ in patches]
--- a/benchmarks/control/exploration.py
+++ b/benchmarks/control/exploration.py
@@ -1,4 +1,4 @@
-"""Explores many histories on all cores, and records those that break a rule as data of a test."""
+"""Explores many histories on all cores, and records those that violate an invariant as test data."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Played:
-    """A history that was played; `broken` is the rule that it broke, empty for none."""
+    """The result of one history. `broken`: the invariant that it violated; empty if it violated none."""
 
     task: Task
     result: HistoryResult | None
@@ -47,17 +47,19 @@
 
 @dataclass(slots=True)
 class Summary:
-    """Totals over histories, for one JSON line."""
+    """Totals over all histories, for one JSON line."""
 
     histories: int = 0
     simulated_us: int = 0
     calls: Counter[str] = field(default_factory=Counter)
     kinds: Counter[str] = field(default_factory=Counter)
-    pairs: Counter[tuple[str, str]] = field(default_factory=Counter)  # of kinds that overlapped in time
+    pairs: Counter[tuple[str, str]] = field(
+        default_factory=Counter
+    )  # kinds of faults that overlapped in time
     broken: list[Played] = field(default_factory=list)
 
     def add(self, played: Played) -> None:
-        """Count one history."""
+        """Add the result of one history."""
         self.histories += 1
         result = played.result
         if result is None:
@@ -70,12 +72,12 @@
         self.pairs.update(overlapping_pairs(result.faults))
 
     def missing_pairs(self) -> list[tuple[str, str]]:
-        """Pairs of kinds that no history has drawn together."""
+        """Pairs of fault kinds that did not overlap in any history."""
         pairs = combinations_with_replacement(sorted(FaultInjector.KINDS), 2)
         return [pair for pair in pairs if pair not in self.pairs]
 
     def as_plain_values(self, seconds: float) -> dict[str, object]:
-        """For JSON. `seconds`: of real time."""
+        """The totals in the form of the JSON line. `seconds`: of real time."""
         minutes = self.simulated_us / US_PER_MINUTE
         return {
             "histories": self.histories,
@@ -86,12 +88,14 @@
             "kinds": dict(sorted(self.kinds.items())),
             "pairs": len(self.pairs),
             "missing_pairs": [" + ".join(pair) for pair in self.missing_pairs()],
-            "broken": {f"{each.task.seed} ({each.task.machines})": each.broken for each in self.broken},
+            "broken": {
+                f"{played.task.seed} ({played.task.machines})": played.broken for played in self.broken
+            },
         }
 
 
 def overlapping_pairs(faults: Iterable[Fault]) -> Iterator[tuple[str, str]]:
-    """Kinds of each two faults of a history that were there at the same time, sorted."""
+    """The sorted kinds of each two faults of a history that overlapped in time."""
     known: list[Fault] = []
     for fault in faults:
         for other in known:
@@ -102,7 +106,7 @@
 
 
 def explore(tasks: list[Task], processes: int | None = None) -> Summary:
-    """Play all of them; on a terminal with a progress bar."""
+    """Play all histories; shows a progress bar if the standard error output is a terminal."""
     summary = Summary()
     with (
         ProcessPoolExecutor(processes or os.cpu_count()) as pool,
@@ -112,10 +116,10 @@
             label="histories",
             file=sys.stderr,
             hidden=not sys.stderr.isatty(),
-        ) as played,
+        ) as results,
     ):
-        for each in played:
-            summary.add(each)
+        for played in results:
+            summary.add(played)
     return summary
 
 
@@ -128,7 +132,7 @@
 
 
 def record(played: Played, folder: Path = RECORDED) -> Path:
-    """Shrink a history that breaks a rule to its fewest faults, and write it for the test that replays it."""
+    """Shrink a failing history to few faults, and write it as data of the test that replays it."""
     task = played.task
     with planted_defect(task.defect):
         broken, faults = shrink(task.seed, task.machines, task.tolerance)
@@ -147,10 +151,10 @@
 
 
 def run(tasks: list[Task]) -> int:
-    """Explore, record what is broken, and print one JSON line; the exit status."""
-    began = time.monotonic()
+    """Explore, record failing histories, and print one JSON line; returns the exit status."""
+    started_at = time.monotonic()
     summary = explore(tasks)
-    values = summary.as_plain_values(time.monotonic() - began)
-    values["recorded"] = [record(each).name for each in summary.broken]
+    values = summary.as_plain_values(time.monotonic() - started_at)
+    values["recorded"] = [record(played).name for played in summary.broken]
     print(json.dumps(values))
     return 1 if summary.broken else 0
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -1,8 +1,9 @@
-"""Injects faults of control machines, their links, disks and clocks: alone, at once and beyond the tolerance.
+"""Injects faults into control machines, their links, disks and clocks, also several at a time.
 
-At most `tolerance` machines are faulty at a time, except by the kinds in `BEYOND`: those may stop the whole
-cluster for a while, but nothing acknowledged may be lost by them or shown in an older state. Disks are never
-lost at more machines than the tolerance: not before those that lost one have caught up.
+At most `tolerance` machines are faulty at a time. Only the kinds in `BEYOND_TOLERANCE` exceed that: they may
+make the cluster unavailable for a while, but must not lose acknowledged data or make a read return an older
+state. The number of machines that have lost their disk and have not caught up since never exceeds the
+tolerance.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 from benchmarks.control.observers import DrainingWorkers
 from benchmarks.control.operators import Operators
 
-RESYNC_US = 4 * S  # from the return of a machine until it counts as available
-RNG_SALT = 0x2000000  # of a random stream of its own
+RESYNC_US = 4 * S  # from the restart of a machine until it counts as available
+RNG_SALT = 0x2000000  # separates this random stream from the others
 SLOW_LINK_BYTES_PER_S = 625_000
-SLOW_DISK_FACTOR = 30  # a sync takes so many times as long
-STORM_CHANGES = 150  # changes
+SLOW_DISK_FACTOR = 30  # by which a sync takes longer
+STORM_CHANGES = 150
 STORM_GAP_US = 40 * MS  # between two changes
-LARGE_BODY_BYTES = 20_000  # random, in hex: they do not compress to less
-BUSY_US = 4 * S  # of changes faster than a heartbeat, beside the loss of a machine
+LARGE_BODY_BYTES = 20_000  # random bytes, in hex, which do not compress to less
+BUSY_US = 4 * S  # duration of changes at short intervals, during the loss of a machine
 BUSY_GAPS_US = (5 * MS, 20 * MS, 50 * MS, 90 * MS, 150 * MS)  # between two changes
-HUGE_BODY_BYTES = 1_400_000  # random, 2.8 MB in hex, 1.4 MB compressed
+HUGE_BODY_BYTES = 1_400_000  # random bytes: 2.8 MB in hex, 1.4 MB compressed
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One injected fault. Times in microseconds."""
+    """One injected fault. Times are microseconds."""
 
     number: int
     kind: str
@@ -45,19 +46,19 @@
 
 
 class FaultInjector:
-    """Draws faults and injects them."""
+    """Draws random faults and injects them. The method `_KIND` injects the fault of that kind."""
 
-    ONE = ("kill", "power", "wipe", "freeze", "cut", "one_way", "stall", "full", "replace", "long_cut",
-           "slow_link", "slow_disk", "stale_answers", "sync_errors")  # fmt: skip
-    ALL = ("kill_all", "wipe_after_ack", "power_after_ack", "clocks", "seeds", "late_frames", "lost_answers",
-           "storm", "huge_bodies", "busy_leader", "doubled_calls")  # fmt: skip
-    BEYOND = ("halves", "overlap", "behind")
-    KINDS = ONE + ALL + BEYOND
+    SINGLE_MACHINE = ("kill", "power", "wipe", "freeze", "cut", "one_way", "stall", "full", "replace",
+                      "long_cut", "slow_link", "slow_disk", "stale_answers", "sync_errors")  # fmt: skip
+    WHOLE_FLEET = ("kill_all", "wipe_after_ack", "power_after_ack", "clocks", "seeds", "late_frames",
+                   "lost_answers", "storm", "huge_bodies", "busy_leader", "doubled_calls")  # fmt: skip
+    BEYOND_TOLERANCE = ("halves", "overlap", "behind")
+    KINDS = SINGLE_MACHINE + WHOLE_FLEET + BEYOND_TOLERANCE
 
     def __init__(
         self, fleet: Fleet, operators: Operators, workers: DrainingWorkers, skipped: frozenset[int]
     ) -> None:
-        """`skipped`: numbers of faults, in their order, that are drawn but not injected."""
+        """`skipped`: the numbers, in the order of drawing, of faults that are drawn but not injected."""
         self.fleet = fleet
         self.operators = operators
         self.workers = workers
@@ -66,71 +67,83 @@
         self._next_number = 0
         self.injected: list[Fault] = []
         self._lost_until: dict[str, int] = {}
-        self._wiped: set[str] = set()  # and not caught up since
-        self.quiet_from = 0  # when the effects of all injected faults are over
+        self._wiped: set[str] = set()  # addresses of machines that have not caught up since
+        self.effects_end_at = 0  # when the effects of all injected faults have ended
 
     def inject(self) -> None:
-        """Inject one fault, if it may strike now."""
+        """Draw one fault, and inject it if the tolerance permits it now."""
         fleet = self.fleet
         number = self._next_number
         self._next_number += 1
         kind = self._random.choice(self.KINDS)
-        aims = self._random.random() < 0.5
-        pick = self._random.random()
+        targets_leader = self._random.random() < 0.5
+        victim_position = self._random.random()
         duration = self._random.randint(200 * MS, 3 * S)
         if kind in ("long_cut", "halves"):
             duration = self._random.randint(3 * S, 20 * S)
         if number in self._skipped:
             return
-        free = [
-            each for each in self._quorum_machines() if each.engine is not None and not self._is_lost(each)
+        healthy = [
+            machine
+            for machine in self._quorum_machines()
+            if machine.engine is not None and not self._is_lost(machine)
         ]
-        lost = [each for each in self._quorum_machines() if self._is_lost(each)]
-        if not free or (kind not in self.BEYOND and len(lost) >= fleet.tolerance):
+        lost = [machine for machine in self._quorum_machines() if self._is_lost(machine)]
+        if not healthy or (kind not in self.BEYOND_TOLERANCE and len(lost) >= fleet.tolerance):
             return
         leader = fleet.leader
-        victim = leader if leader is not None and aims and leader in free else free[int(pick * len(free))]
+        victim = (
+            leader
+            if leader is not None and targets_leader and leader in healthy
+            else healthy[int(victim_position * len(healthy))]
+        )
         if kind in ("wipe", "wipe_after_ack", "replace", "behind") and not self._may_lose_disk():
             return
         self.injected.append(Fault(number, kind, victim.address, fleet.now, duration))
-        if kind in self.ONE:
+        if kind in self.SINGLE_MACHINE:
             self._lost_until[victim.address] = fleet.now + duration + RESYNC_US + 1 * S
-        self.quiet_from = max(self.quiet_from, fleet.now + duration + 2 * S)
+        self.effects_end_at = max(self.effects_end_at, fleet.now + duration + 2 * S)
         getattr(self, f"_{kind}")(victim, duration)
 
     def _quorum_machines(self) -> list[Machine]:
         machines = self.fleet.machines.values()
-        return [each for each in machines if not each.removed and each.address not in self.fleet.observers]
+        return [
+            machine
+            for machine in machines
+            if not machine.removed and machine.address not in self.fleet.observers
+        ]
 
     def _is_lost(self, machine: Machine) -> bool:
         return self._lost_until.get(machine.address, 0) > self.fleet.now
 
     def _may_lose_disk(self) -> bool:
-        """Whether machines that lost a disk before are voters again that hold all that is committed."""
+        """Whether the tolerance permits another disk loss.
+
+        A machine that lost its disk earlier counts until it is a voter again and has caught up with the
+        leader.
+        """
         leader = self.fleet.leader
         if leader is None:
             return False
-        record = leader.engine.raft
+        raft = leader.engine.raft
         for address in list(self._wiped):
             engine = self.fleet.machines[address].engine
-            listed = engine is not None and engine.identity in record.persistent.voters_at(
-                record.commit_index
-            )
-            if listed and engine.raft.commit_index >= record.commit_index:
+            is_voter = engine is not None and engine.identity in raft.persistent.voters_at(raft.commit_index)
+            if is_voter and engine.raft.commit_index >= raft.commit_index:
                 self._wiped.discard(address)
-        gone = [each for each in record.voters if each.rpartition("@")[2] in self._removed()]
-        return len(self._wiped) + len(gone) < self.fleet.tolerance
+        removed_voters = [voter for voter in raft.voters if voter.rpartition("@")[2] in self._removed()]
+        return len(self._wiped) + len(removed_voters) < self.fleet.tolerance
 
     def _removed(self) -> set[str]:
         return {address for address, machine in self.fleet.machines.items() if machine.removed}
 
-    # --- one machine ---
+    # --- faults of a single machine ---
 
     def _kill(self, victim: Machine, duration: int) -> None:
         self.fleet.kill(victim.address)
         self.fleet.call_later(duration, lambda: self.fleet.start(victim.address))
 
-    _power = _kill  # a save that has not ended is lost whole in both: sqlite's commits are atomic
+    _power = _kill  # both lose a pending save completely, because sqlite's commits are atomic
 
     def _wipe(self, victim: Machine, duration: int) -> None:
         self._wiped.add(victim.address)
@@ -147,7 +160,7 @@
         self.fleet.network.isolate([victim.address], self.fleet.machines)
         self.fleet.call_later(duration, self.fleet.heal)
 
-    _long_cut = _cut  # changes go on at both sides
+    _long_cut = _cut  # lasts long enough for changes on both sides
 
     def _one_way(self, victim: Machine, duration: int) -> None:
         for other in self.fleet.machines:
@@ -162,37 +175,37 @@
         disk = victim.disk
         disk.full = True
 
-        def freed() -> None:
+        def free_space() -> None:
             disk.full = False
 
-        self.fleet.call_later(duration, freed)
+        self.fleet.call_later(duration, free_space)
 
     def _sync_errors(self, victim: Machine, duration: int) -> None:
-        """Syncs report errors: what was to be saved is there or not."""
+        """Syncs report errors; the state may be stored or not."""
         disk = victim.disk
         disk.sync_errors = True
 
-        def mended() -> None:
+        def clear_errors() -> None:
             disk.sync_errors = False
 
-        self.fleet.call_later(duration, mended)
+        self.fleet.call_later(duration, clear_errors)
 
     def _slow_link(self, victim: Machine, duration: int) -> None:
         self.fleet.network.slow(victim.address, SLOW_LINK_BYTES_PER_S)
         self.fleet.call_later(duration, self.fleet.heal)
 
     def _slow_disk(self, victim: Machine, duration: int) -> None:
-        disk, usual = victim.disk, victim.disk.sync
-        disk.sync = usual * SLOW_DISK_FACTOR
+        disk, default_sync_us = victim.disk, victim.disk.sync_us
+        disk.sync_us = default_sync_us * SLOW_DISK_FACTOR
 
         def restore() -> None:
-            disk.sync = usual
+            disk.sync_us = default_sync_us
 
         self.fleet.call_later(duration, restore)
 
     def _stale_answers(self, victim: Machine, duration: int) -> None:
-        """A process starts, asks the others to hold a drain, and starts again before the answers come; they
-        come in its next incarnation, which has just asked about another drain and is partitioned."""
+        """A process starts, announces a drain, and restarts before the acknowledgements arrive. They arrive
+        at its next incarnation, which has just announced another drain and is partitioned."""
         fleet = self.fleet
         address = victim.address
 
@@ -211,74 +224,74 @@
         fleet.call_later(1_795 * MS, cut_off)
         fleet.call_later(2 * S + duration, fleet.heal)
         self._lost_until[address] = fleet.now + 2 * S + duration + RESYNC_US + 1 * S
-        self.quiet_from = max(self.quiet_from, fleet.now + duration + 4 * S)
+        self.effects_end_at = max(self.effects_end_at, fleet.now + duration + 4 * S)
 
-    # --- all, within the tolerance ---
+    # --- faults of the whole fleet, within the tolerance ---
 
     def _kill_all(self, victim: Machine, duration: int) -> None:
-        """Also those that do not count."""
+        """Kill all processes, also those that do not count for the quorum."""
         for machine in self.fleet.alive:
             self.fleet.kill(machine.address)
             self.fleet.call_later(duration, lambda address=machine.address: self.fleet.start(address))
 
     def _power_after_ack(self, victim: Machine, duration: int) -> None:
-        """All lose power within 3 ms of an acknowledgement."""
+        """All machines lose power within 3 ms of an acknowledgement."""
         self._after_ack(lambda: self._kill_all(victim, duration))
 
     def _wipe_after_ack(self, victim: Machine, duration: int) -> None:
-        """The machine that has acknowledged loses its disk, and all others their power."""
+        """The leader loses its disk within 3 ms of an acknowledgement, and all other machines lose power."""
 
-        def strike() -> None:
+        def inject_losses() -> None:
             leader = self.fleet.leader or victim
             if not self._may_lose_disk():
                 return
             self._lost_until[leader.address] = self.fleet.now + duration + RESYNC_US + 1 * S
             self._wipe(leader, duration)
             self._kill_all(leader, duration)
-            self.quiet_from = max(self.quiet_from, self.fleet.now + duration + 2 * S)
+            self.effects_end_at = max(self.effects_end_at, self.fleet.now + duration + 2 * S)
 
-        self._after_ack(strike)
+        self._after_ack(inject_losses)
 
-    def _after_ack(self, strike: Callable[[], None]) -> None:
+    def _after_ack(self, inject_losses: Callable[[], None]) -> None:
         delay = self._random.randint(0, 3 * MS)
-        self.operators.on_ack = lambda: self.fleet.call_later(delay, strike)
+        self.operators.on_ack = lambda: self.fleet.call_later(delay, inject_losses)
         self.operators.change()
 
     def _clocks(self, victim: Machine, duration: int) -> None:
-        """Times of day jump, back or ahead."""
+        """The wall clocks jump backward or forward."""
         for machine in self.fleet.machines.values():
             machine.clock_offset = self._random.choice((-2.0, 0.0, 2.0, 3_600.0))
 
     def _seeds(self, victim: Machine, duration: int) -> None:
-        """Settings name other seeds from now on; one machine starts again with them."""
-        standing = [each.address for each in self.fleet.machines.values() if not each.removed]
-        self.fleet.exchanged_seeds = tuple(self._random.sample(standing, min(3, len(standing))))
+        """The settings file lists other seeds from now on; one machine restarts with them."""
+        remaining = [machine.address for machine in self.fleet.machines.values() if not machine.removed]
+        self.fleet.replaced_seeds = tuple(self._random.sample(remaining, min(3, len(remaining))))
         self._lost_until[victim.address] = self.fleet.now + duration + RESYNC_US + 1 * S
         self._kill(victim, duration)
 
     def _late_frames(self, victim: Machine, duration: int) -> None:
-        """Some frames come seconds later, to whatever process is there then."""
-        self.fleet.network.late = 0.05
+        """Some frames arrive seconds later, at whatever incarnation runs then."""
+        self.fleet.network.late_fraction = 0.05
 
         def end() -> None:
-            self.fleet.network.late = 0.0
+            self.fleet.network.late_fraction = 0.0
 
         self.fleet.call_later(duration, end)
 
     def _lost_answers(self, victim: Machine, duration: int) -> None:
-        self.operators.lost_answer_share = 0.7
+        self.operators.lost_answer_fraction = 0.7
 
         def end() -> None:
-            self.operators.lost_answer_share = 0.0
+            self.operators.lost_answer_fraction = 0.0
 
         self.fleet.call_later(duration, end)
 
     def _doubled_calls(self, victim: Machine, duration: int) -> None:
-        """Each change comes twice, to any two machines, the second one up to seconds later."""
-        self.operators.doubles_calls = True
+        """Each change arrives twice, at any two machines, up to seconds apart."""
+        self.operators.duplicates_calls = True
 
         def end() -> None:
-            self.operators.doubles_calls = False
+            self.operators.duplicates_calls = False
 
         self.fleet.call_later(duration, end)
 
@@ -289,54 +302,60 @@
         self._storm_of(4, HUGE_BODY_BYTES, 600 * MS)
 
     def _storm_of(self, changes: int, size: int, gap: int) -> None:
-        """Send many changes, while everything else goes on."""
+        """Send many changes in the background; every third has a body of this size."""
 
-        def one(left: int) -> None:
-            self.operators.body_bytes = size if left % 3 == 0 else 0
+        def send_next(remaining_changes: int) -> None:
+            self.operators.body_bytes = size if remaining_changes % 3 == 0 else 0
             self.operators.change()
             self.operators.body_bytes = 0
-            if left > 1:
-                self.fleet.call_later(gap, lambda: one(left - 1))
+            if remaining_changes > 1:
+                self.fleet.call_later(gap, lambda: send_next(remaining_changes - 1))
 
-        self.quiet_from = max(self.quiet_from, self.fleet.now + changes * gap + 2 * S)
-        one(changes)
+        self.effects_end_at = max(self.effects_end_at, self.fleet.now + changes * gap + 2 * S)
+        send_next(changes)
 
     def _busy_leader(self, victim: Machine, duration: int) -> None:
-        """Changes come faster than heartbeats while a machine is replaced, wiped or partitioned. The leader
-        must stay confirmed, as its routers would take themselves for cut off, and the voter be replaced.
+        """Changes arrive at intervals around a heartbeat while a machine is replaced, wiped or partitioned.
+
+        The leader must stay confirmed, because its routers would otherwise consider themselves partitioned,
+        and the voter must be replaced.
         """
         gap = self._random.choice(BUSY_GAPS_US)
-        harm = self._random.choice((self._replace, self._wipe, self._cut))
-        loses_disk = harm != self._cut
+        inject_fault = self._random.choice((self._replace, self._wipe, self._cut))
+        loses_disk = inject_fault != self._cut
         self._storm_of(BUSY_US // gap, 0, gap)
         if victim is self.fleet.leader or (loses_disk and not self._may_lose_disk()):
             return
         self._lost_until[victim.address] = self.fleet.now + BUSY_US + RESYNC_US
-        harm(victim, BUSY_US // 2)
+        inject_fault(victim, BUSY_US // 2)
 
-    # --- beyond the tolerance ---
+    # --- faults beyond the tolerance ---
 
     def _halves(self, victim: Machine, duration: int) -> None:
         """Half of the machines that count for the quorum are partitioned from the others."""
-        quorum_machines = [each.address for each in self._quorum_machines()]
+        quorum_machines = [machine.address for machine in self._quorum_machines()]
         self._random.shuffle(quorum_machines)
         half = quorum_machines[: len(quorum_machines) // 2]
-        self.fleet.network.isolate(half, [each for each in quorum_machines if each not in half])
+        self.fleet.network.isolate(half, [address for address in quorum_machines if address not in half])
         self.fleet.call_later(duration, self.fleet.heal)
 
     def _overlap(self, victim: Machine, duration: int) -> None:
-        """Several at once are killed, frozen or partitioned; they keep their disks."""
+        """Several machines at once are killed, frozen or partitioned; they keep their disks."""
         quorum_machines = self._quorum_machines()
         self._random.shuffle(quorum_machines)
         for machine in quorum_machines[: self._random.randint(2, max(len(quorum_machines) - 1, 2))]:
-            harm = self._random.choice((self._kill, self._freeze, self._cut))
+            inject_fault = self._random.choice((self._kill, self._freeze, self._cut))
             if machine.engine is not None:
-                harm(machine, self._random.randint(200 * MS, duration))
+                inject_fault(machine, self._random.randint(200 * MS, duration))
 
     def _behind(self, victim: Machine, duration: int) -> None:
-        """One misses changes; then another loses its disk and the rest are dark, and the cut heals."""
+        """A partitioned machine misses changes. Then another loses its disk, the rest are killed, and the
+        partition heals.
+        """
         quorum_machines = [
-            each for each in self._quorum_machines() if each is not victim and each.engine is not None
+            machine
+            for machine in self._quorum_machines()
+            if machine is not victim and machine.engine is not None
         ]
         if len(quorum_machines) < 2:
             return
@@ -344,7 +363,7 @@
         for number in range(4):
             self.fleet.call_later(number * 300 * MS, self.operators.change)
 
-        def strike() -> None:
+        def inject_losses() -> None:
             if not self._may_lose_disk():
                 self.fleet.heal()
                 return
@@ -354,5 +373,5 @@
                     self._kill(machine, duration)
             self.fleet.heal()
 
-        self.quiet_from = max(self.quiet_from, self.fleet.now + duration + 4 * S)
-        self.fleet.call_later(1_500 * MS, strike)
+        self.effects_end_at = max(self.effects_end_at, self.fleet.now + duration + 4 * S)
+        self.fleet.call_later(1_500 * MS, inject_losses)
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of control processes on a simulated clock, network and disk.
+"""Simulates a fleet of control processes: real engines on a simulated clock, network and disk.
 
-The engines are real. The same seed gives the same history. Times are in microseconds.
+The same seed gives the same history. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -22,45 +22,45 @@
 from hazelbend.control.workers import WorkerRecord
 
 HEARTBEAT_US = 1_200 * MS
-USUAL_SYNC_US = 1 * MS
-SAVED_IN_SPITE_SHARE = 0.5  # of saves whose sync has reported an error
+DEFAULT_SYNC_US = 1 * MS
+SAVED_DESPITE_ERROR_FRACTION = 0.5  # of the saves whose sync reports an error
 
 
 class InvariantViolationError(AssertionError):
-    """A rule of the system was broken. `faults`: those that were injected before."""
+    """An invariant of the system was violated. `faults`: the faults that were injected before."""
 
     faults: tuple[Any, ...] = ()
 
 
 @dataclass(slots=True)
 class Disk:
-    """The disk of a machine: saves are atomic and in order."""
+    """The simulated disk of a machine. Saves are atomic and in order."""
 
     persistent: PersistentState | None = None
-    commit: int = 0
+    commit_index: int = 0
     stalled_until: int = 0
     full: bool = False
-    sync_errors: bool = False  # a save ends with an error, and nobody knows what of it is there
-    sync: int = USUAL_SYNC_US
+    sync_errors: bool = False  # each save fails, but its state may be stored or not
+    sync_us: int = DEFAULT_SYNC_US
     random: random.Random = field(default_factory=lambda: random.Random(0))
 
-    def refuses(self, parts: list[object], commit: int) -> bool:
-        """Whether the save ends with an error. After a failed sync the state may be there all the same."""
-        if self.sync_errors and self.random.random() < SAVED_IN_SPITE_SHARE:
-            self.save(parts, commit)
+    def save_fails(self, records: list[object], commit_index: int) -> bool:
+        """Whether the save fails. After a sync error the state may still have been stored."""
+        if self.sync_errors and self.random.random() < SAVED_DESPITE_ERROR_FRACTION:
+            self.save(records, commit_index)
         return self.full or self.sync_errors
 
-    def save(self, parts: list[object], commit: int) -> None:
-        """Store the changed parts and the commit index."""
+    def save(self, records: list[object], commit_index: int) -> None:
+        """Store the changed records and the commit index."""
         old = self.persistent
         persistent = PersistentState("")
         if old is not None:
-            for part in state_codec.state_records(old):
-                state_codec.apply_record(persistent, part)
-        for part in parts:
-            state_codec.apply_record(persistent, part)
+            for record in state_codec.state_records(old):
+                state_codec.apply_record(persistent, record)
+        for record in records:
+            state_codec.apply_record(persistent, record)
         self.persistent = persistent
-        self.commit = max(commit, self.commit)
+        self.commit_index = max(commit_index, self.commit_index)
 
 
 @dataclass(slots=True, eq=False)
@@ -74,11 +74,11 @@
     frozen_until: int = 0
     saving: bool = False
     pending_calls: dict[int, Callable[[co.CallOutcome], None]] = field(default_factory=dict)
-    published_version: int = 0  # that routers have got
-    confirmed_at: int | None = None  # when that version was surely the newest
+    published_version: int = 0  # configuration version that routers have received
+    confirmed_at: int | None = None  # latest time at which that version was confirmed as the newest
     started_at: int = 0
     removed: bool = False
-    clock_offset: float = 0.0  # seconds, of its time of day
+    clock_offset: float = 0.0  # seconds, of its wall clock
 
 
 class Fleet:
@@ -87,7 +87,7 @@
     def __init__(
         self, seed: int, machines: int = 3, tolerance: int = 1, loss: float = 0.01, observers: int = 0
     ) -> None:
-        """`observers`: so many of the machines, the last ones, have no vote."""
+        """`observers`: the number of machines without a vote; these are the last ones."""
         self.seed = seed
         self.random = random.Random(seed)
         self.now = 0
@@ -96,13 +96,14 @@
         self.addresses = [f"10.0.{number}.1:7000" for number in range(1, machines + 1)]
         self.machines = {address: Machine(address, Disk()) for address in self.addresses}
         self.observers = set(self.addresses[machines - observers :])
-        self.exchanged_seeds: tuple[str, ...] = ()  # what settings files that are written now name
+        self.replaced_seeds: tuple[str, ...] = ()  # if not empty, the seeds in new settings files
         self.on_publish: list[Callable[[Machine, StoredConfig], None]] = []
         self.on_workers_changed: list[Callable[[Machine, list[WorkerRecord]], None]] = []
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._last_event_number = 0
         self.messages = 0
-        # An operator has given up what a lost majority held: a process may be behind what it has published.
+        # After an operator has started an epoch, the state of the lost majority is gone: a process may then
+        # have an older version than the one it has published.
         self.operator_started_epoch = False
         for address in self.addresses:
             self.call_later(
@@ -112,12 +113,12 @@
     # --- time ---
 
     def call_later(self, delay: int, action: Callable[[], None]) -> None:
-        """Schedule an action, so many microseconds from now."""
+        """Schedule an action `delay` microseconds from now."""
         self._last_event_number += 1
         heapq.heappush(self._events, (self.now + delay, self._last_event_number, action))
 
     def run(self, duration: int) -> None:
-        """Run the events of so many microseconds."""
+        """Run all events of the next `duration` microseconds."""
         end = self.now + duration
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -125,7 +126,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], timeout: int) -> bool:
-        """Run until the condition holds; False if it does not within the timeout."""
+        """Run until the condition holds; returns False if it does not hold within the timeout."""
         end = self.now + timeout
         while self.now < end:
             if condition():
@@ -136,7 +137,7 @@
     # --- processes ---
 
     def start(self, address: str, *, bootstrap: bool = False) -> None:
-        """A process starts with what is on the disk."""
+        """Start the machine's process with the state on its disk."""
         machine = self.machines[address]
         if machine.engine is not None or machine.removed:
             return
@@ -154,15 +155,15 @@
         persistent = None
         if stored is not None:
             persistent = PersistentState("")
-            for part in state_codec.state_records(stored):
-                state_codec.apply_record(persistent, part)
+            for record in state_codec.state_records(stored):
+                state_codec.apply_record(persistent, record)
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
         machine.engine = ce.ControlEngine(
             identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, persistent
         )
         if persistent is not None:
-            machine.engine.raft.restore_commit_index(machine.disk.commit, self.now)
+            machine.engine.raft.restore_commit_index(machine.disk.commit_index, self.now)
         machine.saving = False
         machine.pending_calls = {}
         machine.published_version = 0
@@ -172,37 +173,37 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """What a settings file that is written now names."""
-        if self.exchanged_seeds:
-            return self.exchanged_seeds
-        standing = [address for address, machine in self.machines.items() if not machine.removed]
-        return tuple(standing[:3])
+        """The seeds in a settings file that is written now."""
+        if self.replaced_seeds:
+            return self.replaced_seeds
+        remaining = [address for address, machine in self.machines.items() if not machine.removed]
+        return tuple(remaining[:3])
 
     def kill(self, address: str) -> None:
-        """SIGKILL: the disk keeps all that was saved."""
+        """End the process as by SIGKILL: the disk keeps everything that was saved."""
         machine = self.machines[address]
         machine.engine = None
         machine.incarnation += 1
 
     def wipe(self, address: str) -> None:
-        """Killed, and its disk is lost; its delays stay those of the machine."""
+        """Kill the process and replace the disk with an empty one of the same speed."""
         self.kill(address)
-        self.machines[address].disk = Disk(sync=self.machines[address].disk.sync)
+        self.machines[address].disk = Disk(sync_us=self.machines[address].disk.sync_us)
 
     def freeze(self, address: str, duration: int) -> None:
-        """The process stands still; what comes meanwhile is read when it wakes."""
+        """Pause the process; messages that arrive during the pause are handled after it."""
         self.machines[address].frozen_until = self.now + duration
 
     def partition(self, one: str, other: str, *, both_ways: bool = True) -> None:
-        """Messages between these two are lost."""
+        """Drop all messages between these two machines."""
         self.network.partition(one, other, both_ways=both_ways)
 
     def heal(self) -> None:
-        """All links carry again."""
+        """Restore all links."""
         self.network.heal()
 
     def replace(self, address: str) -> str:
-        """A machine is gone for good; an empty one comes at another address, a second later."""
+        """Remove a machine permanently; an empty one starts at another address one second later."""
         self.kill(address)
         self.machines[address].removed = True
         new = f"10.1.{len(self.machines) + 1}.1:7000"
@@ -212,14 +213,14 @@
 
     @property
     def alive(self) -> list[Machine]:
-        """Machines whose process runs."""
-        return [each for each in self.machines.values() if each.engine is not None]
+        """The machines whose process is running."""
+        return [machine for machine in self.machines.values() if machine.engine is not None]
 
     @property
     def leader(self) -> Machine | None:
-        """The one that leads with a commit in its term, of the highest term."""
-        leading = [each for each in self.alive if each.engine.raft.has_committed_in_term]
-        return max(leading, key=lambda each: each.engine.raft.persistent.current_term, default=None)
+        """The leader of the highest term, of those that have committed an entry in their term."""
+        leaders = [machine for machine in self.alive if machine.engine.raft.has_committed_in_term]
+        return max(leaders, key=lambda machine: machine.engine.raft.persistent.current_term, default=None)
 
     # --- the driver, as in system/control_daemon.py ---
 
@@ -250,24 +251,29 @@
         if machine.saving or not engine.has_durable_output:
             return
         durable = engine.take_durable_output()
-        parts = state_codec.take_changed_records(engine.raft)
-        if not parts:
+        records = state_codec.take_changed_records(engine.raft)
+        if not records:
             self._send_durable(machine, durable)
             self._save_commit_index_soon(machine)
             return
         machine.saving = True
         incarnation = machine.incarnation
-        commit = engine.raft.commit_index
-        delay = machine.disk.sync + max(machine.disk.stalled_until - self.now, 0)
-        self.call_later(delay, lambda: self._saved(machine, incarnation, parts, commit, durable))
+        commit_index = engine.raft.commit_index
+        delay = machine.disk.sync_us + max(machine.disk.stalled_until - self.now, 0)
+        self.call_later(delay, lambda: self._saved(machine, incarnation, records, commit_index, durable))
 
     def _saved(
-        self, machine: Machine, incarnation: int, parts: list[object], commit: int, output: co.DurableOutput
+        self,
+        machine: Machine,
+        incarnation: int,
+        records: list[object],
+        commit_index: int,
+        output: co.DurableOutput,
     ) -> None:
         engine = machine.engine
         if machine.incarnation != incarnation or engine is None:
             return
-        if machine.disk.refuses(parts, commit):
+        if machine.disk.save_fails(records, commit_index):
             engine.raft.hard_state_changed = True
             engine.raft.first_unsaved_index = engine.raft.persistent.last_included_index
             for outcome in engine.discard_durable_output(output):
@@ -275,7 +281,7 @@
             self.call_later(200 * MS, lambda: self._free_to_save(machine, incarnation))
             return
         machine.saving = False
-        machine.disk.save(parts, commit)
+        machine.disk.save(records, commit_index)
         self._send_durable(machine, output)
         self._flush(machine)
         self._save_commit_index_soon(machine)
@@ -283,15 +289,15 @@
     def _save_commit_index_soon(self, machine: Machine) -> None:
         incarnation = machine.incarnation
         engine = machine.engine
-        if engine is not None and not machine.saving and engine.raft.commit_index > machine.disk.commit:
-            self.call_later(machine.disk.sync, lambda: self._save_commit_index(machine, incarnation))
+        if engine is not None and not machine.saving and engine.raft.commit_index > machine.disk.commit_index:
+            self.call_later(machine.disk.sync_us, lambda: self._save_commit_index(machine, incarnation))
 
     def _save_commit_index(self, machine: Machine, incarnation: int) -> None:
-        """As `system.state_persister` does once nothing else is to be saved."""
+        """Save the commit index while no other save is pending, as `system.state_persister` does."""
         disk = machine.disk
         is_idle = machine.incarnation == incarnation and not machine.saving
-        if is_idle and machine.engine is not None and not disk.refuses([], disk.commit):
-            disk.commit = max(disk.commit, machine.engine.raft.commit_index)
+        if is_idle and machine.engine is not None and not disk.save_fails([], disk.commit_index):
+            disk.commit_index = max(disk.commit_index, machine.engine.raft.commit_index)
 
     def _free_to_save(self, machine: Machine, incarnation: int) -> None:
         if machine.incarnation == incarnation:
@@ -305,7 +311,10 @@
             self._resolve(machine, outcome)
         is_behind = output.config.version < machine.published_version
         if is_behind and not self.operator_started_epoch:
-            raise InvariantViolationError(f"{machine.address} went back to {output.config.version}")
+            raise InvariantViolationError(
+                f"{machine.address} returned to version {output.config.version} "
+                f"after {machine.published_version}"
+            )
         machine.confirmed_at = output.confirmed_at
         if output.config.version > machine.published_version:
             machine.published_version = output.config.version
@@ -354,7 +363,7 @@
         body: bytes,
         on_result: Callable[[ChangeResult | None], None],
     ) -> None:
-        """Put an operator's change at this machine; the result is None where it is not known."""
+        """Send an operator's change to this machine. The result is None if it is unknown."""
 
         def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.PutOutcome)
@@ -368,7 +377,7 @@
         )
 
     def read(self, address: str, on_result: Callable[[StoredConfig | None], None]) -> None:
-        """Read the configuration at this machine; the result is None where it is not known."""
+        """Read the configuration at this machine. The result is None if it is unknown."""
 
         def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.ReadOutcome)
@@ -377,7 +386,7 @@
         self._call(address, lambda engine: engine.read_config(self.now), on_outcome, on_result)
 
     def worker(self, address: str, record: WorkerRecord, on_result: Callable[[bool], None]) -> None:
-        """Send a worker's heartbeat to this machine; the result is whether it was acknowledged."""
+        """Send a worker's heartbeat to this machine. The result is whether it was acknowledged."""
 
         def on_outcome(outcome: co.CallOutcome) -> None:
             assert isinstance(outcome, co.AnnouncementOutcome)
@@ -387,11 +396,11 @@
         if machine.engine is None or self.now < machine.frozen_until:
             on_result(False)
             return
-        number = machine.engine.handle_heartbeat(record, self.now)
-        if number is None:
+        request_id = machine.engine.handle_heartbeat(record, self.now)
+        if request_id is None:
             on_result(True)
         else:
-            machine.pending_calls[number] = on_outcome
+            machine.pending_calls[request_id] = on_outcome
         self._flush(machine)
 
     def _call(
@@ -405,16 +414,16 @@
         if machine.engine is None or self.now < machine.frozen_until:
             on_result(None)
             return
-        number = call(machine.engine)
-        if number is None:
+        request_id = call(machine.engine)
+        if request_id is None:
             on_result(None)
             return
-        machine.pending_calls[number] = on_outcome
+        machine.pending_calls[request_id] = on_outcome
         self._flush(machine)
 
 
 def has_formed(fleet: Fleet, machines: int) -> bool:
-    """Whether the cluster has a leader and this many voters, and all voters know it."""
-    records = [each.engine.raft for each in fleet.alive if each.address not in fleet.observers]
-    known = [len(each.persistent.voters_at(each.commit_index)) for each in records]
-    return fleet.leader is not None and known == [machines] * machines
+    """Whether the cluster has a leader, and all voters know a committed voter list of this length."""
+    rafts = [machine.engine.raft for machine in fleet.alive if machine.address not in fleet.observers]
+    voter_counts = [len(raft.persistent.voters_at(raft.commit_index)) for raft in rafts]
+    return fleet.leader is not None and voter_counts == [machines] * machines
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -12,16 +12,16 @@
 from benchmarks.control.operators import Operators
 
 RNG_SALT = 0x3000000
-START_TIMEOUT_US = 10 * S  # in which all machines must have come together
-LAST_FAULTS_US = 22 * S  # after the last fault was drawn, until all of them are over
-RECOVERY_US = 12 * S  # from when all are back until all is well
+START_TIMEOUT_US = 10 * S  # in which all machines must have formed one cluster
+LAST_FAULTS_US = 22 * S  # from the last drawn fault, until the effects of all faults have ended
+RECOVERY_US = 12 * S  # from the end of all faults, until the cluster must have recovered
 ROUTERS = 2
 MAX_FAULTS = 1_000  # more than any history draws
 
 
 @dataclass(slots=True, frozen=True)
 class HistoryResult:
-    """Totals of a history."""
+    """The totals of a history."""
 
     changes: int
     reads: int
@@ -34,7 +34,7 @@
 
 
 class History:
-    """The history of one seed."""
+    """The history that a seed determines."""
 
     def __init__(self, seed: int, machines: int, tolerance: int, skipped: frozenset[int]) -> None:
         self._rng = random.Random(seed ^ RNG_SALT)
@@ -50,21 +50,21 @@
         LeaderMonitor(self.fleet).begin()
 
     def play(self, length: int) -> None:
-        """Run the history.
+        """Run the history for `length` microseconds and check the recovery after it.
 
         Raises:
-            InvariantViolationError: a rule of the system was broken.
+            InvariantViolationError: an invariant of the system was violated.
         """
         fleet = self.fleet
         fleet.run_until(lambda: self._has_formed(), START_TIMEOUT_US)
         if not self._has_formed():
-            raise InvariantViolationError("the first start has not brought all machines together")
+            raise InvariantViolationError("the machines have not formed one cluster after the first start")
         end = fleet.now + length
         while fleet.now < end:
             self._run_and_check(self._rng.randint(20 * MS, 600 * MS))
             self._act(self._rng.random())
         last = fleet.now + LAST_FAULTS_US
-        while fleet.now < min(max(self.fault_injector.quiet_from, fleet.now + 1 * S), last):
+        while fleet.now < min(max(self.fault_injector.effects_end_at, fleet.now + 1 * S), last):
             self._run_and_check(200 * MS)
         fleet.heal()
         self._run_and_check(RECOVERY_US)
@@ -86,7 +86,7 @@
             self.fault_injector.inject()
 
     def _run_and_check(self, duration: int) -> None:
-        """Let time pass, and look at the routers all the while."""
+        """Run for `duration`, and check the routers at short intervals."""
         end = self.fleet.now + duration
         while self.fleet.now < end:
             self.fleet.run(min(50 * MS, end - self.fleet.now))
@@ -97,37 +97,42 @@
         return has_formed(self.fleet, self._voter_count)
 
     def _check_caught_up(self) -> None:
-        """All that stand, also those that came back or are new, hold what the leader holds."""
+        """Check that all running machines, also restarted and new ones, have the leader's state."""
         leader = self.fleet.leader
         if leader is None:
-            raise InvariantViolationError("nobody leads though all is well")
-        standing = {machine.engine.identity for machine in self.fleet.alive}
-        gone = set(leader.engine.raft.voters) - standing
-        if gone:
-            raise InvariantViolationError(f"{min(gone)} is still listed {RECOVERY_US / S:.0f} s after all")
+            raise InvariantViolationError("there is no leader after the recovery time")
+        running = {machine.engine.identity for machine in self.fleet.alive}
+        stale_voters = set(leader.engine.raft.voters) - running
+        if stale_voters:
+            raise InvariantViolationError(
+                f"{min(stale_voters)} is still a voter, but not running, "
+                f"{RECOVERY_US / S:.0f} s after the faults"
+            )
         digests = {
             machine.engine.registry.digest
             for machine in self.fleet.alive
             if machine.address not in self.fleet.observers
         }
         if len(digests) > 1:
-            raise InvariantViolationError("control processes know different workers though all is well")
+            raise InvariantViolationError(
+                "control processes have different worker records after the recovery time"
+            )
         for machine in self.fleet.alive:
             if machine.address in self.fleet.observers:
                 continue
-            record = machine.engine.raft
-            if record.commit_index < leader.engine.raft.commit_index or not record.is_voter:
+            raft = machine.engine.raft
+            if raft.commit_index < leader.engine.raft.commit_index or not raft.is_voter:
                 raise InvariantViolationError(
-                    f"{machine.address} has not caught up {RECOVERY_US / S:.0f} s after all"
+                    f"{machine.address} has not caught up {RECOVERY_US / S:.0f} s after the faults"
                 )
 
     def result(self) -> HistoryResult:
-        """Totals so far."""
+        """The totals so far."""
         return HistoryResult(
             changes=self.operators.changes,
             reads=self.operators.reads,
             drains=len(self.workers.acknowledged),
-            orders=len(self.orders.given),
+            orders=len(self.orders.sent_orders),
             messages=self.fleet.messages,
             bytes=self.fleet.network.bytes,
             simulated_us=self.fleet.now,
@@ -143,11 +148,18 @@
     skipped: frozenset[int] = frozenset(),
     injected: frozenset[int] | None = None,
 ) -> HistoryResult:
-    """Run one history. `skipped`: numbers of faults that are drawn and not injected; `injected`: of those
-    that are, without all others.
+    """Run one history.
+
+    Args:
+        seed: determines the history.
+        machines: the number of voters.
+        tolerance: the number of machines that may be lost at the same time.
+        length: microseconds of simulated time with faults.
+        skipped: the numbers of faults that are drawn but not injected.
+        injected: if not None, the numbers of the only faults that are injected; `skipped` is ignored then.
 
     Raises:
-        InvariantViolationError: a rule was broken; `faults` lists those that were injected.
+        InvariantViolationError: an invariant was violated; `faults` lists the injected faults.
     """
     if injected is not None:
         skipped = frozenset(range(MAX_FAULTS)) - injected
@@ -161,30 +173,30 @@
 
 
 def shrink(seed: int, machines: int = 3, tolerance: int = 1) -> tuple[str, tuple[Fault, ...]]:
-    """The rule that a seed breaks, and the fewest faults found that still break one.
+    """The invariant that the history of a seed violates, and a small set of faults that still violates one.
 
-    Skips one fault after the other, as long as a rule is still broken without it.
+    Tries to skip one fault after the other, and keeps it skipped if the history still violates an invariant.
 
     Raises:
-        ValueError: the seed breaks no rule.
+        ValueError: the history violates no invariant.
     """
-    broken = _broken(seed, machines, tolerance, frozenset())
-    if broken is None:
-        raise ValueError(f"seed {seed} breaks no rule")
+    violation = _find_violation(seed, machines, tolerance, frozenset())
+    if violation is None:
+        raise ValueError(f"the history of seed {seed} violates no invariant")
     skipped: frozenset[int] = frozenset()
     smaller = True
     while smaller:
         smaller = False
-        for fault in reversed(broken.faults):
-            fewer = _broken(seed, machines, tolerance, skipped | {fault.number})
+        for fault in reversed(violation.faults):
+            fewer = _find_violation(seed, machines, tolerance, skipped | {fault.number})
             if fewer is not None:
-                broken = fewer
+                violation = fewer
                 skipped = skipped | {fault.number}
                 smaller = True
-    return str(broken), broken.faults
+    return str(violation), violation.faults
 
 
-def _broken(
+def _find_violation(
     seed: int, machines: int, tolerance: int, skipped: frozenset[int]
 ) -> InvariantViolationError | None:
     try:
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -2,9 +2,14 @@
 
     python -m benchmarks.control.measure [--seeds 20] [--machines 3]
 
-Prints one JSON object: milliseconds from a partition to the leader's step-down and to a new leader, from the
-heal until the old leader has caught up, of puts and reads at p50 and p99; bytes per second that each process
-sends at rest; the bytes of the store on a real disk after 10,000 changes.
+Prints one JSON object with:
+
+- the milliseconds from a partition of the leader to its step-down and to a new leader, and from the end of
+the
+  partition until the old leader has caught up;
+- the milliseconds of puts and of reads at p50 and p99;
+- the bytes per second that each process sends without any load;
+- the bytes of the store on a real disk after 10,000 changes.
 """
 
 from __future__ import annotations
@@ -28,7 +33,7 @@
 
 CHANGES = 10_000
 BODY_BYTES = 2_000  # of a change, a third of them random
-CALLS = 200  # puts and reads of each seed
+CALLS = 200  # puts, and as many reads, of each seed
 STEP_US = 5 * MS
 
 
@@ -39,23 +44,23 @@
 
 
 def _partition_leader(seed: int, machines: int) -> dict[str, int]:
-    """Partition the leader for 20 s, with changes on the other side; the times in microseconds."""
+    """Partition the leader for 20 s, with changes on the other side; returns the times in microseconds."""
     fleet = _started(seed, machines)
     old = fleet.leader
-    began = fleet.now
+    started_at = fleet.now
     fleet.network.isolate([old.address], fleet.machines)
     times: dict[str, int] = {}
 
-    def both_seen() -> bool:
+    def has_failed_over() -> bool:
         if not old.engine.raft.is_leader:
-            times.setdefault("step_down", fleet.now - began)
+            times.setdefault("step_down", fleet.now - started_at)
         if fleet.leader is not None and fleet.leader is not old:
-            times.setdefault("new_leader", fleet.now - began)
+            times.setdefault("new_leader", fleet.now - started_at)
         return len(times) == 2
 
-    fleet.run_until(both_seen, 5 * S)
+    fleet.run_until(has_failed_over, 5 * S)
     version = 0
-    while fleet.now < began + 20 * S:
+    while fleet.now < started_at + 20 * S:
         version += 1
         fleet.put(fleet.leader.address, version - 1, version, b"%d" % version, lambda result: None)
         fleet.run(200 * MS)
@@ -70,18 +75,24 @@
 
 
 def _calls(seed: int, machines: int) -> tuple[list[int], list[int]]:
-    """Microseconds of puts and of reads at the leader."""
+    """The durations of puts and of reads at the leader, in microseconds."""
     fleet = _started(seed, machines)
     puts: list[int] = []
     reads: list[int] = []
     for version in range(1, CALLS + 1):
-        began = fleet.now
+        started_at = fleet.now
         body = b"%d" % version
         leader = fleet.leader.address
-        fleet.put(leader, version - 1, version, body, lambda _, began=began: puts.append(fleet.now - began))
+        fleet.put(
+            leader,
+            version - 1,
+            version,
+            body,
+            lambda _, started_at=started_at: puts.append(fleet.now - started_at),
+        )
         fleet.run(50 * MS)
-        began = fleet.now
-        fleet.read(leader, lambda _, began=began: reads.append(fleet.now - began))
+        started_at = fleet.now
+        fleet.read(leader, lambda _, started_at=started_at: reads.append(fleet.now - started_at))
         fleet.run(50 * MS)
     return puts, reads
 
@@ -95,7 +106,7 @@
 
 
 async def _store_changes(folder: Path) -> None:
-    """Write a single voter's store, saved after each change as `system.control_node` does."""
+    """Write the store of a single voter, with a save after each change as in `system.control_node`."""
     raft = RaftNode(PersistentState("a@10.0.0.1:7"), ConfigStateMachine(), TIMING, 1, 0)
     raft.force_new_cluster(256, 0)
     store = ControlStore(folder)
@@ -129,13 +140,13 @@
         asyncio.run(_store_changes(Path(folder)))
         store_bytes = _folder_bytes(Path(folder))
     found = {
-        name: {"middle": sorted(each[name] for each in partitions)[len(partitions) // 2] / MS,
-               "longest": max(each[name] for each in partitions) / MS}
+        name: {"middle": sorted(times[name] for times in partitions)[len(partitions) // 2] / MS,
+               "longest": max(times[name] for times in partitions) / MS}
         for name in ("step_down", "new_leader", "caught_up")
     }  # fmt: skip
     found |= {
-        "put": _quantiles([each for puts, _ in calls for each in puts]),
-        "read": _quantiles([each for _, reads in calls for each in reads]),
+        "put": _quantiles([duration for puts, _ in calls for duration in puts]),
+        "read": _quantiles([duration for _, reads in calls for duration in reads]),
         "bytes_a_second_at_rest": round(_bytes_at_rest(1, options.machines)),
         "disk_after_10000_changes": store_bytes,
     }
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -1,23 +1,31 @@
-"""Every order of events of three voters, one of which is replaced: the real record and state machine.
+"""Model checker: explores every order of events of three voters, one of which may be replaced.
 
     python -m benchmarks.control.model [--stands 2] [--writes 2] [--resends 1] [--restarts 1] [--wipes 1]
                                        [--late 1] [--most 2000000] [--defect NAME]
 
-Two operators send one change each, on the same version and with the same number; one change is sent again. A
-step is one of: a voter stands for election and reaches some of the others; the leader exchanges messages with
-one other, of which the first answer may be lost; an operator's call; a process starts again with its memory;
-a machine loses its disk and starts as somebody new; the leader, heard by some of the others in this very
-round, replaces an erased voter; the leader answers a read, heard by some of the others; one frame is held
-back and delivered at any later time, in whatever life its receiver is then. No clock is asked: anybody may
-stand at any time and no leader steps down by itself.
-
-Checked in each state: one leader in a term; what two have committed is the same; a leader holds all that was
-ever committed; of the two changes at most one is acknowledged; a change that was acknowledged is in force at
-whoever answers a read, and is never refused; one that was refused is never in force.
-
-The search is breadth first over all states within the bounds on how often each may happen. The last line is
-one JSON object with the number of states and whether it closed; the exit status is 1 if a check fails, with
-the fewest steps that lead there.
+The Raft nodes and state machines are the real ones. Two operators send one change each, with the same base
+and the same version; a change can be sent again. A step is one of:
+
+- a voter campaigns and reaches some of the others;
+- the leader exchanges messages with another node, of which the first answer may be lost;
+- an operator sends a change;
+- a process restarts with its stored state;
+- a machine loses its disk and restarts under a new identity;
+- the leader, confirmed by some of the others in the current round, replaces a voter without state;
+- the leader, confirmed by some of the others, answers a read;
+- one message is delayed and delivered at any later time, in whatever incarnation its receiver is then.
+
+The model has no clock: any voter may campaign at any time, and a leader never steps down because of a
+timeout.
+
+Checked in each state: a term has at most one leader; no two nodes have committed different entries; a leader
+holds everything that was ever committed; at most one of the two changes is acknowledged; an acknowledged
+change is current at any leader that answers a read, and is never rejected; a rejected change is never
+current.
+
+The search is breadth first over all states within the budget of each kind of step. The last output line is a
+JSON object with the number of states and whether the search was complete. If a check fails, the exit status
+is 1 and the object has the shortest sequence of steps that leads there.
 """
 
 from __future__ import annotations
@@ -40,13 +48,13 @@
 from hazelbend.control.config_state_machine import ChangeResult, ConfigStateMachine, encode_config_change
 from hazelbend.control.engine import TIMING
 
-EPOCH, VOTERS, NEWCOMER = 256, ("a", "b", "c"), "d"
+EPOCH, VOTERS, REPLACEMENT = 256, ("a", "b", "c"), "d"
 BODIES = (b'{"version":1,"by":1}', b'{"version":1,"by":2}')
-MOST_MESSAGES = 16  # of one exchange
+MAX_MESSAGES = 16  # rounds of messages in one exchange
 
 
-class Left(NamedTuple):
-    """How often each may still happen."""
+class StepBudget(NamedTuple):
+    """How often each kind of step may still happen. The field names are also command line options."""
 
     stands: int = 2
     writes: int = 2
@@ -56,335 +64,361 @@
     late: int = 1
 
 
-class World:
-    """One state, and what may still happen from it."""
+class ModelState:
+    """One state of the model, and the steps that are possible from it."""
 
-    def __init__(self, left: Left) -> None:
-        self.left = left
-        self.records = [
-            self._make(PersistentState(name, EPOCH, 1, "", 1, 1, VOTERS, _empty())) for name in VOTERS
+    def __init__(self, budget: StepBudget) -> None:
+        self.budget = budget
+        self.nodes = [
+            self._start_node(PersistentState(name, EPOCH, 1, "", 1, 1, VOTERS, _empty_snapshot()))
+            for name in VOTERS
         ]
-        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # by change: what its operator knows
-        self.sent = 0  # changes
-        self.erased: frozenset[str] = frozenset()
-        self.held: Message | None = None
+        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # result of each change
+        self.sent_count = 0  # number of changes sent
+        self.without_state: frozenset[str] = frozenset()
+        self.delayed_message: Message | None = None
         self.leaders: frozenset[tuple[int, str]] = frozenset()
-        self.committed: tuple[Entry, ...] = ()  # of whoever has committed most
-        self.wrong = ""
+        self.committed: tuple[Entry, ...] = ()  # the longest committed log of any node so far
+        self.violation = ""
 
     @staticmethod
-    def _make(memory: PersistentState) -> RaftNode:
-        return RaftNode(memory, ConfigStateMachine(), TIMING, 1, 0)
+    def _start_node(persistent: PersistentState) -> RaftNode:
+        return RaftNode(persistent, ConfigStateMachine(), TIMING, 1, 0)
 
     def broken(self) -> str:
-        """The check that fails here, or nothing."""
-        return self.wrong
+        """The check that fails in this state; empty if none does."""
+        return self.violation
 
     # --- identity of a state ---
 
     def key(self) -> tuple[object, ...]:
-        """Two worlds with the same key go on alike."""
-        records = tuple(self._record_key(each) for each in self.records)
-        return (self.left, records, self.outcomes, self.sent, self.erased, self.held, self.committed)
+        """Two states with the same key have the same future."""
+        nodes = tuple(self._node_key(node) for node in self.nodes)
+        return (
+            self.budget,
+            nodes,
+            self.outcomes,
+            self.sent_count,
+            self.without_state,
+            self.delayed_message,
+            self.committed,
+        )
 
     @staticmethod
-    def _record_key(record: RaftNode) -> tuple[object, ...]:
-        memory = record.persistent
-        peers = tuple(sorted((name, peer.match_index) for name, peer in record.peers.items()))
+    def _node_key(node: RaftNode) -> tuple[object, ...]:
+        persistent = node.persistent
+        peers = tuple(sorted((name, peer.match_index) for name, peer in node.peers.items()))
         stored = (
-            memory.identity,
-            memory.epoch,
-            memory.current_term,
-            memory.voted_for,
-            memory.last_included_index,
-            tuple(memory.entries),
+            persistent.identity,
+            persistent.epoch,
+            persistent.current_term,
+            persistent.voted_for,
+            persistent.last_included_index,
+            tuple(persistent.entries),
         )
-        proposals = tuple(sorted(record.pending_proposals.items()))
-        return (stored, record.role, record.commit_index, peers, proposals, frozenset(record.learners))
+        proposals = tuple(sorted(node.pending_proposals.items()))
+        return (stored, node.role, node.commit_index, peers, proposals, frozenset(node.learners))
 
     # --- steps ---
 
-    def next(self) -> Iterator[tuple[str, World]]:
-        """All that may happen, with a name."""
-        for slot, record in enumerate(self.records):
+    def next(self) -> Iterator[tuple[str, ModelState]]:
+        """All possible steps: a description and the state after it."""
+        for slot, node in enumerate(self.nodes):
             others = [other for other in range(3) if other != slot]
-            if self.left.stands and record.is_voter and not record.is_leader:
-                for reached in _subsets(others):
-                    yield from self._stand(slot, reached)
-            if self.left.restarts:
-                yield f"{record.identity} starts again", self._restart(slot)
-            if self.left.wipes and record.identity in VOTERS:
-                yield f"{record.identity} loses its disk", self._wipe(slot)
-            if record.is_leader:
+            if self.budget.stands and node.is_voter and not node.is_leader:
+                for reached_slots in _subsets(others):
+                    yield from self._elections(slot, reached_slots)
+            if self.budget.restarts:
+                yield f"{node.identity} restarts", self._restart(slot)
+            if self.budget.wipes and node.identity in VOTERS:
+                yield f"{node.identity} loses its disk", self._wipe(slot)
+            if node.is_leader:
                 for other in others:
                     yield from self._exchanges(slot, other)
-                yield from self._calls(slot)
-                for reached in _subsets(others):
-                    yield from self._confirmed(slot, reached)
-        if self.held is not None:
-            yield f"the held frame reaches {self.held.to}", self._deliver_held()
-
-    def _stand(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
-        name = self.records[slot].identity
-        names = ",".join(self.records[each].identity for each in reached)
-        for holds in (None, *reached) if self.left.late and self.held is None else (None,):
-            after = self._copy(stands=1)
-            record = after.records[slot]
-            record._campaign(0, pre_vote=False, is_transfer=True)
-            asked = {message.to: message for message in record.outbox}
-            record.outbox.clear()
-            for other in reached:
-                voter = after.records[other]
-                if voter.identity not in asked:
+                yield from self._operator_calls(slot)
+                for reached_slots in _subsets(others):
+                    yield from self._leader_reads(slot, reached_slots)
+        if self.delayed_message is not None:
+            yield f"the delayed message reaches {self.delayed_message.to}", self._deliver_delayed()
+
+    def _elections(self, slot: int, reached_slots: tuple[int, ...]) -> Iterator[tuple[str, ModelState]]:
+        name = self.nodes[slot].identity
+        names = ",".join(self.nodes[reached].identity for reached in reached_slots)
+        for delayed_from in (
+            (None, *reached_slots) if self.budget.late and self.delayed_message is None else (None,)
+        ):
+            after = self._copy_state(stands=1)
+            node = after.nodes[slot]
+            node._campaign(0, pre_vote=False, is_transfer=True)
+            request_by_voter = {message.to: message for message in node.outbox}
+            node.outbox.clear()
+            for other in reached_slots:
+                voter = after.nodes[other]
+                if voter.identity not in request_by_voter:
                     continue
-                voter.receive(asked[voter.identity], 0)
-                for answer in after._take(voter, name):
-                    if other == holds and isinstance(answer.body, VoteResponse):
-                        after.held, after.left = answer, after.left._replace(late=after.left.late - 1)
+                voter.receive(request_by_voter[voter.identity], 0)
+                for answer in after._take_messages(voter, name):
+                    if other == delayed_from and isinstance(answer.body, VoteResponse):
+                        after.delayed_message, after.budget = (
+                            answer,
+                            after.budget._replace(late=after.budget.late - 1),
+                        )
                     else:
-                        record.receive(answer, 0)
-            if holds is not None and after.held is None:
+                        node.receive(answer, 0)
+            if delayed_from is not None and after.delayed_message is None:
                 continue
-            yield f"{name} stands, reaches {names}, holds {holds}", after._settled()
+            yield f"{name} campaigns, reaches {names}, delayed answer: {delayed_from}", after._finish_step()
 
-    def _exchanges(self, slot: int, other: int) -> Iterator[tuple[str, World]]:
-        leader, replica = self.records[slot].identity, self.records[other].identity
-        if replica not in self.records[slot].peers and replica != NEWCOMER:
+    def _exchanges(self, slot: int, other: int) -> Iterator[tuple[str, ModelState]]:
+        leader, replica = self.nodes[slot].identity, self.nodes[other].identity
+        if replica not in self.nodes[slot].peers and replica != REPLACEMENT:
             return
-        for lost in ("nothing", "the answer", "held request", "held answer"):
-            if "held" in lost and (not self.left.late or self.held is not None):
+        for lost in ("nothing", "the answer", "delayed request", "delayed answer"):
+            if "delayed" in lost and (not self.budget.late or self.delayed_message is not None):
                 continue
-            after = self._copy()
+            after = self._copy_state()
             if after._exchange(slot, other, lost):
-                yield f"{leader} exchanges with {replica}, lost: {lost}", after._settled()
+                yield f"{leader} exchanges with {replica}, lost: {lost}", after._finish_step()
 
     def _exchange(self, slot: int, other: int, lost: str) -> bool:
-        """Messages both ways until there are none, or until one is lost or held back."""
-        leader, replica = self.records[slot], self.records[other]
+        """Deliver messages in both directions until there are none, or until one is lost or delayed."""
+        leader, replica = self.nodes[slot], self.nodes[other]
         if not leader.is_leader:
             return False
         if replica.identity not in leader.peers:
             leader.set_learners({replica.identity}, 0)
         leader._send_entries(replica.identity, 0)
-        for _ in range(MOST_MESSAGES):
-            requests = self._take(leader, replica.identity)
+        for _ in range(MAX_MESSAGES):
+            requests = self._take_messages(leader, replica.identity)
             if not requests:
                 return True
-            if lost == "held request":
-                return self._hold(requests[-1])
+            if lost == "delayed request":
+                return self._delay_message(requests[-1])
             for request in requests:
                 replica.receive(request, 0)
-            answers = self._take(replica, leader.identity)
-            if lost == "held answer" and answers:
-                return self._hold(answers[-1])
+            answers = self._take_messages(replica, leader.identity)
+            if lost == "delayed answer" and answers:
+                return self._delay_message(answers[-1])
             if lost == "the answer":
                 return True
             for answer in answers:
                 leader.receive(answer, 0)
         return True
 
-    def _hold(self, message: Message) -> bool:
-        self.held, self.left = message, self.left._replace(late=self.left.late - 1)
+    def _delay_message(self, message: Message) -> bool:
+        self.delayed_message, self.budget = message, self.budget._replace(late=self.budget.late - 1)
         return True
 
-    def _calls(self, slot: int) -> Iterator[tuple[str, World]]:
-        if self.left.writes and self.sent < len(BODIES):
-            after = self._copy(writes=1)
-            after.sent += 1
-            after._propose(slot, self.sent)
-            yield f"change {self.sent} is sent to {self.records[slot].identity}", after._settled()
-        if self.left.resends:
-            for number in range(self.sent):
-                after = self._copy(resends=1)
+    def _operator_calls(self, slot: int) -> Iterator[tuple[str, ModelState]]:
+        if self.budget.writes and self.sent_count < len(BODIES):
+            after = self._copy_state(writes=1)
+            after.sent_count += 1
+            after._propose(slot, self.sent_count)
+            yield f"change {self.sent_count} is sent to {self.nodes[slot].identity}", after._finish_step()
+        if self.budget.resends:
+            for number in range(self.sent_count):
+                after = self._copy_state(resends=1)
                 after._propose(slot, number)
-                yield f"change {number} is sent again to {self.records[slot].identity}", after._settled()
+                yield f"change {number} is sent again to {self.nodes[slot].identity}", after._finish_step()
 
     def _propose(self, slot: int, number: int) -> None:
-        record = self.records[slot]
-        if record.propose(encode_config_change(0, 1, BODIES[number]), 0) is not None:
-            record.pending_proposals[record.persistent.last_index] = number + 1  # names the change
-
-    def _confirmed(self, slot: int, reached: tuple[int, ...]) -> Iterator[tuple[str, World]]:
-        """The leader is heard by these in this round: it may answer a read, or replace an erased voter."""
-        names = ",".join(self.records[each].identity for each in reached)
-        after = self._copy()
-        leader = after.records[slot]
+        node = self.nodes[slot]
+        if node.propose(encode_config_change(0, 1, BODIES[number]), 0) is not None:
+            node.pending_proposals[node.persistent.last_index] = number + 1  # identifies the change
+
+    def _leader_reads(self, slot: int, reached_slots: tuple[int, ...]) -> Iterator[tuple[str, ModelState]]:
+        """These nodes confirm the leader in this round: it may answer a read, or replace a voter without
+        state.
+        """
+        names = ",".join(self.nodes[reached].identity for reached in reached_slots)
+        after = self._copy_state()
+        leader = after.nodes[slot]
         if not leader.has_committed_in_term:
             return
         leader.confirmed_at = None
         leader.rounds.restart()
         read_id = leader.request_read(0)
-        for other in reached:
+        for other in reached_slots:
             after._exchange(slot, other, "nothing")
         if read_id is None or ReadIndexOutcome(read_id, True) not in leader.outcomes:
             return
         for number, outcome in enumerate(self.outcomes):
             current = leader.state_machine.current
-            if outcome is ChangeResult.ACCEPTED and (current.version, BODIES[number]) != (1, _body(leader)):
-                after.wrong = f"a read at {leader.identity} does not show the acknowledged change {number}"
-        after._settled()
-        yield f"{leader.identity} answers a read, heard by {names}", after
-        gone = set(leader.voters) & after.erased
-        newcomer = next((each for each in after.records if each.identity == NEWCOMER), None)
-        if gone and newcomer is not None and NEWCOMER not in leader.voters:
+            if outcome is ChangeResult.ACCEPTED and (current.version, BODIES[number]) != (
+                1,
+                _current_body(leader),
+            ):
+                after.violation = (
+                    f"a read at {leader.identity} does not show the acknowledged change {number}"
+                )
+        after._finish_step()
+        yield f"{leader.identity} answers a read, confirmed by {names}", after
+        removable = set(leader.voters) & after.without_state
+        replacement = next((node for node in after.nodes if node.identity == REPLACEMENT), None)
+        if removable and replacement is not None and REPLACEMENT not in leader.voters:
             replaced = copy.copy(after)
-            replaced.records = [_copy(each) for each in after.records]
-            voters = tuple(sorted({*leader.voters, NEWCOMER} - gone))
-            replaced.records[slot].set_learners({NEWCOMER}, 0)
-            if replaced.records[slot].change_voters(voters, 0, after.erased):
-                yield f"{leader.identity} replaces {min(gone)}, heard by {names}", replaced._settled()
-
-    def _restart(self, slot: int) -> World:
-        after = self._copy(restarts=1)
-        before = after.records[slot]
-        after.records[slot] = self._make(before.persistent)
-        after.records[slot].restore_commit_index(before.commit_index, 0)
-        return after._settled()
-
-    def _wipe(self, slot: int) -> World:
-        after = self._copy(wipes=1)
-        after.erased |= {after.records[slot].identity}
-        after.records[slot] = self._make(PersistentState(NEWCOMER))
-        return after._settled()
-
-    def _deliver_held(self) -> World:
-        after = self._copy()
-        message, after.held = self.held, None
+            replaced.nodes = [_copy_node(node) for node in after.nodes]
+            voters = tuple(sorted({*leader.voters, REPLACEMENT} - removable))
+            replaced.nodes[slot].set_learners({REPLACEMENT}, 0)
+            if replaced.nodes[slot].change_voters(voters, 0, after.without_state):
+                yield (
+                    f"{leader.identity} replaces {min(removable)}, confirmed by {names}",
+                    replaced._finish_step(),
+                )
+
+    def _restart(self, slot: int) -> ModelState:
+        after = self._copy_state(restarts=1)
+        before = after.nodes[slot]
+        after.nodes[slot] = self._start_node(before.persistent)
+        after.nodes[slot].restore_commit_index(before.commit_index, 0)
+        return after._finish_step()
+
+    def _wipe(self, slot: int) -> ModelState:
+        after = self._copy_state(wipes=1)
+        after.without_state |= {after.nodes[slot].identity}
+        after.nodes[slot] = self._start_node(PersistentState(REPLACEMENT))
+        return after._finish_step()
+
+    def _deliver_delayed(self) -> ModelState:
+        after = self._copy_state()
+        message, after.delayed_message = self.delayed_message, None
         assert message is not None
-        for record in after.records:
-            if record.identity == message.to:
-                record.receive(message, 0)
-        return after._settled()
+        for node in after.nodes:
+            if node.identity == message.to:
+                node.receive(message, 0)
+        return after._finish_step()
 
     # --- after a step ---
 
-    def _copy(self, **used: int) -> World:
+    def _copy_state(self, **used: int) -> ModelState:
         after = copy.copy(self)
-        after.records = [_copy(each) for each in self.records]
+        after.nodes = [_copy_node(node) for node in self.nodes]
         for name, count in used.items():
-            after.left = after.left._replace(**{name: getattr(after.left, name) - count})
+            after.budget = after.budget._replace(**{name: getattr(after.budget, name) - count})
         return after
 
     @staticmethod
-    def _take(record: RaftNode, to: str) -> list[Message]:
-        """Its messages to this one; all others are lost."""
-        found = [message for message in record.outbox if message.to == to]
-        record.outbox.clear()
+    def _take_messages(node: RaftNode, to: str) -> list[Message]:
+        """Take this node's messages to one receiver; all its other messages are lost."""
+        found = [message for message in node.outbox if message.to == to]
+        node.outbox.clear()
         return found
 
-    def _settled(self) -> World:
-        """Note what has come of the step, and check it."""
-        for record in self.records:
-            record.outbox.clear()
-            record.first_unsaved_index, record.hard_state_changed = None, False
-            for peer in record.peers.values():
+    def _finish_step(self) -> ModelState:
+        """Clear what the model leaves out, record the outcomes of the step, and check the state."""
+        for node in self.nodes:
+            node.outbox.clear()
+            node.first_unsaved_index, node.hard_state_changed = None, False
+            for peer in node.peers.values():
                 peer.transfer, peer.pending_timestamp, peer.confirmed_timestamp = None, None, None
-                match, last = peer.match_index, record.persistent.last_index
+                match, last = peer.match_index, node.persistent.last_index
                 peer.next_index = match + 1 if match else last + 1
-            for outcome in record.outcomes:
+            for outcome in node.outcomes:
                 if isinstance(outcome, ProposalOutcome) and isinstance(outcome.result, ChangeResult):
-                    self._decided(outcome.proposal_id - 1, outcome.result)
-            record.outcomes.clear()
-            record.pending_reads.clear()
-        self.wrong = self.wrong or self._check()
+                    self._record_result(outcome.proposal_id - 1, outcome.result)
+            node.outcomes.clear()
+            node.pending_reads.clear()
+        self.violation = self.violation or self._check()
         return self
 
-    def _decided(self, number: int, result: ChangeResult) -> None:
+    def _record_result(self, number: int, result: ChangeResult) -> None:
         known = self.outcomes[number]
         if known is ChangeResult.ACCEPTED and result is not known:
-            self.wrong = f"change {number} was acknowledged and then refused"
+            self.violation = f"change {number} was acknowledged and then rejected"
         outcomes = list(self.outcomes)
         outcomes[number] = result
         self.outcomes = tuple(outcomes)
         if outcomes.count(ChangeResult.ACCEPTED) > 1:
-            self.wrong = "both changes are acknowledged"
+            self.violation = "both changes are acknowledged"
 
     def _check(self) -> str:
-        for record in self.records:
-            if record.role is Role.LEADER:
-                self.leaders |= {(record.persistent.current_term, record.identity)}
-            entries = _committed(record)
-            shared = min(len(entries), len(self.committed))
-            if entries[:shared] != self.committed[:shared]:
-                return f"{record.identity} has committed something else"
-            self.committed = max(self.committed, entries, key=len)
+        for node in self.nodes:
+            if node.role is Role.LEADER:
+                self.leaders |= {(node.persistent.current_term, node.identity)}
+            committed = _committed(node)
+            shared = min(len(committed), len(self.committed))
+            if committed[:shared] != self.committed[:shared]:
+                return f"{node.identity} has committed other entries"
+            self.committed = max(self.committed, committed, key=len)
         terms = [term for term, _ in self.leaders]
         if len(terms) != len(set(terms)):
             return "two leaders in a term"
-        for record in self.records:
-            if record.role is Role.LEADER and self._newest_term() == record.persistent.current_term:
-                held = tuple(record.persistent.entries[: len(self.committed)])
-                if record.persistent.last_included_index == 1 and held != self.committed:
-                    return f"{record.identity} leads without all that was committed"
-            body = _body(record)
-            if any(body == BODIES[n] and _is_refused(each) for n, each in enumerate(self.outcomes)):
-                return f"{record.identity} has a change in force that was refused"
+        for node in self.nodes:
+            if node.role is Role.LEADER and self._newest_term() == node.persistent.current_term:
+                entries = tuple(node.persistent.entries[: len(self.committed)])
+                if node.persistent.last_included_index == 1 and entries != self.committed:
+                    return f"{node.identity} leads without all that was committed"
+            body = _current_body(node)
+            if any(body == BODIES[n] and _is_rejected(outcome) for n, outcome in enumerate(self.outcomes)):
+                return f"the current configuration of {node.identity} is a change that was rejected"
         return ""
 
     def _newest_term(self) -> int:
         return max(term for term, _ in self.leaders)
 
 
-def _is_refused(outcome: ChangeResult | None) -> bool:
+def _is_rejected(outcome: ChangeResult | None) -> bool:
     return outcome in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER)
 
 
-def _committed(record: RaftNode) -> tuple[Entry, ...]:
-    memory = record.persistent
-    if memory.last_included_index != 1:
+def _committed(node: RaftNode) -> tuple[Entry, ...]:
+    persistent = node.persistent
+    if persistent.last_included_index != 1:
         return ()
-    return tuple(memory.entries[: record.commit_index - memory.last_included_index])
+    return tuple(persistent.entries[: node.commit_index - persistent.last_included_index])
 
 
-def _body(record: RaftNode) -> bytes:
+def _current_body(node: RaftNode) -> bytes:
     from hazelbend.control.config_state_machine import decompress_body
 
-    return decompress_body(record.state_machine.current) if record.state_machine.current.version else b""
+    return decompress_body(node.state_machine.current) if node.state_machine.current.version else b""
 
 
-def _empty() -> bytes:
+def _empty_snapshot() -> bytes:
     return ConfigStateMachine().snapshot()
 
 
 def _subsets(others: list[int]) -> list[tuple[int, ...]]:
-    return [each for size in (1, 2) for each in itertools.combinations(others, size)]
-
-
-def _copy(record: RaftNode) -> RaftNode:
-    """A record that shares nothing that changes. Field by field: the search makes millions."""
-    made = object.__new__(RaftNode)
-    made.__dict__.update(record.__dict__)
-    memory = record.persistent
-    made.persistent = PersistentState(
-        memory.identity,
-        memory.epoch,
-        memory.current_term,
-        memory.voted_for,
-        memory.last_included_index,
-        memory.last_included_term,
-        memory.snapshot_voters,
-        memory.snapshot_state,
-        list(memory.entries),
+    return [subset for size in (1, 2) for subset in itertools.combinations(others, size)]
+
+
+def _copy_node(node: RaftNode) -> RaftNode:
+    """A copy that shares no mutable state. It copies field by field, because a search makes millions of
+    copies.
+    """
+    copied = object.__new__(RaftNode)
+    copied.__dict__.update(node.__dict__)
+    persistent = node.persistent
+    copied.persistent = PersistentState(
+        persistent.identity,
+        persistent.epoch,
+        persistent.current_term,
+        persistent.voted_for,
+        persistent.last_included_index,
+        persistent.last_included_term,
+        persistent.snapshot_voters,
+        persistent.snapshot_state,
+        list(persistent.entries),
     )
-    made.state_machine = ConfigStateMachine()
-    made.state_machine.current = record.state_machine.current
-    made.state_machine.floor = record.state_machine.floor
-    made.state_machine.accepted = dict(record.state_machine.accepted)
-    made.votes, made.learners = set(record.votes), set(record.learners)
-    made.peers = {name: Progress(peer.next_index, peer.match_index) for name, peer in record.peers.items()}
-    for name, peer in record.peers.items():
-        made.peers[name].last_acked_round = peer.last_acked_round
-    made.incoming_transfer = IncomingTransfer()  # an exchange that is lost midway begins anew
-    made.outbox, made.outcomes, made.pending_reads = [], [], []
-    made.pending_proposals = dict(record.pending_proposals)
-    made.rounds = record.rounds.copy()
-    made._catch_up_target = copy.copy(record._catch_up_target)
-    return made
-
-
-def search(left: Left, most: int) -> dict[str, object]:
-    """All states within these bounds."""
-    return breadth_first.search(World(left), most)
+    copied.state_machine = ConfigStateMachine()
+    copied.state_machine.current = node.state_machine.current
+    copied.state_machine.floor = node.state_machine.floor
+    copied.state_machine.accepted = dict(node.state_machine.accepted)
+    copied.votes, copied.learners = set(node.votes), set(node.learners)
+    copied.peers = {name: Progress(peer.next_index, peer.match_index) for name, peer in node.peers.items()}
+    for name, peer in node.peers.items():
+        copied.peers[name].last_acked_round = peer.last_acked_round
+    copied.incoming_transfer = IncomingTransfer()  # an exchange that is interrupted starts over
+    copied.outbox, copied.outcomes, copied.pending_reads = [], [], []
+    copied.pending_proposals = dict(node.pending_proposals)
+    copied.rounds = node.rounds.copy()
+    copied._catch_up_target = copy.copy(node._catch_up_target)
+    return copied
+
+
+def search(budget: StepBudget, most: int) -> dict[str, object]:
+    """Search all states within this budget, at most `most` of them."""
+    return breadth_first.search(ModelState(budget), most)
 
 
 def main() -> int:
@@ -392,16 +426,16 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    for name, usual in Left()._asdict().items():
-        parser.add_argument(f"--{name}", type=int, default=usual)
+    for name, default in StepBudget()._asdict().items():
+        parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--most", type=int, default=2_000_000)
     parser.add_argument("--defect", choices=sorted(DEFECTS), default="")
     options = parser.parse_args()
-    began = time.monotonic()
-    left = Left(*(getattr(options, name) for name in Left._fields))
+    started_at = time.monotonic()
+    budget = StepBudget(*(getattr(options, name) for name in StepBudget._fields))
     with planted_defect(options.defect):
-        found = search(left, options.most)
-    print(json.dumps(vars(options) | found | {"seconds": round(time.monotonic() - began, 1)}))
+        found = search(budget, options.most)
+    print(json.dumps(vars(options) | found | {"seconds": round(time.monotonic() - started_at, 1)}))
     return 1 if found["broken"] else 0
 
 
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -1,7 +1,8 @@
-"""Observers of control processes: routers, workers that drain, and a monitor of orders to workers.
+"""Monitors of a simulated fleet: routers, workers that drain, orders to workers, and the leader.
 
-Each checks what it is told: a router that counts as current has no old configuration and knows every drain
-that was acknowledged; orders of two leaders lie a lease apart and their fencing tokens rise.
+They check that a router whose configuration counts as current has no outdated one and knows every
+acknowledged drain; that orders of two leaders are at least a lease apart, with increasing fencing tokens; and
+that a leader with a healthy majority is confirmed.
 """
 
 from __future__ import annotations
@@ -9,41 +10,41 @@
 import random
 from dataclasses import dataclass, field
 
-from benchmarks.control.fleet import USUAL_SYNC_US, Fleet, InvariantViolationError, Machine
+from benchmarks.control.fleet import DEFAULT_SYNC_US, Fleet, InvariantViolationError, Machine
 from benchmarks.control.network import DELAY_RANGE_US, MS, S
 from benchmarks.control.operators import Operators
 from hazelbend.control.config_state_machine import StoredConfig
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
 RNG_SALT = 0x4000000
-CONFIG_APPLY_US = 2 * S  # after which an acknowledged configuration holds everywhere
-DRAIN_US = 2 * S  # after which no router sends to a worker whose drain was acknowledged
+CONFIG_APPLY_US = 2 * S  # after which an acknowledged configuration is current at all routers
+DRAIN_APPLY_US = 2 * S  # after which no router sends to a worker whose drain was acknowledged
 LEASE_US = 3 * S
-THAW_US = 300 * MS  # after its sender was thawed, or a link healed, an order does not count
+RESUME_GRACE_US = 300 * MS  # tolerated for an order that a pause of its sender or a broken link delayed
 CHECK_PERIOD_US = 200 * MS
 PING_PERIOD_US = 400 * MS
 ORDER_CHECK_PERIOD_US = 500 * MS
 LEADER_CHECK_PERIOD_US = 100 * MS
-LEADER_SETTLED_US = 2 * S  # after which a leader that a healthy majority hears must be confirmed
-LEADER_AGE_US = 1 * S  # of its confirmation at most: some heartbeats, as messages are lost
+LEADER_SETTLED_US = 2 * S  # after which a leader that reaches a healthy majority must be confirmed
+LEADER_AGE_US = 1 * S  # maximum age of its confirmation: several heartbeats, because messages can be lost
 CONFIRMATION_TIMEOUT_US = 1_500 * MS
 SILENCE_TIMEOUT_US = 1_300 * MS
 WORKER_HEARTBEAT_US = 1_200 * MS
 
 
 @dataclass(slots=True)
-class Watch:
-    """A router's watch on one control process."""
+class Subscription:
+    """A router's subscription to one control process."""
 
     incarnation: int  # of the machine's process
-    begun_at: int
+    started_at: int
     last_pong_at: int
     confirmed_at: int
-    pinged_at: int = 0
+    last_ping_at: int = 0
 
 
 class RouterMonitor:
-    """Two watches, as `system.control_subscriptions` keeps them."""
+    """A router with two subscriptions, as in `system.control_subscriptions`, and the checks of its state."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet = fleet
@@ -51,85 +52,85 @@
         self.version = self.confirmed_at = 0
         self.drained: set[str] = set()
         self._random = random.Random(fleet.seed ^ RNG_SALT ^ number)
-        self._watches: dict[str, Watch] = {}
-        fleet.on_publish.append(self._published)
-        fleet.on_workers_changed.append(self._workers_changed)
-        fleet.call_later(self._random.randrange(CHECK_PERIOD_US), self._check_watches)
+        self._subscriptions: dict[str, Subscription] = {}
+        fleet.on_publish.append(self._on_publish)
+        fleet.on_workers_changed.append(self._on_workers_changed)
+        fleet.call_later(self._random.randrange(CHECK_PERIOD_US), self._check_subscriptions)
 
     def is_current(self) -> bool:
-        """Whether a majority has confirmed its configuration of late."""
+        """Whether a majority has confirmed the router's configuration within `CONFIG_APPLY_US`."""
         return bool(self.confirmed_at) and self.fleet.now - self.confirmed_at < CONFIG_APPLY_US
 
     def _delay(self) -> int:
         return self._random.randint(*DELAY_RANGE_US)
 
-    def _check_watches(self) -> None:
+    def _check_subscriptions(self) -> None:
         now = self.fleet.now
-        self.fleet.call_later(CHECK_PERIOD_US, self._check_watches)
+        self.fleet.call_later(CHECK_PERIOD_US, self._check_subscriptions)
         stale = [
-            each
-            for each, watch in self._watches.items()
-            if now - watch.confirmed_at > CONFIRMATION_TIMEOUT_US
+            address
+            for address, subscription in self._subscriptions.items()
+            if now - subscription.confirmed_at > CONFIRMATION_TIMEOUT_US
         ]
-        if len(stale) == len(self._watches):
-            stale = stale[1:]  # what one hears is better than nothing
-        for address, watch in list(self._watches.items()):
+        if len(stale) == len(self._subscriptions):
+            stale = stale[1:]  # a stale subscription is better than none
+        for address, subscription in list(self._subscriptions.items()):
             machine = self.fleet.machines[address]
-            ended = machine.engine is None or machine.incarnation != watch.incarnation
-            if ended or now - watch.last_pong_at > SILENCE_TIMEOUT_US or address in stale[:1]:
-                del self._watches[address]
-            elif now - watch.pinged_at > PING_PERIOD_US:
-                self._ping(address, watch)
-        free = [each.address for each in self.fleet.alive if each.address not in self._watches]
+            ended = machine.engine is None or machine.incarnation != subscription.incarnation
+            if ended or now - subscription.last_pong_at > SILENCE_TIMEOUT_US or address in stale[:1]:
+                del self._subscriptions[address]
+            elif now - subscription.last_ping_at > PING_PERIOD_US:
+                self._ping(address, subscription)
+        free = [machine.address for machine in self.fleet.alive if machine.address not in self._subscriptions]
         self._random.shuffle(free)
-        for address in free[: 2 - len(self._watches)]:
+        for address in free[: 2 - len(self._subscriptions)]:
             self._open(self.fleet.machines[address])
 
     def _open(self, machine: Machine) -> None:
         now = self.fleet.now
         if machine.address in self.fleet.observers:
             return
-        watch = self._watches[machine.address] = Watch(machine.incarnation, now, now, now)
-        self.fleet.call_later(self._delay(), lambda: self._begin(machine, watch))
+        subscription = self._subscriptions[machine.address] = Subscription(machine.incarnation, now, now, now)
+        self.fleet.call_later(self._delay(), lambda: self._send_initial_state(machine, subscription))
 
-    def _begin(self, machine: Machine, watch: Watch) -> None:
-        """The control process tells all there is."""
+    def _send_initial_state(self, machine: Machine, subscription: Subscription) -> None:
+        """The control process sends its complete state to the router."""
         engine = machine.engine
-        if engine is None or machine.incarnation != watch.incarnation:
+        if engine is None or machine.incarnation != subscription.incarnation:
             return
         if self.fleet.now < machine.frozen_until:
             wait = machine.frozen_until - self.fleet.now
-            self.fleet.call_later(wait, lambda: self._begin(machine, watch))
+            self.fleet.call_later(wait, lambda: self._send_initial_state(machine, subscription))
             return
         records = list(engine.registry.records())
-        self.fleet.call_later(self._delay(), lambda: self._take_workers(records))
-        self._tell_version(machine, machine.published_version)
-        self._ping(machine.address, watch)
+        self.fleet.call_later(self._delay(), lambda: self._receive_workers(records))
+        self._send_version(machine, machine.published_version)
+        self._ping(machine.address, subscription)
 
-    def _published(self, machine: Machine, config: StoredConfig) -> None:
-        if machine.address in self._watches:
-            self._tell_version(machine, config.version)
+    def _on_publish(self, machine: Machine, config: StoredConfig) -> None:
+        if machine.address in self._subscriptions:
+            self._send_version(machine, config.version)
 
-    def _tell_version(self, machine: Machine, version: int) -> None:
-        # In order with answers to pings: both take the longest delay.
-        self.fleet.call_later(DELAY_RANGE_US[1], lambda: self._take_version(version))
+    def _send_version(self, machine: Machine, version: int) -> None:
+        # The maximum delay, as for answers to pings, keeps these messages in order.
+        self.fleet.call_later(DELAY_RANGE_US[1], lambda: self._receive_version(version))
 
-    def _take_version(self, version: int) -> None:
+    def _receive_version(self, version: int) -> None:
         self.version = max(self.version, version)
 
-    def _workers_changed(self, machine: Machine, records: list[WorkerRecord]) -> None:
-        if machine.address in self._watches:
-            self.fleet.call_later(self._delay(), lambda: self._take_workers(records))
+    def _on_workers_changed(self, machine: Machine, records: list[WorkerRecord]) -> None:
+        if machine.address in self._subscriptions:
+            self.fleet.call_later(self._delay(), lambda: self._receive_workers(records))
 
-    def _take_workers(self, records: list[WorkerRecord]) -> None:
-        self.drained |= {each.instance for each in records if each.state is not WorkerState.READY}
+    def _receive_workers(self, records: list[WorkerRecord]) -> None:
+        self.drained |= {record.instance for record in records if record.state is not WorkerState.READY}
 
-    def _ping(self, address: str, watch: Watch) -> None:
-        sent_at = watch.pinged_at = self.fleet.now
+    def _ping(self, address: str, subscription: Subscription) -> None:
+        sent_at = subscription.last_ping_at = self.fleet.now
         machine = self.fleet.machines[address]
 
         def arrive() -> None:
-            if machine.engine is None or machine.incarnation != watch.incarnation:
+            if machine.engine is None or machine.incarnation != subscription.incarnation:
                 return
             if self.fleet.now < machine.frozen_until:
                 self.fleet.call_later(machine.frozen_until - self.fleet.now, arrive)
@@ -140,41 +141,45 @@
             self.fleet.call_later(DELAY_RANGE_US[1], lambda: answer(version, age))
 
         def answer(version: int, age: int | None) -> None:
-            watch.last_pong_at = self.fleet.now
+            subscription.last_pong_at = self.fleet.now
             if age is None:
                 return
-            watch.confirmed_at = max(watch.confirmed_at, sent_at - age)
+            subscription.confirmed_at = max(subscription.confirmed_at, sent_at - age)
             if self.version >= version:
                 self.confirmed_at = max(self.confirmed_at, sent_at - age)
 
         self.fleet.call_later(self._delay(), arrive)
 
     def check(self, operators: Operators, workers: DrainingWorkers) -> None:
-        """What a router that counts as current must know."""
+        """Check what a router with a current configuration must know.
+
+        Raises:
+            InvariantViolationError: its configuration is outdated, or it does not know an acknowledged drain.
+        """
         if not self.is_current():
             return
-        needed = operators.newest_before(self.fleet.now - CONFIG_APPLY_US)
-        if self.version < needed:
+        required = operators.newest_before(self.fleet.now - CONFIG_APPLY_US)
+        if self.version < required:
             raise InvariantViolationError(
-                f"router {self.number} counts {self.version} as current, {needed} was acknowledged"
+                f"router {self.number} has version {self.version} as current, {required} was acknowledged"
             )
-        unknown = workers.acknowledged_before(self.fleet.now - DRAIN_US) - self.drained
+        unknown = workers.acknowledged_before(self.fleet.now - DRAIN_APPLY_US) - self.drained
         if unknown:
             raise InvariantViolationError(
-                f"router {self.number} does not know of the drain of {min(unknown)}"
+                f"router {self.number} does not know the acknowledged drain of {min(unknown)}"
             )
 
 
 @dataclass(slots=True)
 class DrainingWorkers:
-    """Workers that announce their end, at any machine, until they are gone."""
+    """Workers that announce that they drain, repeatedly and at any machine."""
 
     fleet: Fleet
-    acknowledged: dict[str, int] = field(default_factory=dict)  # by instance: when
+    acknowledged: dict[str, int] = field(default_factory=dict)  # time of the acknowledgement by instance
     _count: int = 0
 
     def drain(self, rng: random.Random, first: str | None = None) -> None:
-        """One more worker announces its end, at this machine first, or at any."""
+        """Let one more worker announce that it drains, first at the machine `first` if that is given."""
         self._count += 1
         record = WorkerRecord(
             f"i-{self._count}", "s", f"10.9.0.{self._count}:80", "z", WorkerState.DRAINING, 2
@@ -182,7 +187,7 @@
         self._announce(record, rng, 5, first)
 
     def _announce(
-        self, record: WorkerRecord, rng: random.Random, left: int, first: str | None = None
+        self, record: WorkerRecord, rng: random.Random, attempts: int, first: str | None = None
     ) -> None:
         address = first or rng.choice(sorted(self.fleet.machines))
 
@@ -191,25 +196,29 @@
                 self.acknowledged.setdefault(record.instance, self.fleet.now)
 
         self.fleet.worker(address, record, on_result)
-        if left > 1:
-            later = WorkerRecord(**{name: getattr(record, name) for name in record.__struct_fields__})
+        if attempts > 1:
+            copied = WorkerRecord(**{name: getattr(record, name) for name in record.__struct_fields__})
             pause = WORKER_HEARTBEAT_US if record.instance in self.acknowledged else 300 * MS
-            self.fleet.call_later(pause, lambda: self._announce(later, rng, left - 1))
+            self.fleet.call_later(pause, lambda: self._announce(copied, rng, attempts - 1))
 
     def acknowledged_before(self, at: int) -> set[str]:
-        """Instances whose drain was acknowledged by then, and not so long ago that they are forgotten."""
-        return {name for name, when in self.acknowledged.items() if at - 20 * S < when <= at}
+        """Instances whose drain was acknowledged in the 20 s before this time; older tombstones may be
+        removed.
+        """
+        return {
+            name for name, acknowledged_at in self.acknowledged.items() if at - 20 * S < acknowledged_at <= at
+        }
 
 
 @dataclass(slots=True)
 class OrderMonitor:
-    """Orders to one worker, by whichever process thinks that it may: at most one sender at a time."""
+    """Checks the orders to workers: orders of two processes are a lease apart, with increasing tokens."""
 
     fleet: Fleet
-    given: list[tuple[int, str, int]] = field(default_factory=list)  # time, holder, fencing token
+    sent_orders: list[tuple[int, str, int]] = field(default_factory=list)  # time, holder, fencing token
 
     def begin(self) -> None:
-        """Look regularly."""
+        """Start the periodic check."""
         self.fleet.call_later(ORDER_CHECK_PERIOD_US, self._check_orders)
 
     def _check_orders(self) -> None:
@@ -223,7 +232,9 @@
                 self._confirm(machine, token)
 
     def _confirm(self, machine: Machine, token: int) -> None:
-        """As `system.phase_orders` does: a majority confirms, and it leads in the same term then."""
+        """Confirm the leader by a majority before the order, and check its token again, as
+        `system.phase_orders`.
+        """
         engine = machine.engine
         incarnation = machine.incarnation
 
@@ -231,33 +242,37 @@
             if config is None or engine is None or machine.incarnation != incarnation:
                 return
             if engine.order_token(self.fleet.now) == token:
-                self._give(engine.identity, token)
+                self._record_order(engine.identity, token)
 
         self.fleet.read(machine.address, on_result)
 
-    def _give(self, holder: str, token: int) -> None:
+    def _record_order(self, holder: str, token: int) -> None:
         now = self.fleet.now
-        if self.given:
-            before, other, highest = self.given[-1]
+        if self.sent_orders:
+            before, other, highest = self.sent_orders[-1]
             if holder != other and token == highest:
-                raise InvariantViolationError(f"{holder} and {other} share the fencing token {token}")
+                raise InvariantViolationError(f"{holder} and {other} have the same fencing token {token}")
             if token < highest:
-                raise InvariantViolationError(f"{holder} orders with {token} after {highest}")
-            if holder != other and now - before < LEASE_US - THAW_US:
-                raise InvariantViolationError(f"{holder} orders {(now - before) / S:.2f} s after {other}")
-        self.given.append((now, holder, token))
+                raise InvariantViolationError(
+                    f"{holder} sent an order with token {token} after one with {highest}"
+                )
+            if holder != other and now - before < LEASE_US - RESUME_GRACE_US:
+                raise InvariantViolationError(
+                    f"{holder} sent an order {(now - before) / S:.2f} s after {other}"
+                )
+        self.sent_orders.append((now, holder, token))
 
 
 @dataclass(slots=True)
 class LeaderMonitor:
-    """A leader that a majority of healthy voters can hear is confirmed by them, however busy it is."""
+    """Checks that a leader that can reach a majority of healthy voters is confirmed, however busy it is."""
 
     fleet: Fleet
     _leader: str = ""
     _healthy_since: int = 0
 
     def begin(self) -> None:
-        """Look regularly."""
+        """Start the periodic check."""
         self.fleet.call_later(LEADER_CHECK_PERIOD_US, self._check_leader)
 
     def _check_leader(self) -> None:
@@ -278,19 +293,23 @@
             return False
         voters = leader.engine.raft.voters
         partitions = self.fleet.network.partitions
-        heard = 0
+        healthy_count = 0
         for machine in self.fleet.alive:
             pair = (leader.address, machine.address)
             is_reached = pair not in partitions and pair[::-1] not in partitions
-            heard += machine.engine.identity in voters and is_reached and self._is_healthy(machine)
-        return 2 * heard > len(voters)
+            healthy_count += machine.engine.identity in voters and is_reached and self._is_healthy(machine)
+        return 2 * healthy_count > len(voters)
 
     def _is_healthy(self, machine: Machine) -> bool:
         now = self.fleet.now
         disk = machine.disk
         is_writable = (
-            not (disk.full or disk.sync_errors) and disk.stalled_until <= now and disk.sync <= USUAL_SYNC_US
+            not (disk.full or disk.sync_errors)
+            and disk.stalled_until <= now
+            and disk.sync_us <= DEFAULT_SYNC_US
         )
         return (
-            machine.frozen_until <= now and is_writable and self.fleet.network.is_prompt(machine.address, now)
+            machine.frozen_until <= now
+            and is_writable
+            and self.fleet.network.has_normal_delay(machine.address, now)
         )
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -1,11 +1,11 @@
 """Operators: changes, resends, races and reads at any machine, and the checks of their results.
 
-Calls have unknown outcomes: an answer may be lost, a machine may die, and the same change is resent, to any
-machine. The checks are those of linearizability:
+The outcome of a call can be unknown, because an answer may be lost or a machine may be killed. The operator
+then resends the same change to any machine. The checks are those of linearizability:
 
-- of the changes on one version at most one is accepted, and each version names one change;
-- a change that was rejected is never in force, and one that was accepted is never rejected;
-- a read is as new as all that was acknowledged, and all that was read, before it began.
+- of the changes with one base at most one is accepted, and each version identifies one change;
+- a change that was rejected is never current, and one that was accepted is never rejected;
+- a read is at least as new as everything that was acknowledged or read before it started.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from benchmarks.control.network import MS
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig, decompress_body
 
-# Each part draws from a random stream of its own: a fault that is skipped leaves the others as they were.
+# Each component has its own random stream, so that skipping a fault does not change the other draws.
 RNG_SALT = 0x1000000
 ANSWER_TIMEOUT_US = 900 * MS  # after which an operator resends
 RESEND_DELAY_US = 300 * MS
 MAX_ATTEMPTS = 6
-MAX_CALL_DELAY_US = 2_000 * MS  # of a call that comes twice
+MAX_CALL_DELAY_US = 2_000 * MS  # of a call that is sent twice
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One change, the same bytes however often it is sent."""
+    """One change. Resends have the same bytes."""
 
     base: int
     version: int
@@ -41,35 +41,37 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.acknowledged: dict[int, Change] = {}  # by version
-        self.acknowledged_at: list[tuple[int, int]] = []  # when a newest version was, in order
+        self.acknowledged_at: list[tuple[int, int]] = []  # (time, version) of each new highest version
         self.rejected: dict[tuple[int, bytes], Change] = {}
-        self.sent: dict[int, set[bytes]] = {}
+        self.sent: dict[int, set[bytes]] = {}  # bodies by version
         self.reads = self.changes = self.resends = 0
-        self.lost_answer_share = 0.0  # share of answers that operators never get
-        self.doubles_calls = False  # each change comes twice, in any order with others
-        self.body_bytes = 0  # so much is added to each body
+        self.lost_answer_fraction = 0.0  # share of answers that operators never get
+        self.duplicates_calls = False  # whether each change is sent twice, in any order with others
+        self.body_bytes = 0  # random bytes that are added to each body, in hex
         self.on_ack: Callable[[], None] | None = None  # called once, at the next acknowledgement
         self._random = random.Random(fleet.seed ^ RNG_SALT)
         self._version = 0
         self._newest_read = 0
-        fleet.on_publish.append(self._published)
+        fleet.on_publish.append(self._on_publish)
 
     @property
     def newest(self) -> int:
-        """The newest version that was acknowledged."""
+        """The highest version that was acknowledged; 0 if none was."""
         return self.acknowledged_at[-1][1] if self.acknowledged_at else 0
 
     def newest_before(self, at: int) -> int:
-        """The newest version that was acknowledged at this time."""
-        return next((version for when, version in reversed(self.acknowledged_at) if when <= at), 0)
+        """The highest version that was acknowledged up to this time; 0 if none was."""
+        return next(
+            (version for acknowledged, version in reversed(self.acknowledged_at) if acknowledged <= at), 0
+        )
 
     # --- changes ---
 
     def change(self) -> None:
-        """Send one more change to any machine, on the newest version that is known to be accepted."""
+        """Send one more change to any machine, with the highest acknowledged version as its base."""
         self._version += self._random.randint(1, 3)
         change = self._new_change()
-        if not self.doubles_calls:
+        if not self.duplicates_calls:
             self._send(change, self._any_machine(), MAX_ATTEMPTS)
             return
         for _ in range(2):
@@ -77,13 +79,13 @@
             self.fleet.call_later(delay, lambda: self._send(change, self._any_machine(), MAX_ATTEMPTS))
 
     def race(self) -> None:
-        """Send two changes with one base and one version to two machines."""
+        """Send two different changes with the same base and version, each to any machine."""
         self._version += 1
         for _ in range(2):
             self._send(self._new_change(), self._any_machine(), MAX_ATTEMPTS)
 
     def resend_old(self) -> None:
-        """Resend a change that was acknowledged."""
+        """Resend any change that was acknowledged."""
         if self.acknowledged:
             version = self._random.choice(sorted(self.acknowledged))
             self.resends += 1
@@ -102,18 +104,18 @@
         return self._random.choice(sorted(self.fleet.machines))
 
     def _send(self, change: Change, address: str, attempts: int) -> None:
-        """Send it until it has a definite answer, to any machine, as an operator does."""
+        """Send a change, and resend it until its outcome is known, as an operator does."""
         self.sent.setdefault(change.version, set()).add(change.body)
         answered = False
 
         def on_result(result: ChangeResult | None) -> None:
             nonlocal answered
             if result is not None:
-                self._decided(change, result)  # whether or not the operator gets the answer
+                self._check_result(change, result)  # even if the operator does not receive the answer
             if answered:
                 return
             answered = True
-            if result is not None and self._random.random() < self.lost_answer_share:
+            if result is not None and self._random.random() < self.lost_answer_fraction:
                 result = None
             if result is ChangeResult.ACCEPTED:
                 self._acknowledge(change)
@@ -126,30 +128,33 @@
         self.fleet.call_later(ANSWER_TIMEOUT_US, lambda: on_result(None))
 
     def _next_machine(self) -> str:
-        """The leader, to which others redirect, or any machine."""
+        """The leader, to which other machines redirect, or any machine."""
         leader = self.fleet.leader
-        follows = leader is not None and self._random.random() < 0.8
-        return leader.address if leader is not None and follows else self._any_machine()
+        follows_redirect = leader is not None and self._random.random() < 0.8
+        return leader.address if leader is not None and follows_redirect else self._any_machine()
 
-    def _decided(self, change: Change, result: ChangeResult) -> None:
+    def _check_result(self, change: Change, result: ChangeResult) -> None:
         known = self.acknowledged.get(change.version)
         if result is ChangeResult.ACCEPTED:
             if (change.version, change.body) in self.rejected:
-                raise InvariantViolationError(f"version {change.version} was refused and then accepted")
+                raise InvariantViolationError(f"version {change.version} was rejected and then accepted")
         elif result in (ChangeResult.CONFLICT, ChangeResult.VERSION_NOT_NEWER):
             self.resends += 1 if known == change else 0
             if known == change:
-                raise InvariantViolationError(f"version {change.version} was acknowledged and then refused")
+                raise InvariantViolationError(f"version {change.version} was acknowledged and then rejected")
             self.rejected[change.version, change.body] = change
 
     def _acknowledge(self, change: Change) -> None:
         known = self.acknowledged.get(change.version)
         if known is not None and known != change:
-            raise InvariantViolationError(f"two changes acknowledged as version {change.version}")
-        rivals = [each for each in self.acknowledged.values() if each.base == change.base and each != change]
+            raise InvariantViolationError(f"two changes were acknowledged as version {change.version}")
+        rivals = [
+            other for other in self.acknowledged.values() if other.base == change.base and other != change
+        ]
         if rivals:
             raise InvariantViolationError(
-                f"versions {rivals[0].version} and {change.version} both acknowledged on {change.base}"
+                f"versions {rivals[0].version} and {change.version}, both with base {change.base}, "
+                "were acknowledged"
             )
         if known is None:
             self.changes += 1
@@ -161,40 +166,40 @@
             self.on_ack = None
             on_ack()
 
-    def _published(self, machine: Machine, config: StoredConfig) -> None:
-        """A control process publishes this configuration to routers."""
+    def _on_publish(self, machine: Machine, config: StoredConfig) -> None:
+        """Check a configuration that a control process publishes to routers."""
         if not config.version:
             return
         body = decompress_body(config)
         if (config.version, body) in self.rejected:
             raise InvariantViolationError(
-                f"{machine.address} has {config.version} in force, which was refused"
+                f"{machine.address} published version {config.version}, which was rejected"
             )
         if body not in self.sent.get(config.version, set()):
             raise InvariantViolationError(
-                f"version {config.version} differs from what was sent under its number"
+                f"version {config.version} differs from every change sent with this version"
             )
 
     # --- reads ---
 
     def read(self, address: str | None = None) -> None:
-        """Read at any machine, partitioned or not."""
-        began_with = max(self.newest, self._newest_read)
+        """Read at this machine, or by default at any machine, even a partitioned one."""
+        minimum_version = max(self.newest, self._newest_read)
 
         def on_result(config: StoredConfig | None) -> None:
             if config is None:
                 return
             self.reads += 1
-            if config.version < began_with:
+            if config.version < minimum_version:
                 raise InvariantViolationError(
-                    f"read {config.version} after {began_with} was acknowledged or read"
+                    f"read version {config.version} after {minimum_version} was acknowledged or read"
                 )
             self._newest_read = max(self._newest_read, config.version)
 
         self.fleet.read(address or self._next_machine(), on_result)
 
     def check_end(self) -> None:
-        """With all at rest: the newest acknowledged version, or a later one that was sent, is read."""
+        """Check, without other load, that a read returns the highest acknowledged version or a later one."""
         found: list[StoredConfig] = []
         for _ in range(60):
             leader = self.fleet.leader
@@ -204,6 +209,8 @@
             if found:
                 break
         if not found:
-            raise InvariantViolationError("no leader answers though all is well")
+            raise InvariantViolationError("no leader answers a read after the recovery time")
         if found[-1].version < self.newest:
-            raise InvariantViolationError(f"{self.newest} was acknowledged and {found[-1].version} is left")
+            raise InvariantViolationError(
+                f"version {self.newest} was acknowledged, but a read returned {found[-1].version}"
+            )
--- a/benchmarks/control/recovery.py
+++ b/benchmarks/control/recovery.py
@@ -1,10 +1,10 @@
-"""Measures recovery in simulated time, for cores of 3 to 7 machines: links of 0.2 to 3 ms, 1 ms per sync.
+"""Measures recovery in simulated time, for clusters of 3 to 7 machines: links of 0.2 to 3 ms, 1 ms per sync.
 
     python -m benchmarks.control.recovery [--seeds 10]
 
-Prints one JSON object: for each loss and size the middle and the longest of so many seeds, in milliseconds
-from the last start of a process, or from the operator's word where one is needed, to the first change that
-is acknowledged, and until all routers are current.
+Prints one JSON object: for each kind of loss and each cluster size, the median and the maximum over all seeds
+of the milliseconds until the first change is acknowledged, and until all routers are current. The time starts
+with the last restart of a process or, if an operator must act, with the operator's new epoch.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 SIZES = (3, 4, 5, 6, 7)
 ROUTERS = 3
-START_SPREAD_US = 300 * MS  # between the first and the last start after a loss
+START_SPREAD_US = 300 * MS  # range of the random delays of the restarts after a loss
 DOWN_US = 2 * S
-RETRY_US = 20 * MS  # between two tries of the operator's change
+RETRY_US = 20 * MS  # between two attempts of the operator's change
 TIMEOUT_US = 30 * S
 OPERATOR_DELAY_US = 1 * S  # from the last start until an operator starts a new epoch
 
 
 @dataclass(slots=True, frozen=True)
 class Recovery:
-    """Times in microseconds."""
+    """The recovery times in microseconds."""
 
     first_change: int
     routers_current: int
 
 
 class RecoveryRun:
-    """One fleet that loses something and comes back."""
+    """One fleet that suffers a loss and recovers."""
 
     def __init__(self, seed: int, machines: int) -> None:
         self.fleet = Fleet(seed, machines, (machines - 1) // 2, loss=0.0)
@@ -52,26 +52,28 @@
         self.fleet.run(2 * S)
 
     def measure(self, lose: Callable[[RecoveryRun], int]) -> Recovery:
-        """`lose` brings the loss about and lets all start again; it returns the time to count from."""
-        began = lose(self)
+        """`lose` causes the loss and restarts all processes; it returns the time from which to measure."""
+        started_at = lose(self)
         changed = None
-        while self.fleet.now < began + TIMEOUT_US:
+        while self.fleet.now < started_at + TIMEOUT_US:
             if changed is None and self._change_until_acknowledged(RETRY_US):
                 changed = self.fleet.now
-            if changed is not None and all(router.confirmed_at > began for router in self.routers):
-                return Recovery(changed - began, self.fleet.now - began)
+            if changed is not None and all(router.confirmed_at > started_at for router in self.routers):
+                return Recovery(changed - started_at, self.fleet.now - started_at)
             self.fleet.run(RETRY_US)
         raise AssertionError(f"not recovered after {TIMEOUT_US // S} s")
 
     def kill_all(self) -> int:
-        """All processes end, and start again one after the other; their disks stay."""
+        """Kill all processes, and restart them one after the other with their disks."""
         addresses = [machine.address for machine in self.fleet.alive]
         for address in addresses:
             self.fleet.kill(address)
         return self._start_all(addresses)
 
     def lose_majority(self) -> int:
-        """All lose power, and a majority its disks; an operator starts an epoch at one that has its own."""
+        """Power off all machines, a majority of which lose their disks. Then an operator starts a new epoch
+        on a machine that still has its disk.
+        """
         addresses = [machine.address for machine in self.fleet.alive]
         wiped = self.random.sample(addresses, len(addresses) // 2 + 1)
         for address in addresses:
@@ -98,7 +100,7 @@
         return last
 
     def _change_until_acknowledged(self, timeout: int) -> bool:
-        """Send one change to the leader again and again, for so long at most."""
+        """Send one change to the leader repeatedly; returns whether it was acknowledged in time."""
         end = self.fleet.now + timeout
         acknowledged = False
 
@@ -123,13 +125,13 @@
 
 
 def measure(loss: str, machines: int, seeds: int) -> dict[str, list[float]]:
-    """Middle and longest of each time, in milliseconds."""
-    found = [RecoveryRun(seed, machines).measure(LOSSES[loss]) for seed in range(1, seeds + 1)]
+    """The median and the maximum of each recovery time, in milliseconds."""
+    results = [RecoveryRun(seed, machines).measure(LOSSES[loss]) for seed in range(1, seeds + 1)]
     times = {
-        "first change": [each.first_change for each in found],
-        "routers current": [each.routers_current for each in found],
+        "first change": [recovery.first_change for recovery in results],
+        "routers current": [recovery.routers_current for recovery in results],
     }
-    return {name: [statistics.median(each) / MS, max(each) / MS] for name, each in times.items()}
+    return {name: [statistics.median(times_us) / MS, max(times_us) / MS] for name, times_us in times.items()}
 
 
 def main() -> int:
@@ -139,8 +141,8 @@
     )
     parser.add_argument("--seeds", type=int, default=10)
     options = parser.parse_args()
-    found = {loss: {size: measure(loss, size, options.seeds) for size in SIZES} for loss in LOSSES}
-    print(json.dumps({"seeds": options.seeds} | found))
+    results = {loss: {size: measure(loss, size, options.seeds) for size in SIZES} for loss in LOSSES}
+    print(json.dumps({"seeds": options.seeds} | results))
     return 0
 
 
--- a/hazelbend/consensus/election.py
+++ b/hazelbend/consensus/election.py
@@ -3,12 +3,12 @@
 
 Transitions of `Role`:
 
-    FOLLOWER      --no leader for an election time-out, and a voter-->             PRE_CANDIDATE
-    PRE_CANDIDATE --a quorum would vote for it (pre-vote)-->                        CANDIDATE, term + 1
-    CANDIDATE     --a quorum has voted for it-->                                    LEADER, appends a no-op
+    FOLLOWER      --is a voter, and the election timer expires-->                   PRE_CANDIDATE
+    PRE_CANDIDATE --a quorum grants the pre-vote-->                                 CANDIDATE, term + 1
+    CANDIDATE     --a quorum grants the vote-->                                     LEADER, appends a no-op
     any           --a message of a higher term-->                                   FOLLOWER of that term
-    LEADER        --no quorum heard for two election time-outs (check-quorum)-->    FOLLOWER
-    LEADER        --a configuration without itself is committed-->                  FOLLOWER
+    LEADER        --no answers of a quorum for two election timeouts (check-quorum)--> FOLLOWER
+    LEADER        --a voter list without this node is committed-->                  FOLLOWER
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Elector(Replicator):
-    """Who leads. What a leader commits, and what becomes of its requests, is decided by the subclass."""
+    """Leader election. The subclass commits entries and completes the pending requests of a leader."""
 
     def __init__(
         self,
@@ -37,28 +37,32 @@
         self.random = random.Random(seed)
         self.leader = ""
         self.hard_state_changed = False  # epoch, term or vote must be stored
-        # Of a leader; at the start long ago, so that nobody has to wait to be voted for.
+        # Last message of a leader. Initially in the past, so that a new node grants votes at once.
         self.last_contact_at = now - 2 * config.election_timeout_us
         self.election_deadline = 0
         self.votes: set[str] = set()
-        self.transfer_target = ""  # of a leadership transfer
+        self.transfer_target = ""  # the voter that is to lead after a leadership transfer
         self.transfer_deadline = 0
         self._reset_election_timer(now)
 
     @property
     def is_voter(self) -> bool:
-        """Whether it is one of the voters in force."""
+        """Whether this node is in the current voter list."""
         return self.identity in self.voters
 
     def schedule_campaign(self, at: int) -> None:
-        """Campaign at this time, unless a leader is heard before. Nodes that hear one reject the pre-vote."""
+        """Campaign at this time, unless a leader's message arrives earlier. Nodes that have an active leader
+        reject the pre-vote.
+        """
         self.election_deadline = min(self.election_deadline, at)
 
     def _advance_commit_index(self, now: int) -> None:
         raise NotImplementedError
 
     def _fail_pending_requests(self) -> None:
-        """It has lost its leadership: the next leader decides what becomes of its proposals."""
+        """Fail all pending requests after this node lost its leadership. The next leader may still commit the
+        proposals.
+        """
         raise NotImplementedError
 
     def _reset_election_timer(self, now: int) -> None:
@@ -109,9 +113,9 @@
     def _handle_vote_request(self, message: Message, request: VoteRequest, now: int) -> None:
         persistent = self.persistent
         term = message.term
-        hears_leader = self.is_leader or now < self.last_contact_at + self.config.election_timeout_us
-        if hears_leader and not request.is_leadership_transfer and term > persistent.current_term:
-            # A node that was partitioned, or is no voter any more, must not disturb a healthy leader.
+        has_active_leader = self.is_leader or now < self.last_contact_at + self.config.election_timeout_us
+        if has_active_leader and not request.is_leadership_transfer and term > persistent.current_term:
+            # A node that was partitioned, or was removed as a voter, must not disrupt a healthy leader.
             return
         if not request.is_pre_vote and term > persistent.current_term:
             self._become_follower(term, "", now)
@@ -119,7 +123,7 @@
         is_up_to_date = candidate_log >= (self._last_term(), persistent.last_index)
         if request.is_pre_vote:
             granted = is_up_to_date and term > persistent.current_term
-            # The candidate's term is returned, so that it knows which of its requests this answers.
+            # Returns the candidate's term, which identifies the request that this answers.
             answer_term = term if granted else persistent.current_term
             self._send_to(message.sender, VoteResponse(granted, True), answer_term)
             return
@@ -159,7 +163,9 @@
         self._advance_commit_index(now)
 
     def _quorum_is_active(self, now: int) -> bool:
-        """Check-quorum: whether a quorum was heard of late. If not, another node may lead by now."""
+        """Check-quorum: whether a quorum has answered within the last two election timeouts. If not, another
+        node may already lead.
+        """
         since = now - 2 * self.config.election_timeout_us
         active = {name for name, peer in self.peers.items() if peer.last_contact_at > since}
         return self._has_quorum(active | {self.identity})
--- a/hazelbend/consensus/errors.py
+++ b/hazelbend/consensus/errors.py
@@ -8,8 +8,8 @@
 
 
 class CorruptStateError(ConsensusError):
-    """Stored state is damaged, or in an unknown format: the node must start as a new one."""
+    """The stored state is damaged or in an unknown format: the node must start as a new one."""
 
 
 class StaleEpochError(ConsensusError, ValueError):
-    """A new epoch must be higher than the one that is known."""
+    """A new epoch is not higher than the current one."""
--- a/hazelbend/consensus/messages.py
+++ b/hazelbend/consensus/messages.py
@@ -10,7 +10,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log: a new list of voters, an operation of the state machine, or neither (a no-op)."""
+    """One log entry: a new voter list, an operation of the state machine, or neither (a no-op)."""
 
     term: int
     voters: tuple[str, ...] | None = None
@@ -18,8 +18,8 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag="Ask"):
-    """RequestVote. A pre-vote asks whether the vote would be granted and changes nothing at the receiver
-    (section 9.6 of Ongaro's thesis).
+    """RequestVote. A pre-vote queries whether the receiver would grant its vote, without changing the
+    receiver's state (section 9.6 of Ongaro's thesis).
     """
 
     is_pre_vote: bool = msgspec.field(name="pre")
@@ -36,8 +36,8 @@
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
-    """A time of one process's monotonic clock, in microseconds. It means nothing to another process, nor to
-    another incarnation of the same one.
+    """A time of one process's monotonic clock, in microseconds. It is not comparable with times of other
+    processes, or of other incarnations of the same process.
     """
 
     incarnation: int
@@ -48,7 +48,7 @@
     """The entries after `prev_log_index`; without entries, a heartbeat.
 
     `round`: the leader's heartbeat round. `confirmed_timestamp`: the newest timestamp of the receiver after
-    which a quorum has confirmed the leader: all that was committed at that time is at or below
+    which a quorum has confirmed the leader. Everything that was committed at that time is at or below
     `leader_commit`.
     """
 
@@ -83,8 +83,8 @@
 
 
 class ChunkResponse(msgspec.Struct, frozen=True, tag="PieceTaken"):
-    """How many bytes of a transfer the replica has: `offset`. 0 if it does not know the transfer, for example
-    after a restart.
+    """The answer to a `Chunk`. `offset`: the bytes of the transfer that the replica has; 0 if it does not
+    know the transfer, for example after a restart.
     """
 
     transfer_id: int = msgspec.field(name="number")
@@ -95,9 +95,9 @@
 class AppendResponse(msgspec.Struct, frozen=True, tag="Taken"):
     """The answer to `AppendEntries` and `InstallSnapshot`.
 
-    `index`: with `success`, the log matches the leader's up to here; without, it may match up to here, so the
-    leader goes on from there. `timestamp`: the sender's time, which the leader returns in
-    `AppendEntries.confirmed_timestamp`.
+    `index`: with `success`, the log matches the leader's up to this index. Without it, the log may match up
+    to this index, and the leader sends the entries after it. `timestamp`: the sender's time, which the leader
+    returns in `AppendEntries.confirmed_timestamp`.
     """
 
     success: bool = msgspec.field(name="ok")
@@ -107,7 +107,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="TimeIsUp"):
-    """Campaign at once: the leader transfers its leadership (section 3.10 of the thesis)."""
+    """Makes the receiver campaign at once, for a leadership transfer (section 3.10 of the thesis)."""
 
 
 Body = (
@@ -137,12 +137,12 @@
 
 
 def encode_transfer(body: AppendEntries | InstallSnapshot) -> bytes:
-    """The content of a transfer, which is sent in chunks."""
+    """Encode the message whose bytes a transfer sends in chunks."""
     return _encoder.encode(body)
 
 
 def decode_transfer(content: bytes) -> AppendEntries | InstallSnapshot:
-    """The message whose chunks were received.
+    """Decode the message of a completed transfer.
 
     Raises:
         msgspec.DecodeError: the content is not a message.
--- a/hazelbend/consensus/persistent_state.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -1,8 +1,8 @@
-"""The state that a voter must store before it answers, and the numbers of epochs.
+"""The state that a voter must store before it answers, and the epoch numbers.
 
-When a quorum's state is lost for good, an operator starts a new epoch, with an empty log. The lowest bit of
-its number says who started it: 0, the first start of a cluster; 1, an operator. Only an operator's epoch
-makes other nodes drop what they have stored.
+When the state of a quorum is permanently lost, an operator starts a new epoch with an empty log. The lowest
+bit of an epoch number is 0 for the bootstrap of a cluster and 1 for an epoch that an operator started. Only
+the latter makes other nodes drop their stored operations.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from hazelbend.consensus.messages import Entry
 
 EPOCH_BITS = 8  # bits of an epoch below its start time
-EPOCH_TIME_UNIT_S = 16  # of that start time: leaves fencing tokens room for their own count
+EPOCH_TIME_UNIT_S = 16  # unit of that start time; coarse, to leave enough bits for terms in fencing tokens
 OPERATOR_BIT = 1
 
 
 def next_epoch(known_epoch: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
     """The number of a new epoch.
 
-    It is above `known_epoch`, and, if the wall clock is right, above epochs that nobody remembers. Two that
-    are started in the same 16 seconds by different nodes differ with a probability of 127 in 128.
+    It is higher than `known_epoch` and, if the wall clock is right, higher than any earlier epoch of which no
+    record is left. The numbers of two epochs that different nodes start within the same 16 seconds differ
+    with a probability of 127 in 128.
     """
     started_at = max(int(unix_s) // EPOCH_TIME_UNIT_S, (known_epoch >> EPOCH_BITS) + 1)
     identity_bits = zlib.crc32(identity.encode()) % (1 << EPOCH_BITS) & ~OPERATOR_BIT
@@ -29,22 +30,23 @@
 
 
 def started_by_operator(epoch: int) -> bool:
-    """Whether an operator has started this epoch, knowing that the log before it is given up."""
+    """Whether an operator started this epoch, which discards the log of the previous one."""
     return bool(epoch & OPERATOR_BIT)
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """The persistent state of figure 2 of the Raft paper, with the last snapshot. Messages that rest on a
-    change may be sent only after the change is stored. `entries[0]` has the index after
-    `last_included_index`.
+    """The persistent state of figure 2 of the Raft paper, with the last snapshot.
+
+    Messages that depend on a change may be sent only after the change is stored. `entries[0]` has the index
+    `last_included_index + 1`.
     """
 
     identity: str
     epoch: int = 0
     current_term: int = 0
     voted_for: str = ""
-    last_included_index: int = 0  # of the snapshot; 0: there is none
+    last_included_index: int = 0  # of the snapshot; 0: no snapshot
     last_included_term: int = 0
     snapshot_voters: tuple[str, ...] = ()
     snapshot_state: bytes = b""
@@ -56,7 +58,7 @@
         return self.last_included_index + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at this index. None: it is compacted, or not in the log yet."""
+        """The term of the entry at this index; None if it was compacted or is not in the log yet."""
         if index == self.last_included_index:
             return self.last_included_term
         if self.last_included_index < index <= self.last_index:
@@ -64,7 +66,7 @@
         return None
 
     def voters_at(self, index: int) -> tuple[str, ...]:
-        """The voters in force at this index, committed or not."""
+        """The voter list at this index, committed or not."""
         for entry in reversed(self.entries[: index - self.last_included_index]):
             if entry.voters is not None:
                 return entry.voters
@@ -72,5 +74,5 @@
 
     @property
     def has_operations(self) -> bool:
-        """Whether the log holds anything that may have been acknowledged to a client."""
+        """Whether the log holds operations that may have been acknowledged to a client."""
         return self.last_included_index > 0 or any(entry.operation for entry in self.entries)
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -1,29 +1,30 @@
 """The Raft consensus algorithm, as in Ongaro and Ousterhout (2014) and chapters 3, 4, 6 and 9.6 of Ongaro's
 thesis. No I/O; the caller passes the time. Elections: election.py; replication: replicator.py.
 
-Identities. An identity stands for one stored state: a process that starts without its state takes a new
-identity, so it never votes or counts as what it was. It comes back by a change of the configuration: the new
-voter is added and the old one removed, one at a time, each only when the change before it and an entry of the
-leader's own term are committed (Ongaro's correction of 2015), and while a quorum of the list in force
-confirms the leader. A voter whose state is known to be lost is replaced in one step, as of the old list only
-the others can still vote.
+Identities. Each identity belongs to one stored state. A process that starts without its stored state takes a
+new identity, so it neither votes nor is counted under its old one. It rejoins through a membership change:
+the new voter is added and the old one is removed, one at a time. Each change requires that the previous
+change and an entry of the leader's own term are committed (Ongaro's correction of 2015), and that a quorum of
+the current voter list confirms the leader. A voter whose state is known to be lost is replaced in one step,
+because only the other voters of the old list can still vote.
 
-Storage. The driver stores what `hard_state_changed` and `first_unsaved_index` name, and sends `outbox` only
-then.
+Storage. The driver first stores the changes that `hard_state_changed` and `first_unsaved_index` indicate, and
+sends `outbox` only after that.
 
-Epochs. When a quorum's state is lost at once, nothing can be committed any more: `force_new_cluster` starts a
-new epoch with one voter. A node that hears of a higher epoch drops its log if the log holds no operation, or
-if an operator has started the higher epoch. Otherwise it keeps its log and sets `conflicting_epoch`.
+Epochs. After a quorum has lost its state, nothing can be committed any more: `force_new_cluster` starts a new
+epoch with one voter. A node that receives a message of a higher epoch drops its log if the log holds no
+operation, or if an operator started the higher epoch. Otherwise it keeps its log and sets
+`conflicting_epoch`.
 
 Invariants, which the tests check after each step:
     election safety      at most one leader in a term of an epoch
     log matching         entries of one index and term are equal, and so are all entries before them
     leader completeness  a committed entry is in the log of each later leader
     state machine safety no two nodes apply different entries at one index
-    single change        two consecutive lists of voters in a log differ by one voter that is added, removed,
-                         or in place of one whose state is lost
+    single change        two consecutive voter lists in a log differ by one voter that is added, removed, or
+                         that replaces a voter whose state is lost
 
-Times are microseconds of this process's monotonic clock. Times of two processes are never compared.
+Times are microseconds of this process's monotonic clock. Times of different processes are never compared.
 """
 
 from __future__ import annotations
@@ -59,8 +60,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalOutcome:
-    """How a proposal ended. `result` is the state machine's. A proposal that is not `committed` may still be
-    committed by the next leader: nobody can say.
+    """The outcome of a proposal. `result` is the state machine's result.
+
+    If `committed` is False the outcome is unknown: the next leader may still commit the proposal.
     """
 
     proposal_id: int
@@ -70,7 +72,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadIndexOutcome:
-    """How a read ended. `confirmed`: the state machine holds all that was committed when it was requested."""
+    """The outcome of a read. `confirmed`: the state machine has applied everything that was committed when
+    the read was requested.
+    """
 
     read_id: int
     confirmed: bool
@@ -81,14 +85,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRead:
-    """A read that waits until a quorum has answered this round."""
+    """A read that waits until a quorum has answered `round`."""
 
     read_id: int
     round: int
 
 
 class RaftNode(Elector):
-    """One Raft node. See the head of the file."""
+    """One Raft node. See the module docstring."""
 
     def __init__(
         self,
@@ -100,32 +104,33 @@
     ) -> None:
         super().__init__(persistent, state_machine, config, seed, now)
         self.outcomes: list[Outcome] = []
-        # Called with the time after entries were applied, or the state was replaced.
+        # Called with the current time after entries were applied or the state was replaced.
         self.on_applied: Callable[[int], None] = lambda now: None
-        # A higher epoch that is not followed, because this one may hold acknowledged operations. 0: none.
+        # A higher epoch that this node does not adopt, because its own epoch may hold acknowledged
+        # operations. 0: none.
         self.conflicting_epoch = 0
         self.pending_reads: list[PendingRead] = []
-        self.pending_proposals: dict[int, int] = {}  # proposal id by index, in the own term
+        self.pending_proposals: dict[int, int] = {}  # proposal id by log index, in this node's own term
         self.last_request_id = 0
 
     # --- requests ---
 
     @property
     def next_tick_at(self) -> int:
-        """When to call `tick` next."""
+        """The time of the next call of `tick`."""
         return self.rounds.next_heartbeat_at if self.is_leader else self.election_deadline
 
     @property
     def has_unsaved_changes(self) -> bool:
-        """Whether something must be stored before `outbox` may be sent."""
+        """Whether changes must be stored before `outbox` may be sent."""
         return self.hard_state_changed or self.first_unsaved_index is not None
 
     def force_new_cluster(self, epoch: int, now: int) -> None:
-        """Start an epoch with this node as its only voter. No number may ever be used twice: see
+        """Start an epoch with this node as its only voter. An epoch number must never be reused: see
         `next_epoch`.
 
         Raises:
-            StaleEpochError: the epoch is not higher than the known one.
+            StaleEpochError: the epoch is not higher than the current one.
         """
         if epoch <= self.persistent.epoch:
             raise StaleEpochError(f"epoch {epoch} is not higher than {self.persistent.epoch}")
@@ -136,19 +141,20 @@
         self._become_leader(now)
 
     def restore_commit_index(self, index: int, now: int) -> None:
-        """After a restart: all stored entries up to this index were known to be committed."""
+        """After a restart, apply the stored entries up to this index, which were known to be committed."""
         self._apply_committed(min(index, self.persistent.last_index), now)
 
     def commit_all_stored(self, now: int) -> None:
         """Apply the whole log, before an operator starts a new epoch from this node's state.
 
-        A majority that is lost may have acknowledged entries that this node has not heard to be committed.
+        The lost majority may have acknowledged entries that this node does not know to be committed.
         """
         self._apply_committed(self.persistent.last_index, now)
 
     def propose(self, operation: bytes, now: int) -> int | None:
-        """Propose an operation. A `ProposalOutcome` with the returned id follows. None: this node does not
-        lead, transfers its leadership, or has too many bytes that are not committed.
+        """Propose an operation; returns the proposal id of the `ProposalOutcome` that follows.
+
+        Returns None if this node does not lead, transfers its leadership, or has too many uncommitted bytes.
         """
         if not self.is_leader or self.transfer_target:
             return None
@@ -162,8 +168,10 @@
         return proposal_id
 
     def request_read(self, now: int) -> int | None:
-        """Ask for a linearizable read: ReadIndex, section 6.4 of the thesis. A `ReadIndexOutcome` with the
-        returned id follows. None: this node does not lead, or has not committed in its term yet.
+        """Start a linearizable read (ReadIndex, section 6.4 of the thesis); returns the read id of the
+        `ReadIndexOutcome` that follows.
+
+        Returns None if this node does not lead, or has not yet committed an entry of its own term.
         """
         if not self.has_committed_in_term:
             return None
@@ -174,16 +182,19 @@
         self._advance_commit_index(now)
         return read_id
 
-    def change_voters(self, voters: tuple[str, ...], now: int, erased: frozenset[str] = frozenset()) -> bool:
-        """Add or remove one voter, or replace one whose state is known to be lost (`erased`).
+    def change_voters(
+        self, voters: tuple[str, ...], now: int, without_state: frozenset[str] = frozenset()
+    ) -> bool:
+        """Propose a voter list that adds, removes or replaces one voter; returns whether it was proposed.
 
-        False: not now. See the head of the file; besides, a new voter must have caught up, and a quorum of
-        the list in force must have confirmed the leader within the last two heartbeats.
+        A voter can be replaced only if it is in `without_state`: its stored state is known to be lost. The
+        module docstring has the other conditions. In addition, a new voter must have caught up, and a quorum
+        of the current list must have confirmed the leader within the last two heartbeats.
         """
         added = set(voters) - set(self.voters)
         removed = set(self.voters) - set(voters)
         is_pending = self.persistent.voters_at(self.commit_index) != self.voters
-        is_replacement = len(added) == len(removed) == 1 and removed <= erased
+        is_replacement = len(added) == len(removed) == 1 and removed <= without_state
         is_single_change = len(added) + len(removed) == 1 or is_replacement
         if not self.has_committed_in_term or self.transfer_target or is_pending:
             return False
@@ -198,13 +209,16 @@
         return True
 
     def set_learners(self, learners: set[str], now: int) -> None:
-        """Replicate to these nodes too. They do not vote, but can be made voters once they have caught up."""
+        """Replicate to these nodes too. They do not vote, but can become voters once they have caught up."""
         self.learners = set(learners)
         if self.is_leader:
             self._update_peers(now)
 
     def transfer_leadership(self, to: str, now: int) -> bool:
-        """Make this voter the leader: once its log is complete it is told to campaign. False: not now."""
+        """Start a leadership transfer to this voter; returns whether the transfer was started.
+
+        Once the voter's log is complete, this node sends it `TimeoutNow`, which makes it campaign.
+        """
         if not self.is_leader or to not in self.voters or to == self.identity:
             return False
         self.transfer_target = to
@@ -216,7 +230,7 @@
     # --- events ---
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Campaign, step down or send heartbeats, if that is due."""
         if not self.is_leader:
             if now >= self.election_deadline:
                 self._campaign(now, pre_vote=True)
@@ -230,7 +244,7 @@
             self._confirm_rounds()
 
     def receive(self, message: Message, now: int) -> None:
-        """Take a message; it may be late, duplicated or reordered."""
+        """Handle a message, which may be late, duplicated or reordered."""
         if message.epoch != self.persistent.epoch and not self._adopt_epoch(message, now):
             return
         body = message.body
@@ -238,7 +252,7 @@
             self._handle_vote_request(message, body, now)
             return
         if message.term > self.persistent.current_term:
-            # A granted pre-vote has the term of a campaign that has not started yet.
+            # A granted pre-vote carries the term of an election that has not started yet.
             is_granted_pre_vote = isinstance(body, VoteResponse) and body.is_pre_vote and body.granted
             if not is_granted_pre_vote:
                 self._become_follower(message.term, "", now)
@@ -268,14 +282,14 @@
     # --- epochs ---
 
     def _adopt_epoch(self, message: Message, now: int) -> bool:
-        """Whether the message is of this node's epoch by now."""
+        """Adopt the message's epoch if it is higher and may be adopted; returns whether the epochs match."""
         if message.epoch < self.persistent.epoch:
-            # Any answer tells the sender of the epoch.
+            # Any answer makes the sender adopt this node's higher epoch.
             if not isinstance(message.body, (VoteResponse, AppendResponse, ChunkResponse)):
                 self._send_to(message.sender, VoteResponse(granted=False, is_pre_vote=True))
             return False
         if not started_by_operator(message.epoch) and self.persistent.has_operations:
-            # Two clusters were started; an operator must decide which one goes on.
+            # Two clusters were bootstrapped; an operator must decide which of them to keep.
             self.conflicting_epoch = message.epoch
             return False
         self._begin_epoch(message.epoch, now)
@@ -301,7 +315,7 @@
         self.merge(append)
         match_index = append.prev_log_index + len(append.entries)
         self._apply_committed(min(append.leader_commit, match_index), now)
-        self._note_confirmation(append)
+        self._record_confirmation(append)
         return AppendResponse(True, match_index, append.round, timestamp)
 
     def _install_snapshot(self, message: Message, snapshot: InstallSnapshot, now: int) -> AppendResponse:
@@ -343,7 +357,7 @@
         self._advance_commit_index(now)
 
     def _peer_of(self, message: Message) -> Progress | None:
-        """The replica that has answered, if this node leads in the term of the answer."""
+        """The progress of the replica that sent this answer; None if this node does not lead in its term."""
         if not self.is_leader or message.term != self.persistent.current_term:
             return None
         return self.peers.get(message.sender)
@@ -356,7 +370,7 @@
         peer.last_acked_round = max(peer.last_acked_round, response.round)
         transfer = peer.transfer
         if transfer is not None and transfer.transfer_id == response.transfer_id:
-            # A duplicate must not send a chunk twice; a replica that has nothing of it was restarted.
+            # A duplicate answer must not send a chunk twice. A replica that has no bytes of it has restarted.
             is_restarted = response.offset == 0 and transfer.offset > 0
             if response.offset > transfer.offset or is_restarted:
                 transfer.offset = response.offset
@@ -369,7 +383,7 @@
             return
         peer.last_contact_at = now
         peer.last_acked_round = max(peer.last_acked_round, response.round)
-        self._confirm_rounds()  # first: a timestamp that it confirms makes room for the next one
+        self._confirm_rounds()  # first: confirming a timestamp frees `pending_timestamp` for the next one
         if response.timestamp is not None and peer.pending_timestamp is None:
             peer.pending_timestamp = response.timestamp
             peer.pending_timestamp_round = self.rounds.number + 1
@@ -381,23 +395,24 @@
             self._handle_match(message.sender, peer, response, now)
         else:
             peer.next_index = max(min(response.index, self.persistent.last_index) + 1, peer.match_index + 1)
-            # Below `match_index` the answer is old, or the replica has lost its log: no hurry.
+            # Below `match_index` the answer is stale, or the replica has lost its log. The next heartbeat
+            # sends the entries then.
             if response.index >= peer.match_index:
                 self._send_entries(message.sender, now)
         self._finish_leadership_transfer()
 
     def _handle_match(self, name: str, peer: Progress, response: AppendResponse, now: int) -> None:
         peer.match_index = max(peer.match_index, response.index)
-        # What was lost shows by the answer to the next heartbeat.
+        # Entries that were lost on the way are detected by the answer to the next heartbeat.
         peer.next_index = max(peer.next_index, peer.match_index + 1)
         self._advance_commit_index(now)
-        # By committing it may have stepped down.
+        # Advancing the commit index may have made this node step down.
         if peer.next_index <= self.persistent.last_index and name in self.peers:
             self._send_entries(name, now)
 
     def _advance_commit_index(self, now: int) -> None:
-        """Commit what a quorum has, if it ends with an entry of the own term (section 5.4.2 of the paper),
-        and answer reads.
+        """Commit the entries that a quorum has, if the last of them is of this node's own term (section 5.4.2
+        of the paper), and complete pending reads.
         """
         index = self._quorum_match_index()
         if index > self.commit_index and self.persistent.term_at(index) == self.persistent.current_term:
@@ -426,7 +441,9 @@
         self.compact(self.config.snapshot_after_entries, self.config.snapshot_after_bytes)
 
     def _fail_pending_requests(self) -> None:
-        self.outcomes += [ProposalOutcome(each, False) for each in self.pending_proposals.values()]
+        self.outcomes += [
+            ProposalOutcome(proposal_id, False) for proposal_id in self.pending_proposals.values()
+        ]
         self.outcomes += [ReadIndexOutcome(read.read_id, False) for read in self.pending_reads]
         self.pending_proposals = {}
         self.pending_reads = []
--- a/hazelbend/consensus/replicated_log.py
+++ b/hazelbend/consensus/replicated_log.py
@@ -1,6 +1,7 @@
 """The replicated log of one node: its persistent state, its state machine and its commit index.
 
-No I/O. `first_unsaved_index` says what the driver must store before it sends anything that rests on it.
+No I/O. `first_unsaved_index` marks the entries that the driver must store before it sends messages that
+depend on them.
 """
 
 from __future__ import annotations
@@ -14,38 +15,38 @@
 
 
 class StateMachine(Protocol):
-    """What the entries change. It must be deterministic: the same entries give the same state."""
+    """The replicated state machine. It must be deterministic: the same entries give the same state."""
 
     def begin(self, epoch: int) -> None:
-        """Reset to the empty state, in this epoch."""
+        """Reset to the empty state of a new epoch."""
 
     def apply(self, index: int, op: bytes) -> object:
-        """Apply one committed operation; its result."""
+        """Apply one committed operation; returns its result."""
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """The complete state, encoded."""
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with a snapshot."""
 
 
 @dataclass(slots=True, frozen=True)
 class AppliedEntry:
-    """A committed entry and the result of its operation; None without an operation."""
+    """A committed entry. `result`: the result of its operation; None if it has no operation."""
 
     index: int
     result: object
 
 
 class ReplicatedLog:
-    """The log, without any messages. See the head of the file."""
+    """The log, its commit index and its snapshot. Subclasses exchange the messages."""
 
     def __init__(self, persistent: PersistentState, state_machine: StateMachine) -> None:
         self.persistent = persistent
         self.state_machine = state_machine
-        self.commit_index = persistent.last_included_index  # all entries up to it are applied
-        self.voters = persistent.voters_at(persistent.last_index)  # in force, committed or not
-        # Entries from this index on, and the snapshot if it is at this index or above, are not stored yet.
+        self.commit_index = persistent.last_included_index  # all entries up to here are applied
+        self.voters = persistent.voters_at(persistent.last_index)  # the current list, committed or not
+        # Entries from this index on, and the snapshot if its index is not lower, are not stored yet.
         self.first_unsaved_index: int | None = None
         state_machine.begin(persistent.epoch)
         if persistent.last_included_index:
@@ -53,19 +54,19 @@
 
     @property
     def uncommitted_bytes(self) -> int:
-        """Bytes of entries that are not known to be committed."""
+        """Bytes of the operations that are not known to be committed."""
         return size_of(self.persistent.entries[self.commit_index - self.persistent.last_included_index :])
 
     def append(self, entry: Entry) -> None:
-        """Add one entry at the end."""
+        """Append one entry."""
         self._mark_unsaved(self.persistent.last_index + 1)
         self.persistent.entries.append(entry)
         if entry.voters is not None:
             self.voters = entry.voters
 
     def merge(self, append: AppendEntries) -> None:
-        """Take a leader's entries. Entries that conflict with them are deleted, with all after them. The
-        entry at `prev_log_index` must match.
+        """Add a leader's entries. A conflicting entry is deleted with all entries after it. The caller has
+        checked that the entry at `prev_log_index` matches.
         """
         persistent = self.persistent
         for index, entry in enumerate(append.entries, append.prev_log_index + 1):
@@ -78,8 +79,9 @@
             self.append(entry)
 
     def conflict_hint(self, append: AppendEntries) -> int | None:
-        """None if the log matches at `prev_log_index`. Otherwise the highest index at which it may match: a
-        whole term that conflicts is skipped at once, as at the end of section 5.3 of the paper.
+        """The highest index at which the log may match the leader's; None if it matches at `prev_log_index`.
+
+        The index skips all entries of a conflicting term at once, as at the end of section 5.3 of the paper.
         """
         persistent = self.persistent
         prev_term: int | None = append.prev_log_term
@@ -97,7 +99,7 @@
         return max(hint - 1, self.commit_index)
 
     def commit_and_apply(self, index: int) -> list[AppliedEntry]:
-        """Commit and apply all entries up to this index."""
+        """Commit and apply all entries up to this index; returns the entries that were applied."""
         first = self.commit_index + 1
         self.commit_index = max(self.commit_index, index)
         applied = []
@@ -108,7 +110,7 @@
         return applied
 
     def compact(self, after_entries: int, after_bytes: int) -> None:
-        """Replace the applied entries by a snapshot, if there are so many or they exceed these bytes."""
+        """Replace the applied entries with a snapshot, if their number or size reaches its limit."""
         persistent = self.persistent
         new_index = self.commit_index
         applied = persistent.entries[: new_index - persistent.last_included_index]
@@ -118,7 +120,7 @@
         assert term is not None
         state = self.state_machine.snapshot()
         voters = persistent.voters_at(new_index)
-        # No applied entry is retained: a replica that is behind is sent the snapshot.
+        # No applied entry is retained: a replica that lags behind receives the snapshot.
         del persistent.entries[: new_index - persistent.last_included_index]
         persistent.last_included_index = new_index
         persistent.last_included_term = term
@@ -127,7 +129,7 @@
         self._mark_unsaved(new_index)
 
     def install(self, snapshot: InstallSnapshot) -> bool:
-        """Replace the applied state by a later snapshot. False: the snapshot is not later."""
+        """Replace the applied state with a snapshot; returns False if the snapshot is not newer."""
         persistent = self.persistent
         if snapshot.last_included_index <= self.commit_index:
             return False
@@ -145,7 +147,7 @@
         return True
 
     def clear(self, epoch: int) -> None:
-        """Start another epoch with an empty log."""
+        """Start a new epoch with an empty log."""
         self.persistent = PersistentState(self.persistent.identity, epoch)
         self.commit_index = 0
         self.voters = ()
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -1,8 +1,8 @@
-"""Replication to one replica: its progress as the leader knows it, and chunked transfers. No I/O.
+"""Replication to one replica: the leader's view of its progress, and chunked transfers. No I/O.
 
-A byte limit bounds what is in flight to one replica: a message has entries of at most `BATCH_BYTES`. A
-snapshot or a single larger entry is sent as a transfer: one chunk at a time, the next one after the answer to
-the one before. Heartbeats are sent between two chunks, so a slow link delays nothing else.
+The bytes in flight to one replica are bounded: a message carries at most `BATCH_BYTES` of entries. A snapshot
+or a larger single entry is sent as a transfer, one chunk at a time: the next chunk is sent after the answer
+to the previous one. Heartbeats are sent between chunks, so a transfer on a slow link does not delay them.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True)
 class OutgoingTransfer:
-    """A message that is sent to a replica in chunks, one at a time."""
+    """A message that the leader sends to a replica in chunks, one at a time."""
 
     transfer_id: int
     content: bytes
-    round: int  # the leader's round at its start: an older rejection does not concern it
+    round: int  # the leader's round when the transfer began: a rejection of an older round does not end it
     offset: int = 0  # bytes that the replica has
-    sent_at: int = 0  # of the last chunk
+    sent_at: int = 0  # when the last chunk was sent
 
     def next_chunk(self, round_number: int) -> Chunk:
-        """The chunk at `offset`: the last one again, if its answer was lost."""
+        """The chunk at `offset`. If the answer to the last chunk was lost, that is the same chunk again."""
         first = self.offset
         return Chunk(
             self.transfer_id,
@@ -48,24 +48,24 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one replica."""
+    """A leader's view of one replica."""
 
-    next_index: int  # of the entry to send next
-    match_index: int = 0  # the log matches the leader's up to here
+    next_index: int  # index of the next entry to send
+    match_index: int = 0  # the replica's log matches the leader's up to this index
     last_contact_at: int = 0
-    last_acked_round: int = 0  # the leader's last heartbeat round that it has answered
+    last_acked_round: int = 0  # the leader's last heartbeat round that the replica has answered
     transfer: OutgoingTransfer | None = None
-    pending_timestamp: Timestamp | None = None  # a round that starts after its arrival confirms it
+    pending_timestamp: Timestamp | None = None  # is confirmed by a round that starts after its arrival
     pending_timestamp_round: int = 0
     confirmed_timestamp: Timestamp | None = None
 
 
 @dataclass(slots=True)
 class CatchUpTarget:
-    """The index that a replica must have to count as caught up: what was committed one to two heartbeats ago.
+    """The index that a replica must reach to count as caught up: the commit index one to two heartbeats ago.
 
-    What is committed right now is no such target. A leader that is kept busy has always committed something
-    that is still on its way to the replica (section 4.2.1 of the thesis has the same reason for its rounds).
+    The current commit index is unsuitable: a busy leader has always just committed entries that are still in
+    flight to the replica. Section 4.2.1 of the thesis uses rounds for the same reason.
     """
 
     interval_us: int
@@ -74,13 +74,13 @@
     _sampled_at: int = 0
 
     def restart(self, index: int, now: int) -> None:
-        """A new leadership, whose log ends at this index: a replica must have all of it."""
+        """Start a new leadership, whose log ends at this index: a replica must have the whole log."""
         self.index = index
         self._latest = index
         self._sampled_at = now
 
     def observe(self, commit_index: int, now: int) -> None:
-        """Take note of the commit index, at least once in each heartbeat."""
+        """Sample the commit index. Call it at least once in each heartbeat interval."""
         if now - self._sampled_at >= self.interval_us:
             self.index = self._latest
             self._latest = commit_index
@@ -102,12 +102,12 @@
 
 
 def size_of(entries: Sequence[Entry]) -> int:
-    """Bytes of the operations of these entries."""
+    """The total size of the operations of these entries, in bytes."""
     return sum(len(entry.operation) for entry in entries)
 
 
 def first_batch(entries: Sequence[Entry], max_entries: int) -> tuple[Entry, ...]:
-    """The entries for one message: at least one, then as many as fit `BATCH_BYTES` and `max_entries`."""
+    """The entries for one message: at least one, and as many as fit into `BATCH_BYTES` and `max_entries`."""
     chosen: list[Entry] = []
     size = 0
     for entry in entries[:max_entries]:
@@ -119,8 +119,8 @@
 
 
 def needs_transfer(body: AppendEntries | InstallSnapshot) -> bool:
-    """Whether the message is too large to be sent at once. A snapshot always is a transfer, so that it is not
-    sent again with each heartbeat.
+    """Whether the message must be sent in chunks. A snapshot always is, so that it is not sent again with
+    each heartbeat.
     """
     return isinstance(body, InstallSnapshot) or size_of(body.entries) > BATCH_BYTES
 
--- a/hazelbend/consensus/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -1,8 +1,9 @@
-"""The leader's side of replication: what it sends to its replicas, and what a quorum has answered.
+"""The leader's side of replication: the messages to its replicas, and the rounds that a quorum has answered.
 
-Each broadcast starts a round (rounds.py). A quorum's answers to messages of a round prove that nobody else
-led when the round started. A replica's timestamp that arrived before the round is confirmed by it, and is
-returned with the next broadcast: so each replica knows by its own clock how old its state is at most.
+Each broadcast starts a round (rounds.py). Answers of a quorum to messages of a round prove that no other node
+led when the round started. The round confirms each replica's timestamp that arrived before it. The next
+broadcast returns the confirmed timestamp, from which a replica computes by its own clock the maximum age of
+its state.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 )
 from hazelbend.consensus.rounds import HeartbeatRounds
 
-CHUNK_RETRY_HEARTBEATS = 10  # heartbeats without an answer, after which a chunk is sent again
+CHUNK_RETRY_HEARTBEATS = 10  # heartbeat intervals without an answer after which a chunk is sent again
 INCARNATION_BITS = 53
 
 
 class Replicator(ReplicatedLog):
-    """Replication and its confirmation. Who leads, and in which term, is decided by the subclasses."""
+    """Replicates the log and confirms heartbeat rounds. Subclasses elect the leader and set its term."""
 
     def __init__(
         self, persistent: PersistentState, state_machine: StateMachine, config: RaftConfig, seed: int
@@ -41,17 +42,17 @@
         self.config = config
         self.role = Role.FOLLOWER
         self.outbox: list[Message] = []
-        self.peers: dict[str, Progress] = {}  # by identity; only of a leader
+        self.peers: dict[str, Progress] = {}  # by identity; empty unless this node leads
         self.learners: set[str] = set()
-        # Names this start of the process: timestamps of another one mean nothing.
+        # Identifies this run of the process: timestamps of other incarnations are not comparable.
         self.incarnation = random.Random(seed + 1).getrandbits(INCARNATION_BITS)
-        # When everything that was committed anywhere was surely committed here.
+        # The latest time up to which this node is known to hold everything that was committed anywhere.
         self.confirmed_at: int | None = None
         self.incoming_transfer = IncomingTransfer()
         self.last_transfer_id = 0
         self.rounds = HeartbeatRounds(config.heartbeat_us)
         self._catch_up_target = CatchUpTarget(config.heartbeat_us)
-        # A confirmed time of this process, and the commit index that it takes effect with.
+        # A confirmed time of this process, and the commit index at which it takes effect.
         self._pending_confirmation: tuple[int, int] | None = None
 
     @property
@@ -61,24 +62,24 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads in its term."""
+        """Whether this node is the leader of its term."""
         return self.role is Role.LEADER
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and has committed an entry of its own term. Only then has it surely applied all
-        that was committed before (section 6.4 of the thesis).
+        """Whether this node leads and has committed an entry of its own term. Only then it is known to have
+        applied everything that was committed earlier (section 6.4 of the thesis).
         """
         return self.is_leader and self.persistent.term_at(self.commit_index) == self.persistent.current_term
 
     def confirmed_age(self, now: int) -> int | None:
-        """Microseconds since `confirmed_at`. None: nothing is confirmed in this incarnation."""
+        """Microseconds since `confirmed_at`; None if nothing was confirmed in this incarnation."""
         return None if self.confirmed_at is None else max(now - self.confirmed_at, 0)
 
     # --- replicas ---
 
     def _update_peers(self, now: int) -> None:
-        """Track the progress of all voters and learners, and of nobody else."""
+        """Track the progress of exactly the other voters and learners."""
         names = (set(self.voters) | self.learners) - {self.identity}
         for removed in set(self.peers) - names:
             del self.peers[removed]
@@ -90,13 +91,13 @@
         return peer is not None and peer.match_index >= self._catch_up_target.index
 
     def is_recently_active(self, peer: Progress, now: int) -> bool:
-        """Whether this replica has answered a message of this leadership within the last two heartbeats."""
+        """Whether this replica has answered during this leadership, and within the last two heartbeats."""
         return peer.last_acked_round > 0 and now - peer.last_contact_at <= 2 * self.config.heartbeat_us
 
     # --- sending ---
 
     def _broadcast(self, now: int) -> None:
-        """Send each replica what it lacks, in a new round."""
+        """Start a new round and send each replica the entries that it lacks."""
         self.rounds.begin(now)
         self._catch_up_target.observe(self.commit_index, now)
         for name in self.peers:
@@ -106,7 +107,7 @@
         persistent = self.persistent
         peer = self.peers[name]
         if peer.transfer is not None:
-            # No entries until the transfer has ended.
+            # Only heartbeats and chunks until the transfer has ended.
             self._send_to(name, self._heartbeat(peer, 0, 0))
             if now - peer.transfer.sent_at >= CHUNK_RETRY_HEARTBEATS * self.config.heartbeat_us:
                 self._send_chunk(name, now)
@@ -126,7 +127,7 @@
             self._start_transfer(name, append, now)
             return
         self._send_to(name, append)
-        # Optimistic: the answer shows what was lost, and it is sent again then.
+        # Optimistic: entries that are lost on the way are sent again after the next answer.
         peer.next_index += len(append.entries)
 
     def _heartbeat(self, peer: Progress, prev_index: int, prev_term: int) -> AppendEntries:
@@ -164,8 +165,9 @@
     # --- answers ---
 
     def _end_transfer(self, peer: Progress, response: AppendResponse) -> bool:
-        """Whether this answers the transfer, which then ends. An answer to a heartbeat that was sent between
-        two chunks says nothing of it.
+        """End the transfer if this response answers it; returns whether it did.
+
+        The response may instead answer a heartbeat that was sent between two chunks.
         """
         assert peer.transfer is not None
         is_rejected = not response.success and response.round >= peer.transfer.round
@@ -179,14 +181,14 @@
         return 2 * len(names & set(self.voters)) > len(self.voters)
 
     def _quorum_match_index(self) -> int:
-        """The highest index up to which a quorum of the voters has the log."""
+        """The highest index up to which a quorum of the voters has the leader's log."""
         match = {name: peer.match_index for name, peer in self.peers.items()}
         match[self.identity] = self.persistent.last_index
         indexes = sorted((match.get(name, 0) for name in self.voters), reverse=True)
         return indexes[len(indexes) // 2]
 
     def _confirm_rounds(self) -> None:
-        """Take note of rounds that a quorum has answered, and of the timestamps that this confirms."""
+        """Record the rounds that a quorum has answered, and the replica timestamps that they confirm."""
         if not self.has_committed_in_term:
             return
         started_at = self.rounds.confirm(self._is_round_confirmed)
@@ -201,9 +203,11 @@
         answered = {name for name, peer in self.peers.items() if peer.last_acked_round >= number}
         return self._has_quorum(answered | {self.identity})
 
-    def _note_confirmation(self, append: AppendEntries) -> None:
-        """A replica's timestamp has come back. All that was committed at that time is at or below
-        `leader_commit`: the time counts once the replica has committed up to there.
+    def _record_confirmation(self, append: AppendEntries) -> None:
+        """Handle the own timestamp that the leader returned to this replica.
+
+        Everything that was committed at that time is at or below `leader_commit`, so `confirmed_at` advances
+        to it once this replica has committed up to that index.
         """
         timestamp = append.confirmed_timestamp
         if (
