--- a/hazelbend/consensus/state_codec.py
+++ b/hazelbend/consensus/state_codec.py
@@ -1,19 +1,19 @@
-"""The stored form of a node's persistent state: records, and frames of a file. No I/O; the files themselves:
-transport/storage.
+"""Encodes a node's persistent state as records, and as frames of a file. No I/O; transport/storage has that.
 
     file   = MAGIC, frames
     frame  = header, body
     header = length of the body, CRC-32 of the body, CRC-32 of these two (4 bytes each, little-endian)
     body   = HardState | LogEntries | Snapshot, in msgpack
 
-Records take effect in their order: a `HardState` replaces the one before, `LogEntries` replace all entries
-from their first index on, a `Snapshot` replaces all entries up to its index.
+Records are applied in order: a `HardState` replaces the previous one, `LogEntries` replace all entries from
+their first index on, a `Snapshot` replaces all entries up to its index.
 
-A node whose stored state is in doubt must start as a new one (see raft.py), so a reader never guesses:
-    - a last frame that is shorter than its length was being written when the process died. Nothing that rests
-      on it was sent, so it is dropped;
-    - a wrong checksum, a gap in the log or an unknown format raises `CorruptStateError`. The header has a
-      checksum of its own: with a changed length a frame, and all after it, would look like a short last one.
+A node whose stored state may be damaged must start as a new one (see raft.py), so decoding is strict:
+    - A last frame that is shorter than its length was being written when the process ended. No message that
+      depends on it was sent, so the frame is dropped.
+    - A wrong checksum, a gap in the log or an unknown format raises `CorruptStateError`. The header has its
+      own checksum, because a corrupted length would make a frame, and all frames after it, look like a torn
+      last frame.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 
 
 class LogEntries(msgspec.Struct, frozen=True, tag="Entries"):
-    """The entries from `first_index` to the end of the log."""
+    """The log entries from `first_index` to the end of the log."""
 
     first_index: int = msgspec.field(name="first")
     entries: tuple[Entry, ...]
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="Base"):
-    """The state machine and the voters after `last_included_index`."""
+    """The state machine and the voters at `last_included_index`."""
 
     last_included_index: int = msgspec.field(name="index")
     last_included_term: int = msgspec.field(name="term")
@@ -76,22 +76,22 @@
 
 
 def encode_state(state: PersistentState) -> bytes:
-    """The content of a new file."""
+    """The complete content of a new file."""
     return MAGIC + b"".join(map(encode_frame, state_records(state)))
 
 
 def state_records(state: PersistentState) -> list[StateRecord]:
-    """Records of the whole state."""
+    """The records of the complete state."""
     return [_hard_state(state), _snapshot(state), _log_entries(state, state.last_included_index + 1)]
 
 
 def encode_changes(raft: RaftNode) -> bytes:
-    """The frames to append for all changes since the last call."""
+    """The frames to append to the file for all changes since the last call."""
     return b"".join(map(encode_frame, take_changed_records(raft)))
 
 
 def take_changed_records(raft: RaftNode) -> list[StateRecord]:
-    """Records of all changes since the last call: from now on they count as saved."""
+    """The records of all changes since the last call; marks these changes as saved."""
     state = raft.persistent
     first_index = raft.first_unsaved_index
     records: list[StateRecord] = []
@@ -124,7 +124,7 @@
     """The state, and the length of the content without a torn last frame.
 
     Raises:
-        CorruptStateError: see the head of the file.
+        CorruptStateError: the content is damaged or in an unknown format; see the module docstring.
     """
     if not content.startswith(MAGIC):
         raise CorruptStateError("unknown format or version")
@@ -140,12 +140,12 @@
             raise CorruptStateError(f"at byte {offset}: {error}") from None
         offset += HEADER_BYTES + len(body)
     if not state.identity:
-        raise CorruptStateError("no identity")
+        raise CorruptStateError("identity is missing")
     return state, offset
 
 
 def _read_body(content: bytes, offset: int) -> bytes | None:
-    """The body of the frame at this offset. None: the frame is torn."""
+    """The body of the frame at this offset; None if the frame is torn."""
     header = content[offset : offset + HEADER_BYTES]
     length = int.from_bytes(header[:INTEGER_BYTES], "little")
     body_checksum = int.from_bytes(header[INTEGER_BYTES : 2 * INTEGER_BYTES], "little")
@@ -158,10 +158,10 @@
 
 
 def apply_record(state: PersistentState, record: StateRecord) -> None:
-    """Let a stored record take effect.
+    """Apply one stored record to the state.
 
     Raises:
-        CorruptStateError: entries that leave a gap, or that the snapshot already holds.
+        CorruptStateError: the entries leave a gap in the log, or overlap with the snapshot.
     """
     if isinstance(record, HardState):
         _apply_hard_state(state, record)
@@ -174,13 +174,16 @@
     else:
         first_index = record.first_index
         if first_index > state.last_index + 1 or first_index <= state.last_included_index:
-            raise CorruptStateError(f"entries from {first_index} on after {state.last_index}")
+            raise CorruptStateError(
+                f"entries start at index {first_index}, but the log ends at {state.last_index} "
+                f"and the snapshot at {state.last_included_index}"
+            )
         kept = state.entries[: first_index - state.last_included_index - 1]
         state.entries = [*kept, *record.entries]
 
 
 def _apply_hard_state(state: PersistentState, record: HardState) -> None:
-    if record.epoch != state.epoch:  # another epoch starts with an empty log
+    if record.epoch != state.epoch:  # a new epoch starts with an empty log
         state.entries = []
         state.last_included_index = 0
         state.last_included_term = 0
--- a/hazelbend/consensus/voters.py
+++ b/hazelbend/consensus/voters.py
@@ -1,8 +1,8 @@
-"""Who votes: the leader replaces voters that are lost, one change of the configuration at a time.
+"""Chooses the next voter list: the leader replaces unavailable voters, one membership change at a time.
 
-A lost voter is replaced by adding a voter first and removing the lost one after that, so that the number of
-healthy voters never falls. An identity stands for one stored state (see raft.py): a node that has lost its
-state comes back under a new identity and is added like any other.
+Replacing a voter first adds a new voter and then removes the unavailable one, so that the number of healthy
+voters never falls. Each identity belongs to one stored state (see raft.py): a node that has lost its state
+rejoins under a new identity and is added like any other node.
 """
 
 from __future__ import annotations
@@ -14,44 +14,45 @@
 
 def next_voters(
     voters: Sequence[str],
-    me: str,
+    leader: str,
     members: Sequence[str],
-    lost: set[str],
-    wanted: int,
-    least: int = 3,
-    erased: frozenset[str] = frozenset(),
+    replaceable: set[str],
+    target_count: int,
+    min_healthy: int = 3,
+    without_state: frozenset[str] = frozenset(),
 ) -> tuple[str, ...] | None:
-    """The next list of voters to commit. None: no change.
+    """The next voter list to commit; None if the list needs no change.
 
     Args:
-        voters: the list in force.
-        me: the leader. It never removes itself: it transfers its leadership first.
-        members: healthy nodes of this epoch, those that joined first first.
-        lost: voters that are taken for gone.
-        wanted: the number of voters.
-        least: a voter is removed only if this many healthy ones are left.
-        erased: those of `lost` whose stored state is surely lost, so that they can never vote again. Such a
-            voter is replaced in one step, by the node at its address if there is one: as of the old list only
-            the others can still vote, a quorum of the old list and one of the new list meet among them.
+        voters: the current list.
+        leader: the leader. It never removes itself: it transfers its leadership first.
+        members: healthy nodes of this epoch, in the order in which they joined.
+        replaceable: voters that count as permanently unavailable.
+        target_count: the number of voters to reach.
+        min_healthy: a voter is removed only if this many healthy ones are left.
+        without_state: those of `replaceable` whose stored state is known to be lost, so that they can never
+            vote again. Such a voter is replaced in one step, by the node at its address if there is one. That
+            is safe because only the other voters of the old list can still vote: any quorum of the old list
+            and any quorum of the new list intersect among them.
     """
-    healthy = [voter for voter in voters if voter not in lost]
-    candidates = [member for member in members if member not in voters and member not in lost]
-    replaced = next((voter for voter in voters if voter in erased and voter != me), None)
+    healthy = [voter for voter in voters if voter not in replaceable]
+    candidates = [member for member in members if member not in voters and member not in replaceable]
+    replaced = next((voter for voter in voters if voter in without_state and voter != leader), None)
     if replaced is not None and candidates:
         return _replace(voters, replaced, candidates)
-    if len(healthy) < wanted and candidates:
+    if len(healthy) < target_count and candidates:
         return tuple(sorted((*voters, candidates[0])))
-    removable = [voter for voter in voters if voter in lost and voter != me]
-    # One of an even number of voters can go without a successor: it adds no tolerance of faults.
-    if removable and (len(healthy) >= min(wanted, least) or len(voters) % 2 == 0):
+    removable = [voter for voter in voters if voter in replaceable and voter != leader]
+    # From an even number of voters one can be removed without a replacement: it adds no fault tolerance.
+    if removable and (len(healthy) >= min(target_count, min_healthy) or len(voters) % 2 == 0):
         return tuple(voter for voter in voters if voter != removable[0])
-    if len(healthy) > wanted:
-        surplus = next((voter for voter in reversed(voters) if voter != me), None)
+    if len(healthy) > target_count:
+        surplus = next((voter for voter in reversed(voters) if voter != leader), None)
         return tuple(voter for voter in voters if voter != surplus)
     return None
 
 
 def _replace(voters: Sequence[str], replaced: str, candidates: Sequence[str]) -> tuple[str, ...]:
-    same_address = (each for each in candidates if address_of(each) == address_of(replaced))
+    same_address = (candidate for candidate in candidates if address_of(candidate) == address_of(replaced))
     successor = next(same_address, candidates[0])
     return tuple(sorted({*voters, successor} - {replaced}))
--- a/hazelbend/control/announcements.py
+++ b/hazelbend/control/announcements.py
@@ -1,7 +1,7 @@
-"""Announcements of workers that wait until enough control processes hold them. Sans-I/O; given the time.
+"""Announcements of workers that are pending until enough control processes hold them. Sans-I/O.
 
-A request id names an announcement within one incarnation of this process. The acknowledgement names that
-incarnation too, so one that was meant for an earlier incarnation counts for nothing.
+A request id identifies an announcement within one incarnation of this process. Acknowledgements carry the
+incarnation too, so that those for an earlier incarnation are ignored.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from hazelbend.control.messages import WorkerUpdate, WorkerUpdateAck
 from hazelbend.control.workers import WorkerRecord
 
-ANNOUNCEMENT_TIMEOUT_US = 900_000  # how long a worker's call waits until enough processes hold it
+ANNOUNCEMENT_TIMEOUT_US = 900_000  # how long a worker's call waits for enough acknowledgements
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,13 +25,14 @@
 @dataclass(slots=True)
 class _PendingAnnouncement:
     expires_at: int
-    holders: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by identity: the voters it knows
+    # By the identity of each process that holds the announcement: the voter list that it knows.
+    holders: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def is_durable(self, tolerance: int) -> bool:
-        """Whether a majority of the voters holds it, and more processes than may be lost.
+        """Whether a majority of the voters, and more than `tolerance` processes, hold the announcement.
 
-        Holders may know different lists of voters while the list changes: the majority must hold by each
-        list that a holder knows which has a vote by that list.
+        During a membership change the holders may know different voter lists. A majority is required in each
+        list in which the holder that knows it is itself a voter.
         """
         voter_lists = {voters for identity, voters in self.holders.items() if identity in voters}
         majorities = [2 * len(self.holders.keys() & set(voters)) > len(voters) for voters in voter_lists]
@@ -39,10 +40,10 @@
 
 
 class Announcements:
-    """The announcements that are pending, and the outcomes that nobody has taken yet."""
+    """The pending announcements, and the outcomes since the last `take_outcomes`."""
 
     def __init__(self, incarnation: int, tolerance: int) -> None:
-        """`tolerance`: processes that count for the quorum and may be lost at one time."""
+        """`tolerance`: the number of quorum processes that may be lost at the same time."""
         self._incarnation = incarnation
         self._tolerance = tolerance
         self._pending: dict[int, _PendingAnnouncement] = {}
@@ -50,16 +51,16 @@
 
     @property
     def next_expiry_at(self) -> int | None:
-        """When the next pending announcement times out; None: none is pending."""
+        """When the next pending announcement times out; None if none is pending."""
         return min((pending.expires_at for pending in self._pending.values()), default=None)
 
     def begin(self, request_id: int, record: WorkerRecord, now: int) -> WorkerUpdate:
-        """Start an announcement; returns the message that asks peers to hold it."""
+        """Start an announcement; returns the message that replicates it to the peers."""
         self._pending[request_id] = _PendingAnnouncement(now + ANNOUNCEMENT_TIMEOUT_US)
         return WorkerUpdate(request_id, (record,), incarnation=self._incarnation)
 
     def acknowledge(self, ack: WorkerUpdateAck) -> None:
-        """A process that counts for the quorum, maybe this one, holds an announcement."""
+        """Record that a process that counts for the quorum, possibly this one, holds an announcement."""
         pending = self._pending.get(ack.request_id)
         if ack.incarnation != self._incarnation or pending is None:
             return
@@ -68,7 +69,7 @@
             self._finish(ack.request_id, acknowledged=True)
 
     def expire(self, now: int) -> None:
-        """Fail the announcements that have timed out."""
+        """Fail all announcements that have timed out."""
         for request_id, pending in list(self._pending.items()):
             if now >= pending.expires_at:
                 self._finish(request_id, acknowledged=False)
--- a/hazelbend/control/cluster_membership.py
+++ b/hazelbend/control/cluster_membership.py
@@ -1,4 +1,4 @@
-"""Membership of the Raft cluster: bootstrap, the list of voters, a forced new cluster, leaving."""
+"""Membership of the Raft cluster: bootstrap, voter list, forced new cluster, leadership transfer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class LeaderKnownError(ValueError):
-    """A new cluster can't be forced: a leader is known, so no majority is lost."""
+    """A new cluster can't be forced because a leader is known, so no majority is lost."""
 
 
 class ClusterMembership:
-    """Decides who founds the cluster and, on the leader, who votes in it."""
+    """Bootstraps the cluster and, on the leader, maintains its voter list."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._unix_seconds = unix_seconds
 
     def bootstrap_if_first(self, now: int) -> None:
-        """Bootstrap the cluster, if this process has never been in one and is the one to do it."""
+        """Bootstrap the cluster, if this process was never part of one and `PeerTable` permits it."""
         settings = self._settings
         if self._raft.persistent.epoch or not settings.may_bootstrap or not settings.counts_for_quorum:
             return
@@ -44,7 +44,7 @@
             self._raft.force_new_cluster(epoch, now)
 
     def force_new_cluster(self, now: int) -> int:
-        """Start a new cluster from this process's state, as an operator orders; returns its epoch.
+        """Start a new cluster from this process's state by order of an operator; returns its epoch.
 
         Raises:
             LeaderKnownError: a leader is known, so no majority is lost.
@@ -54,7 +54,7 @@
         self._raft.commit_all_stored(now)
         snapshot = self._state_machine.snapshot()
         persistent = self._raft.persistent
-        # Above all that this epoch's fencing tokens have reached: terms carry into the epoch.
+        # Above all fencing tokens of this epoch, whose terms may carry into the epoch bits.
         known_epoch = persistent.epoch + (persistent.current_term >> TERM_BITS) + 1
         epoch = next_epoch(known_epoch, self._unix_seconds(), self._raft.identity)
         self._raft.force_new_cluster(epoch, now)
@@ -62,7 +62,7 @@
         return epoch
 
     def reconcile_voters(self, now: int) -> None:
-        """On the leader: propose one step towards voters that are all alive and count for the quorum."""
+        """On the leader, propose one step towards a voter list of alive quorum processes."""
         raft = self._raft
         if not raft.is_leader:
             return
@@ -72,7 +72,7 @@
         members += self._peers.voter_candidates(raft.voters, replaceable, now)
         without_state = frozenset(voter for voter in replaceable if self._peers.has_lost_state(voter))
         min_voters = 2 * self._settings.tolerance + 1
-        # A voter that is merely unheard is not surplus: the list shrinks only by replaceable ones.
+        # A voter without a recent hello is not surplus yet: only replaceable voters are removed.
         wanted_voters = max(min_voters, len({*members, *raft.voters} - replaceable))
         voters = next_voters(
             raft.voters, raft.identity, members, replaceable, wanted_voters, min_voters, without_state
@@ -82,7 +82,10 @@
             raft.change_voters(voters, now, without_state)
 
     def transfer_leadership(self, now: int) -> bool:
-        """Let another voter lead. False: this process does not lead, or no other voter can take over."""
+        """Transfer the leadership to another voter.
+
+        Returns False if this process does not lead, or no other voter can take over.
+        """
         staying = {peer.identity for peer in self._peers.alive(now).values() if not peer.leaving}
         successors = [voter for voter in self._raft.voters if voter in staying]
         return bool(successors) and self._raft.transfer_leadership(successors[0], now)
--- a/hazelbend/control/config_calls.py
+++ b/hazelbend/control/config_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls to put and read the configuration, from the call until the replicated log decides it."""
+"""Operators' calls that put and read the configuration, pending until the replicated log decides them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ConfigCalls:
-    """The calls that are pending."""
+    """The pending calls."""
 
     def __init__(
         self, raft: RaftNode, state_machine: ConfigStateMachine, next_request_id: Callable[[], int]
@@ -40,11 +40,11 @@
         return request_id
 
     def take_outcomes(self) -> list[CallOutcome]:
-        """The outcomes of calls that the log has decided since the last call."""
+        """The outcomes of the operators' calls that were decided since the last call of this method."""
         outcomes: list[CallOutcome] = []
-        decided = self._raft.outcomes
+        raft_outcomes = self._raft.outcomes
         self._raft.outcomes = []
-        for outcome in decided:
+        for outcome in raft_outcomes:
             if isinstance(outcome, ReadIndexOutcome):
                 if (request_id := self._reads.pop(outcome.read_id, None)) is not None:
                     config = self._state_machine.current if outcome.confirmed else None
--- a/hazelbend/control/config_state_machine.py
+++ b/hazelbend/control/config_state_machine.py
@@ -1,6 +1,6 @@
 """The replicated state machine of the configuration: a compare-and-set on its version.
 
-The names on the wire and in stored snapshots are older than the names here; renamed classes pin their tags.
+Renamed classes and fields pin the names of earlier versions on the wire and in stored snapshots.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 import msgspec
 
 DIGEST_BYTES = 16
-MAX_ACCEPTED_DIGESTS = 4_096  # accepted changes that a resend is recognized by: 100 KB of a snapshot at most
-ZLIB_LEVEL = 1  # the fastest: configurations are text that repeats itself, and processor time is scarce
+MAX_ACCEPTED_DIGESTS = 4_096  # accepted changes whose resends are recognized: at most 100 KB of a snapshot
+ZLIB_LEVEL = 1  # the fastest: configurations are repetitive text, and processor time is scarce
 
 
 class ChangeResult(Enum):
-    """How a proposed change was decided."""
+    """The result of a proposed change."""
 
-    ACCEPTED = "accepted"  # now, or when it was sent before
-    CONFLICT = "conflict"  # another version is current
-    VERSION_NOT_NEWER = "not above"  # its version is not above the current one
-    BASE_TOO_OLD = "forgotten"  # its base is so old that nobody knows whether it was accepted
+    ACCEPTED = "accepted"  # by this entry, or already when the change was sent before
+    CONFLICT = "conflict"  # its base is not the current version
+    VERSION_NOT_NEWER = "not above"  # its version is not higher than the current one
+    BASE_TOO_OLD = "forgotten"  # whether it was accepted before is unknown: its digest may have been dropped
 
 
 class ConfigChange(msgspec.Struct, frozen=True, tag=True):
@@ -35,13 +35,13 @@
 
 
 class ForceNewCluster(msgspec.Struct, frozen=True, tag="Refound"):
-    """The first log entry of a cluster that an operator forced: the state of the process that formed it."""
+    """The first log entry of a forced new cluster: the state of the process on which it was started."""
 
     state: bytes
 
 
 class StoredConfig(msgspec.Struct, frozen=True):
-    """A configuration in force. Version 0 is no configuration; `body` is compressed."""
+    """A committed configuration. Version 0 means that there is none; `body` is compressed."""
 
     version: int = 0
     body: bytes = b""
@@ -60,18 +60,18 @@
 
 
 def digest_of(base: int, body: bytes) -> bytes:
-    """Identifies one change: the same bytes on the same version."""
+    """The digest that identifies a change by its base version and its body."""
     return blake2b(b"%d\n" % base + body, digest_size=DIGEST_BYTES).digest()
 
 
 def encode_config_change(base: int, version: int, body: bytes) -> bytes:
-    """The log entry that proposes this configuration."""
+    """Encode the log entry that proposes this configuration."""
     change = ConfigChange(base, version, digest_of(base, body), zlib.compress(body, ZLIB_LEVEL))
     return _encoder.encode(change)
 
 
 def encode_force_new_cluster(state: bytes) -> bytes:
-    """The log entry that starts a new cluster with this snapshot."""
+    """Encode the log entry that starts a new cluster with this snapshot."""
     return _encoder.encode(ForceNewCluster(state))
 
 
@@ -83,15 +83,16 @@
 class ConfigStateMachine:
     """Implements `consensus.replicated_log.StateMachine`.
 
-    Of the newest `MAX_ACCEPTED_DIGESTS` accepted changes it keeps the digest and the version that each builds
-    on. Each builds on the one before, so a change that builds on `floor` or a later version, and is not among
-    them, was surely never accepted; of an older one nobody can tell.
+    Keeps the digest and the base version of the newest `MAX_ACCEPTED_DIGESTS` accepted changes, by which
+    resends are recognized. The base of each accepted change is the version of the previous one. So a change
+    with a base of at least `floor` whose digest is not kept was never accepted. For a lower base that is
+    unknown.
     """
 
     def __init__(self) -> None:
         self.current = StoredConfig()
         self.floor = 0
-        self.accepted: dict[bytes, int] = {}  # base by digest, oldest first
+        self.accepted: dict[bytes, int] = {}  # base version by digest, oldest first
 
     def begin(self, epoch: int) -> None:
         """Reset to the empty state."""
@@ -118,14 +119,14 @@
         return ChangeResult.ACCEPTED
 
     def snapshot(self) -> bytes:
-        """The complete state, encoded."""
+        """Encode the complete state."""
         bases = list(self.accepted.values())
         return _encoder.encode(_Snapshot(self.current, list(self.accepted), bases, self.floor))
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state with that of a snapshot."""
         snapshot = _snapshot_decoder.decode(state)
-        # Without bases each may build on any version up to the current one.
+        # In earlier formats the bases are unknown: each may be any version up to the current one.
         bases = snapshot.bases or [snapshot.current.version] * len(snapshot.accepted_digests)
         self.current = snapshot.current
         self.floor = snapshot.floor
--- a/hazelbend/control/configuration.py
+++ b/hazelbend/control/configuration.py
@@ -1,6 +1,6 @@
-"""Validation of the operators' configuration: a marshmallow schema, and rules that no schema can express.
+"""Validates the operators' configuration: a marshmallow schema, and rules that the schema can't express.
 
-All findings are collected with their paths and reported together. Unknown fields are ignored.
+All errors are collected with their paths and reported together. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import orjson
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-# What marshmallow reports of a document: texts, nested by field name or list index.
+# The errors that marshmallow reports for a document: messages, nested by field name or list index.
 SchemaMessages: TypeAlias = "Mapping[str | int, SchemaMessages] | Sequence[str]"
 
 ROUTE_KINDS = ("safe", "unsafe", "stream")
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One error in a configuration, and the path of the field (`routes[3].timeoutMs`)."""
+    """One error in a configuration, with the path of the field, such as `routes[3].timeoutMs`."""
 
     path: str
     text: str
@@ -30,7 +30,7 @@
 
 
 class InvalidConfigurationError(ValueError):
-    """A configuration that may not be put in force, with every finding."""
+    """The configuration is invalid; `findings` holds every error."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = tuple(findings)
@@ -87,7 +87,7 @@
     """Validate a configuration; returns its version.
 
     Raises:
-        InvalidConfigurationError: it may not be put in force; holds every finding with its path.
+        InvalidConfigurationError: the configuration is invalid; holds every error with its path.
     """
     try:
         document = orjson.loads(body)
@@ -105,7 +105,7 @@
 
 
 def schema_findings(path: str, messages: SchemaMessages) -> Iterator[Finding]:
-    """The findings in marshmallow's messages on a document, each with its path."""
+    """Flatten marshmallow's messages for a document into findings with paths."""
     if isinstance(messages, Mapping):
         for key, nested in messages.items():
             step = f"[{key}]" if isinstance(key, int) else f".{key}" if path else str(key)
@@ -116,7 +116,7 @@
 
 
 def _rule_findings(configuration: dict[str, Any]) -> Iterator[Finding]:
-    """Names are unique, backends exist, and no two routes match the same requests."""
+    """Check that service names are unique, backends exist, and no two routes match the same requests."""
     services: set[str] = set()
     for index, service in enumerate(configuration["services"]):
         if service["name"] in services:
@@ -134,7 +134,7 @@
 
 
 def _backend_findings(path: str, route: dict[str, Any], services: set[str]) -> Iterator[Finding]:
-    """A route has either one backend or a split with a positive total weight, of known services."""
+    """Check that a route has either one backend or a split, of known services and with a positive weight."""
     if ("backend" in route) == ("split" in route):
         yield Finding(path, "needs one of backend and split")
         return
--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -1,8 +1,8 @@
 """One control process as a sans-I/O engine: consensus, voters, worker registry, orders to workers.
 
-The driver calls `tick` at `next_tick_at` and `receive` with each message from another control process.
-Then it takes the output: `take_immediate_output` may be sent at once, `take_durable_output` only once the
-changes of the log that it rests on are stored. Times are microseconds of one monotonic clock.
+The driver calls `tick` at `next_tick_at`, and `receive` with each message from another control process. Then
+it takes the output: that of `take_immediate_output` may be sent at once, that of `take_durable_output` only
+after the log changes that it depends on are stored. Times are microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 from hazelbend.control.workers import WorkerRecord, WorkerRegistry
 
 HELLO_PERIOD_US = 250_000  # between two hellos to a peer
-AGES_PERIOD_US = 500_000  # between two messages on when workers were heard
+AGES_PERIOD_US = 500_000  # between two messages with the ages of workers' last heartbeats
 VOTERS_PERIOD_US = 200_000  # between the leader's checks of the voters
-FIRST_ELECTION_RANGE_US = (120_000, 400_000)  # after a restart, until a voter without a leader campaigns
+FIRST_ELECTION_RANGE_US = (120_000, 400_000)  # random delay after a restart until a voter campaigns
 TIMING = RaftConfig(
     heartbeat_us=100_000, election_timeout_us=500_000, max_batch_entries=32, snapshot_after_entries=48
 )
 
 
 class ControlEngine:
-    """The engine of one control process; see the module."""
+    """The engine of one control process; see the module docstring."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         unix_seconds: Callable[[], float],
         persistent: PersistentState | None = None,
     ) -> None:
-        """`identity`: for a process without stored state; one with `persistent` state keeps its own."""
+        """`identity`: for a process without stored state; `persistent` state has its own identity."""
         self.settings = settings
         self.config_state = ConfigStateMachine()
         self.raft = RaftNode(persistent or PersistentState(identity), self.config_state, TIMING, seed, now)
@@ -66,7 +66,7 @@
         )
         self.planner = PhasePlanner()
         self.subscribed_routers: set[str] = set()  # routers that are subscribed to this process
-        self.peak_router_count = 1  # routers that have watched the fleet at a time: they share budgets
+        self.peak_router_count = 1  # most routers subscribed to the fleet at one time: they share budgets
         self._outbox = Outbox()
         self._config_calls = ConfigCalls(self.raft, self.config_state, self._next_request_id)
         self._workers = WorkerSync(self.raft, settings, self.peers, self._outbox, self._next_request_id)
@@ -81,17 +81,17 @@
 
     @property
     def identity(self) -> str:
-        """This process's identity, which its persistent state keeps."""
+        """This process's identity, which is part of its persistent state."""
         return self.raft.identity
 
     @property
     def registry(self) -> WorkerRegistry:
-        """The workers that this process knows."""
+        """The registry of all known workers."""
         return self._workers.registry
 
     @property
     def next_tick_at(self) -> int:
-        """When `tick` has something to do."""
+        """The time of the next call of `tick`."""
         times = [self.raft.next_tick_at, self._next_hello_at, self._next_ages_at, self._next_voters_check_at]
         if (expiry_at := self._workers.next_expiry_at) is not None:
             times.append(expiry_at)
@@ -99,7 +99,7 @@
 
     @property
     def has_durable_output(self) -> bool:
-        """Whether something is to be stored, or sent after that."""
+        """Whether there are changes to store, or output that is sent after they are stored."""
         raft = self.raft
         return bool(
             raft.hard_state_changed or raft.first_unsaved_index is not None or raft.outbox or raft.outcomes
@@ -107,7 +107,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader's identity, as far as it is known; an observer knows what voters report."""
+        """The leader's identity; empty if none is known. An observer uses the leader that voters report."""
         return self.raft.leader if self.settings.counts_for_quorum else self.peers.reported_leader()
 
     @property
@@ -117,11 +117,11 @@
 
     @property
     def quorum_exceeds_tolerance(self) -> bool:
-        """Whether a majority of the voters is more replicas than may be lost."""
+        """Whether a majority of the voters has more replicas than `tolerance`."""
         return len(self.raft.voters) // 2 + 1 > self.settings.tolerance
 
     def fleet_status(self, now: int) -> m.FleetStatus:
-        """The status that routers get periodically."""
+        """The status that is sent to routers periodically."""
         alive = self.peers.alive(now)
         routers = self.subscribed_routers.union(*(peer.routers for peer in alive.values()))
         switching = {*self.planner.switching, *(name for peer in alive.values() for name in peer.switching)}
@@ -134,11 +134,11 @@
     # --- output ---
 
     def take_immediate_output(self) -> ImmediateOutput:
-        """What may be sent at once."""
+        """The output that may be sent at once."""
         return self._outbox.take(self._workers.take_outcomes())
 
     def take_durable_output(self) -> DurableOutput:
-        """What may be sent once the log's changes are stored."""
+        """The output that may be sent only after the log's changes are stored."""
         messages_by_address: dict[str, list[Message]] = {}
         for message in self.raft.outbox:
             messages_by_address.setdefault(address_of(message.to), []).append(message)
@@ -154,8 +154,10 @@
         )
 
     def discard_durable_output(self, unsent: DurableOutput) -> list[CallOutcome]:
-        """The state that `unsent` rests on can't be stored: its messages, and those that wait behind it, are
-        lost. The outcomes of the calls, which are unknown: what decided them may be lost in a crash.
+        """Drop `unsent` and all later durable output, because the state that they depend on can't be stored.
+
+        Returns the outcomes of the affected calls. Each is unknown: the log entry that decided the call may
+        be lost in a crash.
         """
         return [
             PutOutcome(outcome.request_id, None)
@@ -169,17 +171,22 @@
     def put_config(self, base: int, version: int, body: bytes, now: int) -> int | None:
         """Propose a validated configuration; returns the request id of the outcome to wait for.
 
-        None: this process does not lead, or has too many uncommitted proposals, or could not commit it with
-        enough replicas.
+        Returns None if this process does not lead, has too many uncommitted proposals, or could not commit
+        the configuration on enough replicas.
         """
         return self._config_calls.put(base, version, body, now) if self.quorum_exceeds_tolerance else None
 
     def read_config(self, now: int) -> int | None:
-        """Read the newest committed configuration; returns as `put_config`."""
+        """Read the newest committed configuration; returns the request id of the outcome to wait for.
+
+        Returns None if this process does not lead, or has not yet committed an entry of its own term.
+        """
         return self._config_calls.read(now)
 
     def force_new_cluster(self, now: int) -> int:
-        """Start a new cluster from this process's state, as a majority is lost for good; returns its epoch.
+        """Start a new cluster from this process's state after the permanent loss of a majority.
+
+        Returns the new epoch.
 
         Raises:
             LeaderKnownError: a leader is known, so no majority is lost.
@@ -189,52 +196,52 @@
     # --- calls of workers ---
 
     def handle_heartbeat(self, record: WorkerRecord, now: int) -> int | None:
-        """Take a worker's heartbeat; returns the request id of the outcome to wait for.
+        """Handle a worker's heartbeat; returns the request id of the outcome to wait for.
 
-        None: there is nothing to wait for.
+        Returns None if there is no outcome to wait for.
         """
         return self._workers.handle_heartbeat(record, now)
 
     def handle_deregistration(self, instance: str, now: int) -> int | None:
-        """Take a worker's deregistration; returns as `handle_heartbeat`."""
+        """Handle a worker's deregistration; returns the same as `handle_heartbeat`."""
         return self._workers.handle_deregistration(instance, now)
 
     def reaches_quorum_peers(self, now: int) -> bool:
-        """Whether a heartbeat that comes here reaches other processes that serve routers, if any exist.
+        """Whether heartbeats sent to this process reach other processes that serve routers, if any exist.
 
-        A process that is partitioned from all of them is not where a worker should call.
+        A worker should not send its heartbeats to a process that is partitioned from all of them.
         """
         is_only_one = self.settings.counts_for_quorum and not self.peers.quorum_peer_count
         return bool(self.peers.alive_quorum_peers(now)) or is_only_one
 
     def restore_workers(self, records: tuple[WorkerRecord, ...], now: int) -> None:
-        """Track workers known before a restart."""
+        """Track the workers that were known before a restart."""
         self._workers.restore(records, now)
 
     # --- orders to workers ---
 
     def phase_orders(self, loads: dict[str, Load], now: int) -> list[PhaseOrder]:
-        """Orders to give to workers now; none unless there is an `order_token`."""
+        """The orders to send to workers now; none without an `order_token`."""
         token = self.order_token(now)
         if not self._order_authority.is_leading:
             self.planner.reset()
         if token is None:
             return []
-        heard = [
+        reachable_workers = [
             worker.record
             for worker in self.registry.tracked.values()
             if not self.registry.is_silent(worker, now)
         ]
-        return self.planner.plan(heard, loads, now)
+        return self.planner.plan(reachable_workers, loads, now)
 
     def order_token(self, now: int) -> int | None:
-        """The fencing token of orders that this process may give, or None; see `OrderAuthority.token`."""
+        """The fencing token for orders of this process, or None; see `OrderAuthority.token`."""
         return self._order_authority.token(now)
 
     # --- time and peers ---
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Run everything that is due: consensus, hellos, heartbeat ages, voter checks, call timeouts."""
         self._membership.bootstrap_if_first(now)
         if now >= self.raft.next_tick_at:
             self.raft.tick(now)
@@ -249,7 +256,7 @@
         self._workers.expire_calls(now)
 
     def receive(self, sender: str, body: m.Body, now: int) -> None:
-        """Take a message of the control process at this address."""
+        """Handle a message from the control process at this address."""
         match body:
             case m.PeerHello():
                 self._handle_hello(sender, body, now)
@@ -267,17 +274,17 @@
                 self.send_worker_snapshot(sender, now)
 
     def send_worker_snapshot(self, address: str, now: int) -> None:
-        """Send all workers to a peer that may have lost what was sent to it before."""
+        """Send all worker records to a peer that may have missed earlier updates."""
         self._workers.send_snapshot(address, now)
 
     def add_seed_addresses(self, addresses: tuple[str, ...], now: int) -> None:
-        """Say hello to these control processes too."""
+        """Send hellos to these control processes too."""
         self.peers.add_addresses(addresses, now)
 
     def leave(self, now: int) -> bool:
-        """Before a planned end: announce it to the peers, and hand the leadership over.
+        """Before a planned shutdown: announce it to the peers and transfer the leadership.
 
-        False: this process does not lead, or no other voter can take over.
+        Returns False if this process does not lead, or no other voter can take over.
         """
         self.peers.leaving = True
         self._send_hellos(now)
@@ -291,9 +298,8 @@
             self._outbox.send(address, hello)
 
     def _handle_hello(self, sender: str, hello: m.PeerHello, now: int) -> None:
-        if self.peers.handle_hello(
-            sender, hello, now
-        ):  # it may have started with nothing, or was partitioned
+        # A peer that was not alive may have restarted without its records, or was partitioned.
+        if self.peers.handle_hello(sender, hello, now):
             self.send_worker_snapshot(sender, now)
 
     def _next_request_id(self) -> int:
--- a/hazelbend/control/load_table.py
+++ b/hazelbend/control/load_table.py
@@ -1,8 +1,8 @@
-"""Unfinished work at workers, reported by each router; the sums over routers are the fleet's load reports.
+"""Unfinished work at workers: the reports of each router, and their sums, which are the fleet's load reports.
 
 A router reports its unfinished work when it changes. Control processes forward the report to each other, and
-send each router the sum over all other routers: the router knows its own sends better. Only sums that have
-changed are sent, since in a large fleet most have not. Times are in microseconds.
+send each router the sum over all other routers, because the router itself has newer data on its own requests.
+Only changed sums are sent, since in a large fleet most are unchanged. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 import msgspec
 
 MAX_PREFIXES_PER_WORKER = 2_000
-REPORT_EXPIRY_US = 3_000_000  # age at which a router's report is dropped
+REPORT_EXPIRY_US = 3_000_000  # age at which a router's report is removed
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
     """Unfinished work at one worker."""
 
-    jobs: int = 0  # requests that run or wait there
-    tokens: int = 0  # prompt tokens that are still to be prefilled there
+    jobs: int = 0  # requests that run or wait at the worker
+    tokens: int = 0  # prompt tokens that the worker still has to prefill
 
 
 NO_LOAD = Load()
 
 
 class CachedPrefix(msgspec.Struct, frozen=True, array_like=True):
-    """A section of a prompt that is in a worker's prefix cache, or is about to be."""
+    """A prompt prefix that is, or soon will be, in a worker's prefix cache."""
 
     instance: str
     prefix_id: str
@@ -35,19 +35,19 @@
 
 
 class Outcomes(msgspec.Struct, frozen=True, array_like=True):
-    """How a router's sends to one worker have ended since its last report."""
+    """The outcomes of a router's requests to one worker since the router's last report."""
 
     instance: str
-    zone: str  # the router's
+    zone: str  # of the router
     served: int = 0
     failed: int = 0
-    rejected: int = 0  # although the worker had capacity
+    rejected: int = 0  # rejected although the worker had capacity
 
 
 class RouterLoad(msgspec.Struct, frozen=True, tag=True):
-    """A router's complete unfinished work by worker.
+    """A router's complete unfinished work, by worker.
 
-    `seq` rises with each report. `cached` and `outcomes` hold what is new since the report before.
+    `seq` increases with each report. `cached` and `outcomes` hold what is new since the previous report.
     """
 
     router: str
@@ -58,10 +58,10 @@
 
 
 class LoadUpdate(msgspec.Struct, frozen=True, tag="LoadNews"):
-    """To a router: the unfinished work of all other routers, what they have cached, how their sends ended.
+    """To a router: the unfinished work, new cached prefixes and request outcomes of all other routers.
 
-    An update that is not `complete` holds the workers whose loads have changed since the last update on this
-    connection, by whichever router. A `complete` one holds all workers that have work.
+    A `complete` update holds all workers that have work. Any other update holds only the workers whose loads
+    have changed since the last update on this connection, whichever router changed them.
     """
 
     loads: dict[str, Load]
@@ -71,13 +71,14 @@
 
 
 class CacheTable:
-    """The prefixes in each worker's cache, as routers have reported: for routers that have just started."""
+    """The prefixes in each worker's cache, from the reports of routers. Routers that start receive them."""
 
     def __init__(self) -> None:
-        self._prefixes: dict[str, dict[str, int]] = {}  # tokens by prefix by instance, least recent first
+        # Tokens by prefix id by instance, the least recently used prefix first.
+        self._prefixes: dict[str, dict[str, int]] = {}
 
     def add(self, cached: Iterable[CachedPrefix]) -> None:
-        """Note prefixes that were used; the least recently used beyond the limit are dropped."""
+        """Record prefixes that were used. Beyond the limit, the least recently used ones are removed."""
         for prefix in cached:
             prefixes = self._prefixes.setdefault(prefix.instance, {})
             prefixes.pop(prefix.prefix_id, None)
@@ -86,16 +87,16 @@
                 del prefixes[next(iter(prefixes))]
 
     def remove(self, instance: str) -> None:
-        """Drop the cache of a worker that has ended."""
+        """Remove the prefixes of a worker that has ended."""
         self._prefixes.pop(instance, None)
 
     @property
     def by_instance(self) -> dict[str, dict[str, int]]:
-        """Tokens by prefix by instance; callers must not change it."""
+        """Tokens by prefix id by instance; callers must not modify it."""
         return self._prefixes
 
     def all(self) -> tuple[CachedPrefix, ...]:
-        """Every known prefix."""
+        """All known prefixes."""
         return tuple(
             CachedPrefix(instance, prefix_id, tokens)
             for instance, prefixes in self._prefixes.items()
@@ -104,13 +105,13 @@
 
 
 class LoadView:
-    """A router's copy of the other routers' unfinished work, kept up to date by `LoadUpdate`."""
+    """A router's copy of the other routers' unfinished work, updated by `LoadUpdate` messages."""
 
     def __init__(self) -> None:
         self.loads: dict[str, Load] = {}  # by worker; workers without work are absent
 
     def apply(self, update: LoadUpdate) -> None:
-        """Apply what has changed, or replace everything by a complete update."""
+        """Apply the changed loads, or replace all loads if the update is complete."""
         if update.complete:
             self.loads = {}
         for instance, load in update.loads.items():
@@ -132,10 +133,10 @@
     def __init__(self) -> None:
         self._reports: dict[str, _ReceivedReport] = {}  # by router
         self._sums: dict[str, Load] = {}  # by worker; workers without work are absent
-        self._changed: set[str] = set()  # workers whose sum, or whose share of a router in it, has changed
+        self._changed: set[str] = set()  # workers for which the load of any router has changed
 
     def merge(self, report: RouterLoad, now: int) -> bool:
-        """Take a router's report. False: it is no newer than the one that is known."""
+        """Merge a router's report. Returns False if it is not newer than the known one."""
         known = self._reports.get(report.router)
         if known is not None and report.seq <= known.report.seq:
             return False
@@ -144,14 +145,14 @@
         return True
 
     def expire(self, now: int) -> None:
-        """Drop the reports of routers that have not been heard for `REPORT_EXPIRY_US`."""
+        """Remove reports that are older than `REPORT_EXPIRY_US`."""
         for router, known in list(self._reports.items()):
             if now - known.received_at > REPORT_EXPIRY_US:
                 del self._reports[router]
                 self._replace(known.report.loads, {})
 
     def take_changed(self) -> set[str]:
-        """Workers whose loads have changed since the last call."""
+        """The workers whose loads have changed since the last call."""
         changed = self._changed
         self._changed = set()
         return changed
@@ -161,7 +162,7 @@
         return dict(self._sums)
 
     def other_loads(self, router: str, instances: Iterable[str]) -> dict[str, Load]:
-        """The sums over all routers but this one at these workers; `NO_LOAD` for one without work."""
+        """The sums over all other routers at these workers; `NO_LOAD` for a worker without work."""
         known = self._reports.get(router)
         own_loads = known.report.loads if known is not None else {}
         loads = {}
@@ -172,7 +173,7 @@
         return loads
 
     def all_other_loads(self, router: str) -> dict[str, Load]:
-        """The sums over all routers but this one at all workers that have work."""
+        """The sums over all other routers at all workers that have work."""
         loads = self.other_loads(router, self._sums)
         return {instance: load for instance, load in loads.items() if load != NO_LOAD}
 
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -1,7 +1,6 @@
-"""Messages between control processes, and between them and routers: msgpack frames. Any may be lost.
+"""Messages between control processes, and between them and routers: msgpack frames. Any message can be lost.
 
-The tags and field names on the wire are older than the names here, so each class that was renamed pins its
-tag, and each field that was renamed its name.
+Renamed classes pin the tag, and renamed fields pin the name, that earlier versions use on the wire.
 """
 
 from __future__ import annotations
@@ -19,14 +18,14 @@
 
 
 class PeerHello(msgspec.Struct, frozen=True, tag="Hello"):
-    """A control process introduces itself to another, several times a second: the heartbeat between peers."""
+    """The heartbeat between control processes, sent several times a second."""
 
     identity: str
-    counts_for_quorum: bool = msgspec.field(name="counted")  # whether it may vote
-    control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of the processes that it knows
-    leader: str = ""  # identity of the leader, as far as it knows: for those that have no vote
-    leaving: bool = False  # it is about to end
-    stamp: Timestamp | None = None  # its incarnation and time, which the receiver echoes
+    counts_for_quorum: bool = msgspec.field(name="counted")  # whether the sender may vote
+    control_addresses: tuple[str, ...] = msgspec.field(name="controls")  # of the processes the sender knows
+    leader: str = ""  # identity of the leader that the sender knows, for receivers that have no vote
+    leaving: bool = False  # whether the sender is about to shut down
+    stamp: Timestamp | None = None  # the sender's incarnation and time, which the receiver echoes
     echoed_stamp: Timestamp | None = msgspec.field(default=None, name="answers")  # the receiver's last stamp
 
 
@@ -37,76 +36,75 @@
 
 
 class WorkerUpdate(msgspec.Struct, frozen=True, tag="WorkerNews"):
-    """Records that the sender has taken. If `request_id` is above 0, it waits for a `WorkerUpdateAck`."""
+    """Changed worker records. If `request_id` is above 0, the sender waits for a `WorkerUpdateAck`."""
 
     request_id: int = msgspec.field(name="number")
     records: tuple[WorkerRecord, ...]
-    ages: dict[str, int] = {}  # microseconds since each worker was heard
-    incarnation: int = msgspec.field(default=0, name="life")  # the sender's: request ids hold within one
+    ages: dict[str, int] = {}  # microseconds since each worker's last heartbeat
+    # Of the sender; request ids are unique within one incarnation.
+    incarnation: int = msgspec.field(default=0, name="life")
 
 
 class WorkerUpdateAck(msgspec.Struct, frozen=True, tag="WorkerNewsTaken"):
-    """A process that counts for the quorum holds the records of this request."""
+    """Acknowledges that a process that counts for the quorum holds the records of a `WorkerUpdate`."""
 
     request_id: int = msgspec.field(name="number")
-    incarnation: int = msgspec.field(name="life")  # of the process that asked
-    identity: str  # of the process that holds them
-    voters: tuple[str, ...]  # as the holder knows them
+    incarnation: int = msgspec.field(name="life")  # of the process that sent the update
+    identity: str  # of the process that holds the records
+    voters: tuple[str, ...]  # the voter list that the holder knows
 
 
 class WorkerAges(msgspec.Struct, frozen=True, tag="Ages"):
-    """Microseconds since workers were heard, of those heard since the sender's last `WorkerAges`.
+    """Ages of the last heartbeats of all workers with a heartbeat since the sender's last `WorkerAges`."""
 
-    It also names the routers that watch the sender.
-    """
-
-    ages: dict[str, int]
-    routers: tuple[str, ...] = ()
-    switching: tuple[str, ...] = ()  # instances that the sender has ordered to another phase
-    digest: int = 0  # over the workers that the sender knows
+    ages: dict[str, int]  # microseconds, by instance
+    routers: tuple[str, ...] = ()  # routers that are subscribed to the sender
+    switching: tuple[str, ...] = ()  # instances that the sender has ordered to switch to another phase
+    digest: int = 0  # of the worker records that the sender holds
 
 
 class WorkerSyncRequest(msgspec.Struct, frozen=True, tag="WorkersWanted"):
-    """The sender knows other workers than the receiver: it requests all that the receiver knows."""
+    """Requests all worker records of the receiver, because they differ from the sender's."""
 
 
 class SubscribeRequest(msgspec.Struct, frozen=True, tag="Watch"):
-    """A router subscribes to all updates; `version`: of the configuration that it has."""
+    """A router subscribes to all updates. `version`: of the configuration that it has."""
 
     router: str
     version: int
-    loads: bool = True  # whether it wants the loads of others here: one of its subscriptions is enough
-    caches: bool = True  # whether it wants the workers' cached prefixes: not if it has followed the changes
+    loads: bool = True  # whether to send the loads of other routers; one of its subscriptions is enough
+    caches: bool = True  # whether to send all cached prefixes; a router that received every change has them
 
 
 class Ping(msgspec.Struct, frozen=True, tag=True):
-    """A router's heartbeat on a subscription, with its own time in microseconds."""
+    """A router's heartbeat on a subscription, with the router's time in microseconds."""
 
     sent_at: int = 0
 
 
 class Pong(msgspec.Struct, frozen=True, tag=True):
-    """The answer to a `Ping`: the version in force here, and when a majority confirmed that it is the newest.
+    """The answer to a `Ping`: the configuration version of the sender, and the age of its confirmation.
 
-    With the time of its ping the router knows a time at which that was surely so.
+    From the time of its ping and the age, the router computes a time at which that version was the newest.
     """
 
-    sent_at: int  # as in the ping
+    sent_at: int  # copied from the ping
     version: int
-    confirmed_age: int | None  # microseconds; None: not in this incarnation
+    # Microseconds since a majority confirmed that the version is the newest; None: not in this incarnation.
+    confirmed_age: int | None
 
 
 class ConfigUpdate(msgspec.Struct, frozen=True, tag="ConfigNews"):
-    """A configuration in force; `body` is compressed."""
+    """A committed configuration; `body` is compressed."""
 
     version: int
     body: bytes
 
 
 class CacheUpdate(msgspec.Struct, frozen=True, tag="CacheNews"):
-    """To a router that knows none of them: the prefixes in workers' caches; `body` is compressed.
+    """To a router that has none of them: all prefixes in workers' caches; `body` is compressed.
 
-    It is by far the largest message to a router, so it is sent last.
+    This is by far the largest message to a router, so it is sent last.
     """
 
     body: bytes
@@ -117,7 +115,7 @@
         return cls(zlib.compress(_encoder.encode(prefixes), CACHE_ZLIB_LEVEL))
 
     def cached_prefixes(self) -> tuple[CachedPrefix, ...]:
-        """The prefixes, as a `LoadUpdate` lists them.
+        """The prefixes in the form of `LoadUpdate.cached`.
 
         Raises:
             msgspec.DecodeError: the body can't be decompressed or decoded.
@@ -134,20 +132,20 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True, tag="FleetNews"):
-    """To routers, periodically: control processes that are alive, the number of routers, silent workers."""
+    """To routers, periodically: the alive control processes, the number of routers, silent workers."""
 
     control_addresses: tuple[str, ...] = msgspec.field(name="controls")
     routers: int
-    silent_ages_us: dict[str, int] = msgspec.field(name="silent")  # by instance: since it was heard
-    switching: tuple[str, ...] = ()  # instances that are changing their phase
+    silent_ages_us: dict[str, int] = msgspec.field(name="silent")  # by instance: since the last heartbeat
+    switching: tuple[str, ...] = ()  # instances that are switching to another phase
 
 
 class SoftState(msgspec.Struct, frozen=True):
-    """What a control process caches on its disk for its next start; it may be lost without harm."""
+    """State that a control process saves for its next start. Losing it does no harm."""
 
     workers: tuple[WorkerRecord, ...]
     cached: tuple[CachedPrefix, ...]
-    routers: int = 1  # the most that there have been
+    routers: int = 1  # the highest number of routers at one time
 
 
 Body = (
@@ -174,28 +172,28 @@
 
 
 def encode(body: Body) -> bytes:
-    """The content of one frame."""
+    """Encode a message as the content of one frame."""
     return _encoder.encode(body)
 
 
 def decode(content: bytes) -> Body:
-    """The message in a frame.
+    """Decode the message in a frame.
 
     Raises:
-        msgspec.DecodeError: it is no message.
+        msgspec.DecodeError: the content is not a valid message.
     """
     return _decoder.decode(content)
 
 
 def encode_soft_state(state: SoftState) -> bytes:
-    """The content of the soft state's file."""
+    """Encode the soft state as the content of its file."""
     return _encoder.encode(state)
 
 
 def decode_soft_state(content: bytes) -> SoftState:
-    """The soft state in a file.
+    """Decode the soft state from the content of its file.
 
     Raises:
-        msgspec.DecodeError: the content is no soft state.
+        msgspec.DecodeError: the content is not a valid soft state.
     """
     return _soft_state_decoder.decode(content)
--- a/hazelbend/control/outputs.py
+++ b/hazelbend/control/outputs.py
@@ -1,4 +1,4 @@
-"""What a control engine gives to its driver, and the outbox that collects it."""
+"""The output of a control engine for its driver, and the outbox that collects it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PutOutcome:
-    """How a change was decided; `result` None: nobody knows whether it was accepted."""
+    """The outcome of a put. `result` is None if it is unknown whether the change was accepted."""
 
     request_id: int
     result: ChangeResult | None
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadOutcome:
-    """The newest committed configuration at some time after the call; `config` None: not known here."""
+    """The newest committed configuration at a time after the call. `config` is None if it is unknown."""
 
     request_id: int
     config: StoredConfig | None
@@ -32,9 +32,9 @@
 
 @dataclass(slots=True)
 class DurableOutput:
-    """What may be sent only once the state that it rests on is stored."""
+    """Output that may be sent only after the state that it depends on is stored."""
 
-    messages: list[tuple[str, m.RaftMessages]] = field(default_factory=list)  # with the peer's address
+    messages: list[tuple[str, m.RaftMessages]] = field(default_factory=list)  # (peer address, message)
     outcomes: list[CallOutcome] = field(default_factory=list)
     config: StoredConfig = field(default_factory=StoredConfig)
     confirmed_at: int | None = None  # when a majority last confirmed that `config` is the newest
@@ -42,15 +42,15 @@
 
 @dataclass(slots=True)
 class ImmediateOutput:
-    """What rests on no stored state and may be sent at once."""
+    """Output that depends on no stored state and may be sent at once."""
 
-    messages: list[tuple[str, m.Body]] = field(default_factory=list)  # with the peer's address
+    messages: list[tuple[str, m.Body]] = field(default_factory=list)  # (peer address, message)
     outcomes: list[AnnouncementOutcome] = field(default_factory=list)
-    changed_workers: list[WorkerRecord] = field(default_factory=list)  # for routers
+    changed_workers: list[WorkerRecord] = field(default_factory=list)  # to be sent to routers
 
 
 class Outbox:
-    """Collects the immediate output of the engine's parts, in order, until the driver takes it."""
+    """Collects the immediate output of the engine's components, in order, until the driver takes it."""
 
     def __init__(self) -> None:
         self._output = ImmediateOutput()
@@ -64,11 +64,11 @@
         self._output.messages += [(address, body) for address in addresses]
 
     def report_workers(self, records: list[WorkerRecord]) -> None:
-        """Let routers know of these changed workers."""
+        """Send these changed worker records to routers."""
         self._output.changed_workers += records
 
     def take(self, outcomes: list[AnnouncementOutcome]) -> ImmediateOutput:
-        """The output since the last call, with these outcomes of calls."""
+        """The output since the last call, together with these outcomes of calls."""
         output = self._output
         output.outcomes += outcomes
         self._output = ImmediateOutput()
--- a/hazelbend/control/phase_planner.py
+++ b/hazelbend/control/phase_planner.py
@@ -1,10 +1,10 @@
 """Plans which workers of a model prefill prompts and which decode, as the mix of the traffic shifts.
 
-One planner acts at a time: the leader's, once it has led for longer than a lease, so that no order of an
-earlier leader can fall within a lease of its own. Its fencing token rises with its term. Each order costs the
-worker a pause, so the load must clearly call for it, and only one order for the load is under way at a time.
-A worker that drains counts as gone for its phase at once: another takes its place while it still serves.
-Times are in microseconds.
+Only one planner acts at a time: that of the leader, after it has led for longer than a lease, so that orders
+of two leaders are at least a lease apart. The fencing token of orders increases with the leader's term. Each
+order pauses the worker, so an order needs a clear difference in load, and for the load only one order is
+pending at a time. A worker that drains no longer counts for its phase, so another worker replaces it while it
+still serves. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 DECODE = "decode"
 MIN_DECODE_WORKERS = 2  # whatever the traffic
 MIN_DECODE_FRACTION = 1 / 3  # of a service's workers
-LOW_DECODE_UTILIZATION = 0.2  # of the decode capacity: up to here a decode worker may be spared
-HIGH_DECODE_UTILIZATION = 0.75  # from here a decode worker is missing
-PREFILL_BACKLOG_TOKENS = 400.0  # per prefill worker, from which one more is worth the pause
-SMOOTHING_SAMPLES = 3.0  # samples that a mean rests on
+LOW_DECODE_UTILIZATION = 0.2  # of the decode capacity: up to here a decode worker can be moved to prefill
+HIGH_DECODE_UTILIZATION = 0.75  # of the decode capacity: above this another decode worker is needed
+PREFILL_BACKLOG_TOKENS = 400.0  # per prefill worker, from which another one justifies the pause
+SMOOTHING_SAMPLES = 3.0  # number of samples of the moving average
 WARM_UP_SAMPLES = 3  # samples of a service before its first order
-ORDER_INTERVAL_US = 1_000_000  # between two orders to workers of a service
-ORDER_TIMEOUT_US = 8_000_000  # in which an order must show in the worker's heartbeats
+ORDER_INTERVAL_US = 1_000_000  # minimum between two orders to workers of a service
+ORDER_TIMEOUT_US = 8_000_000  # in which the worker's heartbeats must show the ordered phase
 
 
 @dataclass(slots=True, frozen=True)
 class PhaseOrder:
-    """A worker is to switch to another phase."""
+    """An order to a worker to switch to another phase."""
 
     instance: str
     address: str
@@ -48,7 +48,7 @@
     samples: int = 0
     backlog_tokens: float = 0.0  # per prefill worker, smoothed
     decoding_requests: float = 0.0  # over all decode workers, smoothed
-    max_prefill_workers: int = 0  # that there have been, draining ones included
+    max_prefill_workers: int = 0  # highest number so far, including draining workers
     max_decode_workers: int = 0
     pending: dict[str, _PendingOrder] = field(default_factory=dict)  # by instance
     last_ordered_at: int = 0
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _PhaseGroups:
-    """The workers of a service that stay, by the phase that they have or are about to have."""
+    """The workers of a service that do not drain, by their phase or the phase that they were ordered to."""
 
     prefill_workers: list[WorkerRecord]
     decode_workers: list[WorkerRecord]
 
     @property
     def min_decode_workers(self) -> int:
-        """The number of workers that must keep decoding, whatever the traffic."""
+        """The minimum number of decode workers, whatever the traffic."""
         count = len(self.prefill_workers) + len(self.decode_workers)
         return max(MIN_DECODE_WORKERS, math.ceil(MIN_DECODE_FRACTION * count))
 
@@ -76,20 +76,22 @@
 
     @property
     def switching(self) -> tuple[str, ...]:
-        """Instances with a pending order: they take no requests."""
+        """The instances with a pending order, which accept no requests."""
         return tuple(instance for service in self._services.values() for instance in service.pending)
 
     def reset(self) -> None:
-        """Drop all state: this process does not lead, and its samples will be old when it leads again."""
+        """Drop all state because this process does not lead: its samples would be outdated when it leads
+        again.
+        """
         self._services.clear()
 
     def discard_order(self, order: PhaseOrder) -> None:
-        """The worker has not accepted this order, or it was never sent."""
+        """Remove a pending order that the worker has not accepted, or that was never sent."""
         for service in self._services.values():
             service.pending.pop(order.instance, None)
 
     def plan(self, workers: list[WorkerRecord], loads: dict[str, Load], now: int) -> list[PhaseOrder]:
-        """The orders to give now, at most one for each service. `workers`: those that are not silent."""
+        """The orders to send now, at most one for each service. `workers`: those that are not silent."""
         by_service: dict[str, list[WorkerRecord]] = {}
         for record in workers:
             if record.phase and record.state is not WorkerState.GONE:
@@ -119,7 +121,9 @@
 
 
 def _drop_finished_orders(service: _ServiceState, staying: list[WorkerRecord], now: int) -> None:
-    """Drop orders that show in the worker's heartbeats, have timed out, or whose worker does not stay."""
+    """Remove orders that the worker's heartbeats confirm, that have timed out, or whose worker drains or is
+    gone.
+    """
     phases = {worker.instance: worker.phase for worker in staying}
     service.pending = {
         instance: pending
@@ -130,7 +134,7 @@
 
 
 def _sample_load(service: _ServiceState, staying: list[WorkerRecord], loads: dict[str, Load]) -> None:
-    """Update the smoothed loads by one sample; the first samples weigh as in a plain mean."""
+    """Update the smoothed loads with one sample; the first samples are averaged with equal weights."""
     prefill_workers = [worker for worker in staying if worker.phase == PREFILL]
     decode_workers = [worker for worker in staying if worker.phase == DECODE]
     backlog_tokens = sum(_tokens(loads, worker) for worker in prefill_workers) / max(len(prefill_workers), 1)
@@ -151,7 +155,7 @@
 
 
 def _choose_order(service: _ServiceState, groups: _PhaseGroups, loads: dict[str, Load]) -> PhaseOrder | None:
-    """A phase without workers comes first; a shift for the load waits until no order is pending."""
+    """A phase that lacks workers has priority; an order for the load waits until no order is pending."""
     prefill_workers = groups.prefill_workers
     decode_workers = groups.decode_workers
     free_prefill_workers = [worker for worker in prefill_workers if worker.instance not in service.pending]
@@ -171,7 +175,7 @@
 def _choose_order_for_load(
     service: _ServiceState, groups: _PhaseGroups, loads: dict[str, Load]
 ) -> PhaseOrder | None:
-    """The order that the load calls for, if any; no order is pending."""
+    """The order that the load requires, if any. Called only while no order is pending."""
     prefill_workers = groups.prefill_workers
     decode_workers = groups.decode_workers
     decode_capacity = sum(worker.capacity for worker in decode_workers)
--- a/hazelbend/control/settings.py
+++ b/hazelbend/control/settings.py
@@ -1,4 +1,4 @@
-"""What a control engine is given at its start."""
+"""The settings of a control engine."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlSettings:
-    """The settings of a control process. Addresses are those of control processes for each other."""
+    """The settings of a control process. Addresses are those at which control processes reach each other."""
 
     address: str
     seeds: tuple[str, ...]
     counts_for_quorum: bool
     may_bootstrap: bool
-    tolerance: int  # processes that count for the quorum and may be lost at one time
+    tolerance: int  # number of quorum processes that may be lost at the same time
     heartbeat_us: int  # between two heartbeats of a worker
-    lease_us: int = 0  # that must lie between orders of two leaders
+    lease_us: int = 0  # minimum time between orders of two leaders
--- a/hazelbend/control/worker_sync.py
+++ b/hazelbend/control/worker_sync.py
@@ -1,7 +1,7 @@
 """Keeps the worker registries of all control processes in sync.
 
-Changed records are sent to all peers at once. Peers exchange digests of what they know with the ages of
-workers; a peer whose digest differs for long requests all records (anti-entropy).
+Changed records are sent to all peers at once. Together with the ages of workers, peers exchange digests of
+their records. A process whose digest differs in consecutive messages requests all records (anti-entropy).
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     WorkerState,
 )
 
-MAX_DIGEST_MISMATCHES = 2  # messages in a row with another digest, until all records are requested
+MAX_DIGEST_MISMATCHES = 2  # consecutive messages with another digest, until all records are requested
 
 
 class WorkerSync:
-    """Takes workers' calls and peers' updates into the registry, and forwards what has changed."""
+    """Merges workers' calls and peers' updates into the registry, and forwards changed records."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
 
     @property
     def next_expiry_at(self) -> int | None:
-        """When the next pending call times out; None: none is pending."""
+        """When the next pending call times out; None if none is pending."""
         return self._announcements.next_expiry_at
 
     # --- calls of workers ---
@@ -74,7 +74,7 @@
         return self.handle_heartbeat(tombstone, now)
 
     def expire_calls(self, now: int) -> None:
-        """Fail the calls that have timed out."""
+        """Fail all calls that have timed out."""
         self._announcements.expire(now)
 
     def take_outcomes(self) -> list[AnnouncementOutcome]:
@@ -84,10 +84,10 @@
     # --- exchange with peers ---
 
     def restore(self, records: tuple[WorkerRecord, ...], now: int) -> None:
-        """Track workers known before a restart.
+        """Track the workers that were known before a restart.
 
-        They were not heard because nobody listened: they have a little more than a heartbeat to be heard
-        before they count as silent.
+        No heartbeat could arrive while this process was down, so each worker gets `RESTORED_HEARTBEATS`
+        before it counts as silent.
         """
         last_heartbeat_at = now - round(
             (SILENT_HEARTBEATS - RESTORED_HEARTBEATS) * self._settings.heartbeat_us
@@ -102,14 +102,14 @@
         self._outbox.send(address, update)
 
     def send_ages(self, routers: tuple[str, ...], switching: tuple[str, ...], now: int) -> None:
-        """Send peers the ages of the workers heard since the last time, and this registry's digest."""
+        """Send peers the ages of workers with a heartbeat since the last call, and this registry's digest."""
         self.registry.expire(now)
-        heard_ages = self.registry.take_recent_ages(now)
-        ages = m.WorkerAges(heard_ages, routers, switching, self.registry.digest)
+        recent_ages = self.registry.take_recent_ages(now)
+        ages = m.WorkerAges(recent_ages, routers, switching, self.registry.digest)
         self._outbox.broadcast(self._peers.alive_quorum_peers(now), ages)
 
     def handle_update(self, sender: str, update: m.WorkerUpdate, now: int) -> None:
-        """Merge a peer's records; acknowledge them if it waits for that."""
+        """Merge a peer's records, and acknowledge them if the peer waits for that."""
         for record in update.records:
             last_heartbeat_at = now - update.ages.get(record.instance, 0)
             self._forward(self.registry.merge(record, last_heartbeat_at))
@@ -117,20 +117,21 @@
             self._outbox.send(sender, self._ack(update))
 
     def handle_ack(self, ack: m.WorkerUpdateAck) -> None:
-        """A peer holds the records of a call."""
+        """Record that a peer holds the records of a call."""
         self._announcements.acknowledge(ack)
 
     def handle_ages(self, sender: str, ages: m.WorkerAges, now: int) -> None:
-        """Note when workers were heard elsewhere, and compare digests."""
+        """Record the heartbeats that a peer received, and compare its digest."""
         peer = self._peers.get(sender)
         if peer is not None:
             peer.routers = ages.routers
             peer.switching = ages.switching
-            # Processes that do not count for the quorum get no ages, so they drop workers earlier.
+            # Processes that do not count for the quorum receive no ages, so they remove workers earlier.
             is_comparable = peer.counts_for_quorum and self._settings.counts_for_quorum
             is_equal = not is_comparable or ages.digest == self.registry.digest
             peer.digest_mismatches = 0 if is_equal else peer.digest_mismatches + 1
-            if peer.digest_mismatches >= MAX_DIGEST_MISMATCHES:  # more than updates in flight: some were lost
+            # Updates in flight explain fewer mismatches than this: some updates were lost.
+            if peer.digest_mismatches >= MAX_DIGEST_MISMATCHES:
                 peer.digest_mismatches = 0
                 self._outbox.send(sender, m.WorkerSyncRequest())
         for instance, age in ages.ages.items():
@@ -142,7 +143,7 @@
         )
 
     def _forward(self, records: list[WorkerRecord]) -> None:
-        """Send changed records to routers and to all peers: what is new here is new to others as well."""
+        """Send changed records to routers and to all peers, which may not have them either."""
         if not records:
             return
         self._outbox.report_workers(records)
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -1,8 +1,8 @@
-"""Worker records, which merge the same way in any order, and the registry that tracks them.
+"""Worker records, and the registry that merges and tracks them.
 
-A record is ordered by (ended, `seq`) within its instance, so a late heartbeat changes nothing and `GONE` is
-final: the registry is a state-based CRDT, a last-writer-wins map. Times are microseconds of this process's
-monotonic clock.
+The registry is a state-based CRDT, a last-writer-wins map: records of one instance are ordered by (ended,
+`seq`), so they merge to the same result in any order, a late heartbeat changes nothing, and `GONE` is final.
+Times are microseconds of this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 import msgspec
 
-SILENT_HEARTBEATS = 2.2  # heartbeats that may be missing before a worker counts as silent
-RESTORED_HEARTBEATS = 1.5  # heartbeats that a restored worker has to be heard, before it counts as silent
-EXPIRY_HEARTBEATS = 10.0  # missing heartbeats after which routers drop a worker
-# Control processes drop it later than routers do, so that each router has learned of its age by then.
+# Times without a heartbeat, in heartbeat intervals.
+SILENT_HEARTBEATS = 2.2  # until a worker counts as silent
+RESTORED_HEARTBEATS = 1.5  # after a restart of this process, until a restored worker counts as silent
+EXPIRY_HEARTBEATS = 10.0  # until routers remove a worker
+# Control processes remove a worker later than routers do, so that each router has received its age before.
 CONTROL_EXPIRY_HEARTBEATS = 12.0
-TOMBSTONE_US = 60_000_000  # how long the end of an instance is remembered
+TOMBSTONE_US = 60_000_000  # how long the record of an ended instance is kept
 
 RECORD_DIGEST_BYTES = 6
-_VOLATILE_FIELDS = {"seq": 0, "warm_up_left_ms": 0}  # routers need not learn of each change of these
+_VOLATILE_FIELDS = {"seq": 0, "warm_up_left_ms": 0}  # changes of these alone are not forwarded to routers
 _encoder = msgspec.msgpack.Encoder()
 
 
 class WorkerState(IntEnum):
-    """Whether a worker takes new requests."""
+    """Whether a worker accepts new requests."""
 
     READY = 0
     DRAINING = 1
@@ -49,13 +50,13 @@
 
     @property
     def rank(self) -> tuple[bool, int]:
-        """Of two records of an instance, the one with the greater rank wins."""
+        """The sort key of the records of one instance: the record with the higher rank wins."""
         return self.state is WorkerState.GONE, self.seq
 
 
 @dataclass(slots=True)
 class TrackedWorker:
-    """A record, and when the worker was last heard by any control process."""
+    """A worker's record, and when any control process last received a heartbeat of it."""
 
     record: WorkerRecord
     last_heartbeat_at: int
@@ -68,12 +69,12 @@
         """`heartbeat_us`: the period of a worker's heartbeats."""
         self._heartbeat_us = heartbeat_us
         self.tracked: dict[str, TrackedWorker] = {}
-        self.digest = 0  # over all records that have not ended: equal where the same workers are known
+        self.digest = 0  # of all records that are not `GONE`: equal for registries of the same workers
         self._instance_by_address: dict[str, str] = {}
-        self._heard_instances: set[str] = set()  # since the last `take_recent_ages`
+        self._recent_instances: set[str] = set()  # since the last `take_recent_ages`
 
     def merge(self, record: WorkerRecord, last_heartbeat_at: int) -> list[WorkerRecord]:
-        """Merge a record; returns the records that changed by it, which peers and routers must learn of."""
+        """Merge a record; returns the records that changed, which must be forwarded to peers and routers."""
         known = self.tracked.get(record.instance)
         if known is not None and record.rank <= known.record.rank:
             self.record_heartbeat(record.instance, last_heartbeat_at)
@@ -90,19 +91,19 @@
         return changed
 
     def tombstone(self, instance: str) -> WorkerRecord | None:
-        """The record that ends this instance; None if the instance is not known."""
+        """The `GONE` record of this instance; None if the instance is unknown."""
         known = self.tracked.get(instance)
         return None if known is None else msgspec.structs.replace(known.record, state=WorkerState.GONE)
 
     def record_heartbeat(self, instance: str, last_heartbeat_at: int) -> None:
-        """Note that some control process has heard this instance."""
+        """Record that this or another control process received a heartbeat of this instance."""
         known = self.tracked.get(instance)
         if known is not None and last_heartbeat_at > known.last_heartbeat_at:
             known.last_heartbeat_at = last_heartbeat_at
-            self._heard_instances.add(instance)
+            self._recent_instances.add(instance)
 
     def expire(self, now: int) -> None:
-        """Drop workers that have been silent for too long, and tombstones that are old enough."""
+        """Remove workers without a recent heartbeat, and tombstones that have expired."""
         worker_expiry_us = CONTROL_EXPIRY_HEARTBEATS * self._heartbeat_us
         for instance, worker in list(self.tracked.items()):
             has_ended = worker.record.state is WorkerState.GONE
@@ -110,7 +111,7 @@
                 self._drop(instance)
 
     def is_silent(self, worker: TrackedWorker, now: int) -> bool:
-        """Whether its heartbeats have been missing for longer than chance explains."""
+        """Whether heartbeats have been missing for longer than lost messages are likely to explain."""
         return now - worker.last_heartbeat_at > SILENT_HEARTBEATS * self._heartbeat_us
 
     def records(self) -> tuple[WorkerRecord, ...]:
@@ -118,7 +119,7 @@
         return tuple(worker.record for worker in self.tracked.values())
 
     def unexpired_records(self, now: int) -> tuple[WorkerRecord, ...]:
-        """All records but those that are about to expire: what a peer may lack."""
+        """All records that a peer may lack: those that are not about to expire."""
         expiry_us = EXPIRY_HEARTBEATS * self._heartbeat_us
         return tuple(
             worker.record
@@ -127,7 +128,7 @@
         )
 
     def ages(self, now: int) -> dict[str, int]:
-        """Microseconds since each worker that has not ended was heard."""
+        """Microseconds since the last heartbeat of each worker that is not `GONE`, by instance."""
         return {
             instance: max(now - worker.last_heartbeat_at, 0)
             for instance, worker in self.tracked.items()
@@ -135,7 +136,7 @@
         }
 
     def silent_ages(self, now: int) -> dict[str, int]:
-        """The `ages` of silent workers alone."""
+        """The `ages` of the silent workers only."""
         return {
             instance: age
             for instance, age in self.ages(now).items()
@@ -143,16 +144,16 @@
         }
 
     def take_recent_ages(self, now: int) -> dict[str, int]:
-        """Microseconds since each worker was heard, of those heard anywhere since the last call."""
-        heard = self._heard_instances
-        self._heard_instances = set()
+        """The `ages` of the workers with a new heartbeat, at any control process, since the last call."""
+        recent = self._recent_instances
+        self._recent_instances = set()
         return {
             instance: max(now - self.tracked[instance].last_heartbeat_at, 0)
-            for instance in heard & set(self.tracked)
+            for instance in recent & set(self.tracked)
         }
 
     def _end_previous_instance(self, record: WorkerRecord, now: int) -> list[WorkerRecord]:
-        """End the instance that had the address of this record before: its process was replaced."""
+        """Mark the previous instance at the address of this record as `GONE`: its process was replaced."""
         previous = self._instance_by_address.get(record.address)
         self._instance_by_address[record.address] = record.instance
         if previous is None or previous == record.instance or previous not in self.tracked:
@@ -165,7 +166,7 @@
         return [ended]
 
     def _track(self, worker: TrackedWorker, *, differs: bool) -> None:
-        """Add or replace a record; the only place that does, so that `digest` stays right."""
+        """Add or replace a record. All changes go through this method, which updates `digest`."""
         known = self.tracked.get(worker.record.instance)
         if differs:
             previous_digest = _record_digest(known.record) if known is not None else 0
@@ -180,9 +181,9 @@
 
 
 def _record_digest(record: WorkerRecord) -> int:
-    """A digest of what routers have to know of a record.
+    """A digest of the fields of a record that routers need.
 
-    It is 0 once the record has ended: processes drop tombstones at different times.
+    It is 0 for a `GONE` record, because processes remove tombstones at different times.
     """
     if record.state is WorkerState.GONE:
         return 0
@@ -191,7 +192,7 @@
 
 
 def _differs(before: WorkerRecord, after: WorkerRecord) -> bool:
-    """Whether routers have to learn of the change: not of each `seq`, nor of each millisecond of warm-up."""
+    """Whether the records differ in more than `_VOLATILE_FIELDS`, so that routers need the new one."""
     return msgspec.structs.replace(before, **_VOLATILE_FIELDS) != msgspec.structs.replace(
         after, **_VOLATILE_FIELDS
     )
--- a/hazelbend/gossip/__init__.py
+++ b/hazelbend/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Membership and failure detection by gossip (SWIM with Lifeguard). Engines without I/O."""
+"""Gossip membership and failure detection (SWIM with Lifeguard): engines without I/O."""
--- a/hazelbend/gossip/dissemination.py
+++ b/hazelbend/gossip/dissemination.py
@@ -1,4 +1,4 @@
-"""Queue of membership updates that ride on other packets (SWIM's infection-style dissemination)."""
+"""Queue of membership updates that are piggybacked on packets (SWIM's infection-style dissemination)."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """An update and the number of packets that carried it so far."""
+    """An update and the number of packets that have carried it."""
 
     update: MembershipUpdate
     transmissions: int = 0
 
 
 class DisseminationQueue:
-    """Updates to send on. A newer update about a member replaces the older one."""
+    """Updates to disseminate. A newer update about a member replaces the older one."""
 
     def __init__(self) -> None:
         self._queued: dict[str, QueuedUpdate] = {}
 
     def add(self, update: MembershipUpdate) -> None:
-        """Send this update instead of any other about its member."""
+        """Queue this update; it replaces a queued update about the same member."""
         self._queued[update.member] = QueuedUpdate(update)
 
     def add_confirmation(self, update: MembershipUpdate) -> None:
-        """Send this suspicion beside those that other processes hold against the same member."""
+        """Queue this suspicion in addition to those that other processes reported about the same member."""
         self._queued[update.member + "|" + update.by] = QueuedUpdate(update)
 
     def take(self, count: int, transmit_limit: int) -> list[MembershipUpdate]:
-        """The `count` updates that were sent least often. One that reaches the limit is dropped."""
+        """The `count` updates that were sent least often. Drops those that reach `transmit_limit`."""
         by_transmissions = sorted(self._queued.items(), key=lambda item: item[1].transmissions)
         taken = []
         for key, queued in by_transmissions[:count]:
--- a/hazelbend/gossip/member_table.py
+++ b/hazelbend/gossip/member_table.py
@@ -1,18 +1,18 @@
-"""Table of fleet members as one process sees them, and the rules by which updates change it.
+"""One process's table of fleet members, and the rules by which membership updates change it.
 
-Status of a member, by the updates about it:
+Transitions of a member's status, by the updates about it:
 
-    unknown         --any update-->                         the status of the update
-    ALIVE           --suspect, same or higher incarnation-->SUSPECT, its time-out starts
-    SUSPECT         --suspect, by another process-->        SUSPECT, with a shorter time-out
-    SUSPECT         --alive, higher incarnation-->          ALIVE: it refuted the suspicion
-    SUSPECT         --dead, or its time-out passes-->       DEAD
-    ALIVE, SUSPECT  --left, by itself-->                    LEFT
-    DEAD            --alive, higher incarnation-->          ALIVE: it was partitioned or stopped, and goes on
-    any             --another identity alive at its address-->  DEAD: an address has one process
-    LEFT            --anything, same incarnation-->         LEFT
+    unknown         --any update-->                               the status of the update
+    ALIVE           --suspect, same or higher incarnation-->      SUSPECT; the suspicion timeout starts
+    SUSPECT         --suspect, from another process-->            SUSPECT, with a shorter timeout
+    SUSPECT         --alive, higher incarnation-->                ALIVE: the member refuted the suspicion
+    SUSPECT         --dead, or the timeout expires-->             DEAD
+    ALIVE, SUSPECT  --left, from the member itself-->             LEFT
+    DEAD            --alive, higher incarnation-->                ALIVE: it was partitioned or paused
+    any             --another identity is alive at its address--> DEAD: an address has one process
+    LEFT            --any update, same incarnation-->             LEFT
 
-Invariants, checked by the tests: (incarnation, status) of a member only grows; of the identities of one
+Invariants, checked by the tests: (incarnation, status) of a member only grows; of the identities at one
 address at most one is alive or suspect.
 """
 
@@ -27,64 +27,65 @@
 
 @dataclass(slots=True)
 class Member:
-    """One identity. Times are microseconds of this process's clock."""
+    """One member, by identity. Times are microseconds of this process's clock."""
 
     identity: str
     incarnation: int
     status: MemberStatus
-    status_since: int  # in this status
-    first_seen_at: int  # known to this process
+    status_since: int
+    first_seen_at: int  # when this process learned of the member
     suspected_by: set[str] = field(default_factory=set)
 
     @property
     def is_active(self) -> bool:
-        """Whether it belongs to the fleet. A suspect still does."""
+        """Whether the member belongs to the fleet. A suspect still does."""
         return self.status <= MemberStatus.SUSPECT
 
 
 class MemberTable:
-    """All members that this process knows, itself included. It queues what it learns for dissemination."""
+    """All known members, this process included. Each change is queued for dissemination."""
 
-    def __init__(self, me: str, max_confirmations: int, updates: DisseminationQueue, now: int) -> None:
-        self.identity = me
-        self.members = {me: Member(me, 1, MemberStatus.ALIVE, now, now)}
-        self.status_changes: list[Member] = []  # for an observer, which clears it
+    def __init__(self, identity: str, max_confirmations: int, updates: DisseminationQueue, now: int) -> None:
+        """`identity`: this process's own."""
+        self.identity = identity
+        self.members = {identity: Member(identity, 1, MemberStatus.ALIVE, now, now)}
+        self.status_changes: list[Member] = []  # for the driver, which clears it
         self._max_confirmations = max_confirmations
         self._updates = updates
-        self._active_by_address: dict[str, str] = {}  # without this process
+        self._active_by_address: dict[str, str] = {}  # identity by address, without this process
 
     @property
     def size(self) -> int:
-        """How many members are active."""
+        """The number of active members."""
         return sum(member.is_active for member in self.members.values())
 
     def active(self) -> list[str]:
-        """Identities of active members, the longest known first."""
+        """The identities of active members, in the order in which they became known."""
         found = [member for member in self.members.values() if member.is_active]
         found.sort(key=lambda member: (member.first_seen_at, member.identity))
         return [member.identity for member in found]
 
     def inactive(self) -> set[str]:
-        """Identities of members that are dead or left."""
+        """The identities of members that are dead or have left."""
         return {member.identity for member in self.members.values() if not member.is_active}
 
     def with_status(self, status: MemberStatus) -> list[Member]:
-        """Members of this status, in the order in which they became known."""
+        """The members with this status, in the order in which they became known."""
         return [member for member in self.members.values() if member.status is status]
 
     def forget_inactive(self, before: int) -> None:
-        """Drop members that became dead, or left, before this time."""
+        """Remove members that died or left before this time."""
         for member in list(self.members.values()):
             if not member.is_active and member.status_since < before:
                 del self.members[member.identity]
 
     def apply(self, update: MembershipUpdate, now: int) -> None:
-        """Take in an update about another member. An old one changes nothing."""
+        """Apply an update about another member. An outdated update changes nothing."""
         if self._address_is_taken(update):
             update = MembershipUpdate(update.member, update.incarnation, MemberStatus.DEAD, self.identity)
         member = self.members.get(update.member)
         if member is None:
-            # The dead are added as well, so that an older update does not bring them back.
+            # Dead members are added as well, so that an older update does not mark them as alive.
             member = Member(update.member, update.incarnation, update.status, now, now)
             self.members[update.member] = member
             self._status_changed(member, update, now)
@@ -97,7 +98,7 @@
             self._status_changed(member, update, now)
 
     def _address_is_taken(self, update: MembershipUpdate) -> bool:
-        """Whether another process has the address of a member that is said to be active."""
+        """Whether the update reports a member as active whose address belongs to another process."""
         if update.status >= MemberStatus.DEAD:
             return False
         address = address_of(update.member)
@@ -138,9 +139,9 @@
             if self._active_by_address.get(address) == member.identity:
                 del self._active_by_address[address]
             return
-        before = self._active_by_address.get(address, member.identity)
+        previous = self._active_by_address.get(address, member.identity)
         self._active_by_address[address] = member.identity
-        if before != member.identity:
-            # Of two identities at one address the process that was heard of last is the one that runs.
-            incarnation = self.members[before].incarnation
-            self.apply(MembershipUpdate(before, incarnation, MemberStatus.DEAD, self.identity), now)
+        if previous != member.identity:
+            # Of two identities at one address, the one that was reported last belongs to the running process.
+            incarnation = self.members[previous].incarnation
+            self.apply(MembershipUpdate(previous, incarnation, MemberStatus.DEAD, self.identity), now)
--- a/hazelbend/gossip/messages.py
+++ b/hazelbend/gossip/messages.py
@@ -1,7 +1,7 @@
 """Messages that fleet members exchange by gossip (SWIM).
 
-The wire format is msgpack. The tags and field names on it are older than the names used here, so the classes
-pin them: members of two versions share one fleet during an upgrade.
+The wire format is msgpack. The classes pin the tags and field names of earlier versions, because members of
+two versions share one fleet during an upgrade.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What a process believes of a member. Of two updates with one incarnation the higher status wins."""
+    """The status of a member. Of updates with the same incarnation the one with the higher status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,10 +22,10 @@
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """One statement about a member, disseminated by piggybacking on other messages.
+    """The status of one member as one process reports it, piggybacked on other messages.
 
-    `member` is an identity. `by` is the identity of the process that makes the statement: several processes
-    that suspect the same member shorten its suspicion.
+    `member` is an identity. `by` is the identity of the reporting process: reports of several processes that
+    suspect the same member shorten its suspicion timeout.
     """
 
     member: str
@@ -37,7 +37,7 @@
 class Ping(msgspec.Struct, frozen=True, tag="Probe"):
     """SWIM's `ping`, or its `ping-req` if `target` is set.
 
-    A `ping-req` asks the receiver to ping `target` and to relay the ack. The sender chooses the sequence
+    A `ping-req` requests that the receiver pings `target` and relays the ack. The sender chooses the sequence
     number; the `Ack` returns it.
     """
 
@@ -46,9 +46,9 @@
 
 
 class Ack(msgspec.Struct, frozen=True, tag="Answer"):
-    """Answer to a `Ping`.
+    """The answer to a `Ping`.
 
-    `ok` is False for a nack (Lifeguard): the relay of a `ping-req` has no ack yet, but is itself reachable.
+    `ok` is False for a nack (Lifeguard): the relay of a `ping-req` is reachable but has received no ack yet.
     """
 
     sequence_number: int = msgspec.field(name="number")
@@ -58,7 +58,8 @@
 class FullState(msgspec.Struct, frozen=True, tag="Whole"):
     """Anti-entropy: the packet's updates are the sender's complete member table.
 
-    With `reply_wanted` the receiver sends its own table back. The same exchange joins a fleet at a seed.
+    With `reply_wanted` the receiver sends its own table back. A new member joins the fleet by the same
+    exchange with a seed.
     """
 
     reply_wanted: bool = msgspec.field(name="answer")
@@ -68,7 +69,7 @@
 
 
 class LeaderHint(NamedTuple):
-    """The newest leader that a process has heard of, for members that do not vote."""
+    """The newest leader that a process knows of, disseminated to members that do not vote."""
 
     epoch: int
     term: int
@@ -79,9 +80,9 @@
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """One message between two members. Only the order of the fields counts on the wire.
+    """One message between two members. It is encoded as an array, in the order of the fields.
 
-    `to` is an identity, or only an address while no member there is known.
+    `to` is an identity, or only an address if the identity at that address is not known.
     """
 
     fleet: str
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -4,23 +4,28 @@
 Membership Protocol", DSN 2002; A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More
 Accurate Failure Detection", DSN 2018.
 
-In each probe interval a process pings one member, in a shuffled round-robin order. Without an ack in time it
-asks some others to ping that member (`ping-req`), so that a broken link between two is not taken for a death.
-Without an ack from those either, the member becomes a suspect, and dead after a time-out unless it refutes.
-
-A process that hears itself suspected, or declared dead, refutes with a higher incarnation. An identity stands
-for one persistent state of one process: a process that restarts without it is another member.
-
-Lifeguard: a process first doubts itself. Each probe without an ack, and each suspicion of itself, raises its
-health score, which makes its probes slower and its suspicions longer. A probe that ran while the process
-itself was stopped, which shows in its own late clock, says nothing about anybody.
-
-Updates ride on pings and acks, each on a number of packets that is logarithmic in the fleet's size. So a
-process's cost does not grow with the fleet, but for the complete table, which it exchanges with one random
-member now and then. That, and attempts to reach seeds and dead members, heals partitions.
-
-Invariants, checked by the tests: a process never holds itself suspect or dead; a packet of another fleet
-changes no member. member_table.py has those of the table.
+In each probe interval a process pings one member, in a shuffled round-robin order. If no ack arrives in time,
+it requests that some other members ping that member (`ping-req`), because only the link between the two may
+be broken. If no ack arrives through them either, the member becomes a suspect. A suspect that does not refute
+the suspicion within a timeout is declared dead.
+
+A process that receives an update in which it is suspect or dead refutes it with a higher incarnation. An
+identity belongs to the persistent state of one process: a process that restarts without its persistent state
+is a new member.
+
+Lifeguard: before it suspects others, a process considers that it may itself be slow or partitioned. Each
+probe without an ack, and each update in which the process itself is suspect or dead, raises its health score.
+A higher score lengthens its probe interval and its suspicion timeouts. A process detects that it was paused
+by a tick that is late. It then discards the probes in flight, because acks may have been missed during the
+pause.
+
+Updates are piggybacked on pings and acks, each on a number of packets that is logarithmic in the fleet's
+size. The cost per process therefore does not grow with the fleet, except for the complete member table, which
+a process periodically exchanges with one random member. These exchanges, and attempts to reach seeds and dead
+members, heal partitions.
+
+Invariants, checked by the tests: a process is never suspect or dead in its own table; a packet of another
+fleet changes no member. member_table.py lists the invariants of the table.
 """
 
 from __future__ import annotations
@@ -43,24 +48,24 @@
 )
 from hazelbend.gossip.timing import GossipTiming
 
-FULL_STATE_JITTER = (0.75, 1.25)  # factors of the interval, so that members do not exchange in step
+FULL_STATE_JITTER = (0.75, 1.25)  # factors of the interval, so that members' exchanges do not synchronize
 
 
 @dataclass(slots=True)
 class PendingProbe:
-    """The probe of this interval: first a direct ping, then indirect ones through relays."""
+    """The probe of the current interval: first a direct ping, then indirect pings through relays."""
 
     target: str
     sequence_number: int
     started_at: int
     indirect: bool = False
-    relays: int = 0  # members that were asked to ping the target
-    nacks: int = 0  # relays that are reachable and have no ack either
+    relays: int = 0  # members that were sent a `ping-req`
+    nacks: int = 0  # relays that answered with a nack: they are reachable, but have no ack from the target
 
 
 @dataclass(slots=True, frozen=True)
 class RelayedProbe:
-    """A ping that this process sent because of another's `ping-req`."""
+    """A ping that this process sent for another member's `ping-req`."""
 
     requester: str
     requester_sequence_number: int
@@ -68,31 +73,31 @@
 
 
 class SwimNode:
-    """One process's member of the gossip protocol.
+    """One process's gossip protocol engine.
 
-    The driver calls `tick` when `next_at` has come and `receive` for each packet, and sends what `outbox`
-    then holds. Times are microseconds of one clock that never goes back.
+    The driver calls `tick` at `next_at` and `receive` for each packet, and then sends the packets in
+    `outbox`. Times are microseconds of one monotonic clock.
     """
 
     def __init__(
-        self, me: str, fleet: str, seeds: tuple[str, ...], timing: GossipTiming, seed: int, now: int
+        self, identity: str, fleet: str, seeds: tuple[str, ...], timing: GossipTiming, seed: int, now: int
     ) -> None:
-        """`seeds`: addresses at which to join the fleet. `seed`: of the random numbers."""
-        self.identity = me
+        """`identity`: of this process. `seeds`: addresses to join the fleet at. `seed`: of random numbers."""
+        self.identity = identity
         self.fleet = fleet
         self.timing = timing
-        self.seeds = [address for address in seeds if address != address_of(me)]
+        self.seeds = [address for address in seeds if address != address_of(identity)]
         self.random = random.Random(seed)
         self.updates = DisseminationQueue()
-        self.table = MemberTable(me, timing.suspicion_confirmations, self.updates, now)
+        self.table = MemberTable(identity, timing.suspicion_confirmations, self.updates, now)
         self.outbox: list[Packet] = []
-        self.foreign_fleets: dict[str, str] = {}  # by address: the id of another fleet that sent packets here
+        self.foreign_fleets: dict[str, str] = {}  # fleet id by sender's address, of packets from other fleets
         self.leader_hint = NO_LEADER
         self.health_score = 0  # Lifeguard's local health multiplier; 0 is healthy
         self.leaving = False
-        self.probe_order: list[str] = []  # from its end
+        self.probe_order: list[str] = []  # the last one is probed next
         self.pending_probe: PendingProbe | None = None
-        self.relayed_probes: dict[int, RelayedProbe] = {}  # by own sequence number
+        self.relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of this process's ping
         self.sequence_number = 0
         self.next_probe_at = now + self.random.randrange(timing.probe_interval_us)
         self.next_full_state_at = now
@@ -100,7 +105,7 @@
 
     @property
     def next_at(self) -> int:
-        """When `tick` has something to do."""
+        """The time of the next call of `tick`."""
         times = [self.next_probe_at, self.next_full_state_at, self.next_join_at]
         if self.pending_probe is not None:
             times.append(self._probe_deadline(self.pending_probe))
@@ -111,7 +116,7 @@
         return min(times)
 
     def leave(self, now: int) -> None:
-        """Announce to some members that this process leaves; they tell the others."""
+        """Announce to some members that this process leaves; they disseminate it."""
         self.leaving = True
         me = self.table.members[self.identity]
         self._apply(MembershipUpdate(self.identity, me.incarnation, MemberStatus.LEFT), now)
@@ -121,7 +126,7 @@
     # --- timers ---
 
     def tick(self, now: int) -> None:
-        """Do all that is due."""
+        """Handle all timers that are due."""
         if self.leaving:
             return
         if now - self.next_at > self.timing.probe_interval_us:
@@ -140,7 +145,7 @@
             self._try_to_join()
 
     def _resume_after_stall(self, gap: int) -> None:
-        """This process did not run for a while: acks that did not come meanwhile say nothing."""
+        """Recover after this process was paused for `gap` microseconds, in which it may have missed acks."""
         self.pending_probe = None
         self.relayed_probes.clear()
         self._change_health(1)
@@ -157,7 +162,7 @@
             self._send_indirect_probes(probe)
 
     def _probe_deadline(self, probe: PendingProbe) -> int:
-        """When the probe takes its next step."""
+        """When the probe's current step times out."""
         timeout = self.timing.probe_interval_us if probe.indirect else self.timing.ack_timeout_us
         return probe.started_at + timeout * (1 + self.health_score)
 
@@ -169,7 +174,7 @@
 
     def _probe_failed(self, probe: PendingProbe, now: int) -> None:
         self.pending_probe = None
-        # A process that has no nacks from its relays either may itself be partitioned or slow.
+        # Without nacks from the relays, this process may itself be partitioned or slow.
         missing_nacks = probe.relays - probe.nacks
         self._change_health(missing_nacks if probe.relays else 1)
         member = self.table.members.get(probe.target)
@@ -202,7 +207,7 @@
             self.random.shuffle(self.probe_order)
         while self.probe_order:
             target = self.probe_order.pop()
-            member = self.table.members.get(target)  # it may have been forgotten since the shuffle
+            member = self.table.members.get(target)  # may have been removed since the shuffle
             if member is not None and member.is_active:
                 self.sequence_number += 1
                 self.pending_probe = PendingProbe(target, self.sequence_number, now)
@@ -217,7 +222,7 @@
         self.table.forget_inactive(before=now - self.timing.forget_after_us)
 
     def _try_to_join(self) -> None:
-        """Contact a seed whose address has no active member, or a dead member: that heals partitions."""
+        """Contact a seed without an active member at its address, or a dead member; this heals partitions."""
         known = {address_of(identity) for identity in self.table.active()}
         addresses = list(self.seeds)
         addresses += [address_of(member.identity) for member in self.table.with_status(MemberStatus.DEAD)]
@@ -231,7 +236,9 @@
     # --- packets in ---
 
     def receive(self, packet: Packet, now: int) -> None:
-        """Take in one packet. It may be old or repeated; one for another process or fleet changes nothing."""
+        """Handle one packet, which may be late or duplicated. Packets for other processes or from other
+        fleets change no member.
+        """
         if packet.fleet != self.fleet:
             self.foreign_fleets[address_of(packet.sender)] = packet.fleet
             return
@@ -303,12 +310,14 @@
     def _refute(self, me: Member, update: MembershipUpdate) -> None:
         me.incarnation = update.incarnation + 1
         self.updates.add(MembershipUpdate(self.identity, me.incarnation, MemberStatus.ALIVE))
-        self._change_health(1)  # somebody had no ack from here in time
+        self._change_health(1)  # another process has not received this process's ack in time
 
     # --- packets out ---
 
     def _random_alive(self, count: int, without: set[str]) -> list[str]:
-        """Other members without suspicion. A suspect relay may be partitioned like the target."""
+        """Random alive members, without this process. Suspects are omitted: a suspect relay may be
+        partitioned together with the target.
+        """
         alive = [member.identity for member in self.table.with_status(MemberStatus.ALIVE)]
         others = [identity for identity in alive if identity != self.identity and identity not in without]
         return self.random.sample(others, min(count, len(others)))
@@ -324,8 +333,8 @@
         )
 
     def _piggybacked_updates(self, to: str) -> tuple[MembershipUpdate, ...]:
-        """Queued updates. A receiver that is suspected or dead hears of that first, so that it can refute
-        (Lifeguard's buddy system).
+        """Queued updates for this receiver. If it is suspect or dead, the first update is its own status, so
+        that it can refute it (Lifeguard's buddy system).
         """
         updates: list[MembershipUpdate] = []
         member = self.table.members.get(to)
--- a/tests/consensus/test_rounds.py
+++ b/tests/consensus/test_rounds.py
@@ -1,4 +1,4 @@
-"""Heartbeat rounds: the timer, and which rounds count as confirmed."""
+"""Heartbeat rounds: the timer, and the confirmation of rounds."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 def rounds_at(*times: int) -> HeartbeatRounds:
     rounds = HeartbeatRounds(HEARTBEAT_US)
-    for each in times:
-        rounds.begin(each)
+    for started_at in times:
+        rounds.begin(started_at)
     return rounds
 
 
-def test_the_heartbeat_is_due_one_interval_after_the_last_round():
+def test_heartbeat_is_due_one_interval_after_the_last_round():
     assert rounds_at(10, 70).next_heartbeat_at == 170
 
 
-def test_rounds_are_confirmed_up_to_the_last_one_that_is_answered():
-    """Given three rounds, when two are answered, then the second counts, once, and the third later."""
+def test_rounds_are_confirmed_up_to_the_last_answered_round():
+    """Of three rounds two are answered: the second is returned as confirmed once, and the third later."""
     rounds = rounds_at(10, 20, 30)
     assert rounds.confirm(lambda number: number <= 2) == 20
     assert rounds.confirm(lambda number: number <= 2) is None
     assert rounds.confirm(lambda number: True) == 30
 
 
-def test_a_new_leadership_forgets_earlier_rounds_and_uses_no_number_again():
+def test_new_leadership_drops_earlier_rounds_and_does_not_reuse_their_numbers():
     rounds = rounds_at(10, 20)
     rounds.restart()
     assert rounds.confirm(lambda number: True) is None
@@ -35,7 +35,7 @@
     assert rounds.confirm(lambda number: number >= 3) == 30
 
 
-def test_a_copy_goes_on_by_itself():
+def test_copy_is_independent_of_the_original():
     rounds = rounds_at(10)
     copied = rounds.copy()
     copied.begin(20)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,4 +1,4 @@
-"""The control plane's engines: configurations and their findings, workers, agreement under faults."""
+"""The control plane's engines: configurations, workers, loads, phases, and consensus under faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from benchmarks.control.defects import DEFECTS, POINTS, planted_defect
 from benchmarks.control.fleet import MS, Fleet, InvariantViolationError, S, has_formed
 from benchmarks.control.history import play, shrink
-from benchmarks.control.model import Left, search
+from benchmarks.control.model import StepBudget, search
 from benchmarks.control.operators import Change, Operators
 from hazelbend.consensus.raft import RaftNode
 from hazelbend.control import messages as m
@@ -43,16 +43,16 @@
     return {"version": 3, "routes": [dict(ROUTE)], "services": [{"name": "s"}]} | changes
 
 
-def findings(document: object) -> list[str]:
+def finding_paths(document: object) -> list[str]:
     with pytest.raises(InvalidConfigurationError) as caught:
         check_configuration(json.dumps(document).encode())
-    return [each.path for each in caught.value.findings]
+    return [finding.path for finding in caught.value.findings]
 
 
 # --- configurations ---
 
 
-def test_a_valid_configuration_gives_its_version_and_unknown_fields_are_ignored():
+def test_check_of_a_valid_configuration_returns_its_version_and_ignores_unknown_fields():
     document = configuration(colour="red")
     document["routes"][0]["shape"] = "round"
     assert check_configuration(json.dumps(document).encode()) == 3
@@ -74,39 +74,41 @@
         ({"limits": {"maxBodyBytes": 0}}, "limits.maxBodyBytes"),
     ],
 )  # fmt: skip
-def test_each_error_is_found_with_its_path(changes, path):
-    assert findings(configuration(**changes)) == [path]
+def test_invalid_field_is_reported_with_its_path(changes, path):
+    assert finding_paths(configuration(**changes)) == [path]
 
 
 def test_all_errors_are_reported_together():
     routes = [ROUTE | {"timeoutMs": 0}, ROUTE | {"kind": "odd"}]
-    assert findings(configuration(version=-1, routes=routes)) == [
+    assert finding_paths(configuration(version=-1, routes=routes)) == [
         "version", "routes[0].timeoutMs", "routes[1].kind"]  # fmt: skip
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"version":3'])
-def test_an_incomplete_document_is_rejected(body):
+def test_incomplete_document_is_rejected(body):
     with pytest.raises(InvalidConfigurationError):
         check_configuration(body)
 
 
-def test_a_change_is_accepted_on_its_base_version_and_when_resent():
-    machine = ConfigStateMachine()
+def test_change_is_accepted_on_its_base_version_and_when_it_is_resent():
+    state_machine = ConfigStateMachine()
     first, second, rival = b'{"v":4}', b'{"v":7}', b'{"v":8}'
-    assert machine.apply(1, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED
-    assert machine.apply(2, encode_config_change(0, 5, rival)) is ChangeResult.CONFLICT
-    assert machine.apply(3, encode_config_change(4, 4, rival)) is ChangeResult.VERSION_NOT_NEWER
-    assert machine.apply(4, encode_config_change(4, 7, second)) is ChangeResult.ACCEPTED
-    assert machine.apply(5, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, (
-        "sent again, versions later"
+    assert state_machine.apply(1, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED
+    assert state_machine.apply(2, encode_config_change(0, 5, rival)) is ChangeResult.CONFLICT
+    assert state_machine.apply(3, encode_config_change(4, 4, rival)) is ChangeResult.VERSION_NOT_NEWER
+    assert state_machine.apply(4, encode_config_change(4, 7, second)) is ChangeResult.ACCEPTED
+    assert state_machine.apply(5, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, (
+        "a resend after a newer version"
     )
-    assert machine.apply(6, encode_config_change(0, 4, rival)) is ChangeResult.CONFLICT, (
-        "another one of that number"
+    assert state_machine.apply(6, encode_config_change(0, 4, rival)) is ChangeResult.CONFLICT, (
+        "another change with the same base and version"
+    )
+    restored = ConfigStateMachine()
+    restored.restore(state_machine.snapshot())
+    assert decompress_body(restored.current) == second
+    assert restored.apply(7, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, (
+        "a resend after a restore"
     )
-    other = ConfigStateMachine()
-    other.restore(machine.snapshot())
-    assert decompress_body(other.current) == second
-    assert other.apply(7, encode_config_change(0, 4, first)) is ChangeResult.ACCEPTED, "also from a snapshot"
 
 
 # --- workers ---
@@ -117,7 +119,7 @@
     return WorkerRecord(instance=instance, seq=seq, **values)
 
 
-def test_records_merge_alike_in_any_order_and_gone_is_final():
+def test_records_merge_to_the_same_result_in_any_order_and_gone_is_final():
     history = [
         record(seq=1),
         record(seq=5, state=WorkerState.DRAINING),
@@ -127,12 +129,12 @@
     ]
     for order in (history, history[::-1], history[2:] + history[:2]):
         registry = WorkerRegistry(S)
-        for each in order:
-            registry.merge(each, 0)
+        for merged in order:
+            registry.merge(merged, 0)
         assert registry.tracked["i-1"].record.state is WorkerState.GONE
 
 
-def test_a_late_heartbeat_changes_nothing_and_is_not_forwarded():
+def test_late_heartbeat_changes_nothing_and_is_not_forwarded():
     registry = WorkerRegistry(S)
     assert registry.merge(record(seq=4, state=WorkerState.DRAINING), 10) == [
         record(seq=4, state=WorkerState.DRAINING)
@@ -140,74 +142,75 @@
     assert registry.merge(record(seq=3), 20) == []
     assert registry.tracked["i-1"].record.state is WorkerState.DRAINING
     assert registry.merge(record(seq=5, state=WorkerState.DRAINING), 30) == [], (
-        "nothing that a router must know"
+        "only the sequence number has changed, which is not forwarded"
     )
 
 
-def test_a_new_instance_at_an_address_ends_the_old_one():
+def test_new_instance_at_an_address_marks_the_previous_one_as_gone():
     registry = WorkerRegistry(S)
     registry.merge(record(), 0)
     changed = registry.merge(record("i-2"), 0)
-    assert [(each.instance, each.state) for each in changed] == [
+    assert [(merged.instance, merged.state) for merged in changed] == [
         ("i-1", WorkerState.GONE), ("i-2", WorkerState.READY)]  # fmt: skip
 
 
-def test_a_silent_worker_is_marked_first_and_expires_much_later():
+def test_worker_without_heartbeats_counts_as_silent_first_and_expires_later():
     registry = WorkerRegistry(S)
     registry.merge(record(), 0)
-    listed = registry.tracked["i-1"]
-    assert not registry.is_silent(listed, 2 * S) and registry.is_silent(listed, 3 * S)
+    tracked_worker = registry.tracked["i-1"]
+    assert not registry.is_silent(tracked_worker, 2 * S) and registry.is_silent(tracked_worker, 3 * S)
     registry.expire(9 * S)
     assert "i-1" in registry.tracked
     registry.record_heartbeat("i-1", 8 * S)
     registry.expire(11 * S)
-    assert "i-1" in registry.tracked, "another process has heard it"
+    assert "i-1" in registry.tracked, "another process has received a heartbeat"
     registry.expire(30 * S)
     assert "i-1" not in registry.tracked
 
 
-def test_ages_are_sent_of_workers_heard_since_the_last_message():
+def test_ages_cover_only_workers_with_a_heartbeat_since_the_last_message():
     registry = WorkerRegistry(S)
     registry.merge(record("i-1", address="10.0.0.1:1"), 0)
     registry.merge(record("i-2", address="10.0.0.2:1"), 0)
     registry.take_recent_ages(0)
     registry.record_heartbeat("i-1", 2 * S)
     registry.record_heartbeat("i-2", 0)
-    assert registry.take_recent_ages(3 * S) == {"i-1": S}, "what is known already is not sent again"
+    assert registry.take_recent_ages(3 * S) == {"i-1": S}, "ages that were sent are not sent again"
     assert registry.take_recent_ages(3 * S) == {}
-    assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers learn of silent workers alone"
+    assert registry.silent_ages(3 * S) == {"i-2": 3 * S}, "routers receive the ages of silent workers only"
 
 
-def test_a_restored_worker_has_a_heartbeat_to_be_heard_before_it_counts_as_silent():
-    """Guards the first second after a start: nobody was listening, so silence says nothing yet."""
+def test_restored_worker_counts_as_silent_only_after_a_grace_period():
+    """No heartbeats could arrive while the control process was down, so that restored workers must not count
+    as silent right after its start."""
     fleet = Fleet(seed=1)
     fleet.run(10 * S)
     engine = fleet.alive[0].engine
-    beat = engine.settings.heartbeat_us
+    heartbeat_us = engine.settings.heartbeat_us
     engine.restore_workers((record("i-1"),), fleet.now)
-    assert not engine.registry.silent_ages(fleet.now + round(1.2 * beat))
-    assert engine.registry.silent_ages(fleet.now + round(1.7 * beat))
+    assert not engine.registry.silent_ages(fleet.now + round(1.2 * heartbeat_us))
+    assert engine.registry.silent_ages(fleet.now + round(1.7 * heartbeat_us))
 
 
 # --- loads and caches ---
 
 
-def test_a_router_gets_the_unfinished_work_of_all_others():
+def test_router_gets_the_summed_unfinished_work_of_all_other_routers():
     table = LoadTable()
     table.merge(RouterLoad("a", 1, {"i": Load(2, 300), "j": Load(1, 0)}), 0)
     table.merge(RouterLoad("b", 1, {"i": Load(1, 50)}), 0)
     assert table.total_loads() == {"i": Load(3, 350), "j": Load(1, 0)}
     assert table.all_other_loads("a") == {"i": Load(1, 50)}
     assert table.all_other_loads("new") == table.total_loads()
-    assert not table.merge(RouterLoad("a", 1, {}), 1), "an old report"
+    assert not table.merge(RouterLoad("a", 1, {}), 1), "an outdated report"
     assert table.merge(RouterLoad("a", 2, {}), 1)
     table.expire(10 * S)
     assert table.total_loads() == {}
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_changes_alone_keep_a_routers_copy_of_the_loads_correct(seed):
-    """A router that gets only what has changed for it has the same copy as one that gets complete updates."""
+def test_incremental_updates_keep_a_routers_copy_of_the_loads_correct(seed):
+    """A router that gets only changed loads has the same copy as one that gets complete updates."""
     rng = random.Random(seed)
     table = LoadTable()
     views = {router: LoadView() for router in "abc"}
@@ -229,7 +232,7 @@
             views["a"].apply(LoadUpdate(table.all_other_loads("a"), complete=True))
 
 
-def test_the_sums_are_those_of_the_last_reports():
+def test_total_loads_are_the_sums_of_the_last_reports():
     table = LoadTable()
     for seq in range(5):
         table.merge(RouterLoad("a", seq, {"i": Load(seq, 10 * seq)}), 0)
@@ -239,14 +242,14 @@
     assert table.take_changed() == set()
 
 
-def test_cached_prefixes_are_known_by_worker_until_it_ends():
+def test_cached_prefixes_of_a_worker_are_removed_when_it_ends():
     table = CacheTable()
     table.add([CachedPrefix("i", "p", 10), CachedPrefix("j", "q", 20)])
     table.remove("i")
     assert table.all() == (CachedPrefix("j", "q", 20),)
 
 
-def test_soft_state_and_messages_survive_their_encoding():
+def test_soft_state_and_messages_round_trip_through_their_encoding():
     state = m.SoftState((record(),), (CachedPrefix("i", "p", 1),))
     assert m.decode_soft_state(m.encode_soft_state(state)) == state
     for body in (
@@ -258,19 +261,19 @@
         assert m.decode(m.encode(body)) == body
 
 
-def test_cached_prefixes_take_a_few_bytes_each():
-    """Guards links of 5 Mbit/s: sent one by one, the prefixes of 70 workers took 0.6 s of a router's link."""
+def test_cached_prefixes_are_encoded_in_a_few_bytes_each():
+    """On links of 5 Mbit/s, the uncompressed prefixes of 70 workers occupied a router's link for 0.6 s."""
     rng = random.Random(1)
     table = CacheTable()
-    parts = [
+    prefixes = [
         CachedPrefix(f"i-{worker:010x}", f"{rng.randrange(2**32):08x}", rng.randrange(40_000))
         for worker in range(70)
         for _ in range(100)
     ]
-    table.add(parts)
+    table.add(prefixes)
     update = m.decode(m.encode(m.CacheUpdate.from_prefixes(table.by_instance)))
-    assert set(update.cached_prefixes()) == set(parts)
-    assert len(update.body) < 12 * len(parts)
+    assert set(update.cached_prefixes()) == set(prefixes)
+    assert len(update.body) < 12 * len(prefixes)
     with pytest.raises(msgspec.DecodeError):
         m.CacheUpdate(b"nonsense").cached_prefixes()
 
@@ -280,14 +283,16 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """Three machines that have come together."""
-    made = Fleet(7, loss=0.0)
-    assert made.run_until(lambda: has_formed(made, 3), 5 * S)
-    return made
+    """Three machines that have formed a cluster."""
+    formed = Fleet(7, loss=0.0)
+    assert formed.run_until(lambda: has_formed(formed, 3), 5 * S)
+    return formed
 
 
-def results_of(fleet: Fleet, *, base: int, version: int, body: bytes, at: str | None = None) -> list[object]:
-    """The results of a change that is sent to a machine, by default the leader."""
+def put_and_wait(
+    fleet: Fleet, *, base: int, version: int, body: bytes, at: str | None = None
+) -> list[object]:
+    """Send a change to a machine, by default the leader; returns its results after at most 2 s."""
     results: list[object] = []
     fleet.put(at or fleet.leader.address, base, version, body, results.append)
     fleet.run_until(lambda: bool(results), 2 * S)
@@ -295,17 +300,17 @@
 
 
 @pytest.mark.parametrize("machines", [1, 2, 3, 4, 5, 6, 7])
-def test_a_first_start_forms_one_cluster_with_one_leader(machines):
+def test_first_start_forms_one_cluster_with_one_leader(machines):
     fleet = Fleet(3, machines, tolerance=(machines - 1) // 2)
     assert fleet.run_until(
         lambda: fleet.leader is not None and len(fleet.leader.engine.raft.voters) == machines, 4 * S
     )
-    assert len({each.engine.raft.persistent.epoch for each in fleet.alive}) == 1
+    assert len({machine.engine.raft.persistent.epoch for machine in fleet.alive}) == 1
     fleet.run(2 * S)
-    assert sum(each.engine.raft.is_leader for each in fleet.alive) == 1
+    assert sum(machine.engine.raft.is_leader for machine in fleet.alive) == 1
 
 
-def test_nothing_is_acknowledged_by_too_few_replicas():
+def test_change_is_not_acknowledged_without_enough_replicas():
     fleet = Fleet(5)
     fleet.run(1)
     for address in fleet.addresses[1:]:
@@ -313,11 +318,11 @@
         fleet.machines[address].removed = True
     fleet.run(5 * S)
     assert fleet.leader.engine.raft.voters == (fleet.leader.engine.identity,)
-    assert results_of(fleet, base=0, version=1, body=b"{}") == [None]
+    assert put_and_wait(fleet, base=0, version=1, body=b"{}") == [None]
 
 
-def test_a_wiped_machine_never_bootstraps_and_returns_with_a_new_identity(fleet):
-    victim = next(each for each in fleet.alive if each is not fleet.leader)
+def test_wiped_machine_never_bootstraps_and_rejoins_under_a_new_identity(fleet):
+    victim = next(machine for machine in fleet.alive if machine is not fleet.leader)
     before = victim.engine.identity
     fleet.wipe(victim.address)
     fleet.run(200 * MS)
@@ -326,24 +331,24 @@
     assert fleet.run_until(lambda: before not in fleet.leader.engine.raft.voters, 4 * S)
 
 
-def test_a_machine_at_a_new_address_replaces_one_that_is_gone(fleet):
-    gone = fleet.leader.address
-    new = fleet.replace(gone)
+def test_machine_at_a_new_address_replaces_a_removed_one(fleet):
+    removed = fleet.leader.address
+    new = fleet.replace(removed)
     assert fleet.run_until(lambda: fleet.machines[new].engine is not None, 2 * S)
     assert fleet.run_until(
         lambda: (
             fleet.leader is not None
-            and {each.rpartition("@")[2] for each in fleet.leader.engine.raft.voters}
-            == {*fleet.addresses, new} - {gone}
+            and {voter.rpartition("@")[2] for voter in fleet.leader.engine.raft.voters}
+            == {*fleet.addresses, new} - {removed}
         ),
         8 * S,
     )
 
 
-def test_an_acknowledged_change_survives_a_power_failure_and_a_lost_disk(fleet):
+def test_acknowledged_change_survives_a_power_failure_and_a_lost_disk(fleet):
     operators = Operators(fleet)
     operators.sent[2] = {b'{"a":1}'}
-    assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
+    assert put_and_wait(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
     operators.acknowledged[2] = Change(0, 2, b'{"a":1}')
     operators.acknowledged_at.append((fleet.now, 2))
     leader = fleet.leader.address
@@ -356,10 +361,10 @@
     operators.check_end()
 
 
-def test_the_configuration_in_force_is_restored_before_anybody_leads(fleet):
-    assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
-    assert results_of(fleet, base=2, version=3, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
-    follower = next(each for each in fleet.alive if each is not fleet.leader)
+def test_committed_configuration_is_restored_at_the_start_without_a_leader(fleet):
+    assert put_and_wait(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
+    assert put_and_wait(fleet, base=2, version=3, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
+    follower = next(machine for machine in fleet.alive if machine is not fleet.leader)
     fleet.run(1 * S)
     fleet.kill(follower.address)
     for other in fleet.addresses:
@@ -368,10 +373,10 @@
     assert follower.engine.config_state.current.version >= 2
 
 
-def test_an_operator_forces_a_new_cluster_with_a_survivor_after_a_majority_was_lost(fleet):
-    assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
+def test_operator_can_force_a_new_cluster_on_a_survivor_after_the_loss_of_a_majority(fleet):
+    assert put_and_wait(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED]
     fleet.run(1 * S)
-    survivor = next(each for each in fleet.alive if each is not fleet.leader)
+    survivor = next(machine for machine in fleet.alive if machine is not fleet.leader)
     with pytest.raises(ValueError, match="leads"):
         survivor.engine.force_new_cluster(fleet.now)
     for machine in list(fleet.alive):
@@ -382,35 +387,37 @@
     assert fleet.leader is None
     survivor.engine.force_new_cluster(fleet.now)
     assert fleet.run_until(lambda: has_formed(fleet, 3), 5 * S)
-    assert {decompress_body(each.engine.config_state.current) for each in fleet.alive} == {b'{"a":1}'}
-    assert results_of(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED], "still known"
-    assert results_of(fleet, base=2, version=3, body=b"{}") == [ChangeResult.ACCEPTED]
+    assert {decompress_body(machine.engine.config_state.current) for machine in fleet.alive} == {b'{"a":1}'}
+    assert put_and_wait(fleet, base=0, version=2, body=b'{"a":1}') == [ChangeResult.ACCEPTED], (
+        "the resend is recognized"
+    )
+    assert put_and_wait(fleet, base=2, version=3, body=b"{}") == [ChangeResult.ACCEPTED]
 
 
-def test_a_change_that_is_resent_to_another_leader_is_still_accepted(fleet):
+def test_change_that_is_resent_to_another_leader_is_still_accepted(fleet):
     body = b'{"a":1}'
-    assert results_of(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
-    assert results_of(fleet, base=2, version=5, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
+    assert put_and_wait(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
+    assert put_and_wait(fleet, base=2, version=5, body=b'{"a":2}') == [ChangeResult.ACCEPTED]
     old = fleet.leader.address
     fleet.kill(old)
     assert fleet.run_until(lambda: fleet.leader is not None and fleet.leader.address != old, 4 * S)
-    assert results_of(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
-    assert results_of(fleet, base=0, version=2, body=b'{"a":9}') == [ChangeResult.CONFLICT]
+    assert put_and_wait(fleet, base=0, version=2, body=body) == [ChangeResult.ACCEPTED]
+    assert put_and_wait(fleet, base=0, version=2, body=b'{"a":9}') == [ChangeResult.CONFLICT]
 
 
-def test_a_disk_that_is_full_silences_its_machine_and_another_leads(fleet):
+def test_leader_with_a_full_disk_is_replaced_and_catches_up_later(fleet):
     old = fleet.leader
     old.disk.full = True
-    results_of(fleet, base=0, version=2, body=b"{}")
+    put_and_wait(fleet, base=0, version=2, body=b"{}")
     assert fleet.run_until(lambda: fleet.leader is not None and fleet.leader is not old, 4 * S)
-    assert results_of(fleet, base=0, version=2, body=b"{}") == [ChangeResult.ACCEPTED]
-    assert old.engine is not None, "its process goes on"
+    assert put_and_wait(fleet, base=0, version=2, body=b"{}") == [ChangeResult.ACCEPTED]
+    assert old.engine is not None, "its process is still running"
     old.disk.full = False
     fleet.run(3 * S)
     assert old.engine.config_state.current.version == 2
 
 
-def test_a_drain_is_acknowledged_once_another_machine_holds_it(fleet):
+def test_drain_is_acknowledged_after_another_machine_holds_it(fleet):
     results: list[bool] = []
     draining = record(seq=4, state=WorkerState.DRAINING)
     fleet.worker(fleet.addresses[1], draining, results.append)
@@ -418,37 +425,39 @@
     fleet.run(100 * MS)
     assert results == [True]
     assert all(
-        each.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING for each in fleet.alive
+        machine.engine.registry.tracked["i-1"].record.state is WorkerState.DRAINING for machine in fleet.alive
     )
 
 
-def test_an_observer_knows_the_leader_and_is_not_listed_to_routers():
+def test_observer_knows_the_leader_and_is_not_listed_to_routers():
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, (first, second) = fleet.addresses[:3], fleet.addresses[3:]
-    [leader] = [each.engine for each in fleet.alive if each.engine.raft.is_leader]
+    [leader] = [machine.engine for machine in fleet.alive if machine.engine.raft.is_leader]
     observer = fleet.machines[first].engine
     assert observer.leader == leader.identity
-    assert sorted(leader.raft.voters) == sorted(fleet.machines[each].engine.identity for each in core)
+    assert sorted(leader.raft.voters) == sorted(fleet.machines[address].engine.identity for address in core)
     for address in (core[0], first, second):
         update = fleet.machines[address].engine.fleet_status(fleet.now)
         assert sorted(update.control_addresses) == sorted(core)
 
 
-def test_a_partitioned_observer_reports_that_heartbeats_go_no_further():
-    """Guards a worker that is heard by an observer alone, while routers take it for silent."""
+def test_partitioned_observer_reports_that_heartbeats_reach_no_other_process():
+    """Otherwise routers would count a worker as silent that sends its heartbeats to this observer only."""
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, observers = fleet.addresses[:3], fleet.addresses[3:]
     for other in core:
         fleet.partition(observers[0], other)
     fleet.run(3 * S)
-    spreads = {each.address: each.engine.reaches_quorum_peers(fleet.now) for each in fleet.alive}
-    assert spreads == {address: address != observers[0] for address in fleet.addresses}
+    reaches_others = {
+        machine.address: machine.engine.reaches_quorum_peers(fleet.now) for machine in fleet.alive
+    }
+    assert reaches_others == {address: address != observers[0] for address in fleet.addresses}
 
 
-def test_a_drain_rests_on_replicas_that_count_for_the_quorum():
-    """Guards a drain against the loss of one machine that counts: copies of those that do not are none."""
+def test_drain_is_acknowledged_only_by_processes_that_count_for_the_quorum():
+    """An acknowledged drain must survive the loss of a quorum machine: copies at observers do not count."""
     fleet = Fleet(seed=1, machines=5, tolerance=1, observers=2)
     fleet.run(3 * S)
     core, observers = fleet.addresses[:3], fleet.addresses[3:]
@@ -463,19 +472,19 @@
     assert results == [False, False]
     fleet.worker(observers[1], record("i-3", address="10.8.0.3:1", **draining), results.append)
     fleet.run(100 * MS)
-    assert results == [False, False, True], "two that count for the quorum hold it"
+    assert results == [False, False, True], "two quorum processes hold it"
 
 
-def test_a_drain_that_nobody_else_can_hold_is_not_acknowledged(fleet):
-    lonely = fleet.addresses[1]
+def test_drain_at_a_partitioned_process_is_not_acknowledged(fleet):
+    isolated = fleet.addresses[1]
     for other in fleet.addresses:
-        fleet.partition(lonely, other)
+        fleet.partition(isolated, other)
     results: list[bool] = []
-    fleet.worker(lonely, record(seq=4, state=WorkerState.DRAINING), results.append)
+    fleet.worker(isolated, record(seq=4, state=WorkerState.DRAINING), results.append)
     fleet.run(2 * S)
     assert results == [False]
-    fleet.worker(lonely, record(seq=5), results.append)
-    assert results == [False, True], "that a worker is ready needs nobody else"
+    fleet.worker(isolated, record(seq=5), results.append)
+    assert results == [False, True], "a heartbeat of a ready worker needs no other process"
 
 
 @pytest.mark.parametrize(("machines", "tolerance"), [(3, 1), (4, 1), (5, 2), (6, 2)])
@@ -485,39 +494,39 @@
         play(seed, machines, tolerance, length=25 * S)
 
 
-def test_every_order_of_events_of_three_voters_one_of_them_replaced_is_tried():
-    found = search(Left(stands=2, writes=1, resends=0, restarts=0, wipes=1, late=0), 100_000)
+def test_model_checks_every_order_of_events_of_three_voters_with_one_replacement():
+    found = search(StepBudget(stands=2, writes=1, resends=0, restarts=0, wipes=1, late=0), 100_000)
     assert (found["closed"], found["broken"]) == (True, "") and found["states"] > 20_000
 
 
 @pytest.mark.parametrize(
-    ("defect", "left"),
+    ("defect", "budget"),
     [
-        ("no_compare", Left(1, 2, 0, 0, 0, 0)),
-        ("resend_not_known", Left(1, 1, 1, 0, 0, 0)),
-        ("acknowledge_before_majority", Left(2, 1, 0, 0, 0, 0)),
-        ("stale_read", Left(2, 2, 0, 0, 0, 0)),
+        ("no_compare", StepBudget(1, 2, 0, 0, 0, 0)),
+        ("resend_not_known", StepBudget(1, 1, 1, 0, 0, 0)),
+        ("acknowledge_before_majority", StepBudget(2, 1, 0, 0, 0, 0)),
+        ("stale_read", StepBudget(2, 2, 0, 0, 0, 0)),
     ],
 )
-def test_the_model_finds_planted_defects_in_few_steps(defect, left):
-    with planted_defect(defect) if defect != "stale_read" else nobody_is_asked():
-        found = search(left, 20_000)
+def test_model_detects_planted_defects_in_few_steps(defect, budget):
+    with planted_defect(defect) if defect != "stale_read" else reads_without_majority():
+        found = search(budget, 20_000)
     assert found["broken"] and len(found["steps"]) <= 8
 
 
 @contextmanager
-def nobody_is_asked():
-    """A leader's read ends before a majority has answered."""
-    usual = RaftNode._is_round_confirmed
+def reads_without_majority():
+    """Let a leader's reads complete before a majority has answered."""
+    original = RaftNode._is_round_confirmed
     RaftNode._is_round_confirmed = lambda self, number: True
     try:
         yield
     finally:
-        RaftNode._is_round_confirmed = usual
+        RaftNode._is_round_confirmed = original
 
 
-# Seeds at which a planted defect is found, with machines and losses to be borne.
-FOUND = {
+# For each planted defect, the history that detects it: seed, number of machines, tolerance.
+DETECTING_RUNS = {
     "acknowledge_before_majority": (3, 3, 1),
     "unconfirmed_counts": (8, 4, 1),
     "leads_without_majority": (7, 3, 1),
@@ -539,8 +548,8 @@
 
 
 @pytest.mark.parametrize("defect", sorted(DEFECTS))
-def test_the_checks_find_each_planted_defect_and_nothing_without_it(defect):
-    seed, machines, tolerance = FOUND[defect]
+def test_history_detects_each_planted_defect_and_passes_without_it(defect):
+    seed, machines, tolerance = DETECTING_RUNS[defect]
     with planted_defect(defect), pytest.raises(InvariantViolationError):
         play(seed, machines, tolerance)
     play(seed, machines, tolerance)
@@ -551,21 +560,21 @@
     assert set(POINTS) == {1, 2, 3, 4, 5}
 
 
-def test_a_failing_history_shrinks_to_few_faults_and_replays_alike():
+def test_failing_history_shrinks_to_few_faults_deterministically():
     with planted_defect("wiped_voter_votes"):
-        seed, whole_history = first_broken(range(60))
-        rule, fewest = shrink(seed)
-        assert 1 <= len(fewest) <= 3 and len(fewest) <= len(whole_history)
-        assert shrink(seed) == (rule, fewest)
+        seed, all_faults = first_failing_history(range(60))
+        violation, fewest = shrink(seed)
+        assert 1 <= len(fewest) <= 3 and len(fewest) <= len(all_faults)
+        assert shrink(seed) == (violation, fewest)
 
 
-def first_broken(seeds: range) -> tuple[int, tuple[object, ...]]:
+def first_failing_history(seeds: range) -> tuple[int, tuple[object, ...]]:
     for seed in seeds:
         try:
             play(seed)
         except InvariantViolationError as error:
             return seed, error.faults
-    raise AssertionError("no seed breaks a rule")
+    raise AssertionError("no seed violates an invariant")
 
 
 # --- phases ---
@@ -575,89 +584,98 @@
     return record(f"i-{number}", address=f"10.9.0.{number}:80", phase=phase, capacity=64)
 
 
-def plans(workers: list[WorkerRecord], loads: dict[str, Load], looks: int = 12) -> list[PhaseOrder]:
-    """Given these workers and loads, when a planner looks often, then: its first orders."""
+def plan_repeatedly(
+    workers: list[WorkerRecord], loads: dict[str, Load], rounds: int = 12
+) -> list[PhaseOrder]:
+    """The orders of a new planner that plans repeatedly, every half second, with these workers and loads."""
     planner = PhasePlanner()
-    return [order for look in range(looks) for order in planner.plan(workers, loads, look * S // 2)]
+    return [
+        order
+        for round_number in range(rounds)
+        for order in planner.plan(workers, loads, round_number * S // 2)
+    ]
 
 
-def test_an_idle_decode_worker_prefills_where_prompts_wait():
+def test_idle_decode_worker_is_moved_to_prefill_if_prompts_wait():
     workers = [model_worker(n, "prefill") for n in range(4)] + [
         model_worker(n, "decode") for n in range(4, 9)
     ]
     loads = {f"i-{n}": Load(2, 3_000) for n in range(4)} | {f"i-{n}": Load(n, 0) for n in range(4, 9)}
-    assert plans(workers, loads)[0] == PhaseOrder("i-4", "10.9.0.4:80", "prefill")
+    assert plan_repeatedly(workers, loads)[0] == PhaseOrder("i-4", "10.9.0.4:80", "prefill")
 
 
-def test_nothing_is_ordered_without_need_or_below_the_minimum_of_a_phase():
-    few = [model_worker(n, "prefill") for n in range(3)] + [model_worker(n, "decode") for n in range(3, 5)]
-    waiting = {f"i-{n}": Load(2, 9_000) for n in range(3)}
-    assert plans(few, waiting) == []
-    many = few + [model_worker(n, "decode") for n in range(5, 9)]
-    assert plans(many, {}) == []
+def test_no_order_without_need_or_below_the_minimum_of_decode_workers():
+    workers_at_minimum = [model_worker(n, "prefill") for n in range(3)] + [
+        model_worker(n, "decode") for n in range(3, 5)
+    ]
+    backlog = {f"i-{n}": Load(2, 9_000) for n in range(3)}
+    assert plan_repeatedly(workers_at_minimum, backlog) == []
+    more_workers = workers_at_minimum + [model_worker(n, "decode") for n in range(5, 9)]
+    assert plan_repeatedly(more_workers, {}) == []
 
 
-def test_a_prefill_worker_decodes_where_none_does_or_the_decode_capacity_is_used():
+def test_prefill_worker_is_moved_to_decode_without_decode_workers_or_at_high_utilization():
     workers = [model_worker(n, "prefill") for n in range(3)]
-    assert plans(workers, {"i-0": Load(1, 500)})[0].phase == "decode"
+    assert plan_repeatedly(workers, {"i-0": Load(1, 500)})[0].phase == "decode"
     workers.append(model_worker(3, "decode"))
-    assert plans(workers, {"i-3": Load(40, 0)}) == [], "it is worth more as a reader"
-    assert plans(workers, {"i-3": Load(60, 0), "i-0": Load(1, 500)})[0].phase == "decode"
-    assert plans([workers[0], workers[3]], {"i-3": Load(60, 0)}) == [], "the last one that reads"
+    assert plan_repeatedly(workers, {"i-3": Load(40, 0)}) == [], "the decode utilization is not high"
+    assert plan_repeatedly(workers, {"i-3": Load(60, 0), "i-0": Load(1, 500)})[0].phase == "decode"
+    assert plan_repeatedly([workers[0], workers[3]], {"i-3": Load(60, 0)}) == [], "the last prefill worker"
 
 
 def test_one_order_is_pending_at_a_time():
     workers = [model_worker(n, "prefill") for n in range(3)] + [model_worker(3, "decode")]
-    assert len(plans(workers, {"i-3": Load(60, 0)}, looks=10)) == 1
+    assert len(plan_repeatedly(workers, {"i-3": Load(60, 0)}, rounds=10)) == 1
 
 
-def leaving(worker: WorkerRecord) -> WorkerRecord:
+def drained(worker: WorkerRecord) -> WorkerRecord:
     return msgspec.structs.replace(worker, state=WorkerState.DRAINING, seq=worker.seq + 1)
 
 
-def test_another_worker_decodes_as_soon_as_one_of_two_decode_workers_drains():
-    """Given two that make tokens and three that read, when one of the two announces its end, then a reader is
-    ordered at the next look, while the other still serves; and one more when that one leaves as well."""
+def test_prefill_worker_replaces_each_draining_decode_worker_at_once():
+    """With two decode and three prefill workers, one decode worker announces that it drains: the next plan
+    orders a prefill worker to decode, while the other decode worker still serves. When that one drains too,
+    another prefill worker is ordered."""
     planner = PhasePlanner()
     workers = [model_worker(n, "prefill") for n in range(3)] + [
         model_worker(n, "decode") for n in range(3, 5)
     ]
-    for look in range(6):
-        assert planner.plan(workers, {}, look * S // 2) == []
-    workers[3] = leaving(workers[3])
+    for round_number in range(6):
+        assert planner.plan(workers, {}, round_number * S // 2) == []
+    workers[3] = drained(workers[3])
     [first] = planner.plan(workers, {}, 3 * S)
     assert first.phase == "decode"
     assert planner.plan(workers, {}, 3 * S + S // 2) == []
-    workers[4] = leaving(workers[4])
+    workers[4] = drained(workers[4])
     [second] = planner.plan(workers, {}, 5 * S)
     assert second.phase == "decode" and second.instance != first.instance
-    assert planner.plan(workers, {}, 7 * S) == [], "the last one that reads"
+    assert planner.plan(workers, {}, 7 * S) == [], "the last prefill worker"
     assert set(planner.switching) == {first.instance, second.instance}
 
 
-def test_a_fleet_with_one_decode_worker_left_gets_a_second_one():
+def test_fleet_with_one_remaining_decode_worker_gets_a_second_one():
     planner = PhasePlanner()
     workers = [model_worker(n, "prefill") for n in range(3)] + [
         model_worker(n, "decode") for n in range(3, 5)
     ]
-    for look in range(6):
-        planner.plan(workers, {}, look * S // 2)
+    for round_number in range(6):
+        planner.plan(workers, {}, round_number * S // 2)
     del workers[4]
     [order] = planner.plan(workers, {}, 4 * S)
     assert order.phase == "decode"
 
 
-def test_a_worker_prefills_where_all_prefill_workers_drain():
+def test_decode_worker_is_moved_to_prefill_if_all_prefill_workers_drain():
     planner = PhasePlanner()
     workers = [model_worker(0, "prefill")] + [model_worker(n, "decode") for n in range(1, 6)]
-    for look in range(6):
-        assert planner.plan(workers, {}, look * S // 2) == []
-    workers[0] = leaving(workers[0])
+    for round_number in range(6):
+        assert planner.plan(workers, {}, round_number * S // 2) == []
+    workers[0] = drained(workers[0])
     [order] = planner.plan(workers, {}, 4 * S)
     assert order.phase == "prefill"
 
 
-def test_only_a_leader_of_longer_than_a_lease_gives_orders(fleet):
+def test_leader_sends_orders_only_after_it_has_led_for_a_lease(fleet):
     leader = fleet.leader
     for number in range(3):
         leader.engine.handle_heartbeat(model_worker(number, "prefill"), fleet.now)
@@ -670,5 +688,5 @@
             leader.engine.handle_heartbeat(model_worker(number, "prefill"), fleet.now)
         orders = leader.engine.phase_orders({}, fleet.now)
     assert orders and fleet.now - since > leader.engine.settings.lease_us
-    follower = next(each for each in fleet.alive if each is not leader)
+    follower = next(machine for machine in fleet.alive if machine is not leader)
     assert follower.engine.phase_orders({}, fleet.now + 60 * S) == []
