--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -73,7 +73,7 @@
             self._start_node(PersistentState(name, EPOCH, 1, "", 1, 1, VOTERS, _empty_snapshot()))
             for name in VOTERS
         ]
-        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # result of each change
+        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # by change; None: unknown
         self.sent_count = 0  # number of changes sent
         self.without_state: frozenset[str] = frozenset()
         self.delayed_message: Message | None = None
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -183,7 +183,7 @@
     # --- reads ---
 
     def read(self, address: str | None = None) -> None:
-        """Read at this machine, or by default at any machine, even a partitioned one."""
+        """Read at this machine, or by default at the leader or any machine, even a partitioned one."""
         minimum_version = max(self.newest, self._newest_read)
 
         def on_result(config: StoredConfig | None) -> None:
--- a/hazelbend/consensus/config.py
+++ b/hazelbend/consensus/config.py
@@ -23,5 +23,5 @@
     election_timeout_us: int = 1_000_000
     max_batch_entries: int = 64  # in one message
     snapshot_after_entries: int = 512  # number of applied entries at which a snapshot replaces them
-    snapshot_after_bytes: int = 4 * 1024 * 1024  # size of their operations above which it does so, too
+    snapshot_after_bytes: int = 4 * 1024 * 1024  # size of applied entries above which it does so, too
     max_uncommitted_bytes: int = 12 * 1024 * 1024  # proposals beyond this are rejected
--- a/hazelbend/consensus/election.py
+++ b/hazelbend/consensus/election.py
@@ -3,12 +3,12 @@
 
 Transitions of `Role`:
 
-    FOLLOWER      --is a voter, and the election timer expires-->                   PRE_CANDIDATE
-    PRE_CANDIDATE --a quorum grants the pre-vote-->                                 CANDIDATE, term + 1
-    CANDIDATE     --a quorum grants the vote-->                                     LEADER, appends a no-op
-    any           --a message of a higher term-->                                   FOLLOWER of that term
+    FOLLOWER      --is a voter, and the election timer expires-->                      PRE_CANDIDATE
+    PRE_CANDIDATE --a quorum grants the pre-vote-->                                    CANDIDATE, term + 1
+    CANDIDATE     --a quorum grants the vote-->                                        LEADER, appends a no-op
+    any           --a message of a higher term-->                                      FOLLOWER of that term
     LEADER        --no answers of a quorum for two election timeouts (check-quorum)--> FOLLOWER
-    LEADER        --a voter list without this node is committed-->                  FOLLOWER
+    LEADER        --a voter list without this node is committed-->                     FOLLOWER
 """
 
 from __future__ import annotations
--- a/hazelbend/control/engine.py
+++ b/hazelbend/control/engine.py
@@ -37,7 +37,7 @@
 HELLO_PERIOD_US = 250_000  # between two hellos to a peer
 AGES_PERIOD_US = 500_000  # between two messages with the ages of workers' last heartbeats
 VOTERS_PERIOD_US = 200_000  # between the leader's checks of the voters
-FIRST_ELECTION_RANGE_US = (120_000, 400_000)  # random delay after a restart until a voter campaigns
+FIRST_ELECTION_RANGE_US = (120_000, 400_000)  # after a restart, until a voter without a leader campaigns
 TIMING = RaftConfig(
     heartbeat_us=100_000, election_timeout_us=500_000, max_batch_entries=32, snapshot_after_entries=48
 )
--- a/hazelbend/control/messages.py
+++ b/hazelbend/control/messages.py
@@ -14,7 +14,7 @@
 from hazelbend.control.load_table import CachedPrefix, LoadUpdate, RouterLoad
 from hazelbend.control.workers import WorkerRecord
 
-CACHE_ZLIB_LEVEL = 1  # the fastest
+CACHE_ZLIB_LEVEL = 1  # the fastest level
 
 
 class PeerHello(msgspec.Struct, frozen=True, tag="Hello"):
--- a/hazelbend/control/worker_sync.py
+++ b/hazelbend/control/worker_sync.py
@@ -97,7 +97,7 @@
                 self._forward(self.registry.merge(record, last_heartbeat_at))
 
     def send_snapshot(self, address: str, now: int) -> None:
-        """Send all workers to a peer that may have lost what was sent to it before."""
+        """Send all worker records to a peer that may have missed earlier updates."""
         update = m.WorkerUpdate(0, self.registry.unexpired_records(now), self.registry.ages(now))
         self._outbox.send(address, update)
 
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -15,9 +15,8 @@
 
 Lifeguard: before it suspects others, a process considers that it may itself be slow or partitioned. Each
 probe without an ack, and each update in which the process itself is suspect or dead, raises its health score.
-A higher score lengthens its probe interval and its suspicion timeouts. A process detects that it was paused
-by a tick that is late. It then discards the probes in flight, because acks may have been missed during the
-pause.
+A higher score lengthens its probe interval and its suspicion timeouts. A process detects by a late tick that
+it was paused. It then discards the probes in flight, because acks may have been missed during the pause.
 
 Updates are piggybacked on pings and acks, each on a number of packets that is logarithmic in the fleet's
 size. The cost per process therefore does not grow with the fleet, except for the complete member table, which
--- a/tests/gossip/test_members.py
+++ b/tests/gossip/test_members.py
@@ -128,7 +128,7 @@
 
 UPDATES = st.builds(
     MembershipUpdate,
-    st.sampled_from([f"n{life}@{address}" for life in "ab" for address in (A, B, C)]),
+    st.sampled_from([f"n{suffix}@{address}" for suffix in "ab" for address in (A, B, C)]),
     st.integers(1, 4),
     st.sampled_from(MemberStatus),
     st.just(f"na@{C}"),
