--- a/benchmarks/control/exploration.py
+++ b/benchmarks/control/exploration.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
+class PlayedHistory:
     """The result of one history. `broken`: the invariant that it violated; empty if it violated none."""
 
     task: Task
@@ -56,9 +56,9 @@
     pairs: Counter[tuple[str, str]] = field(
         default_factory=Counter
     )  # kinds of faults that overlapped in time
-    broken: list[Played] = field(default_factory=list)
+    broken: list[PlayedHistory] = field(default_factory=list)
 
-    def add(self, played: Played) -> None:
+    def add(self, played: PlayedHistory) -> None:
         """Add the result of one history."""
         self.histories += 1
         result = played.result
@@ -123,15 +123,15 @@
     return summary
 
 
-def _play(task: Task) -> Played:
+def _play(task: Task) -> PlayedHistory:
     with planted_defect(task.defect):
         try:
-            return Played(task, play(task.seed, task.machines, task.tolerance))
+            return PlayedHistory(task, play(task.seed, task.machines, task.tolerance))
         except InvariantViolationError as error:
-            return Played(task, None, str(error))
+            return PlayedHistory(task, None, str(error))
 
 
-def record(played: Played, folder: Path = RECORDED) -> Path:
+def record(played: PlayedHistory, folder: Path = RECORDED) -> Path:
     """Shrink a failing history to few faults, and write it as data of the test that replays it."""
     task = played.task
     with planted_defect(task.defect):
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -213,7 +213,7 @@
             fleet.kill(address)
             fleet.start(address)
 
-        def cut_off() -> None:
+        def isolate_and_drain() -> None:
             fleet.network.isolate([address], fleet.machines)
             self.workers.drain(self._random, address)
 
@@ -221,7 +221,7 @@
         fleet.call_later(700 * MS, lambda: self.workers.drain(self._random, address))
         fleet.network.hold(address, fleet.now + 720 * MS, fleet.now + 1_800 * MS)
         fleet.call_later(730 * MS, restart)
-        fleet.call_later(1_795 * MS, cut_off)
+        fleet.call_later(1_795 * MS, isolate_and_drain)
         fleet.call_later(2 * S + duration, fleet.heal)
         self._lost_until[address] = fleet.now + 2 * S + duration + RESYNC_US + 1 * S
         self.effects_end_at = max(self.effects_end_at, fleet.now + duration + 4 * S)
@@ -296,12 +296,12 @@
         self.fleet.call_later(duration, end)
 
     def _storm(self, victim: Machine, duration: int) -> None:
-        self._storm_of(STORM_CHANGES, LARGE_BODY_BYTES, STORM_GAP_US)
+        self._send_changes(STORM_CHANGES, LARGE_BODY_BYTES, STORM_GAP_US)
 
     def _huge_bodies(self, victim: Machine, duration: int) -> None:
-        self._storm_of(4, HUGE_BODY_BYTES, 600 * MS)
+        self._send_changes(4, HUGE_BODY_BYTES, 600 * MS)
 
-    def _storm_of(self, changes: int, size: int, gap: int) -> None:
+    def _send_changes(self, changes: int, size: int, gap: int) -> None:
         """Send many changes in the background; every third has a body of this size."""
 
         def send_next(remaining_changes: int) -> None:
@@ -323,7 +323,7 @@
         gap = self._random.choice(BUSY_GAPS_US)
         inject_fault = self._random.choice((self._replace, self._wipe, self._cut))
         loses_disk = inject_fault != self._cut
-        self._storm_of(BUSY_US // gap, 0, gap)
+        self._send_changes(BUSY_US // gap, 0, gap)
         if victim is self.fleet.leader or (loses_disk and not self._may_lose_disk()):
             return
         self._lost_until[victim.address] = self.fleet.now + BUSY_US + RESYNC_US
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -169,7 +169,7 @@
         machine.published_version = 0
         machine.started_at = self.now
         machine.confirmed_at = None
-        self._pump(machine, machine.incarnation)
+        self._run_engine(machine, machine.incarnation)
 
     @property
     def seeds(self) -> tuple[str, ...]:
@@ -224,17 +224,19 @@
 
     # --- the driver, as in system/control_daemon.py ---
 
-    def _pump(self, machine: Machine, incarnation: int) -> None:
+    def _run_engine(self, machine: Machine, incarnation: int) -> None:
         if machine.incarnation != incarnation or machine.engine is None:
             return
         if self.now < machine.frozen_until:
-            self.call_later(machine.frozen_until - self.now, lambda: self._pump(machine, incarnation))
+            self.call_later(machine.frozen_until - self.now, lambda: self._run_engine(machine, incarnation))
             return
         engine = machine.engine
         if self.now >= engine.next_tick_at:
             engine.tick(self.now)
         self._flush(machine)
-        self.call_later(max(engine.next_tick_at - self.now, 1 * MS), lambda: self._pump(machine, incarnation))
+        self.call_later(
+            max(engine.next_tick_at - self.now, 1 * MS), lambda: self._run_engine(machine, incarnation)
+        )
 
     def _flush(self, machine: Machine) -> None:
         engine = machine.engine
@@ -260,9 +262,11 @@
         incarnation = machine.incarnation
         commit_index = engine.raft.commit_index
         delay = machine.disk.sync_us + max(machine.disk.stalled_until - self.now, 0)
-        self.call_later(delay, lambda: self._saved(machine, incarnation, records, commit_index, durable))
+        self.call_later(
+            delay, lambda: self._finish_save(machine, incarnation, records, commit_index, durable)
+        )
 
-    def _saved(
+    def _finish_save(
         self,
         machine: Machine,
         incarnation: int,
@@ -278,7 +282,7 @@
             engine.raft.first_unsaved_index = engine.raft.persistent.last_included_index
             for outcome in engine.discard_durable_output(output):
                 self._resolve(machine, outcome)
-            self.call_later(200 * MS, lambda: self._free_to_save(machine, incarnation))
+            self.call_later(200 * MS, lambda: self._retry_save(machine, incarnation))
             return
         machine.saving = False
         machine.disk.save(records, commit_index)
@@ -299,7 +303,7 @@
         if is_idle and machine.engine is not None and not disk.save_fails([], disk.commit_index):
             disk.commit_index = max(disk.commit_index, machine.engine.raft.commit_index)
 
-    def _free_to_save(self, machine: Machine, incarnation: int) -> None:
+    def _retry_save(self, machine: Machine, incarnation: int) -> None:
         if machine.incarnation == incarnation:
             machine.saving = False
             self._flush(machine)
@@ -385,7 +389,7 @@
 
         self._call(address, lambda engine: engine.read_config(self.now), on_outcome, on_result)
 
-    def worker(self, address: str, record: WorkerRecord, on_result: Callable[[bool], None]) -> None:
+    def send_heartbeat(self, address: str, record: WorkerRecord, on_result: Callable[[bool], None]) -> None:
         """Send a worker's heartbeat to this machine. The result is whether it was acknowledged."""
 
         def on_outcome(outcome: co.CallOutcome) -> None:
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -62,7 +62,7 @@
         end = fleet.now + length
         while fleet.now < end:
             self._run_and_check(self._rng.randint(20 * MS, 600 * MS))
-            self._act(self._rng.random())
+            self._perform_action(self._rng.random())
         last = fleet.now + LAST_FAULTS_US
         while fleet.now < min(max(self.fault_injector.effects_end_at, fleet.now + 1 * S), last):
             self._run_and_check(200 * MS)
@@ -71,11 +71,11 @@
         self._check_caught_up()
         self.operators.check_end()
 
-    def _act(self, drawn: float) -> None:
+    def _perform_action(self, drawn: float) -> None:
         if drawn < 0.40:
             self.operators.change()
         elif drawn < 0.48:
-            self.operators.race()
+            self.operators.send_conflicting_changes()
         elif drawn < 0.53:
             self.operators.resend_old()
         elif drawn < 0.78:
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -37,7 +37,7 @@
 STEP_US = 5 * MS
 
 
-def _started(seed: int, machines: int) -> Fleet:
+def _form_fleet(seed: int, machines: int) -> Fleet:
     fleet = Fleet(seed, machines, (machines - 1) // 2)
     assert fleet.run_until(lambda: has_formed(fleet, machines), 10 * S)
     return fleet
@@ -45,7 +45,7 @@
 
 def _partition_leader(seed: int, machines: int) -> dict[str, int]:
     """Partition the leader for 20 s, with changes on the other side; returns the times in microseconds."""
-    fleet = _started(seed, machines)
+    fleet = _form_fleet(seed, machines)
     old = fleet.leader
     started_at = fleet.now
     fleet.network.isolate([old.address], fleet.machines)
@@ -76,7 +76,7 @@
 
 def _calls(seed: int, machines: int) -> tuple[list[int], list[int]]:
     """The durations of puts and of reads at the leader, in microseconds."""
-    fleet = _started(seed, machines)
+    fleet = _form_fleet(seed, machines)
     puts: list[int] = []
     reads: list[int] = []
     for version in range(1, CALLS + 1):
@@ -98,7 +98,7 @@
 
 
 def _bytes_at_rest(seed: int, machines: int) -> float:
-    fleet = _started(seed, machines)
+    fleet = _form_fleet(seed, machines)
     fleet.run(5 * S)
     before = fleet.network.bytes
     fleet.run(20 * S)
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -195,7 +195,7 @@
             if held:
                 self.acknowledged.setdefault(record.instance, self.fleet.now)
 
-        self.fleet.worker(address, record, on_result)
+        self.fleet.send_heartbeat(address, record, on_result)
         if attempts > 1:
             copied = WorkerRecord(**{name: getattr(record, name) for name in record.__struct_fields__})
             pause = WORKER_HEARTBEAT_US if record.instance in self.acknowledged else 300 * MS
--- a/benchmarks/control/operators.py
+++ b/benchmarks/control/operators.py
@@ -78,7 +78,7 @@
             delay = self._random.randrange(MAX_CALL_DELAY_US)
             self.fleet.call_later(delay, lambda: self._send(change, self._any_machine(), MAX_ATTEMPTS))
 
-    def race(self) -> None:
+    def send_conflicting_changes(self) -> None:
         """Send two different changes with the same base and version, each to any machine."""
         self._version += 1
         for _ in range(2):
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -159,7 +159,7 @@
 
 def heartbeat(context, instance, machine, state, seq):
     record = WorkerRecord(instance, "s", "10.9.0.1:80", "z", state, seq)
-    context.fleet.worker(context.fleet.addresses[machine - 1], record, context.acknowledged.append)
+    context.fleet.send_heartbeat(context.fleet.addresses[machine - 1], record, context.acknowledged.append)
 
 
 @when("worker {instance} reports at machine {machine:d} that it drains")
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -356,14 +356,14 @@
         self._broadcast(now)
         self._advance_commit_index(now)
 
-    def _peer_of(self, message: Message) -> Progress | None:
+    def _progress_of_sender(self, message: Message) -> Progress | None:
         """The progress of the replica that sent this answer; None if this node does not lead in its term."""
         if not self.is_leader or message.term != self.persistent.current_term:
             return None
         return self.peers.get(message.sender)
 
     def _handle_chunk_response(self, message: Message, response: ChunkResponse, now: int) -> None:
-        peer = self._peer_of(message)
+        peer = self._progress_of_sender(message)
         if peer is None:
             return
         peer.last_contact_at = now
@@ -378,7 +378,7 @@
         self._advance_commit_index(now)
 
     def _handle_append_response(self, message: Message, response: AppendResponse, now: int) -> None:
-        peer = self._peer_of(message)
+        peer = self._progress_of_sender(message)
         if peer is None:
             return
         peer.last_contact_at = now
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -420,7 +420,7 @@
 def test_drain_is_acknowledged_after_another_machine_holds_it(fleet):
     results: list[bool] = []
     draining = record(seq=4, state=WorkerState.DRAINING)
-    fleet.worker(fleet.addresses[1], draining, results.append)
+    fleet.send_heartbeat(fleet.addresses[1], draining, results.append)
     assert results == []
     fleet.run(100 * MS)
     assert results == [True]
@@ -466,11 +466,11 @@
         fleet.partition(observers[0], other)
     results: list[bool] = []
     draining = {"seq": 4, "state": WorkerState.DRAINING}
-    fleet.worker(core[0], record("i-1", address="10.8.0.1:1", **draining), results.append)
-    fleet.worker(observers[0], record("i-2", address="10.8.0.2:1", **draining), results.append)
+    fleet.send_heartbeat(core[0], record("i-1", address="10.8.0.1:1", **draining), results.append)
+    fleet.send_heartbeat(observers[0], record("i-2", address="10.8.0.2:1", **draining), results.append)
     fleet.run(2 * S)
     assert results == [False, False]
-    fleet.worker(observers[1], record("i-3", address="10.8.0.3:1", **draining), results.append)
+    fleet.send_heartbeat(observers[1], record("i-3", address="10.8.0.3:1", **draining), results.append)
     fleet.run(100 * MS)
     assert results == [False, False, True], "two quorum processes hold it"
 
@@ -480,10 +480,10 @@
     for other in fleet.addresses:
         fleet.partition(isolated, other)
     results: list[bool] = []
-    fleet.worker(isolated, record(seq=4, state=WorkerState.DRAINING), results.append)
+    fleet.send_heartbeat(isolated, record(seq=4, state=WorkerState.DRAINING), results.append)
     fleet.run(2 * S)
     assert results == [False]
-    fleet.worker(isolated, record(seq=5), results.append)
+    fleet.send_heartbeat(isolated, record(seq=5), results.append)
     assert results == [False, True], "a heartbeat of a ready worker needs no other process"
 
 
--- a/tests/control/test_control_faults.py
+++ b/tests/control/test_control_faults.py
@@ -128,10 +128,10 @@
     minority = [machine.address for machine in fleet.alive if machine is not fleet.leader][:2]
     isolate(fleet, minority)
     results: list[bool] = []
-    fleet.worker(minority[0], DRAINING, results.append)
+    fleet.send_heartbeat(minority[0], DRAINING, results.append)
     fleet.run(2 * S)
     assert results == [False]
-    fleet.worker(fleet.leader.address, DRAINING, results.append)
+    fleet.send_heartbeat(fleet.leader.address, DRAINING, results.append)
     fleet.run(2 * S)
     assert results == [False, True]
 
@@ -149,7 +149,7 @@
     fleet.run(1 * S)
     results: list[bool] = []
     for address in (restarted.address, voter.address):
-        fleet.worker(address, DRAINING, results.append)
+        fleet.send_heartbeat(address, DRAINING, results.append)
         fleet.run(1 * S)
     assert results == [False, False]
 
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -129,7 +129,7 @@
         record = WorkerRecord(
             f"w{n}", "chat", f"127.0.0.1:800{n}", "a", state, n, 8, ("", "prefill", "decode")[n]
         )
-        fleet.worker(first, record, lambda held: None)
+        fleet.send_heartbeat(first, record, lambda held: None)
     leader = fleet.leader
     assert leader is not None
     fleet.put(leader.address, 0, 7, b'{"version": 7}', lambda result: None)
