--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -13,7 +13,7 @@
 def forget_the_wait(watcher: ExpiryWatcher, term: int) -> None:
     """A new leader takes all that was granted for over."""
     if watcher.proposed_in_term != term:
-        watcher.held_since = dict.fromkeys(watcher.held_since, 0)
+        watcher.renewed_at = dict.fromkeys(watcher.renewed_at, 0)
 
 
 class Forgetful(LeaseTable):
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -121,7 +121,7 @@
             self._start(node)
         first = self.nodes[0]
         assert first.raft is not None
-        self._found_epoch(first)
+        self._start_new_epoch(first)
         self.at(S, self._tend)
         self.at(self.random.expovariate(1 / S), self._fault)
         while self.events and self.events[0][0] <= self.end:
@@ -183,7 +183,7 @@
             node.disk += frame[: self.torn.randrange(1, len(frame))]
         self.at(self.random.uniform(0, longest) * S, lambda: self._start(node) if node.raft is None else None)
 
-    def _found_epoch(self, node: Node) -> None:
+    def _start_new_epoch(self, node: Node) -> None:
         assert node.raft is not None
         known = max(node.raft.persistent.epoch, 0)
         self.epoch = next_epoch(known, self.now / S + 1_000, node.raft.identity)
@@ -483,7 +483,7 @@
             self.faults["new epoch"] += 1
             known = [each for each in up if each.raft and each.raft.persistent.epoch == self.epoch]
             node = self.random.choice(known or up)
-            self._found_epoch(node)
+            self._start_new_epoch(node)
 
     def _resume(self, node: Node, incarnation: int) -> None:
         if node.incarnation != incarnation or node.raft is None:
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -43,7 +43,7 @@
         self.running[account] += 1
         self.own[index][account] += 1
         drawn = round(self.random.expovariate(1 / self.scenario.mean_service_us))
-        service_us = min(drawn, self.terms.max_job_time_us)
+        service_us = min(drawn, self.parameters.max_job_time_us)
         self.at(self.now + service_us, lambda: self._served(index, account))
 
     def _served(self, index: int, account: str) -> None:
--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -29,11 +29,11 @@
 from hazelbend.quotas.invariants import BrokenInvariantError, check_client, check_ledger
 from hazelbend.quotas.ledger import QuotaLedger
 from hazelbend.quotas.operations import Account, OpenEpoch, QuotaResponse, Reclaim, ReturnUnits, SetAccounts
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 
 S = 1_000_000  # microseconds
 HANGING_JOBS = 0.2  # of all, where there are faults: they run for the longest time
-LONG = QuotaTerms()
+LONG = QuotaParameters()
 ACCOUNTS = (
     Account("all", 10),
     Account("a", 8, 4, "all"),
@@ -41,7 +41,7 @@
     Account("c", 3, 0, "all"),
 )
 # So short that many allocations end in a schedule of 20 s.
-SHORT = QuotaTerms(allocation_ttl_us=1 * S, max_job_time_us=2 * S)
+SHORT = QuotaParameters(allocation_ttl_us=1 * S, max_job_time_us=2 * S)
 DEFECTS = (
     "a holder goes on after its time",
     "a unit given back twice",
@@ -82,7 +82,7 @@
 
     machines: int = 3
     accounts: tuple[Account, ...] = ACCOUNTS
-    terms: QuotaTerms = LONG
+    parameters: QuotaParameters = LONG
     load: float = 1.5
     faults: bool = True
     defect: str = ""
@@ -96,15 +96,15 @@
     def __init__(self, seed: int, scenario: Scenario) -> None:
         self.random = random.Random(seed)
         self.scenario = scenario
-        self.terms = scenario.terms
+        self.parameters = scenario.parameters
         self.defect = scenario.defect
         self.loss = scenario.loss if scenario.faults else 0.0
         self.leaves = [account for account in scenario.accounts if account.parent]
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.number = 0  # of events and machines
-        self.ledger = QuotaLedger(self.terms)
-        self.watcher = AllocationExpiryWatcher(self.terms)
+        self.ledger = QuotaLedger(self.parameters)
+        self.watcher = AllocationExpiryWatcher(self.parameters)
         self.ledger.begin(1)
         self.ledger.execute(OpenEpoch())  # nothing was allocated before
         self.ledger.execute(SetAccounts(scenario.accounts))
@@ -120,11 +120,11 @@
 
     def _machine(self, number: int) -> Machine:
         self.number += 1
-        drift = self.terms.max_clock_drift if self.scenario.faults else 0.0
+        drift = self.parameters.max_clock_drift if self.scenario.faults else 0.0
         machine = Machine(f"m{number}#{self.number}", self.random.uniform(1 - drift, 1 + drift))
         for account in self.leaves:
             clock = machine.clock(self.now)
-            client = AllocationClient(account.name, machine.identity, self.terms, clock)
+            client = AllocationClient(account.name, machine.identity, self.parameters, clock)
             machine.clients[account.name] = client
         return machine
 
@@ -202,7 +202,7 @@
         self.counts["admitted"] += 1
         self._count_busy_time()
         self.running[account] += 1
-        longest = self.terms.max_job_time_us
+        longest = self.parameters.max_job_time_us
         service_us = min(round(self.random.expovariate(1 / self.scenario.mean_service_us)), longest)
         if self.scenario.faults and self.random.random() < HANGING_JOBS:
             service_us = longest  # a server that hangs
@@ -336,12 +336,12 @@
             machine.dead = True
             self.at(self.now + self.random.randrange(2 * S), lambda: self.start(index))
         elif kind == "stop":
-            machine.stopped_until = self.now + self.random.randrange(2 * self.terms.allocation_ttl_us)
+            machine.stopped_until = self.now + self.random.randrange(2 * self.parameters.allocation_ttl_us)
             self.at(machine.stopped_until, lambda: self.wake(index, machine))
         elif kind == "cut":
-            machine.cut_until = self.now + self.random.randrange(2 * self.terms.allocation_ttl_us)
+            machine.cut_until = self.now + self.random.randrange(2 * self.parameters.allocation_ttl_us)
         elif kind == "leader":
-            self.watcher = AllocationExpiryWatcher(self.terms)
+            self.watcher = AllocationExpiryWatcher(self.parameters)
             self.watcher.observe(self.ledger, self.now)
         elif kind == "epoch" and self.random.random() < 0.1:
             self.ledger.begin(self.ledger.state.epoch + 1)
@@ -370,7 +370,7 @@
 
 def fault_scenario(machines: int, defect: str) -> Scenario:
     """Short allocations and much load, so that a schedule has many faults that matter."""
-    return Scenario(machines=machines, terms=SHORT, load=3.0, defect=defect)
+    return Scenario(machines=machines, parameters=SHORT, load=3.0, defect=defect)
 
 
 def run_schedules(schedules: int, seconds: float, scenario: Scenario, first_seed: int = 0) -> dict[str, Any]:
--- a/benchmarks/srv_names.py
+++ b/benchmarks/srv_names.py
@@ -173,10 +173,10 @@
     turns, asked, began = itertools.count(), [], 10**15
 
     def run(resolver: Resolver, now: int, queries: list[Query]) -> None:
-        for query in [*queries, *resolver.due(now)]:
+        for query in [*queries, *resolver.take_due_queries(now)]:
             asked.append(now - began)
             heapq.heappush(events, (now + 1_000, next(turns), resolver, query.id))
-        if (at := resolver.next_at(now)) is not None:
+        if (at := resolver.next_due_at(now)) is not None:
             heapq.heappush(events, (max(at, now + 1), next(turns), resolver, 0))
 
     for number in range(count):
@@ -190,7 +190,7 @@
         if number:
             key = EndpointKey("box.example.org", 7101)
             beside = {Question(key.target, RecordType.A): PositiveAnswer({"127.0.0.1": None}, TTL_S)}
-            queries = resolver.query_done(
+            queries = resolver.handle_result(
                 number, PositiveAnswer({key: SrvPreference(0, 1)}, TTL_S, beside), now
             )
         run(resolver, now, queries)
--- a/hazelbend/cli/fleet.py
+++ b/hazelbend/cli/fleet.py
@@ -65,11 +65,11 @@
 async def start(settings: FleetSettings, links: PeerLinks, *, force: bool) -> int:
     """Start a new epoch. `force`: even if somebody leads, as far as this machine's dispatcher knows."""
     try:
-        epoch = await links.found_epoch(settings.listen, force=force, timeout_s=CALL_TIMEOUT_S)
+        epoch = await links.start_new_epoch(settings.listen, force=force, timeout_s=CALL_TIMEOUT_S)
     except ValueError as error:
         print(f"hazelbend: {error}", file=sys.stderr)
         return ExitStatus.NOTHING
-    wait_s = settings.leases.opening_wait_s
+    wait_s = settings.leases.epoch_opening_delay_s
     print(f"epoch {epoch} is started; leases are granted from {wait_s:.1f} s from now on")
     return ExitStatus.OK
 
--- a/hazelbend/decisions/admission.py
+++ b/hazelbend/decisions/admission.py
@@ -61,6 +61,6 @@
 
     def value_rate(self, job: JobClass, index: int) -> float:
         """Return the value of a unit of work of a job class."""
-        if self.settings.worth_by_work:
-            return job.worth
-        return job.worth / self._load_model.run_times[index].value
+        if self.settings.value_per_work:
+            return job.value
+        return job.value / self._load_model.run_times[index].value
--- a/hazelbend/decisions/discovery_retry.py
+++ b/hazelbend/decisions/discovery_retry.py
@@ -44,8 +44,8 @@
 CALL_TIMEOUT_US = 2_500_000
 MAX_RETRY_US = 1_250_000
 ANSWER_TIME_US = NOTIFIED_AFTER_FAILURE_US - CALL_TIMEOUT_US - 2 * MAX_RETRY_US
-MAX_DELAY_FRACTION = 0.5  # of `ask_within`, that no delay exceeds
-BACKOFF_FRACTION = 0.0075  # of `ask_within`, that doubles with each failure
+MAX_DELAY_FRACTION = 0.5  # of `poll_interval`, that no delay exceeds
+BACKOFF_FRACTION = 0.0075  # of `poll_interval`, that doubles with each failure
 MAX_PUSHED_RETRY_US = 100_000  # where lists are pushed: a drain's grace may be as short
 MAX_COUNTED_FAILURES = 30
 WATCH_HOLD_US = 3_000_000  # that a watch waits for a change
@@ -67,26 +67,26 @@
 
     def first_delay(self, settings: Settings, rng: random.Random) -> int:
         """Return the delay of the first call."""
-        if settings.fleet_size < LARGE_FLEET or not settings.list_must_be_asked:
+        if settings.fleet_size < LARGE_FLEET or not settings.list_is_polled:
             return 0
         spread = min(
             FIRST_CALL_SPREAD_US * settings.fleet_size,
             MAX_FIRST_CALL_SPREAD_US,
-            MAX_DELAY_FRACTION * settings.ask_within,
+            MAX_DELAY_FRACTION * settings.poll_interval,
         )
         return round(rng.uniform(0.0, spread))
 
     def retry_delay(self, settings: Settings, rng: random.Random) -> int:
         """Count a failed call; return the delay of the next one."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
-        if not settings.list_must_be_asked:
+        if not settings.list_is_polled:
             return 0 if self.failures == 1 else round(MAX_PUSHED_RETRY_US * rng.uniform(0.5, 1.0))
         if self.failures <= EARLY_RETRIES:
             longest: float = EARLY_RETRY_US
         else:
             backoff = BACKOFF_FRACTION * 2**self.failures * max(settings.fleet_size / LARGE_FLEET, 1.0)
             longest = min(
-                backoff * settings.ask_within, MAX_DELAY_FRACTION * settings.ask_within, MAX_RETRY_US
+                backoff * settings.poll_interval, MAX_DELAY_FRACTION * settings.poll_interval, MAX_RETRY_US
             )
         return round(longest * rng.uniform(0.5, 1.0))
 
--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -37,10 +37,10 @@
     AttemptEnded,
     Cancel,
     ClientGone,
-    Effect,
+    Idempotency,
     Event,
     Fail,
-    Group,
+    DedupScope,
     JobProgress,
     JobStarted,
     ListKind,
@@ -128,7 +128,7 @@
         self._handlers[type(event)](event, now)
         return self._actions
 
-    def avoided(self, now: int) -> set[WorkerId]:
+    def workers_in_backoff(self, now: int) -> set[WorkerId]:
         """Return the listed workers that are sent nothing for now, as they seem unhealthy."""
         return {number for number, worker in self.workers.items() if worker.backoff_until > now}
 
@@ -177,7 +177,7 @@
             event.request,
             job,
             event.job_class,
-            deadline=now + event.patience,
+            deadline=now + event.client_timeout,
             target=now + job.objective + job.stretch * work,
             work=work,
             cost=work / model.work.value * event.slots / model.width.value,
@@ -212,7 +212,7 @@
             self._send(request, option, now)
         elif request.is_in_flight:
             return
-        elif not allowed or (option and not request.job.late_worth):
+        elif not allowed or (option and not request.job.late_value_fraction):
             # Where a late answer earns nothing, a client that tries again may get one in time.
             self._close(request, now, option)
         else:
@@ -221,7 +221,7 @@
     def _queue(self, request: Request, now: int) -> None:
         if request.id not in self.queued:
             expires_at = request.deadline - 2 * self.settings.tick
-            if not request.job.late_worth:
+            if not request.job.late_value_fraction:
                 # Where a late answer earns nothing, what is late is given up, and answered at once.
                 expires_at = min(expires_at, round(request.target))
             delay = max(expires_at - now, 0)
@@ -251,7 +251,7 @@
         """Give the final answer: a rejection where it is true that trying again does no harm."""
         job = request.job
         may_have_run = request.first_possible_run is not None
-        is_repeatable = job.effect is Effect.SAFE or (job.effect is Effect.KEYED and job.group is Group.ALL)
+        is_repeatable = job.idempotency is Idempotency.SAFE or (job.idempotency is Idempotency.KEYED and job.dedup_scope is DedupScope.ALL)
         retry_after = self.admission.retry_after(request, option, self.membership.ready, now)
         if is_repeatable or not may_have_run:
             self._actions.append(Refuse(request.id, retry_after))
@@ -290,7 +290,7 @@
             spend_budget(attempt, now)
         self._actions.append(Send(request.id, worker.entry.worker))
 
-    def may_begin(self, request_id: RequestId, number: int, now: int) -> bool:
+    def may_still_send(self, request_id: RequestId, number: int, now: int) -> bool:
         """Whether an attempt may still be sent, now that its connection is open."""
         request = self.requests.get(request_id)
         if request is None or request.closed:
@@ -311,7 +311,7 @@
         """Move a late attempt's slow-start cost to the window in which it arrives; False if that is full."""
         worker = attempt.worker
         release_budget(attempt)
-        rate = worker.rate * self.settings.warmth(worker.entry.started_at, now)
+        rate = worker.rate * self.settings.capacity_fraction(worker.entry.started_at, now)
         allowed = self.selector.has_budget(worker, attempt.cost, rate, now)
         if allowed:
             spend_budget(attempt, now)
@@ -431,7 +431,7 @@
         if self.load_model.uses_plan:
             healthy = [worker for worker in self.membership.ready if worker.backoff_until <= now]
             self.plan.update(healthy, self.settings, now)
-        elif now >= self.slow_start.drawn_at + self.settings.fall_window:
+        elif now >= self.slow_start.drawn_at + self.settings.collapse_window:
             self.slow_start.draw(self.workers.values(), self.settings, self.random, now)
         for worker in self.prober.take_old_reports(now):
             self._probe(worker, now)
--- a/hazelbend/decisions/fleet_plan.py
+++ b/hazelbend/decisions/fleet_plan.py
@@ -50,9 +50,9 @@
     are warm. What the cold ones do not get is for the warm ones, whose queues can hold it; with none, jobs
     have to wait.
     """
-    safe_multiple = SAFE_COLD_FRACTION * settings.fall_multiple
+    safe_multiple = SAFE_COLD_FRACTION * settings.collapse_multiple
     current_rates = {
-        worker: worker.rate * settings.warmth(worker.entry.started_at, now) for worker in workers
+        worker: worker.rate * settings.capacity_fraction(worker.entry.started_at, now) for worker in workers
     }
     full_rate = sum(worker.rate for worker in current_rates)
     current_rate = sum(current_rates.values())
--- a/hazelbend/decisions/health.py
+++ b/hazelbend/decisions/health.py
@@ -44,4 +44,4 @@
         return interval > 0 and now - attempt.heard_at > interval + PAUSE_US
     silence = now - max(worker.heard_at, attempt.sent_at)
     is_lost = silence > attempt.silence_limit or attempt.overtaken_by >= MAX_OVERTAKEN
-    return settings.tells_start and is_lost
+    return settings.reports_job_starts and is_lost
--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -13,7 +13,7 @@
 WorkerId: TypeAlias = int
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How often a request of a class may take effect."""
 
     SAFE = "safe"  # may be repeated and refused freely
@@ -21,7 +21,7 @@
     UNSAFE = "unsafe"  # must never run twice
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """The workers that drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -69,11 +69,11 @@
 
     objective: int = 1_000_000  # latency target: an answer within this (and the stretch) earns the full worth
     stretch: float = 0.0  # the objective grows by this many times the job's own work
-    worth: float = 1.0  # of an answer in time: of each request, or of a unit of its work
-    late_worth: float = 0.0  # part of the worth paid after the objective
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
-    repeat_window: int = 0
+    value: float = 1.0  # of an answer in time: of each request, or of a unit of its work
+    late_value_fraction: float = 0.0  # part of the worth paid after the objective
+    idempotency: Idempotency = Idempotency.UNSAFE
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: int = 0
     machine_kind: int = -1  # the one kind of worker that runs the class; -1: any
 
 
@@ -84,48 +84,48 @@
     fleet_size: int = 1
     zone: int = 0
     classes: tuple[JobClass, ...] = (JobClass(),)
-    worth_by_work: bool = False  # a class's worth is that of a unit of work, not of a request
-    list_must_be_asked: bool = False
+    value_per_work: bool = False  # a class's worth is that of a unit of work, not of a request
+    list_is_polled: bool = False
     list_is_pushed: bool = False  # on a watch that this dispatcher opens; else it comes by itself or is asked
-    ask_within: int = 10_000_000
-    weights_tell: bool = True  # whether a listed weight stands for anything
+    poll_interval: int = 10_000_000
+    weights_enabled: bool = True  # whether a listed weight stands for anything
     weights_fall_with_load: bool = False
     reports_by_probe: bool = False
     reports_inline: bool = False
     probes_allowed: bool = False
     cancel_allowed: bool = False
-    second_copies_allowed: bool = False
+    hedging_allowed: bool = False
     max_attempts: int = 3
     probe_charge: float = 0.0
     cross_zone_charge: float = 0.0
     handshake_charge: float = 0.0
     keepalive: int = 60_000_000  # an idle connection closes after this
     tick: int = 1_000
-    fall_multiple: float = 2.0
-    fall_window: int = 1_000_000
-    start_capacity: float = 0.1
-    warm_after: int = 30_000_000
-    tells_start: bool = False
+    collapse_multiple: float = 2.0
+    collapse_window: int = 1_000_000
+    initial_capacity: float = 0.1
+    warmup_duration: int = 30_000_000
+    reports_job_starts: bool = False
     progress_interval: int = 0
 
     @property
     def list_is_watched(self) -> bool:
         """Whether the list comes only where a watch is open."""
-        return self.list_must_be_asked or self.list_is_pushed
+        return self.list_is_polled or self.list_is_pushed
 
     @property
-    def blind(self) -> bool:
+    def lacks_load_reports(self) -> bool:
         """Whether no worker reports its load."""
         asked = self.reports_by_probe and self.probes_allowed
         return not (asked or self.reports_inline or self.weights_fall_with_load)
 
-    def warmth(self, started_at: int, now: int) -> float:
+    def capacity_fraction(self, started_at: int, now: int) -> float:
         """Return the least part of its capacity that a worker has by now.
 
         It grows linearly from the start of the worker's process; `started_at` 0: long ago.
         """
-        age = max(now - started_at, 0) / max(self.warm_after, 1) if started_at else 1.0
-        return min(self.start_capacity + (1 - self.start_capacity) * age, 1.0)
+        age = max(now - started_at, 0) / max(self.warmup_duration, 1) if started_at else 1.0
+        return min(self.initial_capacity + (1 - self.initial_capacity) * age, 1.0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -166,7 +166,7 @@
     """A request has arrived."""
 
     request: RequestId
-    patience: int  # time until the client gives up
+    client_timeout: int  # time until the client gives up
     job_class: int = 0
     tenant: int = 0
     slots: float = 1.0
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -65,7 +65,7 @@
         for job in settings.classes[len(self.run_times) :]:
             guess = CLASS_PRIOR_SAMPLES * max(job.objective, 1)
             self.run_times.append(Mean(CLASS_PRIOR_SAMPLES, guess))
-        self.uses_plan = settings.blind and settings.fleet_size > 1
+        self.uses_plan = settings.lacks_load_reports and settings.fleet_size > 1
         self.uses_report_period = has_reports_of_large_fleet(settings)
 
     @property
@@ -129,12 +129,12 @@
         worker.rated_at = now
         worker.concurrency = max(worker.slots / self.width.value, 1.0)
         listed = worker.concurrency * self.weights.value / (self.rates.value * worker.weight)
-        if self.uses_plan or (worker.slots and not settings.weights_tell):
+        if self.uses_plan or (worker.slots and not settings.weights_enabled):
             # The list tells no sizes: reports do, and runs on all workers of a kind tell their speed.
             kind_ratio = self.kind_run_ratios.get(kind, Mean())
             listed = kind_ratio.with_prior(self.run_ratio.value, CLASS_PRIOR_SAMPLES)
         ratio = worker.run_time_ratio.with_prior(listed, RATE_PRIOR_SAMPLES)
-        if self.uses_plan and settings.weights_tell:  # a weight tells jobs at once, times their speed
+        if self.uses_plan and settings.weights_enabled:  # a weight tells jobs at once, times their speed
             capacity = worker.weight * ratio / self.run_ratio.value / self.width.value
             worker.concurrency = max(capacity, 1.0)
         typical = self.rates.value * self.run_ratio.value  # jobs at once, of a worker without reports
--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -43,7 +43,7 @@
         worker.entry = entry
         worker.weight = max(entry.weight, MIN_WEIGHT)
         settings = self._load_model.settings
-        is_cold = settings.warmth(entry.started_at, now) < 1.0
+        is_cold = settings.capacity_fraction(entry.started_at, now) < 1.0
         # The highest number: it wins nothing until `SlowStart` draws one.
         worker.lottery_number = float(is_cold and not self._load_model.uses_plan)
         if settings.weights_fall_with_load:
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -9,7 +9,7 @@
 from typing import TypeAlias
 
 from hazelbend.decisions.fleet_plan import FleetPlan, preference_order
-from hazelbend.decisions.interface import Effect, Group, RequestId, Settings
+from hazelbend.decisions.interface import Idempotency, DedupScope, RequestId, Settings
 from hazelbend.decisions.job_count import expected_jobs
 from hazelbend.decisions.load_model import LoadModel
 from hazelbend.decisions.membership import Membership
@@ -78,11 +78,11 @@
         healthy = [worker for worker in workers if worker.backoff_until <= now and worker in ready]
         found = [worker for worker in healthy if self._slow_start.may_use(worker) and worker not in tried]
         found = [worker for worker in found if job.machine_kind in (-1, worker.entry.machine_kind)]
-        if job.effect is Effect.KEYED and job.group is not Group.ALL:
+        if job.idempotency is Idempotency.KEYED and job.dedup_scope is not DedupScope.ALL:
             first = request.first_possible_run
             if first is not None:
                 # A retry may only go where the worker of the first attempt shares its keys.
-                group = attrgetter("entry.zone" if job.group is Group.ZONE else "entry.cell")
+                group = attrgetter("entry.zone" if job.dedup_scope is DedupScope.ZONE else "entry.cell")
                 found = [worker for worker in found if group(worker) == group(first.worker)]
         return found
 
@@ -93,18 +93,18 @@
         uses_plan = model.uses_plan
         job = request.job
         # About the delay that is worth as much as the whole value.
-        full_value = (job.objective + job.stretch * request.work) * (1 + job.late_worth)
+        full_value = (job.objective + job.stretch * request.work) * (1 + job.late_value_fraction)
         key_order = preference_order(request.key, workers) if request.key and not uses_plan else {}
         fetch_time = model.fetch_time if key_order else 0.0
         queueing_delay = 0.0
-        if uses_plan and settings.tells_start:
+        if uses_plan and settings.reports_job_starts:
             queueing_delay = self._plan.queueing_delay(self._requests.values(), now)
-        is_last = job.effect is Effect.UNSAFE or len(request.attempts) + 1 >= settings.max_attempts
+        is_last = job.idempotency is Idempotency.UNSAFE or len(request.attempts) + 1 >= settings.max_attempts
         rows: list[OptionRow] = []
         for worker in workers:
             if now > worker.rated_at + RATE_LIFETIME_US:
                 model.update_rate(worker, now)
-            rate = worker.rate * settings.warmth(worker.entry.started_at, now)
+            rate = worker.rate * settings.capacity_fraction(worker.entry.started_at, now)
             if worker.lottery_number and not self.has_budget(worker, request.cost, rate, now):
                 continue
             # An error loses what can't be retried; else it takes the time of an error, again and again.
--- a/hazelbend/decisions/settings.py
+++ b/hazelbend/decisions/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from hazelbend.decisions.interface import Effect, Group, JobClass, Settings
+from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Settings
 
 
 class SettingsError(ValueError):
@@ -53,12 +53,12 @@
     return default
 
 
-EFFECTS = {
-    "read_like": Effect.SAFE,
-    "idempotency_key": Effect.KEYED,
-    "non_idempotent": Effect.UNSAFE,
+IDEMPOTENCY_BY_SEMANTICS = {
+    "read_like": Idempotency.SAFE,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.UNSAFE,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 
 
 def _job_class(lane: dict[str, Any], index: int, domain: dict[str, Any]) -> JobClass:
@@ -67,11 +67,11 @@
     return JobClass(
         objective=_integer(lane, "objective_us", base.objective),
         stretch=stretch,
-        worth=_number(lane, "worth", base.worth),
-        late_worth=_number(lane, "late_worth", base.late_worth),
-        effect=EFFECTS.get(str(lane.get("semantics")), base.effect),
-        group=GROUPS.get(str(lane.get("group", "all")), Group.CELL),
-        repeat_window=_integer(lane, "repeat_window_us", base.repeat_window),
+        value=_number(lane, "worth", base.value),
+        late_value_fraction=_number(lane, "late_worth", base.late_value_fraction),
+        idempotency=IDEMPOTENCY_BY_SEMANTICS.get(str(lane.get("semantics")), base.idempotency),
+        dedup_scope=DEDUP_SCOPES.get(str(lane.get("group", "all")), DedupScope.CELL),
+        dedup_window=_integer(lane, "repeat_window_us", base.dedup_window),
         machine_kind=int(_at(domain.get("class_kind"), index, base.machine_kind)),
     )
 
@@ -95,27 +95,27 @@
         fleet_size=max(1, _integer(document, "fleet_size", base.fleet_size)),
         zone=_integer(document, "my_zone", base.zone),
         classes=classes or base.classes,
-        worth_by_work=document.get("value_by") == "work",
-        list_must_be_asked=document.get("membership_mode") == "ask",
-        ask_within=_integer(rules, "ask_within_us", base.ask_within),
-        weights_tell=document.get("weight_kind") != "off",
+        value_per_work=document.get("value_by") == "work",
+        list_is_polled=document.get("membership_mode") == "ask",
+        poll_interval=_integer(rules, "ask_within_us", base.poll_interval),
+        weights_enabled=document.get("weight_kind") != "off",
         weights_fall_with_load=document.get("weight_kind") == "live",
         reports_by_probe=report.get("via") == "on_probe",
         reports_inline=report.get("via") == "inline",
         probes_allowed=bool(limits.get("probes", base.probes_allowed)),
         cancel_allowed=bool(limits.get("cancel", base.cancel_allowed)),
-        second_copies_allowed=bool(limits.get("may_duplicate", base.second_copies_allowed)),
+        hedging_allowed=bool(limits.get("may_duplicate", base.hedging_allowed)),
         max_attempts=_integer(limits, "max_attempts", base.max_attempts),
         probe_charge=_number(charges, "probe", base.probe_charge),
         cross_zone_charge=_number(charges, "cross_zone", base.cross_zone_charge),
         handshake_charge=_number(charges, "handshake", base.handshake_charge),
         keepalive=_integer(limits, "keepalive_us", base.keepalive),
         tick=_integer(document, "tick_us", base.tick),
-        fall_multiple=_number(rules, "fall_multiple", base.fall_multiple),
-        fall_window=_integer(rules, "fall_us", base.fall_window),
-        start_capacity=_number(rules, "start_capacity", base.start_capacity),
-        warm_after=_integer(rules, "warm_after_us", base.warm_after),
-        tells_start=bool(domain.get("tells_start", base.tells_start)),
+        collapse_multiple=_number(rules, "fall_multiple", base.collapse_multiple),
+        collapse_window=_integer(rules, "fall_us", base.collapse_window),
+        initial_capacity=_number(rules, "start_capacity", base.initial_capacity),
+        warmup_duration=_integer(rules, "warm_after_us", base.warmup_duration),
+        reports_job_starts=bool(domain.get("tells_start", base.reports_job_starts)),
         progress_interval=_integer(domain, "progress_us", base.progress_interval),
     )
 
--- a/hazelbend/decisions/slow_start.py
+++ b/hazelbend/decisions/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: what one dispatcher may send to a worker that is warming up.
 
-A cold worker collapses when it gets `fall_multiple` times what it can do by now within `fall_window`. All
+A cold worker collapses when it gets `fall_multiple` times what it can do by now within `collapse_window`. All
 dispatchers together must keep to that budget, and they share no state: each takes a share by its part of all
 traffic. Where a share is less than one job, a random number drawn for each window decides who may send that
 job, so that the sum over a fleet is the budget on average.
@@ -25,7 +25,7 @@
 
 def safe_budget(settings: Settings) -> float:
     """Return what all dispatchers may send in a window to a cold worker of rate one, in jobs."""
-    return SAFE_COLD_FRACTION * settings.fall_multiple * settings.fall_window
+    return SAFE_COLD_FRACTION * settings.collapse_multiple * settings.collapse_window
 
 
 @dataclass(slots=True, eq=False)
@@ -48,7 +48,7 @@
         self.drawn_at = now
         self.share = safe_budget(settings) * min(self.own_traffic.value, largest, 1.0)
         for worker in workers:
-            is_cold = settings.warmth(worker.entry.started_at, now) < 1.0
+            is_cold = settings.capacity_fraction(worker.entry.started_at, now) < 1.0
             worker.lottery_number = rng.random() if is_cold else 0.0
 
     def may_use(self, worker: Worker) -> bool:
@@ -68,7 +68,7 @@
             born: when this dispatcher started.
             now: the time.
         """
-        since = now - settings.fall_window
+        since = now - settings.collapse_window
         share = self.share * rate
         if since < born:
             return False  # what this dispatcher sent before its restart may have used up the window
--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -23,7 +23,7 @@
 from hazelbend.dispatcher.shutdown import GracefulShutdown
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
-from hazelbend.routing.overview import Figures, Overview, take_figures, take_overview
+from hazelbend.routing.overview import Figures, Overview, collect_figures, build_overview
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
@@ -54,7 +54,7 @@
     async def close(self) -> None:
         """Stop listening."""
 
-    def server_changed(self, server: Backend, takes_work: bool) -> None:
+    def server_changed(self, server: Backend, is_up: bool) -> None:
         """Notify that a server takes work, or no longer does."""
 
 
@@ -91,7 +91,7 @@
 
             snmp = conf.snmp
             self.agent = SnmpAgent(snmp.host, snmp.port, snmp.community, snmp.notify, self.overview)
-        table.watcher = self._server_changed
+        table.on_accepts_work_changed = self._server_changed
         for name in EXTENSION_CLASSES:
             if getattr(conf, name) is not None:
                 self.extensions[name] = load_extension(name, self)
@@ -102,7 +102,7 @@
         self.handover: Handover | None = None
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
-            self.router.is_open_elsewhere, self.router.on_id_changed = self.handover.holds, self.handover.tell
+            self.router.is_open_elsewhere, self.router.on_open_ids_changed = self.handover.is_open_elsewhere, self.handover.broadcast_update
         self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
 
     # --- what operators see and do ---
@@ -115,7 +115,7 @@
     def figures(self) -> Figures:
         """Counters and gauges, for the admin listener."""
         return replace(
-            take_figures(self.router, self._class_names), component_figures=self._component_figures()
+            collect_figures(self.router, self._class_names), component_figures=self._component_figures()
         )
 
     def _component_figures(self) -> dict[str, int]:
@@ -161,7 +161,7 @@
             "boxes": self.stomp_workers.connected,
         }
         state = "leaving" if self.leaving else "draining" if self._drain.is_on else "serving"
-        view = take_overview(self.router, self.conf.name, state, self._class_names, connections)
+        view = build_overview(self.router, self.conf.name, state, self._class_names, connections)
         return replace(view, figures=replace(view.figures, component_figures=self._component_figures()))
 
     @property
@@ -178,22 +178,22 @@
 
         self.watch.subscribe(filter_update)
 
-    def _server_changed(self, server: Backend, takes_work: bool) -> None:
-        self._server_lines.info("server %s: %s", server.entry.host, "up" if takes_work else "down")
+    def _server_changed(self, server: Backend, is_up: bool) -> None:
+        self._server_lines.info("server %s: %s", server.entry.host, "up" if is_up else "down")
         for extension in self.extensions.values():
             extension.on_servers_changed()
         if self.agent is not None:
-            self.agent.server_changed(server, takes_work)
+            self.agent.server_changed(server, is_up)
 
     async def start(self) -> None:
         """Open all listeners, that for clients last: what can fail for want of an address comes before."""
         passed = self.conf.passed_socket
         listener = inherited_listener(passed) if passed is not None else None
-        state = await self.handover.fetch() if self.handover is not None else None
+        state = await self.handover.fetch_state() if self.handover is not None else None
         self._start_router(state)
         await self._open_listeners()
         settings = self.conf.settings
-        if settings.list_is_pushed or (listener is not None and settings.list_must_be_asked):
+        if settings.list_is_pushed or (listener is not None and settings.list_is_polled):
             await self._wait_for_first_list()
         await self.client_listener.listen(*self.conf.listen, listener)
         if self.handover is not None:
--- a/hazelbend/dispatcher/config.py
+++ b/hazelbend/dispatcher/config.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from hazelbend.decisions.interface import Effect, Settings
+from hazelbend.decisions.interface import Idempotency, Settings
 from hazelbend.decisions.settings import SettingsError, report_fields, settings_from
 from hazelbend.dispatcher.config_table import ConfigError, ConfigTable
 from hazelbend.dispatcher.deploy_files import DeploySettings, SnmpSettings, deploy_folder, read_deploy_files
@@ -189,7 +189,7 @@
     try:
         settings = settings_from(content)
         # On sockets a list that is pushed comes on a watch, like one that is asked for.
-        settings = replace(settings, list_is_pushed=has_discovery and not settings.list_must_be_asked)
+        settings = replace(settings, list_is_pushed=has_discovery and not settings.list_is_polled)
         names = report_fields(content)
     except SettingsError as error:
         raise ConfigError(str(error)) from None
@@ -205,7 +205,7 @@
         RequestClass(
             row.get("name", str),
             row.number("deadline_us", 5_000_000, 1, 3_600_000_000) // US_PER_MS,
-            job_class.effect is Effect.KEYED,
+            job_class.idempotency is Idempotency.KEYED,
         )
         for row, job_class in zip(table.rows("lanes"), settings.classes, strict=False)
     )
--- a/hazelbend/dispatcher/lease_node_driver.py
+++ b/hazelbend/dispatcher/lease_node_driver.py
@@ -121,7 +121,7 @@
             return await self.links.submit_to_leader(address, operation, COMMIT_TIMEOUT_S)
         return reply.response
 
-    def found_epoch(self, force: bool) -> str:
+    def start_new_epoch(self, force: bool) -> str:
         """Start a new epoch, by an operator; its number. `force`: even if somebody leads.
 
         Raises ValueError with the reason against it.
@@ -129,7 +129,7 @@
         leader = self.node.leader
         if leader and not force:
             raise LeaderExistsError(f"{leader} leads: nothing is lost")
-        epoch = self.node.found_epoch(time.time(), self._clock())
+        epoch = self.node.start_new_epoch(time.time(), self._clock())
         log.warning("fleet: epoch %d is started here by an operator", epoch)
         self.pump()
         return str(epoch)
--- a/hazelbend/dispatcher/settings_report.py
+++ b/hazelbend/dispatcher/settings_report.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from hazelbend.decisions.interface import Effect, Group, JobClass, Settings
-from hazelbend.decisions.settings import EFFECTS, GROUPS, report_fields, rows_in, table_in
+from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Settings
+from hazelbend.decisions.settings import IDEMPOTENCY_BY_SEMANTICS, DEDUP_SCOPES, report_fields, rows_in, table_in
 from hazelbend.dispatcher.tracked_table import TrackedTable
 
 # Settings with a fixed set of values. An unknown value is read as the last one.
@@ -72,19 +72,19 @@
         "dispatchers": settings.fleet_size,
         "zone": settings.zone,
         "list": _list_source(settings),
-        "weights": "tell sizes" if settings.weights_tell else "say nothing",
+        "weights": "tell sizes" if settings.weights_enabled else "say nothing",
         "reports": _effective_reports(table, settings),
         "probes": {"allowed": settings.probes_allowed, "charge": settings.probe_charge},
         "attempts": settings.max_attempts,
-        "second_copies": settings.second_copies_allowed,
+        "second_copies": settings.hedging_allowed,
         "cancels": settings.cancel_allowed,
-        "starts_told": settings.tells_start,
+        "starts_told": settings.reports_job_starts,
         "progress_ms": settings.progress_interval // round(US_PER_MS),
         "cold": {
-            "starts_at": settings.start_capacity,
-            "warm_after_s": settings.warm_after / US_PER_S,
-            "falls_at": settings.fall_multiple,
-            "within_s": settings.fall_window / US_PER_S,
+            "starts_at": settings.initial_capacity,
+            "warm_after_s": settings.warmup_duration / US_PER_S,
+            "falls_at": settings.collapse_multiple,
+            "within_s": settings.collapse_window / US_PER_S,
         },
         "classes": {
             str(row.get("name")): _effective_class(job_class, settings)
@@ -115,27 +115,27 @@
         "again": _repeat_rule(job_class) if may_repeat else "never: one attempt is allowed",
         "wanted_ms": job_class.objective / US_PER_MS,
         "and_of_its_run": job_class.stretch,
-        "worth": job_class.worth,
-        "worth_of": "work" if settings.worth_by_work else "request",
-        "late_worth": job_class.late_worth,
+        "worth": job_class.value,
+        "worth_of": "work" if settings.value_per_work else "request",
+        "late_worth": job_class.late_value_fraction,
         "kind": job_class.machine_kind if job_class.machine_kind != -1 else "any",
     }
 
 
 def _repeat_rule(job_class: JobClass) -> str:
-    match job_class.effect:
-        case Effect.SAFE:
+    match job_class.idempotency:
+        case Idempotency.SAFE:
             return "freely"
-        case Effect.UNSAFE:
+        case Idempotency.UNSAFE:
             return "never once it may have run"
-        case Effect.KEYED:
-            window = f"by its key for {job_class.repeat_window / US_PER_S:g} s"
-            is_bounded = job_class.group is not Group.ALL
-            return f"{window} within the {job_class.group.value}" if is_bounded else window
+        case Idempotency.KEYED:
+            window = f"by its key for {job_class.dedup_window / US_PER_S:g} s"
+            is_bounded = job_class.dedup_scope is not DedupScope.ALL
+            return f"{window} within the {job_class.dedup_scope.value}" if is_bounded else window
 
 
 def _list_source(settings: Settings) -> str:
-    if settings.list_must_be_asked:
+    if settings.list_is_polled:
         return "asked for and watched"
     return "pushed on a watch" if settings.list_is_pushed else "told"
 
@@ -171,28 +171,28 @@
         yield SettingWarning("my_zone", f"{settings.zone} is no place in azs")
     if settings.max_attempts < 1:
         yield SettingWarning("limits.max_attempts", "no attempt is allowed: every request is refused")
-    if not 0 < settings.start_capacity <= 1:
-        yield SettingWarning("rules.start_capacity", f"{settings.start_capacity:g} is no part from 0 to 1")
-    if settings.fall_multiple <= 1:
+    if not 0 < settings.initial_capacity <= 1:
+        yield SettingWarning("rules.start_capacity", f"{settings.initial_capacity:g} is no part from 0 to 1")
+    if settings.collapse_multiple <= 1:
         yield SettingWarning("rules.fall_multiple", "a cold server may not even get what it can do")
 
 
 def _class_warnings(row: dict[str, Any], job_class: JobClass, kinds: int) -> Iterator[SettingWarning]:
     """With keys within the class's row."""
-    is_keyed = job_class.effect is Effect.KEYED
-    if row.get("semantics") not in EFFECTS:
+    is_keyed = job_class.idempotency is Idempotency.KEYED
+    if row.get("semantics") not in IDEMPOTENCY_BY_SEMANTICS:
         yield SettingWarning("semantics", f"{row.get('semantics')!r} is not known; it will never run twice")
-    if is_keyed and row.get("group", "all") not in GROUPS:
+    if is_keyed and row.get("group", "all") not in DEDUP_SCOPES:
         yield SettingWarning("group", f"{row.get('group')!r} is not known; repeats stay within the cell")
-    if is_keyed and not job_class.repeat_window:
+    if is_keyed and not job_class.dedup_window:
         yield SettingWarning("repeat_window_us", "a key that nobody remembers: it will never run twice")
     if row.get("streaming") is True:
         yield SettingWarning("streaming", "answers are passed on whole, once they have ended")
     deadline = row.get("deadline_us", DEFAULT_DEADLINE_US)
     if isinstance(deadline, int | float) and job_class.objective > deadline:
         yield SettingWarning("objective_us", "wanted only after the client has given up")
-    if job_class.worth <= 0:
-        yield SettingWarning("worth", f"{job_class.worth:g}: any other class goes before it")
+    if job_class.value <= 0:
+        yield SettingWarning("worth", f"{job_class.value:g}: any other class goes before it")
     if not -1 <= job_class.machine_kind < max(kinds, 1):
         text = f"{job_class.machine_kind} is no place in machine_types: nothing runs it"
         yield SettingWarning("domain.class_kind", text)
--- a/hazelbend/dispatcher/srv_priorities.py
+++ b/hazelbend/dispatcher/srv_priorities.py
@@ -62,7 +62,7 @@
         """Open and close priorities by which endpoints are available now."""
         if not self._with_several:
             return
-        ejected = self._router.module.avoided(now)
+        ejected = self._router.module.workers_in_backoff(now)
         members = self._merger.view.members
         for name in sorted(self._with_several):
             available = self._available_priorities(name, members, ejected)
--- a/hazelbend/dispatcher/srv_status.py
+++ b/hazelbend/dispatcher/srv_status.py
@@ -61,11 +61,11 @@
     def names(self) -> list[SrvNameStatus]:
         """All SRV names, by name."""
         now = self._now()
-        return [self._name_status(name, now) for name in sorted(self._resolver.names.roots)]
+        return [self._name_status(name, now) for name in sorted(self._resolver.names.by_srv_name)]
 
     def records(self, name: str) -> list[SrvRecordStatus]:
         """The accepted records of an SRV name, by target and port."""
-        records = sorted(self._resolver.names.roots[name].quorum.values.items())
+        records = sorted(self._resolver.names.by_srv_name[name].quorum.values.items())
         return [
             SrvRecordStatus(
                 key,
@@ -102,7 +102,7 @@
         members = view.members.values()
         received = "heard" if list_received else "as known"
         list_state = "failed" if self._merger.list_failed else received
-        srv_state = f"{len(self._resolver.names.roots)} followed"
+        srv_state = f"{len(self._resolver.names.by_srv_name)} followed"
         sources: list[tuple[object, ...]] = [
             ("SOURCE", "STATE", "BOXES"),
             ("box list", list_state, len(self._merger.listed())),
@@ -145,7 +145,7 @@
         return format_table(rows)
 
     def _record_table(self, name: str) -> str:
-        if name not in self._resolver.names.roots:
+        if name not in self._resolver.names.by_srv_name:
             raise CommandError(f"{name!r} is not followed; see: show names")
         rows: list[tuple[object, ...]] = [
             ("TARGET", "PORT", "PRIORITY", "WEIGHT", "ADDRESSES", "BOX LIST SAYS")
@@ -160,7 +160,7 @@
     # --- one name ---
 
     def _name_status(self, name: str, now: int) -> SrvNameStatus:
-        tracked = self._resolver.names.roots[name]
+        tracked = self._resolver.names.by_srv_name[name]
         members = self._merger.view.members
         hosts = self._merger.priorities(name)
         failing_since = tracked.failing_since
@@ -170,19 +170,19 @@
             len(hosts),
             sum(not members[host].spare for host in hosts),
             self._priorities.level(name),
-            (self._fresh_until(tracked) - now) / 1e6 if tracked.fresh_until else 0.0,
+            (self._ttl_expires_at(tracked) - now) / 1e6 if tracked.ttl_expires_at else 0.0,
             (now - failing_since) / 1e6 if failing_since else 0.0,
             tracked.last_error,
         )
 
-    def _fresh_until(self, tracked: TrackedName) -> int:
+    def _ttl_expires_at(self, tracked: TrackedName) -> int:
         """The first end of the TTLs of the name and of its targets' addresses."""
-        times = [tracked.fresh_until]
+        times = [tracked.ttl_expires_at]
         for key in tracked.quorum.accepted:
             for record_type in ADDRESS_TYPES:
                 address = self._resolver.names.by_question.get(Question(key.target, record_type))
                 if address is not None and address.quorum.accepted:
-                    times.append(address.fresh_until)
+                    times.append(address.ttl_expires_at)
         return min(times)
 
 
@@ -196,10 +196,10 @@
 
     def update(self) -> None:
         """Log what has changed since the last call."""
-        roots = self._resolver.names.roots
-        failing = {name for name, tracked in roots.items() if tracked.failing_since}
+        by_srv_name = self._resolver.names.by_srv_name
+        failing = {name for name, tracked in by_srv_name.items() if tracked.failing_since}
         for name in sorted(failing - self._failing):
-            self._log.warning("%s: unknown: %s", name, roots[name].last_error)
+            self._log.warning("%s: unknown: %s", name, by_srv_name[name].last_error)
         for name in sorted(self._failing - failing):
             self._log.info("%s: answered again", name)
         self._failing = failing
@@ -212,10 +212,10 @@
 
 
 def _state(tracked: TrackedName, now: int) -> str:
-    if not tracked.fresh_until:
+    if not tracked.ttl_expires_at:
         return SrvReport.UNKNOWN.value if tracked.failing_since else NOT_QUERIED
     return srv_report(
         listed=bool(tracked.quorum.accepted),
         failing=tracked.failing_since > 0,
-        ttl_over=tracked.fresh_until <= now,
+        ttl_expired=tracked.ttl_expires_at <= now,
     ).value
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -35,7 +35,7 @@
             context.router,
             self._bounds(),
             self.settings.ordinary,
-            lambda index: context.conf.settings.classes[index].late_worth,
+            lambda index: context.conf.settings.classes[index].late_value_fraction,
             lambda index: context.conf.settings.classes[index].objective,
         )
         self._join()
@@ -77,7 +77,7 @@
         """What can still run does; the rest is refused in time for its clients to hear of it."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self.gate.drained()
+                await self.gate.wait_drained()
         self.gate.reject_waiting(ENDING_REASON)
 
     def end(self) -> None:
--- a/hazelbend/dns_discovery/nameservers.py
+++ b/hazelbend/dns_discovery/nameservers.py
@@ -16,7 +16,7 @@
 FAILURE_THRESHOLD = 3  # failures in a row
 MIN_BACKOFF_US = 1_000_000
 MAX_BACKOFF_US = 30_000_000
-DISSENT_PENALTY_US = 60_000_000  # how long a nameserver that was outvoted is queried last
+OUTVOTED_PENALTY_US = 60_000_000  # how long a nameserver that was outvoted is queried last
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     backoff_us: int = 0  # 0: healthy
     retry_at: int = 0
     on_trial: bool = False
-    dissented_at: int = -DISSENT_PENALTY_US
+    outvoted_at: int = -OUTVOTED_PENALTY_US
     supports_edns: bool = True
     queries: int = 0
     failures: int = 0
@@ -38,18 +38,18 @@
         """Whether it gets no query now."""
         return self.backoff_us > 0 and (now < self.retry_at or self.on_trial)
 
-    def query_sent(self) -> None:
+    def record_query(self) -> None:
         """Note that a query was sent to it."""
         self.queries += 1
         self.on_trial = self.backoff_us > 0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note that it responded."""
         self.failures_in_a_row = 0
         self.backoff_us = 0
         self.on_trial = False
 
-    def failed(self, reason: str, now: int) -> None:
+    def record_failure(self, reason: str, now: int) -> None:
         """Note that it did not respond, or refused to serve."""
         self.failures_in_a_row += 1
         self.failures += 1
@@ -76,7 +76,7 @@
         ]
 
         def preference(server: NameserverHealth) -> tuple[bool, bool, float]:
-            dissents = now < server.dissented_at + DISSENT_PENALTY_US
+            dissents = now < server.outvoted_at + OUTVOTED_PENALTY_US
             failing = server.failures_in_a_row > 0
             return dissents, failing, stable_fraction(question, server.index)
 
--- a/hazelbend/dns_discovery/query_budget.py
+++ b/hazelbend/dns_discovery/query_budget.py
@@ -35,7 +35,7 @@
         self._refill(now)
         return now + max(round((1.0 - self._tokens) / self._queries_per_s * 1e6), 0) + 1
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Note a first attempt, which adds to the retries."""
         self._retries = min(self._retries + self._retry_ratio, MAX_SAVED_RETRIES)
 
--- a/hazelbend/dns_discovery/resolver.py
+++ b/hazelbend/dns_discovery/resolver.py
@@ -4,14 +4,14 @@
 
 Each tracked question (`tracked_names`) goes through rounds:
 
-    scheduled   until `next_at`: at 0.90 to 0.98 of its TTL, by a stable hash of dispatcher and question, so
+    scheduled   until `next_due_at`: at 0.90 to 0.98 of its TTL, by a stable hash of dispatcher and question, so
                 that dispatchers do not query in step; or after a back-off, which doubles
     waiting     its refresh is due, and it waits for the budgets (queries per second, queries in flight)
     in flight   a query was sent. TruncatedAnswer: again over TCP. QueryFailure: the next nameserver, while
                 attempts and the retry budget last; then the round has failed, and the accepted records stay
     confirming  the votes are in dispute: each of the other nameservers is queried once, until they decide
 
-`due` gives the queries to send now, `query_done` takes the result of one, and `next_at` is when `due` has
+`take_due_queries` gives the queries to send now, `handle_result` takes the result of one, and `next_due_at` is when `take_due_queries` has
 something again. While every nameserver is backing off, only the query on trial is sent: names whose refresh
 is due meanwhile wait, and are queried within the budget after its answer.
 """
@@ -115,8 +115,8 @@
         """Accept the records of a snapshot, as (value, expires_at)."""
         self.names.restore(question, records, now)
 
-    def due(self, now: int) -> list[Query]:
-        """The queries to send now. The result of each must be given to `query_done`, exactly once."""
+    def take_due_queries(self, now: int) -> list[Query]:
+        """The queries to send now. The result of each must be given to `handle_result`, exactly once."""
         self.names.drop_stale(now)
         self._waiting.extend(self.names.pop_due(now))
         queries: list[Query] = []
@@ -137,24 +137,24 @@
             queries.append(self._query(tracked, server, over_tcp=False))
         return queries
 
-    def next_at(self, now: int) -> int | None:
-        """When `due` may have queries; None: not before a result."""
+    def next_due_at(self, now: int) -> int | None:
+        """When `take_due_queries` may have queries; None: not before a result."""
         times = self.names.event_times()
         if self._waiting and self._has_room_in_flight():
             available_at = self.nameservers.available_at(now)
             times.append(max(available_at, self._budget.next_token_at(now)))
         return min(times, default=None)
 
-    def query_done(self, query_id: int, result: QueryResult, now: int) -> list[Query]:
+    def handle_result(self, query_id: int, result: QueryResult, now: int) -> list[Query]:
         """Take the result of a query. The queries that follow from it at once."""
         query, tracked = self._in_flight.pop(query_id, (None, None))
         if query is None or tracked is None:
             return []  # of nameservers that are no longer configured
         server = self.nameservers.health[query.server]
         if isinstance(result, QueryFailure) and result.server_unreachable:
-            server.failed(result.reason, now)
+            server.record_failure(result.reason, now)
         else:
-            server.succeeded()
+            server.record_success()
         if not tracked.active:
             return []
         if (follow_up := self._follow_up(query, tracked, result, server)) is not None:
@@ -207,8 +207,8 @@
         tracked.answered = True
         tracked.last_error = ""
         tracked.ttl_us = min(max(ttl_s * 1_000_000, self._min_ttl_us), self._max_ttl_us)
-        tracked.fresh_until = now + tracked.ttl_us
-        if tracked.quorum.add_vote(server, records, tracked.fresh_until, now):
+        tracked.ttl_expires_at = now + tracked.ttl_us
+        if tracked.quorum.add_vote(server, records, tracked.ttl_expires_at, now):
             self.names.mark_changed(tracked)
         self.names.schedule_expiry(tracked)
 
@@ -280,7 +280,7 @@
         for server in tracked.quorum.outvoted_servers:
             # The votes of a snapshot have no nameserver, and a reload may have removed one.
             if isinstance(server, int) and server < len(self.nameservers.health):
-                self.nameservers.health[server].dissented_at = now
+                self.nameservers.health[server].outvoted_at = now
 
     # --- queries ---
 
@@ -289,8 +289,8 @@
 
     def _count_attempt(self, tracked: TrackedName, now: int) -> None:
         if not tracked.attempts:
-            self._budget.first_attempt()
-            if self.counters.refresh_delays_us is not None and tracked.fresh_until:
+            self._budget.record_first_attempt()
+            if self.counters.refresh_delays_us is not None and tracked.ttl_expires_at:
                 self.counters.refresh_delays_us.append(now - tracked.scheduled_at)
         tracked.attempts += 1
 
@@ -299,7 +299,7 @@
         tracked.queried.add(server)
         self._last_id += 1
         health = self.nameservers.health[server]
-        health.query_sent()
+        health.record_query()
         query = Query(
             self._last_id,
             server,
--- a/hazelbend/dns_discovery/target_index.py
+++ b/hazelbend/dns_discovery/target_index.py
@@ -13,7 +13,7 @@
     def __contains__(self, target: str) -> bool:
         return target in self._names_of
 
-    def names_of(self, target: str) -> set[str]:
+    def names_listing(self, target: str) -> set[str]:
         """The SRV names that list the target."""
         return self._names_of.get(target, set())
 
--- a/hazelbend/dns_discovery/tracked_names.py
+++ b/hazelbend/dns_discovery/tracked_names.py
@@ -47,12 +47,12 @@
     question: Question
     quorum: AnswerQuorum[Any, Any]
     active: bool = True  # False: it is no longer tracked
-    next_at: int = NOT_SCHEDULED  # of its refresh; NOT_SCHEDULED: it waits for a query or has one in flight
+    next_refresh_at: int = NOT_SCHEDULED  # of its refresh; NOT_SCHEDULED: it waits for a query or has one in flight
     scheduled_at: int = 0  # when its current round was to begin
     schedule_sequence: int = 0  # of its valid entry in the schedule
     expiry_scheduled: bool = False
     ttl_us: int = 0  # of the last answer, within the bounds of the settings
-    fresh_until: int = 0  # end of the TTL of the last answer; 0: it was never answered
+    ttl_expires_at: int = 0  # end of the TTL of the last answer; 0: it was never answered
     failing_since: int = 0  # 0: its last round gave an answer
     failed_rounds: int = 0  # in a row
     last_error: str = ""
@@ -68,12 +68,12 @@
     @property
     def in_round(self) -> bool:
         """Whether it waits for a query, or has one in flight."""
-        return self.next_at < 0
+        return self.next_refresh_at < 0
 
     def begin_round(self) -> None:
         """Its refresh is due."""
-        self.scheduled_at = self.next_at
-        self.next_at = NOT_SCHEDULED
+        self.scheduled_at = self.next_refresh_at
+        self.next_refresh_at = NOT_SCHEDULED
         self.queried = set()
         self.answered = False
         self.confirming = False
@@ -86,7 +86,7 @@
 
     def __init__(self, settings: SrvSettings, dispatcher: str) -> None:
         self.by_question: dict[Question, TrackedName] = {}
-        self.roots: dict[str, TrackedName] = {}  # the SRV names
+        self.by_srv_name: dict[str, TrackedName] = {}  # the SRV names
         self.changed: set[str] = set()  # SRV names whose endpoints may have changed; the reader clears it
         self._dispatcher = dispatcher
         self._targets = TargetIndex()
@@ -109,10 +109,10 @@
     def track_only(self, names: Iterable[str], now: int) -> None:
         """Track these SRV names (canonical) and no others. First queries are spread over `start_spread_s`."""
         wanted = set(names)
-        for name in [name for name in self.roots if name not in wanted]:
+        for name in [name for name in self.by_srv_name if name not in wanted]:
             self._untrack_root(name)
-        for name in sorted(wanted - self.roots.keys()):
-            self.roots[name] = self._track(Question(name, RecordType.SRV), now)
+        for name in sorted(wanted - self.by_srv_name.keys()):
+            self.by_srv_name[name] = self._track(Question(name, RecordType.SRV), now)
             self._targets.add_name(name)
 
     def address_question(self, question: Question, now: int) -> TrackedName | None:
@@ -139,7 +139,7 @@
         tracked.quorum.restore(records)
         tracked.quorum.drop_stale(now, self._stale_us)
         self.schedule_expiry(tracked)
-        tracked.fresh_until = max((expires_at for _, expires_at in records.values()), default=0)
+        tracked.ttl_expires_at = max((expires_at for _, expires_at in records.values()), default=0)
         self.mark_changed(tracked)
         self.track_new_targets(now)
 
@@ -149,13 +149,13 @@
             tracked.quorum.server_count = self._server_count
             tracked.quorum.votes.clear()
             refresh_at = now + self._start_delay(tracked.question)
-            self.schedule(tracked, refresh_at if tracked.in_round else min(tracked.next_at, refresh_at))
+            self.schedule(tracked, refresh_at if tracked.in_round else min(tracked.next_refresh_at, refresh_at))
 
     # --- what the records say ---
 
     def endpoints(self, name: str) -> dict[EndpointKey, tuple[SrvPreference, tuple[str, ...]]]:
         """The endpoints of an SRV name, with their addresses. Those without an address are left out."""
-        records = self.roots[name].quorum.values if name in self.roots else {}
+        records = self.by_srv_name[name].quorum.values if name in self.by_srv_name else {}
         found = {}
         for key, preference in records.items():
             if addresses := self.addresses(key.target):
@@ -181,7 +181,7 @@
             self.changed.add(question.name)
             self._update_targets(question.name)
         else:
-            self.changed |= self._targets.names_of(question.name)
+            self.changed |= self._targets.names_listing(question.name)
             self._new_targets.add(question.name)
 
     # --- the schedule ---
@@ -189,7 +189,7 @@
     def schedule(self, tracked: TrackedName, at: int) -> None:
         """Refresh the name at this time. An earlier entry becomes void."""
         self._sequence += 1
-        tracked.next_at = at
+        tracked.next_refresh_at = at
         tracked.schedule_sequence = self._sequence
         heappush(self._refreshes, (at, self._sequence, tracked))
 
@@ -243,14 +243,14 @@
 
     def _update_targets(self, name: str) -> None:
         """Track the addresses of the targets that are listed, and of no others."""
-        listed = {key.target for key in self.roots[name].quorum.accepted}
+        listed = {key.target for key in self.by_srv_name[name].quorum.accepted}
         added, orphaned = self._targets.replace(name, listed)
         self._new_targets |= added
         self._untrack_addresses(orphaned)
 
     def _untrack_root(self, name: str) -> None:
         self._untrack_addresses(self._targets.remove_name(name))
-        del self.roots[name]
+        del self.by_srv_name[name]
         self._untrack(Question(name, RecordType.SRV))
         self.changed.add(name)
 
--- a/hazelbend/endpoints/host_index.py
+++ b/hazelbend/endpoints/host_index.py
@@ -36,14 +36,14 @@
             found |= self._by_key.get(key, set())
         return found
 
-    def find(self, key: EndpointKey, dials: Iterable[str]) -> str | None:
+    def find(self, key: EndpointKey, dial_addresses: Iterable[str]) -> str | None:
         """The host with this key, else the one with one of these addresses.
 
         Of several it is the first by name, so that all dispatchers find the same.
         """
         if hosts := self._by_key.get(key):
             return min(hosts)
-        return min((min(self._by_dial[dial]) for dial in dials if dial in self._by_dial), default=None)
+        return min((min(self._by_dial[dial]) for dial in dial_addresses if dial in self._by_dial), default=None)
 
 
 def _discard(index: dict[K, set[str]], key: K, host: str) -> None:
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -34,7 +34,7 @@
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery.answers import EndpointKey, canonical_name
 from hazelbend.endpoints.host_index import HostIndex
-from hazelbend.endpoints.precedence import Decision, ListReport, SrvReport, decide
+from hazelbend.endpoints.precedence import PrecedenceResult, ListReport, SrvReport, apply_precedence
 from hazelbend.endpoints.srv_claims import SrvClaim, SrvClaims
 from hazelbend.endpoints.view import LIST_SOURCE, STOMP_SOURCE, EndpointView, MergedEndpoint
 from hazelbend.routing.ports import Endpoint, EndpointList
@@ -134,7 +134,7 @@
         low, high = sorted(NONE_OPEN if level is None else level for level in (was, highest))
         keys = {
             key
-            for key, claim in self._claims.of_name(name).items()
+            for key, claim in self._claims.claims_of_name(name).items()
             if low < claim.preference.priority <= high or was is None or highest is None
         }
         self._recompute((), keys, now)
@@ -187,7 +187,7 @@
         if host is not None:
             ready = self._listed[host].state is WorkerState.READY
             return ListReport.SERVING if ready else ListReport.DRAINING
-        removed = self._tombstone_index.find(key, self._claims.dials(key)) is not None
+        removed = self._tombstone_index.find(key, self._claims.dial_addresses(key)) is not None
         return ListReport.REMOVED if removed else ListReport.NEVER_LISTED
 
     def host_of(self, key: EndpointKey) -> str | None:
@@ -201,7 +201,7 @@
         Of several targets at one host, the one that clients prefer counts: the lowest number (RFC 2782).
         """
         found: dict[str, int] = {}
-        for key, claim in self._claims.of_name(name).items():
+        for key, claim in self._claims.claims_of_name(name).items():
             if (host := self.host_of(key)) is not None:
                 priority = claim.preference.priority
                 found[host] = min(found.get(host, priority), priority)
@@ -214,7 +214,7 @@
         old = self._listed.get(entry.host)
         self._listed[entry.host] = entry
         if old is not None and old.dial == entry.dial:
-            return self._claims.keys_of(key, entry.dial)
+            return self._claims.matching_keys(key, entry.dial)
         affected = self._unindex(old) if old is not None else set()
         self._listed_index.add(entry.host, key, entry.dial)
         if entry.host in self.tombstones:
@@ -222,12 +222,12 @@
         # An endpoint that the list removed had this key or address, which is another's now.
         for host in self._tombstone_index.hosts(key, entry.dial):
             affected |= self._remove_tombstone(host)
-        return affected | self._claims.keys_of(key, entry.dial)
+        return affected | self._claims.matching_keys(key, entry.dial)
 
     def _unindex(self, entry: Endpoint) -> set[EndpointKey]:
         key = _srv_key(entry)
         self._listed_index.remove(entry.host, key, entry.dial)
-        return self._claims.keys_of(key, entry.dial)
+        return self._claims.matching_keys(key, entry.dial)
 
     def _add_tombstone(self, host: str, tombstone: Tombstone) -> None:
         """Remember a removal, unless a listed endpoint has its key or its address."""
@@ -241,10 +241,10 @@
     def _remove_tombstone(self, host: str) -> set[EndpointKey]:
         tombstone = self.tombstones.pop(host)
         self._tombstone_index.remove(host, tombstone.key, tombstone.dial)
-        return self._claims.keys_of(tombstone.key, tombstone.dial)
+        return self._claims.matching_keys(tombstone.key, tombstone.dial)
 
     def _listed_host(self, key: EndpointKey) -> str | None:
-        return self._listed_index.find(key, self._claims.dials(key))
+        return self._listed_index.find(key, self._claims.dial_addresses(key))
 
     # --- the view ---
 
@@ -265,8 +265,8 @@
         if entry is not None:
             key = _srv_key(entry)
             names: set[str] = set()
-            for claimed in self._claims.keys_of(key, entry.dial):
-                names.update(self._claims.of_key(claimed))
+            for claimed in self._claims.matching_keys(key, entry.dial):
+                names.update(self._claims.claims_of_endpoint(claimed))
             mutation[host] = MergedEndpoint(entry, (LIST_SOURCE, *sorted(names)), key)
         elif host in mutation and LIST_SOURCE in mutation[host].sources:
             del mutation[host]
@@ -283,22 +283,22 @@
         if listed_host not in (None, host) and before is not None and LIST_SOURCE not in before.sources:
             self.renamed.append((host, str(listed_host)))
         by_srv = SrvReport.LISTED if key in self._claims else SrvReport.NOT_LISTED
-        if decide(self.list_report(key), by_srv) is Decision.BY_SRV:
+        if apply_precedence(self.list_report(key), by_srv) is PrecedenceResult.BY_SRV:
             mutation[host] = self._srv_member(key, before, now)
         elif host in mutation and LIST_SOURCE not in mutation[host].sources:
             del mutation[host]
 
     def _srv_member(self, key: EndpointKey, before: MergedEndpoint | None, now: int) -> MergedEndpoint:
         """An endpoint that only SRV lists. Of several names the first sets its zone, kind and weight."""
-        claims = self._claims.of_key(key)
+        claims = self._claims.claims_of_endpoint(key)
         names = tuple(sorted(claims))
         claim = claims[names[0]]
         host = str(key)
-        dials = claim.dials(key.port)
-        dial = dials[0]
+        dial_addresses = claim.dial_addresses(key.port)
+        dial = dial_addresses[0]
         started_at = self._restored_start_times.pop(host, now)
         if before is not None and before.key == key and LIST_SOURCE not in before.sources:
-            if before.entry.dial in dials:
+            if before.entry.dial in dial_addresses:
                 dial = before.entry.dial
                 started_at = before.entry.started_at
             else:
--- a/hazelbend/endpoints/precedence.py
+++ b/hazelbend/endpoints/precedence.py
@@ -38,7 +38,7 @@
     NOT_LISTED = "not listed"
 
 
-class Decision(Enum):
+class PrecedenceResult(Enum):
     """What becomes of an endpoint."""
 
     AS_LISTED = "as the box list says"
@@ -47,19 +47,19 @@
     ABSENT = "is not there"
 
 
-def decide(by_list: ListReport, by_srv: SrvReport) -> Decision:
+def apply_precedence(by_list: ListReport, by_srv: SrvReport) -> PrecedenceResult:
     """Apply the rule to one endpoint."""
     if by_list in (ListReport.SERVING, ListReport.DRAINING):
-        return Decision.AS_LISTED
+        return PrecedenceResult.AS_LISTED
     if by_list is ListReport.REMOVED:
-        return Decision.REMOVED
-    return Decision.ABSENT if by_srv is SrvReport.NOT_LISTED else Decision.BY_SRV
+        return PrecedenceResult.REMOVED
+    return PrecedenceResult.ABSENT if by_srv is SrvReport.NOT_LISTED else PrecedenceResult.BY_SRV
 
 
-def srv_report(*, listed: bool, failing: bool, ttl_over: bool) -> SrvReport:
+def srv_report(*, listed: bool, failing: bool, ttl_expired: bool) -> SrvReport:
     """By whether the accepted records list it, the last round of queries failed, and the TTL is over."""
     if not listed:
         return SrvReport.NOT_LISTED
     if not failing:
         return SrvReport.LISTED
-    return SrvReport.STALE if ttl_over else SrvReport.UNKNOWN
+    return SrvReport.STALE if ttl_expired else SrvReport.UNKNOWN
--- a/hazelbend/endpoints/srv_claims.py
+++ b/hazelbend/endpoints/srv_claims.py
@@ -19,7 +19,7 @@
     cell: int
     weight: float
 
-    def dials(self, port: int) -> tuple[str, ...]:
+    def dial_addresses(self, port: int) -> tuple[str, ...]:
         """The addresses with the port, as the endpoint list writes them."""
         return tuple(
             f"[{address}]:{port}" if ":" in address else f"{address}:{port}" for address in self.addresses
@@ -37,20 +37,20 @@
     def __contains__(self, key: EndpointKey) -> bool:
         return key in self._by_key
 
-    def of_name(self, name: str) -> Mapping[EndpointKey, SrvClaim]:
+    def claims_of_name(self, name: str) -> Mapping[EndpointKey, SrvClaim]:
         """The claims of an SRV name, by endpoint."""
         return self._by_name.get(name, {})
 
-    def of_key(self, key: EndpointKey) -> Mapping[str, SrvClaim]:
+    def claims_of_endpoint(self, key: EndpointKey) -> Mapping[str, SrvClaim]:
         """The claims about an endpoint, by SRV name."""
         return self._by_key.get(key, {})
 
-    def dials(self, key: EndpointKey) -> Iterator[str]:
+    def dial_addresses(self, key: EndpointKey) -> Iterator[str]:
         """All addresses that are claimed for an endpoint. One may come several times."""
-        for claim in self.of_key(key).values():
-            yield from claim.dials(key.port)
+        for claim in self.claims_of_endpoint(key).values():
+            yield from claim.dial_addresses(key.port)
 
-    def keys_of(self, key: EndpointKey | None, dial: str) -> set[EndpointKey]:
+    def matching_keys(self, key: EndpointKey | None, dial: str) -> set[EndpointKey]:
         """The claimed endpoints that have this key or this address."""
         found = set(self._keys_by_dial.get(dial, ()))
         if key is not None and key in self._by_key:
@@ -59,31 +59,31 @@
 
     def changed_keys(self, name: str, claims: Mapping[EndpointKey, SrvClaim]) -> set[EndpointKey]:
         """The endpoints for which these differ from the SRV name's claims."""
-        before = self.of_name(name)
+        before = self.claims_of_name(name)
         removed = {key for key in before if key not in claims}
         return removed | {key for key, claim in claims.items() if before.get(key) != claim}
 
     def replace(self, name: str, claims: Mapping[EndpointKey, SrvClaim], changed: set[EndpointKey]) -> None:
         """Set the claims of an SRV name. `changed` are the endpoints for which they differ."""
-        of_name = self._by_name.setdefault(name, {})
+        claims_of_name = self._by_name.setdefault(name, {})
         for key in changed:
             self._unindex_dials(key)
-            of_key = self._by_key.setdefault(key, {})
+            claims_of_endpoint = self._by_key.setdefault(key, {})
             if (claim := claims.get(key)) is not None:
-                of_name[key] = claim
-                of_key[name] = claim
+                claims_of_name[key] = claim
+                claims_of_endpoint[name] = claim
             else:
-                del of_name[key]
-                del of_key[name]
-            if not of_key:
+                del claims_of_name[key]
+                del claims_of_endpoint[name]
+            if not claims_of_endpoint:
                 del self._by_key[key]
-            for dial in self.dials(key):
+            for dial in self.dial_addresses(key):
                 self._keys_by_dial.setdefault(dial, set()).add(key)
-        if not of_name:
+        if not claims_of_name:
             del self._by_name[name]
 
     def _unindex_dials(self, key: EndpointKey) -> None:
-        for dial in set(self.dials(key)):
+        for dial in set(self.dial_addresses(key)):
             keys = self._keys_by_dial[dial]
             keys.discard(key)
             if not keys:
--- a/hazelbend/fakes/nameserver.py
+++ b/hazelbend/fakes/nameserver.py
@@ -79,7 +79,7 @@
 
     zones: Zones = field(default_factory=Zones)
     faults: list[Fault] = field(default_factory=list)
-    keep_queries: bool = True
+    record_queries: bool = True
     """Whether `queries` is filled."""
 
     def __post_init__(self) -> None:
@@ -142,7 +142,7 @@
         name = question.name.to_text(omit_final_dot=True).lower()
         record_type = dns.rdatatype.to_text(question.rdtype)
         self.counts[record_type] += 1
-        if self.keep_queries:
+        if self.record_queries:
             now = asyncio.get_running_loop().time()
             self.queries.append(Query(now, name, record_type, tcp, port, query.id))
         fault = next((fault for fault in self.faults if fault.applies_to(name, record_type)), None)
@@ -231,7 +231,7 @@
 
 
 async def _main(options: argparse.Namespace) -> None:
-    server = FakeNameserver(faults=[Fault(kind) for kind in options.fault], keep_queries=False)
+    server = FakeNameserver(faults=[Fault(kind) for kind in options.fault], record_queries=False)
     server.serve_zone(options.zone.read_text(), options.origin)
     host, _, port = options.listen.rpartition(":")
     print(f"listening on {await server.start(host, int(port))}", flush=True)
--- a/hazelbend/job_queue/admission.py
+++ b/hazelbend/job_queue/admission.py
@@ -14,7 +14,7 @@
 from hazelbend.job_queue.job import JobState, QueuedJob
 from hazelbend.job_queue.terms import Bounds, JobKey
 
-FIRST_RUN_US = 500_000.0  # expected run of a class before one has been seen
+INITIAL_RUN_TIME_US = 500_000.0  # expected run of a class before one has been seen
 MEAN_RUN_WINDOW = 50.0  # runs that a class's mean rests on
 
 QueueEntry: TypeAlias = tuple[int, int, JobKey]  # microseconds to order by, number of the entry, job
@@ -38,37 +38,37 @@
 
     # --- estimates ---
 
-    def expected_run(self, class_index: int) -> float:
+    def expected_run_us(self, class_index: int) -> float:
         """Mean run of the class in microseconds."""
-        return self.mean_run_us.get(class_index, FIRST_RUN_US)
+        return self.mean_run_us.get(class_index, INITIAL_RUN_TIME_US)
 
-    def observe_run(self, class_index: int, run: int) -> None:
+    def observe_run_time(self, class_index: int, run: int) -> None:
         """Take a run, in microseconds, into its class's moving mean."""
         mean = self.mean_run_us.get(class_index, float(run))
         self.mean_run_us[class_index] = mean + (run - mean) / MEAN_RUN_WINDOW
 
-    def expected_wait(self, class_index: int) -> float:
+    def expected_wait_us(self, class_index: int) -> float:
         """About how long, in microseconds, the jobs in time take on the places that ageing does not use."""
         places = max(self.bounds.in_service - self.bounds.aged, 1)
-        work = sum(count * self.expected_run(index) for index, count in self.queued_in_time.items())
-        if not work and self.busy < self.bounds.in_service:
+        work = sum(count * self.expected_run_us(index) for index, count in self.queued_in_time.items())
+        if not work and self.running_count < self.bounds.in_service:
             return 0.0
-        return work / places + self.expected_run(class_index) / places
+        return work / places + self.expected_run_us(class_index) / places
 
     # --- places ---
 
     @property
-    def busy(self) -> int:
+    def running_count(self) -> int:
         """How many jobs run."""
         return sum(self.running.values())
 
-    def fits(self, job: QueuedJob) -> bool:
+    def has_slot_for(self, job: QueuedJob) -> bool:
         """Whether there is a place for it now."""
         assert job.request is not None
         limit = dict(self.bounds.by_class).get(job.request.class_index)
         if limit is not None and self.running[job.request.class_index] >= limit:
             return False
-        return not self.bounds.in_service or self.busy < self.bounds.in_service
+        return not self.bounds.in_service or self.running_count < self.bounds.in_service
 
     def is_over_share(self, tenant: int) -> bool:
         """Whether a tenant uses its share of the places already."""
@@ -135,7 +135,7 @@
                 if job is None or self._is_void(queue[0]):
                     heapq.heappop(queue)
                     continue
-                if self.fits(job):
+                if self.has_slot_for(job):
                     break
                 heapq.heappop(queue)
                 assert job.request is not None
@@ -158,7 +158,7 @@
         for queue in queues.values():
             while queue and self._is_void(queue[0]):
                 heapq.heappop(queue)
-            if queue and (best is None or queue[0] < best) and self.fits(self._jobs[queue[0][2]]):
+            if queue and (best is None or queue[0] < best) and self.has_slot_for(self._jobs[queue[0][2]]):
                 best = queue[0]
         return self._jobs[best[2]] if best is not None else None
 
--- a/hazelbend/job_queue/dependency_graph.py
+++ b/hazelbend/job_queue/dependency_graph.py
@@ -132,7 +132,7 @@
         job.parents = {}
         del self.jobs[job.key]
 
-    def hand_result(self, child: QueuedJob, parent: JobKey, outcome: JobOutcome, result: bytes) -> None:
+    def add_parent_result(self, child: QueuedJob, parent: JobKey, outcome: JobOutcome, result: bytes) -> None:
         """Keep a parent's result for a child that asked for it, within the bound on bytes."""
         if child.request is None or not child.request.terms.takes_results or outcome is not JobOutcome.SERVED:
             return
@@ -147,11 +147,11 @@
         while len(self.ended_jobs) > self.bounds.remember:
             self.ended_jobs.popitem(last=False)
 
-    def forget_old(self, now: int) -> None:
+    def expire_ended_jobs(self, now: int) -> None:
         """Drop outcomes older than the bound on their time."""
         while (
             self.ended_jobs
-            and next(iter(self.ended_jobs.values())).ended_at + self.bounds.remember_for <= now
+            and next(iter(self.ended_jobs.values())).ended_at + self.bounds.ended_job_ttl_us <= now
         ):
             self.ended_jobs.popitem(last=False)
 
@@ -160,4 +160,4 @@
     """Whether a parent's outcome means that the child on this edge cannot run."""
     if outcome is JobOutcome.SERVED:
         return False
-    return edge is DependencyCondition.SERVED or outcome is JobOutcome.NEVER_CAME
+    return edge is DependencyCondition.SERVED or outcome is JobOutcome.NEVER_SUBMITTED
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -21,11 +21,11 @@
     its client left, expired            refused, names parent   one less
     never came                          refused, names parent   refused
 
-A parent that is not known yet is expected for `come_within`. Chains, fans, bytes and numbers are bounded.
+A parent that is not known yet is expected for `submission_timeout_us`. Chains, fans, bytes and numbers are bounded.
 
 Admission. At most `in_service` jobs run, and of a class so many. Of those that queue
 
-    in time   latest start first: wanted_by less the expected run. New jobs of short classes have later times
+    in time   latest start first: due_at less the expected run. New jobs of short classes have later times
               than old ones of long classes, so that a flood of them cannot hold an old one back past its own
     aged      what will not be in time (if a late answer earns anything; else it is refused at once), and
               what a tenant has over its share: first come, first served, on at most `aged` places while
@@ -49,7 +49,7 @@
 
 from collections import Counter, OrderedDict
 
-from hazelbend.job_queue.admission import FIRST_RUN_US, AdmissionQueue
+from hazelbend.job_queue.admission import INITIAL_RUN_TIME_US, AdmissionQueue
 from hazelbend.job_queue.dependency_graph import DependencyGraph, EndedJob, fails_child
 from hazelbend.job_queue.job import JobState, QueuedJob, Totals
 from hazelbend.job_queue.terms import (
@@ -134,7 +134,7 @@
         if job is None or job.state is not JobState.RUNNING:
             return self._effects
         if end is JobOutcome.SERVED and job.request is not None:
-            self.admission.observe_run(job.request.class_index, max(now - job.started_at, 1))
+            self.admission.observe_run_time(job.request.class_index, max(now - job.started_at, 1))
         self._finish(job, end, result, now)
         self._admit(now)
         return self._effects
@@ -148,20 +148,20 @@
             self._admit(now)
         return self._effects
 
-    def reject_all(self, reason: str, now: int, unless_by: int | None = None) -> list[Effect]:
+    def reject_all(self, reason: str, now: int, start_by: int | None = None) -> list[Effect]:
         """Refuse what cannot run any more when the process ends.
 
-        That is a job that waits for a time after `unless_by` (wall clock) or for a parent that has not come,
-        and the jobs that wait for it. Without `unless_by`: every waiting job.
+        That is a job that waits for a time after `start_by` (wall clock) or for a parent that has not come,
+        and the jobs that wait for it. Without `start_by`: every waiting job.
         """
         self._effects = []
         for job in list(self.jobs.values()):
             # A refusal may have ended jobs that are still ahead in this list.
             if self.jobs.get(job.key) is not job or not job.is_waiting:
                 continue
-            if unless_by is None or self._cannot_start_by(job, unless_by):
+            if start_by is None or self._cannot_start_by(job, start_by):
                 self._reject(job, JobOutcome.REFUSED, reason, now)
-        if unless_by is not None:
+        if start_by is not None:
             self._admit(now)
         return self._effects
 
@@ -178,7 +178,7 @@
             job = self.jobs.get(key)
             if job is not None:
                 self._check_deadline(job, now)
-        self.graph.forget_old(now)
+        self.graph.expire_ended_jobs(now)
         self._admit(now)
         return self._effects
 
@@ -200,7 +200,7 @@
     # --- steps of a submission ---
 
     def _needs_room(self, request: JobRequest) -> bool:
-        crowded = 0 < self.bounds.in_service <= self.admission.busy and not request.bypasses_admission
+        crowded = 0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
         return request.terms.waits or crowded
 
     def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
@@ -212,7 +212,7 @@
             return None
         self.totals.rejected[JobOutcome.REFUSED] += 1
         reason = QUEUE_FULL if full else CLIENT_QUEUE_FULL
-        return Rejection(request.key, JobOutcome.REFUSED, reason, round(FIRST_RUN_US))
+        return Rejection(request.key, JobOutcome.REFUSED, reason, round(INITIAL_RUN_TIME_US))
 
     def _reject_unknown(self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int) -> None:
         """Refuse a job that there is no room for, and tell those that expected it."""
@@ -231,12 +231,12 @@
         if past is not None and parent is None:
             if fails_child(past.outcome, edge):
                 return key, past.outcome
-            self.graph.hand_result(job, key, past.outcome, past.result)
+            self.graph.add_parent_result(job, key, past.outcome, past.result)
             return None
         if parent is None:
-            parent = QueuedJob(key, JobState.EXPECTED, expected_until=now + self.bounds.come_within)
+            parent = QueuedJob(key, JobState.EXPECTED, submission_deadline=now + self.bounds.submission_timeout_us)
             self.jobs[key] = parent
-            self.timers.add_deadline(parent.expected_until, key)
+            self.timers.add_deadline(parent.submission_deadline, key)
         self.graph.add_edge(parent, job, edge)
         return None
 
@@ -263,9 +263,9 @@
         return job.not_before is not None and job.not_before > wall
 
     def _check_deadline(self, job: QueuedJob, now: int) -> None:
-        if job.state is JobState.EXPECTED and job.expected_until <= now:
-            self.graph.remember(job.key, JobOutcome.NEVER_CAME, b"", now)
-            self._end_parent(job, JobOutcome.NEVER_CAME, b"", now)
+        if job.state is JobState.EXPECTED and job.submission_deadline <= now:
+            self.graph.remember(job.key, JobOutcome.NEVER_SUBMITTED, b"", now)
+            self._end_parent(job, JobOutcome.NEVER_SUBMITTED, b"", now)
             del self.jobs[job.key]
         elif job.is_waiting and job.request and job.request.deadline <= now:
             self._reject(job, JobOutcome.EXPIRED, DEADLINE_PASSED, now)
@@ -287,7 +287,7 @@
                     self._take_out(child, JobOutcome.REFUSED, _parent_reason(ended.key, how), now)
                     ends.append((child, JobOutcome.REFUSED, b""))
                     continue
-                self.graph.hand_result(child, ended.key, how, result)
+                self.graph.add_parent_result(child, ended.key, how, result)
                 if not child.parents and child.not_before is None:
                     self._queue(child, now)
             ended.children.clear()
@@ -300,18 +300,18 @@
         request = job.request
         job.state = JobState.QUEUED
         job.queued_at = now
-        run = self.admission.expected_run(request.class_index)
+        run = self.admission.expected_run_us(request.class_index)
         objective = now + request.objective if request.objective else request.deadline
-        wanted_by = min(request.terms.wanted_by or objective, request.deadline)
+        due_at = min(request.terms.due_at or objective, request.deadline)
         if self.bounds.in_service:
-            wait = self.admission.expected_wait(request.class_index)
-            late = now + wait + run > wanted_by and not self.admission.fits(job)
+            wait = self.admission.expected_wait_us(request.class_index)
+            late = now + wait + run > due_at and not self.admission.has_slot_for(job)
             if late and not request.late_value:
                 self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
                 return
             # In time it would delay jobs that were admitted as such.
             job.aged = late or self.admission.is_over_share(request.tenant)
-        self.admission.enqueue(job, round(wanted_by - run))
+        self.admission.enqueue(job, round(due_at - run))
 
     def _admit(self, now: int) -> None:
         """Fill the free places."""
@@ -339,7 +339,7 @@
         assert job.request is not None
         self.totals.missed += 1
         if not job.request.late_value and self.bounds.in_service:
-            wait = round(self.admission.expected_wait(job.request.class_index))
+            wait = round(self.admission.expected_wait_us(job.request.class_index))
             self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait or 1)
         else:
             self.admission.enqueue(job, latest_start)
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -71,7 +71,7 @@
         if self.context is not None:
             self.context.leave()
         else:
-            self.gate.cancel(self.key, JobOutcome.LEFT)
+            self.gate.cancel(self.key, JobOutcome.CLIENT_DISCONNECTED)
 
 
 @dataclass(slots=True, frozen=True)
@@ -165,16 +165,16 @@
         self._carry_out(self.engine.change(bounds, self.router.clock.now()))
         self._wake()
 
-    def leave(self, reason: str, unless_by: int) -> None:
+    def leave(self, reason: str, start_by: int) -> None:
         """The process ends: reject at once what cannot start by then (wall clock), also of jobs to come."""
-        self._leaving = reason, unless_by
-        self._carry_out(self.engine.reject_all(reason, self.router.clock.now(), unless_by))
+        self._leaving = reason, start_by
+        self._carry_out(self.engine.reject_all(reason, self.router.clock.now(), start_by))
 
     def reject_waiting(self, reason: str) -> None:
         """Reject every waiting job."""
         self._carry_out(self.engine.reject_all(reason, self.router.clock.now()))
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Return when no job waits or runs."""
         await self._idle.wait()
 
@@ -215,7 +215,7 @@
             "waiting.missed": totals.missed,
             "waiting.refused": totals.rejected[JobOutcome.REFUSED],
             "waiting.expired": totals.rejected[JobOutcome.EXPIRED],
-            "waiting.cancelled": totals.rejected[JobOutcome.CANCELLED] + totals.rejected[JobOutcome.LEFT],
+            "waiting.cancelled": totals.rejected[JobOutcome.CANCELLED] + totals.rejected[JobOutcome.CLIENT_DISCONNECTED],
         }
         for index, name in enumerate(classes):
             found[f"waiting.longest_ms.{name}"] = totals.longest_wait_us.get(index, 0) // US_PER_MS
@@ -255,7 +255,7 @@
 
     def _ended(self, pending: PendingJob, done: asyncio.Future[Answer]) -> None:
         answer = done.result() if not done.cancelled() else Answer(Verdict.FAILED)
-        end = JobOutcome.LEFT if pending.client_left else OUTCOMES[answer.verdict]
+        end = JobOutcome.CLIENT_DISCONNECTED if pending.client_left else OUTCOMES[answer.verdict]
         self._forget(pending, answer)
         self._carry_out(self.engine.ended(pending.key, end, answer.result, self.router.clock.now()))
         self._wake()
--- a/hazelbend/job_queue/invariants.py
+++ b/hazelbend/job_queue/invariants.py
@@ -25,7 +25,7 @@
     if engine.bounds.in_service:
         assert len(running) <= engine.bounds.in_service, "3: places"
     queued = [job for job in waiting if job.state is JobState.QUEUED]
-    assert not any(engine.admission.fits(job) for job in queued), "3: a free place"
+    assert not any(engine.admission.has_slot_for(job) for job in queued), "3: a free place"
     for job in jobs:
         assert job.state is not JobState.EXPECTED or job.children, "4: expected by nobody"
         assert not engine.graph.reaches(dict(job.parents), job.key), "4: a cycle"
--- a/hazelbend/job_queue/job.py
+++ b/hazelbend/job_queue/job.py
@@ -35,7 +35,7 @@
     not_before: int | None = None  # wall time that has not come
     aged: bool = False
     queue_entry: int = 0  # number of its valid entry in a queue; entries with other numbers are void
-    expected_until: int = 0  # EXPECTED: when it counts as never come
+    submission_deadline: int = 0  # EXPECTED: when it counts as never come
 
     @property
     def is_waiting(self) -> bool:
--- a/hazelbend/job_queue/settings.py
+++ b/hazelbend/job_queue/settings.py
@@ -32,7 +32,7 @@
     longest_s: Seconds = 3_600.0  # that a job may wait, whatever its client says
 
 
-class ClassPlaces(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ClassLimit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How many jobs of a class run at once."""
 
     name: str
@@ -52,7 +52,7 @@
     in_service: Count
     aged: Annotated[int, Meta(ge=0, le=10_000_000)] = 1
     ordinary: bool = False  # whether jobs without terms go by it too
-    job_class: tuple[ClassPlaces, ...] = msgspec.field(default=(), name="class")
+    job_class: tuple[ClassLimit, ...] = msgspec.field(default=(), name="class")
     tenant: tuple[TenantShare, ...] = ()
 
 
@@ -82,9 +82,9 @@
             parents=limits.parents,
             children=limits.children,
             depth=limits.depth,
-            come_within=round(limits.come_within_s * US_PER_S),
+            submission_timeout_us=round(limits.come_within_s * US_PER_S),
             remember=limits.remembered,
-            remember_for=round(limits.remember_s * US_PER_S),
+            ended_job_ttl_us=round(limits.remember_s * US_PER_S),
             result_bytes=limits.result_bytes,
             in_service=admission.in_service if admission else 0,
             by_class=tuple((classes.index(row.name), row.in_service) for row in by_class),
--- a/hazelbend/job_queue/terms.py
+++ b/hazelbend/job_queue/terms.py
@@ -27,9 +27,9 @@
     REFUSED = "refused"
     FAILED = "failed"
     CANCELLED = "cancelled"
-    LEFT = "its client left"
+    CLIENT_DISCONNECTED = "its client left"
     EXPIRED = "expired"
-    NEVER_CAME = "never came"
+    NEVER_SUBMITTED = "never came"
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,7 +47,7 @@
     after: tuple[Dependency, ...] = ()
     not_before: int | None = None  # wall clock
     # An answer by then has its full value; 0: by its class's objective, from when the job is ready.
-    wanted_by: int = 0
+    due_at: int = 0
     takes_results: bool = False  # its parents' results are added to its body
 
     @property
@@ -81,9 +81,9 @@
     parents: int = 64  # of one job
     children: int = 1_000
     depth: int = 100  # of a chain of jobs that wait on each other
-    come_within: int = 5_000_000  # how long others may wait for an id that was not submitted
+    submission_timeout_us: int = 5_000_000  # how long others may wait for an id that was not submitted
     remember: int = 10_000  # jobs that ended, for those that come later and name them
-    remember_for: int = 60_000_000
+    ended_job_ttl_us: int = 60_000_000
     result_bytes: int = 65_536  # handed to one child
     in_service: int = 0  # jobs at once; 0: no admission, whatever is ready goes
     by_class: tuple[tuple[int, int], ...] = ()  # class, jobs of it at once
--- a/hazelbend/leases/expiry_watcher.py
+++ b/hazelbend/leases/expiry_watcher.py
@@ -17,7 +17,7 @@
 NO_TERM = -1
 
 
-class HeldLease(NamedTuple):
+class LeaseRenewal(NamedTuple):
     """A lease as of one renewal, as `Expire` names it."""
 
     name: str
@@ -39,7 +39,7 @@
     """Times are microseconds of this process's clock."""
 
     limits: LeaseLimits
-    held_since: dict[HeldLease, int] = field(default_factory=dict)
+    renewed_at: dict[LeaseRenewal, int] = field(default_factory=dict)
     polled_at: dict[WaiterPoll, int] = field(default_factory=dict)
     epoch: int = 0
     epoch_seen_at: int = 0
@@ -52,8 +52,8 @@
         if self.epoch != state.epoch:
             self.epoch = state.epoch
             self.epoch_seen_at = now
-        held = [HeldLease(name, lease.token, lease.renewals) for name, lease in state.leases.items()]
-        self.held_since = first_seen(held, self.held_since, now)
+        held = [LeaseRenewal(name, lease.token, lease.renewals) for name, lease in state.leases.items()]
+        self.renewed_at = first_seen(held, self.renewed_at, now)
         polls = [
             WaiterPoll(name, waiter.holder, waiter.request_id, waiter.polls)
             for name, lease in state.leases.items()
@@ -69,7 +69,7 @@
         """When `expired` may have something new."""
         leases = table.state.leases
         times = [] if table.state.is_open else [self.opens_at()]
-        times += [since + leases[held.name].ttl_us for held, since in self.held_since.items()]
+        times += [since + leases[held.name].ttl_us for held, since in self.renewed_at.items()]
         times += [polled_at + self.limits.max_ttl_us for polled_at in self.polled_at.values()]
         return min(times, default=NEVER)
 
@@ -86,7 +86,7 @@
         found: list[Operation] = []
         if not table.state.is_open and now >= self.opens_at():
             found.append(OpenEpoch())
-        for held, since in self.held_since.items():
+        for held, since in self.renewed_at.items():
             if now >= since + table.state.leases[held.name].ttl_us:
                 found.append(Expire(*held))
         for poll, polled_at in self.polled_at.items():
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -196,7 +196,7 @@
             self._proposals[proposal_id] = Proposal(number, operation)
         self._collect_output()
 
-    def found_epoch(self, unix_s: float, now: int) -> int:
+    def start_new_epoch(self, unix_s: float, now: int) -> int:
         """Start a new epoch, with this one voter, by an operator. Its number."""
         epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.me)
         self.raft.force_new_cluster(epoch, now)
@@ -254,7 +254,7 @@
         )
 
     def _lease_views(self, now: int) -> tuple[LeaseView, ...]:
-        renewed_at = {held.name: since for held, since in self.expiry_watcher.held_since.items()}
+        renewed_at = {held.name: since for held, since in self.expiry_watcher.renewed_at.items()}
         return tuple(
             LeaseView(
                 name,
@@ -329,7 +329,7 @@
     def _check_long_polls(self) -> None:
         for number, poll in list(self._long_polls.items()):
             lease = self.leases.state.leases.get(poll.request.name)
-            if lease is not None and lease.is_for(poll.request):
+            if lease is not None and lease.was_granted_to(poll.request):
                 # It was granted after its request was sent, so its time may count from then.
                 self._end_long_poll(number, LeaseResponse(lease.token))
             elif not self.raft.is_leader:
--- a/hazelbend/leases/lease_table.py
+++ b/hazelbend/leases/lease_table.py
@@ -80,7 +80,7 @@
     renewals: int = 0
     waiters: list[Waiter] = []
 
-    def is_for(self, request: Acquire) -> bool:
+    def was_granted_to(self, request: Acquire) -> bool:
         """Whether this request was granted the lease."""
         return (self.holder, self.request_id) == (request.holder, request.request_id)
 
@@ -161,7 +161,7 @@
                 return LeaseResponse(reason=Reason.TOO_MANY_LEASES)
             lease = self._grant(request.name, request, [])
             return LeaseResponse(lease.token)
-        if lease.is_for(request):
+        if lease.was_granted_to(request):
             lease.renewals += 1
             return LeaseResponse(lease.token)
         return self._queue(request, lease)
--- a/hazelbend/leases/settings.py
+++ b/hazelbend/leases/settings.py
@@ -60,7 +60,7 @@
         )
 
     @property
-    def opening_wait_s(self) -> float:
+    def epoch_opening_delay_s(self) -> float:
         """How long a new epoch grants nothing."""
         return self.max_ttl_s * (1 + self.max_clock_drift)
 
--- a/hazelbend/placement/engine.py
+++ b/hazelbend/placement/engine.py
@@ -70,7 +70,7 @@
     def services(self, services: dict[str, Service]) -> None:
         self._fleet.services = services
 
-    def set_switching(self, instances: set[str]) -> None:
+    def set_phase_changing(self, instances: set[str]) -> None:
         """Take the instances that are changing their phase: they get no requests."""
         self._fleet.switching = instances
 
@@ -111,7 +111,7 @@
             requests=QueueEstimate(request_rate, concurrency=float(record.capacity)),
         )
 
-    def update_silence(self, silent_for: dict[str, int], expiry: float) -> None:
+    def update_heartbeat_ages(self, silent_for: dict[str, int], expiry: float) -> None:
         """Take how long ago the silent workers were last heard by the control processes.
 
         A worker that is silent for longer than `expiry`, or that has left, is dropped once no own attempt is
--- a/hazelbend/protocol/handover.py
+++ b/hazelbend/protocol/handover.py
@@ -15,7 +15,7 @@
 from hazelbend.routing.ports import EndpointList
 
 MAX_LINE_BYTES = 4 * 1024 * 1024
-MAX_FLOW_ID_LENGTH = 1_024  # characters
+MAX_JOB_ID_LENGTH = 1_024  # characters
 
 
 class HandoverError(ValueError):
@@ -29,16 +29,16 @@
     class_names: tuple[str, ...]  # in the order of the settings
     endpoints: EndpointList
     drained_hosts: tuple[str, ...] = ()  # that an operator drains
-    flow_ids: tuple[str, ...] = ()  # of open flows
+    open_job_ids: tuple[str, ...] = ()  # of open flows
     learned: dict[str, Any] = field(default_factory=dict)  # the decision module's state
     component_states: dict[str, dict[str, Any]] = field(default_factory=dict)  # by name of the component
 
 
 @dataclass(slots=True, frozen=True)
-class FlowIdUpdate:
+class JobIdUpdate:
     """A flow of this id was opened, or has ended."""
 
-    flow_id: str
+    job_id: str
     is_open: bool
 
 
@@ -50,7 +50,7 @@
             "classes": state.class_names,
             "known": codec.to_object(state.endpoints),
             "held_back": state.drained_hosts,
-            "ids": state.flow_ids,
+            "ids": state.open_job_ids,
             "learnt": state.learned,
             **components,
         },
@@ -76,19 +76,19 @@
         class_names=_texts(value, "classes"),
         endpoints=codec.from_object(value.get("known")),
         drained_hosts=_texts(value, "held_back"),
-        flow_ids=_texts(value, "ids"),
+        open_job_ids=_texts(value, "ids"),
         learned=learned,
         component_states=components,
     )
 
 
-def encode_update(update: FlowIdUpdate) -> bytes:
+def encode_update(update: JobIdUpdate) -> bytes:
     """The line with an update."""
     key = "taken" if update.is_open else "over"
-    return orjson.dumps({key: update.flow_id}, option=orjson.OPT_APPEND_NEWLINE)
+    return orjson.dumps({key: update.job_id}, option=orjson.OPT_APPEND_NEWLINE)
 
 
-def decode_update(line: bytes) -> FlowIdUpdate | None:
+def decode_update(line: bytes) -> JobIdUpdate | None:
     """The update in a line; None if it holds none that is known.
 
     Raises:
@@ -96,9 +96,9 @@
     """
     value = _object(line)
     for key in ("taken", "over"):
-        flow_id = value.get(key)
-        if isinstance(flow_id, str) and len(flow_id) <= MAX_FLOW_ID_LENGTH:
-            return FlowIdUpdate(flow_id, is_open=key == "taken")
+        job_id = value.get(key)
+        if isinstance(job_id, str) and len(job_id) <= MAX_JOB_ID_LENGTH:
+            return JobIdUpdate(job_id, is_open=key == "taken")
     return None
 
 
--- a/hazelbend/protocol/http_fields.py
+++ b/hazelbend/protocol/http_fields.py
@@ -20,7 +20,7 @@
 MAX_TIMEOUT_DIGITS = 9
 MAX_COST_DIGITS = 9
 MAX_SLOTS = 1_000
-SHOWN_LENGTH = 40  # characters of a client's own text in an error
+MAX_QUOTED_LENGTH = 40  # characters of a client's own text in an error
 ANSWER_MARGIN_US = 25_000
 ANSWER_MARGIN_DIVISOR = 10  # the margin is at most this part of the timeout
 US_PER_MS = 1_000
@@ -66,7 +66,7 @@
         for index, row in enumerate(self.classes):
             if row.name == name:
                 return index
-        raise BadRequestError(f"unknown class {name[:SHOWN_LENGTH]!r}")
+        raise BadRequestError(f"unknown class {name[:MAX_QUOTED_LENGTH]!r}")
 
     def tenant_index(self, name: str | None) -> int:
         """The place of a tenant; 0 where the settings name none.
@@ -77,7 +77,7 @@
         if not self.tenants:
             return 0
         if name not in self.tenants:
-            raise BadRequestError(f"unknown tenant {(name or '')[:SHOWN_LENGTH]!r}")
+            raise BadRequestError(f"unknown tenant {(name or '')[:MAX_QUOTED_LENGTH]!r}")
         return self.tenants.index(name)
 
 
--- a/hazelbend/protocol/stomp.py
+++ b/hazelbend/protocol/stomp.py
@@ -15,7 +15,7 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_DIGITS = 9  # of a number in a header
 COMMAND_BYTES = 16  # more than any command has
-SHOWN_LENGTH = 40  # characters of a peer's own text in an error
+MAX_QUOTED_LENGTH = 40  # characters of a peer's own text in an error
 DEFAULT_VERSION = "1.2"
 VERSIONS = ("1.2", "1.1")  # the newest first
 
@@ -127,7 +127,7 @@
         self._searched = 0
         command = command.removesuffix("\r")
         if command not in self._commands:
-            raise StompError(f"unknown command {command[:SHOWN_LENGTH]!r}")
+            raise StompError(f"unknown command {command[:MAX_QUOTED_LENGTH]!r}")
         headers = self._headers(command, lines)
         self._head = _Head(command, headers, self._content_length(headers))
         return True
@@ -145,7 +145,7 @@
         for line in lines:
             name, colon, value = line.removesuffix("\r").partition(":")
             if not colon or not name:
-                raise StompError(f"no header: {line[:SHOWN_LENGTH]!r}")
+                raise StompError(f"no header: {line[:MAX_QUOTED_LENGTH]!r}")
             if command not in UNESCAPED_COMMANDS:
                 name = self._unescape(name)
                 value = self._unescape(value)
--- a/hazelbend/protocol/waiting_terms.py
+++ b/hazelbend/protocol/waiting_terms.py
@@ -17,7 +17,7 @@
 MAX_ID_LENGTH = 128
 MAX_UNIX_TIME_DIGITS = 15
 MAX_WANTED_DIGITS = 9
-SHOWN_LENGTH = 40  # characters of a client's own text in an error
+MAX_QUOTED_LENGTH = 40  # characters of a client's own text in an error
 US_PER_MS = 1_000
 
 
@@ -32,10 +32,10 @@
     starts_at = None
     if not_before:
         starts_at = _number(not_before, "not-before", MAX_UNIX_TIME_DIGITS) * US_PER_MS
-    wanted_by = 0
+    due_at = 0
     if wanted:
-        wanted_by = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
-    return JobTerms(_after(after), starts_at, wanted_by, _flag(take_results))
+        due_at = now + _number(wanted, "wanted", MAX_WANTED_DIGITS) * US_PER_MS
+    return JobTerms(_after(after), starts_at, due_at, _flag(take_results))
 
 
 def _after(text: str) -> tuple[Dependency, ...]:
@@ -50,7 +50,7 @@
             found.append(Dependency(name, DependencyCondition(condition or "served")))
         except ValueError:
             raise BadRequestError(
-                f"after: {condition[:SHOWN_LENGTH]!r} is neither served nor ended"
+                f"after: {condition[:MAX_QUOTED_LENGTH]!r} is neither served nor ended"
             ) from None
     return tuple(found)
 
--- a/hazelbend/quotas/allocation.py
+++ b/hazelbend/quotas/allocation.py
@@ -24,7 +24,7 @@
 
 from hazelbend.leases.time_bounds import NEVER, holder_ttl_us
 from hazelbend.quotas.operations import Allocate, QuotaResponse, Reason, ReturnUnits
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 
 RENEWALS_PER_TTL = 3
 REQUEST_TIMEOUTS_PER_TTL = 6  # after one of these a request counts as lost
@@ -35,7 +35,7 @@
 INITIAL_SERVICE_TIME_US = 500_000.0
 SERVICE_TIME_SAMPLES = 20.0  # weight of the mean service time
 MIN_DEMAND = 0.1  # jobs in service; less wants no unit
-IDLE_SHARE = 8  # an allocation keeps one idle unit for so many, and at least one
+UNITS_PER_SPARE_UNIT = 8  # an allocation keeps one idle unit for so many, and at least one
 RETRYABLE_REASONS = (Reason.LATE, Reason.NOT_OPEN, Reason.BUSY)
 
 
@@ -54,12 +54,12 @@
 class AllocationClient:
     """The holder of one allocation. Times are microseconds of one clock that never goes back."""
 
-    def __init__(self, account: str, holder: str, terms: QuotaTerms, now: int) -> None:
+    def __init__(self, account: str, holder: str, parameters: QuotaParameters, now: int) -> None:
         """`holder`: an identity that stands for one run of a process, and is never used again."""
         self.account = account
         self.holder = holder
-        self.terms = terms
-        self.holder_ttl_us = holder_ttl_us(terms.allocation_ttl_us, terms.max_clock_drift)
+        self.parameters = parameters
+        self.holder_ttl_us = holder_ttl_us(parameters.allocation_ttl_us, parameters.max_clock_drift)
         self.token = 0
         self.units = 0
         self.used = 0
@@ -110,7 +110,7 @@
             return self._request_deadline()
         if not self.token:
             return self.sent_at + MIN_REQUEST_INTERVAL_US if self.rejections else NEVER
-        interval = self.terms.allocation_ttl_us // RENEWALS_PER_TTL
+        interval = self.parameters.allocation_ttl_us // RENEWALS_PER_TTL
         if self.rejections > 0 or self.wanted_back:
             interval = MIN_REQUEST_INTERVAL_US
         elif self.units > self.used:
@@ -150,7 +150,7 @@
             self._renewed(response, now)
 
     def _request_deadline(self) -> int:
-        return self.sent_at + self.terms.allocation_ttl_us // REQUEST_TIMEOUTS_PER_TTL
+        return self.sent_at + self.parameters.allocation_ttl_us // REQUEST_TIMEOUTS_PER_TTL
 
     def _next_request(self, now: int) -> Request | None:
         number = self.last_request_number
@@ -201,4 +201,4 @@
             margin = int(math.sqrt(self.used) / 2)
             return max(min(self.wanted_back, self.units - self.used - margin), 0)
         idle = self.units - self._wanted_units(now)
-        return idle if idle > max(1, self.units // IDLE_SHARE) else 0
+        return idle if idle > max(1, self.units // UNITS_PER_SPARE_UNIT) else 0
--- a/hazelbend/quotas/expiry_watcher.py
+++ b/hazelbend/quotas/expiry_watcher.py
@@ -12,10 +12,10 @@
 from hazelbend.leases.time_bounds import NEVER, first_seen
 from hazelbend.quotas.ledger import QuotaLedger
 from hazelbend.quotas.operations import Expire, OpenEpoch, Operation, Reclaim
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 
 
-class HeldAllocation(NamedTuple):
+class AllocationRenewal(NamedTuple):
     """An allocation as of one renewal, as `Expire` names it."""
 
     account: str
@@ -24,7 +24,7 @@
     renewals: int
 
 
-class DoubtfulAllocation(NamedTuple):
+class UnitsInDoubt(NamedTuple):
     """Units in doubt, as `Reclaim` names them."""
 
     account: str
@@ -35,9 +35,9 @@
 class AllocationExpiryWatcher:
     """Times are microseconds of this process's clock."""
 
-    terms: QuotaTerms
-    held_since: dict[HeldAllocation, int] = field(default_factory=dict)
-    in_doubt_since: dict[DoubtfulAllocation, int] = field(default_factory=dict)
+    parameters: QuotaParameters
+    renewed_at: dict[AllocationRenewal, int] = field(default_factory=dict)
+    in_doubt_since: dict[UnitsInDoubt, int] = field(default_factory=dict)
     epoch: int = 0
     epoch_seen_at: int = 0
 
@@ -48,13 +48,13 @@
             self.epoch = state.epoch
             self.epoch_seen_at = now
         held = [
-            HeldAllocation(account, holder, allocation.token, allocation.renewals)
+            AllocationRenewal(account, holder, allocation.token, allocation.renewals)
             for account, allocations in state.allocations.items()
             for holder, allocation in allocations.items()
         ]
-        self.held_since = first_seen(held, self.held_since, now)
+        self.renewed_at = first_seen(held, self.renewed_at, now)
         in_doubt = [
-            DoubtfulAllocation(account, token)
+            UnitsInDoubt(account, token)
             for account, units_by_token in state.in_doubt.items()
             for token in units_by_token
         ]
@@ -62,13 +62,13 @@
 
     def opens_at(self) -> int:
         """From when on this epoch may allocate: nothing that the previous one admitted is in service."""
-        return self.epoch_seen_at + self.terms.reclaim_after_us
+        return self.epoch_seen_at + self.parameters.reclaim_after_us
 
     def next_at(self, ledger: QuotaLedger) -> int:
         """When `expired` may have something new."""
         times = [] if ledger.state.is_open else [self.opens_at()]
-        times += [since + self.terms.allocation_ttl_us for since in self.held_since.values()]
-        times += [since + self.terms.reclaim_after_us for since in self.in_doubt_since.values()]
+        times += [since + self.parameters.allocation_ttl_us for since in self.renewed_at.values()]
+        times += [since + self.parameters.reclaim_after_us for since in self.in_doubt_since.values()]
         return min(times, default=NEVER)
 
     def expired(self, ledger: QuotaLedger, now: int) -> list[Operation]:
@@ -76,10 +76,10 @@
         found: list[Operation] = []
         if not ledger.state.is_open and now >= self.opens_at():
             found.append(OpenEpoch())
-        for held, since in self.held_since.items():
-            if now >= since + self.terms.allocation_ttl_us:
+        for held, since in self.renewed_at.items():
+            if now >= since + self.parameters.allocation_ttl_us:
                 found.append(Expire(*held))
         for doubtful, since in self.in_doubt_since.items():
-            if now >= since + self.terms.reclaim_after_us:
+            if now >= since + self.parameters.reclaim_after_us:
                 found.append(Reclaim(*doubtful))
         return found
--- a/hazelbend/quotas/ledger.py
+++ b/hazelbend/quotas/ledger.py
@@ -45,7 +45,7 @@
     SetAccounts,
     decode,
 )
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 
 MAX_HOLDER_LENGTH = 200  # characters
 
@@ -91,8 +91,8 @@
 class QuotaLedger:
     """The state machine of the replicated log. An operation that is not possible gets a reason."""
 
-    def __init__(self, terms: QuotaTerms) -> None:
-        self.terms = terms
+    def __init__(self, parameters: QuotaParameters) -> None:
+        self.parameters = parameters
         self.state = LedgerState()
 
     def begin(self, epoch: int) -> None:
@@ -151,7 +151,7 @@
             unavailable += allocated
             if sibling.name != account.name:
                 idle = max(sibling.guaranteed - allocated, 0)
-                lendable = int(idle * self.terms.lendable_share) if self.shortfall(sibling) == 0 else 0
+                lendable = int(idle * self.parameters.lendable_share) if self.shortfall(sibling) == 0 else 0
                 unavailable += idle - lendable
         return unavailable
 
--- a/hazelbend/quotas/timing.py
+++ b/hazelbend/quotas/timing.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaTerms:
+class QuotaParameters:
     """Terms of allocations. Times are microseconds.
 
     `max_job_time_us`: the longest that a job may still run after its dispatcher is lost.
--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -95,7 +95,7 @@
             return None
         if not backend.accepts_work or backend.client is not attempt.client:
             return None
-        if not self._module.may_begin(request.number, number, now):
+        if not self._module.may_still_send(request.number, number, now):
             return None
         attempt.is_permitted = True
         return remaining
--- a/hazelbend/routing/decision_module.py
+++ b/hazelbend/routing/decision_module.py
@@ -13,8 +13,8 @@
     def handle(self, event: decisions.Event, now: int) -> list[decisions.Action]:
         """Take an event in, and return what is to be done."""
 
-    def may_begin(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
+    def may_still_send(self, request: decisions.RequestId, attempt: int, now: int) -> bool:
         """Whether an attempt whose connection is established may still be sent."""
 
-    def avoided(self, now: int) -> set[decisions.WorkerId]:
+    def workers_in_backoff(self, now: int) -> set[decisions.WorkerId]:
         """Return the listed workers that get no requests now."""
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -15,7 +15,7 @@
 from hazelbend.routing.table import Backend
 
 MANUALLY_DRAINED = "held back"
-STATE_WORDS = {WorkerState.READY: "ready", WorkerState.DRAINING: "draining", WorkerState.GONE: "gone"}
+STATE_LABELS = {WorkerState.READY: "ready", WorkerState.DRAINING: "draining", WorkerState.GONE: "gone"}
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
     dial: str
     zone: int
     kind: int
-    state: str  # a word of `state_word`
+    state: str  # a word of `state_label`
     in_flight: int  # attempts
     served: int
     failed: int
@@ -96,18 +96,18 @@
     fronts: dict[str, int] = field(default_factory=dict)  # open connections, by listener
 
 
-def state_word(server: Backend) -> str:
+def state_label(server: Backend) -> str:
     """Return the state of a backend as operators read it."""
     if server.is_manually_drained:
         return MANUALLY_DRAINED
-    return STATE_WORDS[server.entry.state]
+    return STATE_LABELS[server.entry.state]
 
 
-def take_figures(router: Router, classes: Iterable[str]) -> Figures:
+def collect_figures(router: Router, classes: Iterable[str]) -> Figures:
     """Take the figures of a router, without those of optional components. `classes`: names by index."""
     answers = router.counters.answers
     servers = router.table.servers
-    avoided = router.module.avoided(router.clock.now())
+    workers_in_backoff = router.module.workers_in_backoff(router.clock.now())
     return Figures(
         classes=tuple(
             ClassFigures(
@@ -121,11 +121,11 @@
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(server.is_manually_drained or number in avoided for number, server in servers.items()),
+        ejected=sum(server.is_manually_drained or number in workers_in_backoff for number, server in servers.items()),
     )
 
 
-def take_overview(
+def build_overview(
     router: Router, name: str, state: str, classes: Iterable[str], fronts: dict[str, int]
 ) -> Overview:
     """Take a snapshot of a router. `name`, `state` and `fronts` go into it as they are."""
@@ -138,7 +138,7 @@
         received=router.counters.received,
         abandoned=router.counters.abandoned,
         verdicts=router.counters.verdicts,
-        figures=take_figures(router, classes),
+        figures=collect_figures(router, classes),
         outcomes=dict(router.counters.outcomes),
         flows=tuple(_flow_row(request, now) for request in router.requests.values()),
         servers=tuple(_server_row(server) for server in servers),
@@ -155,7 +155,7 @@
         servers=tuple(
             attempt.backend.entry.host
             for attempt in request.attempts
-            if attempt.backend and not attempt.is_over
+            if attempt.backend and not attempt.is_finished
         ),
     )
 
@@ -167,7 +167,7 @@
         dial=server.entry.dial,
         zone=server.entry.zone,
         kind=server.entry.kind,
-        state=state_word(server),
+        state=state_label(server),
         in_flight=server.in_flight,
         served=server.served,
         failed=server.failed,
--- a/hazelbend/routing/request_context.py
+++ b/hazelbend/routing/request_context.py
@@ -23,7 +23,7 @@
     is_permitted: bool = False  # the check before the first byte was passed: it cannot be withdrawn any more
     is_written: bool = False  # its last byte was written: from now on it may be executed
     is_reported: bool = False  # its end is in the request's inbox
-    is_over: bool = False  # and was handled
+    is_finished: bool = False  # and was handled
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +38,7 @@
     answered: asyncio.Future[Answer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    client_left: bool = False  # set at once; `ClientDisconnected` is handled in its turn
+    client_disconnected: bool = False  # set at once; `ClientDisconnected` is handled in its turn
     abandoned: bool = False  # counted as given up by its client
     task: asyncio.Task[None] | None = None
     replies: list[asyncio.Future[Answer]] = field(default_factory=list)
@@ -51,17 +51,17 @@
     @property
     def is_closed(self) -> bool:
         """Whether nothing more may be sent: it has its answer, or its client has gone."""
-        return self.client_left or self.answered.done()
+        return self.client_disconnected or self.answered.done()
 
     @property
     def has_pending_events(self) -> bool:
         """Whether events are in its inbox, or are to come from its attempts."""
-        return not (self.inbox.empty() and all(attempt.is_over for attempt in self.attempts))
+        return not (self.inbox.empty() and all(attempt.is_finished for attempt in self.attempts))
 
     def leave(self) -> None:
         """The client has gone: nothing is sent from this moment on."""
-        if not self.client_left:
-            self.client_left = True
+        if not self.client_disconnected:
+            self.client_disconnected = True
             self.inbox.put_nowait(ClientDisconnected())
 
     def reply(self) -> asyncio.Future[Answer]:
@@ -80,11 +80,11 @@
     def withdraw_attempts(self) -> None:
         """Cancel the attempts of which nothing was written, whatever cancels the module may send."""
         for attempt in self.attempts:
-            if attempt.task is not None and not attempt.is_permitted and not attempt.is_over:
+            if attempt.task is not None and not attempt.is_permitted and not attempt.is_finished:
                 attempt.task.cancel()
 
     def cancel_attempts(self) -> None:
         """Cancel all attempts."""
         for attempt in self.attempts:
-            if attempt.task is not None and not attempt.is_over:
+            if attempt.task is not None and not attempt.is_finished:
                 attempt.task.cancel()
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -43,7 +43,7 @@
 TIMER_RETRY_S = 0.5  # until a timer of the module whose handling failed fires again
 EXPIRY_TOLERANCE_US = 50_000  # before its deadline a failed request counts as one whose time is over
 PROBE_TIMEOUT_US = 300_000
-NOT_THE_BACKENDS_FAULT = (Outcome.CANCELLED, Outcome.FULL, Outcome.NOT_SENT)
+NOT_BACKEND_FAILURES = (Outcome.CANCELLED, Outcome.FULL, Outcome.NOT_SENT)
 
 
 class Router:
@@ -58,7 +58,7 @@
         self._open_ids: set[str] = set()
         # Another process of this dispatcher, in an upgrade: what is open there, and who reports what is here.
         self.is_open_elsewhere: Callable[[str], bool] = lambda job_id: False
-        self.on_id_changed: Callable[[str, bool], None] = lambda job_id, is_open: None
+        self.on_open_ids_changed: Callable[[str, bool], None] = lambda job_id, is_open: None
         self.on_registered_changed: Callable[[Endpoint], None] = lambda entry: None
         self.counters = RequestCounters()
         self.started_at = clock.now()
@@ -94,7 +94,7 @@
         self._next_number += 1
         self.requests[request.number] = request
         self._open_ids.add(job.id)
-        self.on_id_changed(job.id, True)
+        self.on_open_ids_changed(job.id, True)
         self.counters.received += 1
         self._is_idle.clear()
         request.task = asyncio.create_task(self._serve(request))
@@ -115,12 +115,12 @@
     def reserve_id(self, job_id: str) -> None:
         """A job of this id is open, though not accepted yet."""
         self._open_ids.add(job_id)
-        self.on_id_changed(job_id, True)
+        self.on_open_ids_changed(job_id, True)
 
     def release_id(self, job_id: str) -> None:
         """The request of this id is over, or was never accepted."""
         self._open_ids.discard(job_id)
-        self.on_id_changed(job_id, False)
+        self.on_open_ids_changed(job_id, False)
 
     def is_open(self, job_id: str) -> bool:
         """Whether a request of this id is open: backends know a job by it, so there must not be two."""
@@ -220,7 +220,7 @@
             self._answer(request, Answer(Verdict.FAILED))
         self.requests.pop(request.number, None)
         self._open_ids.discard(request.job.id)
-        self.on_id_changed(request.job.id, False)
+        self.on_open_ids_changed(request.job.id, False)
         if not self.requests:
             self._is_idle.set()
 
@@ -241,7 +241,7 @@
         """After an error, let the module end the attempts that it counts as load on their backends."""
         events: list[decisions.Event] = [decisions.ClientGone(request.number)]
         for number, attempt in enumerate(request.attempts):
-            if attempt.is_over:
+            if attempt.is_finished:
                 continue
             outcome = Outcome.CANCELLED
             events.append(
@@ -282,13 +282,13 @@
     def _on_attempt_finished(self, request: RequestContext, event: AttemptFinished) -> None:
         attempt = request.attempts[event.number]
         result = event.result
-        attempt.is_over = True
+        attempt.is_finished = True
         backend = attempt.backend
         if backend is not None and attempt.task is not None:
             backend.in_flight -= 1
             if result.outcome is Outcome.SERVED:
                 backend.served += 1
-            elif result.outcome not in NOT_THE_BACKENDS_FAULT:
+            elif result.outcome not in NOT_BACKEND_FAILURES:
                 backend.failed += 1
         self.counters.outcomes[result.outcome] += 1
         if result.outcome is Outcome.SERVED:
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -55,7 +55,7 @@
         """`connect` makes the client of a listed backend."""
         self._connect = connect
         self.servers: dict[int, Backend] = {}
-        self.watcher: Callable[[Backend, bool], None] | None = None  # gets changes of `accepts_work`
+        self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = None  # gets changes of `accepts_work`
         self._registered: set[int] = set()  # have connected by themselves
         self._indexes: dict[int, int] = {}
         self._manually_drained: set[int] = set()  # kept while a backend is absent from the list
@@ -177,5 +177,5 @@
         backend.client.close()
 
     def _notify_watcher(self, backend: Backend, accepted_work: bool) -> None:
-        if self.watcher is not None and backend.accepts_work is not accepted_work:
-            self.watcher(backend, backend.accepts_work)
+        if self.on_accepts_work_changed is not None and backend.accepts_work is not accepted_work:
+            self.on_accepts_work_changed(backend, backend.accepts_work)
--- a/hazelbend/system/control_api.py
+++ b/hazelbend/system/control_api.py
@@ -28,9 +28,9 @@
 
 NOT_FOUND = HttpResponse(404, b"no such call\n")
 CONFIG_CONFLICT = HttpResponse(412, b"another version is current\n")
-CONFIG_NOT_ABOVE = HttpResponse(400, b"version: not above the current one\n")
-CONFIG_FORGOTTEN = HttpResponse(503, b"too old to know whether it was taken; read the configuration\n")
-CONFIG_UNKNOWN = HttpResponse(503, b"not known whether it was taken; send it again\n")
+CONFIG_VERSION_NOT_NEWER = HttpResponse(400, b"version: not above the current one\n")
+CONFIG_BASE_TOO_OLD = HttpResponse(503, b"too old to know whether it was taken; read the configuration\n")
+CONFIG_OUTCOME_UNKNOWN = HttpResponse(503, b"not known whether it was taken; send it again\n")
 
 
 class CallRejectedError(Exception):
@@ -56,7 +56,7 @@
         self._node = node
         self._port = split_address(address)[1]
 
-    async def answer(self, request: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """The response to any request."""
         try:
             return await self._dispatch(request)
@@ -189,7 +189,7 @@
         case ChangeResult.CONFLICT:
             return CONFIG_CONFLICT
         case ChangeResult.VERSION_NOT_NEWER:
-            return CONFIG_NOT_ABOVE
+            return CONFIG_VERSION_NOT_NEWER
         case ChangeResult.BASE_TOO_OLD:
-            return CONFIG_FORGOTTEN
-    return CONFIG_UNKNOWN
+            return CONFIG_BASE_TOO_OLD
+    return CONFIG_OUTCOME_UNKNOWN
--- a/hazelbend/system/control_daemon.py
+++ b/hazelbend/system/control_daemon.py
@@ -49,7 +49,7 @@
             self._node, self._publisher.loads.total_loads, announce=self._publisher.publish_fleet_status
         )
         api = ControlApi(self._node, settings.control_address)
-        self._api_server = AsgiServer(api.answer, MAX_CALL_BODY_BYTES)
+        self._api_server = AsgiServer(api.handle, MAX_CALL_BODY_BYTES)
         self._frame_server = FrameServer(self._frame_received, self._connection_closed)
         self._peer_addresses: dict[FrameConnection, str] = {}  # of control processes that have said hello
 
--- a/hazelbend/system/main.py
+++ b/hazelbend/system/main.py
@@ -14,10 +14,10 @@
 import picologging
 from absl import app, flags
 
-from hazelbend.system.settings import ENVIRONMENT, Settings, SettingsError, read_settings
+from hazelbend.system.settings import SETTINGS_PATH_VARIABLE, Settings, SettingsError, read_settings
 
 FLAGS = flags.FLAGS
-flags.DEFINE_string("settings", None, f"Settings file; default: the one that {ENVIRONMENT} names.")
+flags.DEFINE_string("settings", None, f"Settings file; default: the one that {SETTINGS_PATH_VARIABLE} names.")
 flags.DEFINE_enum("log_level", "INFO", ["DEBUG", "INFO", "WARNING", "ERROR"], "Lowest level that is logged.")
 
 LOG_FORMAT = "%(created)f %(levelname)s %(message)s"  # asctime is broken in picologging 0.9.3
@@ -55,7 +55,7 @@
 def _run_role(role: str) -> int:
     from hazelbend.system.daemon_runner import run_daemon
 
-    path = Path(FLAGS.settings or os.environ.get(ENVIRONMENT, ""))
+    path = Path(FLAGS.settings or os.environ.get(SETTINGS_PATH_VARIABLE, ""))
     settings = _read_settings_or_report(path)
     if settings is None:
         return EXIT_USAGE
--- a/hazelbend/system/router_update_handler.py
+++ b/hazelbend/system/router_update_handler.py
@@ -76,8 +76,8 @@
     def apply_fleet_status(self, update: m.FleetStatus) -> None:
         """Take the number of routers, and which workers are silent or change their phase."""
         self._state.max_routers = max(self._state.max_routers, update.routers)
-        self._placement.set_switching(set(update.switching))
-        self._placement.update_silence(update.silent_ages_us, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
+        self._placement.set_phase_changing(set(update.switching))
+        self._placement.update_heartbeat_ages(update.silent_ages_us, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
         self._on_fleet_status(update)
 
     def apply_loads(self, update: LoadUpdate) -> None:
--- a/hazelbend/system/settings.py
+++ b/hazelbend/system/settings.py
@@ -16,7 +16,7 @@
 from hazelbend.control.configuration import Finding, schema_findings
 from hazelbend.system.clock import MILLISECOND_US, SECOND_US
 
-ENVIRONMENT = "HAZELBEND_CONFIG"  # the environment variable that names the settings file
+SETTINGS_PATH_VARIABLE = "HAZELBEND_CONFIG"  # the environment variable that names the settings file
 ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"  # IPv4 address and port
 MAX_PORT = 65_535
 CONTROL_PORT_OFFSET = 0  # from the first port of `portRange`
--- a/hazelbend/transport/dns/resolver_driver.py
+++ b/hazelbend/transport/dns/resolver_driver.py
@@ -41,13 +41,13 @@
         if self._closed:
             return
         now = self._now()
-        for query in self._resolver.due(now):
+        for query in self._resolver.take_due_queries(now):
             self._send(query)
         if self._resolver.names.changed:
             names, self._resolver.names.changed = self._resolver.names.changed, set()
             self._on_changed(names)
         self._timer.cancel()
-        if (next_at := self._resolver.next_at(now)) is not None:
+        if (next_at := self._resolver.next_due_at(now)) is not None:
             self._timer.set(max(next_at - now, 0) / 1e6)
 
     def reconnect(self) -> None:
@@ -92,6 +92,6 @@
             result = QueryFailure("a fault of ours")
         else:
             result = task.result()
-        for follow_up in self._resolver.query_done(query.id, result, self._now()):
+        for follow_up in self._resolver.handle_result(query.id, result, self._now()):
             self._send(follow_up)
         self.run_due()
--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -45,10 +45,10 @@
 class PoolSettings:
     """What the configuration says about connections to backends."""
 
-    connect_timeout: float  # seconds
-    keepalive: float  # seconds
-    connections: int  # at most so many in use
-    fields: LoadReportFields
+    connect_timeout_s: float  # seconds
+    keepalive_s: float  # seconds
+    max_connections: int  # at most so many in use
+    report_fields: LoadReportFields
 
 
 class ConnectionPool:
@@ -67,17 +67,17 @@
         Nobody waits for one: the wait would look like the backend's fault, and what was known about the
         backend when it was selected would be out of date.
         """
-        is_free = self._in_use < self.settings.connections
+        is_free = self._in_use < self.settings.max_connections
         self._in_use += is_free
-        trim_idle_connections(self.session, self.settings.connections - self._in_use)
+        trim_idle_connections(self.session, self.settings.max_connections - self._in_use)
         try:
             yield is_free
         finally:
             self._in_use -= is_free
 
-    def set_limit(self, connections: int) -> None:
+    def set_limit(self, max_connections: int) -> None:
         """Change the limit; open connections stay."""
-        self.settings = replace(self.settings, connections=connections)
+        self.settings = replace(self.settings, max_connections=max_connections)
 
     def apply_settings(self, settings: PoolSettings) -> None:
         """Use new settings for new requests; those in flight end on the session that they began on."""
@@ -100,13 +100,13 @@
 
 
 def _open_session(settings: PoolSettings) -> aiohttp.ClientSession:
-    keepalive_s = settings.keepalive
+    keepalive_s = settings.keepalive_s
     connector = aiohttp.TCPConnector(
         limit=0,  # by `reserve_connection`
         keepalive_timeout=max(keepalive_s - KEEPALIVE_MARGIN_S, keepalive_s / 2),
         use_dns_cache=False,
     )
-    return open_checked_session(connector, settings.connect_timeout, 2 * MAX_LINE_BYTES)
+    return open_checked_session(connector, settings.connect_timeout_s, 2 * MAX_LINE_BYTES)
 
 
 class HttpBackendClient:
@@ -177,7 +177,7 @@
         if response.status != 200:
             is_not_processed = response.headers.get("X-Not-Processed") == "1"
             outcome = outcome_of_status(response.status, is_not_processed)
-            load = self._pool.settings.fields.read_text(response.headers.get("X-Server-Load"))
+            load = self._pool.settings.report_fields.read_text(response.headers.get("X-Server-Load"))
             await _drain(response)
             return AttemptResult(outcome, load=load)
         while line := await response.content.readline():
@@ -185,7 +185,7 @@
                 return AttemptResult(Outcome.RESET)
             if not line.strip():
                 continue
-            message = read_line(line, job.id, self._pool.settings.fields)
+            message = read_line(line, job.id, self._pool.settings.report_fields)
             if isinstance(message, ProgressReport):
                 on_progress(message)
             elif message is not None:
@@ -203,7 +203,7 @@
             ):
                 text = (await response.content.read(MAX_LINE_BYTES)).decode("utf-8", "replace")
                 outcome = Outcome.SERVED if response.status == 200 else Outcome.ERROR
-                return AttemptResult(outcome, load=self._pool.settings.fields.read_text(text))
+                return AttemptResult(outcome, load=self._pool.settings.report_fields.read_text(text))
         except TimeoutError:
             return AttemptResult(Outcome.TIMED_OUT)
         except (aiohttp.ClientError, OSError, StaleConnectionError):
--- a/hazelbend/transport/peer/fleet_listener.py
+++ b/hazelbend/transport/peer/fleet_listener.py
@@ -35,16 +35,16 @@
         self,
         receive: Callable[[PeerMessage], None],
         submit: Callable[[Operation], Awaitable[Reply]],
-        found_epoch: Callable[[bool], str],
+        start_new_epoch: Callable[[bool], str],
         view: Callable[[], FleetView],
     ) -> None:
-        """`found_epoch` takes whether to found it although somebody leads. It returns the new epoch, or
+        """`start_new_epoch` takes whether to found it although somebody leads. It returns the new epoch, or
         raises ValueError with the reason against it.
         """
         super().__init__(MAX_CONNECTIONS)
         self._receive = receive
         self._submit = submit
-        self._found_epoch = found_epoch
+        self._start_new_epoch = start_new_epoch
         self._view = view
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -80,7 +80,7 @@
             case ("POST", "/fleet/ask"):
                 return _msgpack_response(await self._submit(fleet_codec.decode_operation(body)))
             case ("POST", "/fleet/found"):
-                return web.Response(text=self._found_epoch(body == fleet_codec.FORCE_NEW_EPOCH))
+                return web.Response(text=self._start_new_epoch(body == fleet_codec.FORCE_NEW_EPOCH))
             case ("GET", "/fleet/view"):
                 return _msgpack_response(self._view())
         return web.Response(status=404, text="no such call\n")
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -18,7 +18,7 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     MAX_LINE_BYTES,
-    FlowIdUpdate,
+    JobIdUpdate,
     HandoverState,
     decode_state,
     decode_update,
@@ -52,19 +52,19 @@
         self._own = 0  # the inode of our socket
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def holds(self, job_id: str) -> bool:
+    def is_open_elsewhere(self, job_id: str) -> bool:
         """Whether a flow of this id is open in another process."""
         return any(job_id in ids for ids in self._siblings.values())
 
-    def tell(self, job_id: str, taken: bool) -> None:
+    def broadcast_update(self, job_id: str, taken: bool) -> None:
         """A flow was taken here, or is over."""
         for writer in list(self._siblings):
             if writer.transport.get_write_buffer_size() > UNREAD:
                 self._part(writer)
             else:
-                writer.write(encode_update(FlowIdUpdate(job_id, taken)))
+                writer.write(encode_update(JobIdUpdate(job_id, taken)))
 
-    async def fetch(self) -> HandoverState | None:
+    async def fetch_state(self) -> HandoverState | None:
         """The state of the process before, if there is one; from then on the two are siblings."""
         writer = None
         try:
@@ -78,7 +78,7 @@
             if writer is not None:
                 writer.close()
             return None
-        self._join(reader, writer, set(state.flow_ids))
+        self._join(reader, writer, set(state.open_job_ids))
         return state
 
     async def listen(self) -> None:
@@ -131,7 +131,7 @@
         try:
             while line := await reader.readline():
                 if (update := decode_update(line)) is not None:
-                    (ids.add if update.is_open else ids.discard)(update.flow_id)
+                    (ids.add if update.is_open else ids.discard)(update.job_id)
         except (OSError, ValueError) as error:
             log.warning("the other process: %s", error)
         finally:
--- a/hazelbend/transport/peer/peer_links.py
+++ b/hazelbend/transport/peer/peer_links.py
@@ -85,7 +85,7 @@
                 address = leader_address
         return None
 
-    async def found_epoch(self, address: str, *, force: bool, timeout_s: float) -> str:
+    async def start_new_epoch(self, address: str, *, force: bool, timeout_s: float) -> str:
         """Start a new epoch at this dispatcher; its number. `force`: even if somebody leads. Raises one of
         CALL_ERRORS.
         """
--- a/hazelbend/transport/snmp/snmp_agent.py
+++ b/hazelbend/transport/snmp/snmp_agent.py
@@ -41,8 +41,8 @@
 class _MibController(AbstractMibInstrumController):  # type: ignore[misc]  # pysnmp has no types
     """Serves our subtree from a snapshot, and all else from pysnmp's own objects. Nothing can be written."""
 
-    def __init__(self, take_overview: Callable[[], Overview], system_objects: Any) -> None:
-        self._take_overview = take_overview
+    def __init__(self, build_overview: Callable[[], Overview], system_objects: Any) -> None:
+        self._build_overview = build_overview
         self._system_objects = system_objects
         self._values: dict[Oid, Any] = {}
         self._sorted_oids: list[Oid] = []
@@ -51,7 +51,7 @@
     def _refresh(self) -> None:
         now = asyncio.get_running_loop().time()
         if now - self._taken_at >= CACHE_S:
-            self._values = object_values(self._take_overview())
+            self._values = object_values(self._build_overview())
             self._taken_at = now
             self._sorted_oids = sorted(self._values)
 
@@ -108,12 +108,12 @@
         port: int,
         community: str,
         notify: tuple[tuple[str, int], ...],
-        take_overview: Callable[[], Overview],
+        build_overview: Callable[[], Overview],
     ) -> None:
         self._address = (host, port)
         self._community = community
         self._notify = notify
-        self._take_overview = take_overview
+        self._build_overview = build_overview
         self._engine: engine.SnmpEngine | None = None
         self._transport: Any = None
         self._originator = ntforg.NotificationOriginator()
@@ -165,7 +165,7 @@
         snmp_context = context.SnmpContext(snmp)
         system_objects = snmp_context.get_mib_instrum()
         snmp_context.unregister_context_name(b"")
-        snmp_context.register_context_name(b"", _MibController(self._take_overview, system_objects))
+        snmp_context.register_context_name(b"", _MibController(self._build_overview, system_objects))
         for responder in (
             cmdrsp.GetCommandResponder,
             cmdrsp.NextCommandResponder,
@@ -178,13 +178,13 @@
         if self._engine is not None:
             self._engine.close_dispatcher()
 
-    def server_changed(self, server: Backend, takes_work: bool) -> None:
-        """Notify the targets that a server went up (`takes_work`) or down."""
+    def server_changed(self, server: Backend, is_up: bool) -> None:
+        """Notify the targets that a server went up (`is_up`) or down."""
         if self._engine is None or not self._notify:
             return
         down_state = MANUALLY_DRAINED if server.is_manually_drained else "draining"
-        state = SERVER_STATES["ready" if takes_work else down_state]
-        notification = rfc1902.ObjectIdentifier(SERVER_UP if takes_work else SERVER_DOWN)
+        state = SERVER_STATES["ready" if is_up else down_state]
+        notification = rfc1902.ObjectIdentifier(SERVER_UP if is_up else SERVER_DOWN)
         objects = [
             (SNMP_TRAP_OID, notification),
             ((*SERVER_ENTRY, NAME_COLUMN, server.index), rfc1902.OctetString(server.entry.host)),
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -7,7 +7,7 @@
 
 from hazelbend.console import client
 from hazelbend.dispatcher.console_server import LINE_LIMIT
-from tests.support.site_kit import site, until
+from tests.support.site_kit import site, wait_until
 
 
 def on_site(folder, work):
@@ -85,7 +85,7 @@
             writer.close()
         reader, writer = await asyncio.open_unix_connection(path)
         writer.write(b"x" * (LINE_LIMIT + 1) + b"\n")
-        await until(reader.at_eof)
+        await wait_until(reader.at_eof)
         assert await console("show status") == 0
 
     on_site(tmp_path, work)
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -12,7 +12,7 @@
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.decisions.interface import (
-    Effect,
+    Idempotency,
     JobClass,
     ListKind,
     LoadReport,
@@ -32,13 +32,13 @@
 def settings(fleet: int, reports: bool) -> Settings:
     return Settings(
         fleet_size=fleet,
-        classes=(JobClass(effect=Effect.SAFE, objective=600_000),),
+        classes=(JobClass(idempotency=Idempotency.SAFE, objective=600_000),),
         reports_inline=reports,
-        tells_start=True,
-        fall_multiple=2.5,
-        fall_window=SECOND,
-        start_capacity=0.3,
-        warm_after=8 * SECOND,
+        reports_job_starts=True,
+        collapse_multiple=2.5,
+        collapse_window=SECOND,
+        initial_capacity=0.3,
+        warmup_duration=8 * SECOND,
         max_attempts=3,
     )
 
@@ -50,11 +50,11 @@
         self.free_at = [0] * SLOTS
         self.out = 0
 
-    def run(self, now: int, warmth: float) -> tuple[int, int]:
+    def run(self, now: int, capacity_fraction: float) -> tuple[int, int]:
         """When a job that comes now starts and ends."""
         at = heapq.heappop(self.free_at)
         start = max(now, at)
-        end = start + round(RUN / warmth)
+        end = start + round(RUN / capacity_fraction)
         heapq.heappush(self.free_at, end)
         return start, end
 
@@ -114,7 +114,7 @@
         if started:
             self.sent_to_cold.append(now)
         backend.out += 1
-        start, end = backend.run(now, self.rules.warmth(started, now))
+        start, end = backend.run(now, self.rules.capacity_fraction(started, now))
         self.at(start, number, face.JobStarted(action.request, action.worker, attempt))
         self.at(
             end,
@@ -134,10 +134,10 @@
     window: deque[int] = deque()
     for at in site.sent_to_cold:
         window.append(at)
-        while window[0] <= at - site.rules.fall_window:
+        while window[0] <= at - site.rules.collapse_window:
             window.popleft()
         budget = (
-            site.rules.fall_multiple * site.rules.warmth(START, at) * SLOTS / RUN * site.rules.fall_window
+            site.rules.collapse_multiple * site.rules.capacity_fraction(START, at) * SLOTS / RUN * site.rules.collapse_window
         )
         assert len(window) <= budget + 2 * sqrt(budget) + 2, f"at {(at - START) / SECOND:.2f} s"
     assert len(site.sent_to_cold) > 20, "it is used"
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -111,7 +111,7 @@
 def test_a_guess_of_how_long_jobs_run_does_not_fill_an_idle_server(weights_tell):
     """The level of the first report, kept by a rate of the first guess, stood for 26 jobs that nobody had
     sent once runs of a thousandth of it had come: after two idle seconds a lone server was refused."""
-    settings = dy.Settings(classes=(dy.JobClass(objective=2_000_000),), weights_tell=weights_tell)
+    settings = dy.Settings(classes=(dy.JobClass(objective=2_000_000),), weights_enabled=weights_tell)
     model = Model(settings)
     model.list_workers(dy.WorkerEntry(1))
     worker = model.dispatcher.workers[1]
@@ -128,7 +128,7 @@
 def test_one_that_has_said_nothing_is_taken_to_be_as_full_as_its_kind():
     """Given the size of one job it seemed emptier than all that had spoken: with 200 dispatchers, to each of
     which most servers have said nothing yet, the day of a cut lost 0.18 of its score by it."""
-    model = Model(dy.Settings(classes=(dy.JobClass(objective=100_000),), weights_tell=False))
+    model = Model(dy.Settings(classes=(dy.JobClass(objective=100_000),), weights_enabled=False))
     model.list_workers(*[dy.WorkerEntry(number) for number in range(4)])
     for request in range(40):
         model.arrive(request)
@@ -178,7 +178,7 @@
 
 
 def test_timed_out_send_stays_until_a_later_report():
-    settings = dy.Settings(classes=(dy.JobClass(effect=dy.Effect.UNSAFE),))
+    settings = dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.UNSAFE),))
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, (dy.WorkerEntry(1),)), 1_000)
     dispatcher.handle(dy.RequestArrived(5, 1_000_000), 2_000)
@@ -191,7 +191,7 @@
 
 def test_a_cold_worker_is_not_taken_to_be_as_full_as_the_warm_of_its_kind():
     """Taken so, successors stood unused after a deploy while requests waited here and were given up."""
-    settings = dy.Settings(warm_after=10_000_000, start_capacity=0.2)
+    settings = dy.Settings(warmup_duration=10_000_000, initial_capacity=0.2)
     dispatcher, now = Dispatcher(settings, 1), 10**9
     entries = (dy.WorkerEntry(1), dy.WorkerEntry(2), dy.WorkerEntry(3, started_at=now))
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -10,8 +10,8 @@
 from hazelbend.decisions.reliability import FADE_TIME_US, HEALTHY_ERROR_RATE, PRIOR_FAILING, FailureEstimate
 from tests.support.model import Model
 
-ONCE = dy.JobClass(effect=dy.Effect.UNSAFE, objective=2_000_000)
-SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=2_000_000)
+ONCE = dy.JobClass(idempotency=dy.Idempotency.UNSAFE, objective=2_000_000)
+SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=2_000_000)
 RUN = 100_000
 
 
@@ -52,7 +52,7 @@
     """Some servers; the first so many that get a job fail what they get within 5 ms."""
 
     def __init__(self, *classes: dy.JobClass, failing: int, attempts: int = 3, servers: int = 3) -> None:
-        super().__init__(dy.Settings(classes=classes, tells_start=True, max_attempts=attempts))
+        super().__init__(dy.Settings(classes=classes, reports_job_starts=True, max_attempts=attempts))
         self.failing, self.most, self.errors = set[int](), failing, Counter[int]()
         self.list_workers(*(dy.WorkerEntry(number) for number in range(1, servers + 1)))
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -23,8 +23,8 @@
 from tests.support.model import Model
 
 LOST = 200_000  # microseconds that a call to the list takes, or to fail
-SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
-ASKING = dy.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True, tells_start=True)
+SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=0.5)
+ASKING = dy.Settings(classes=(SAFE,), probes_allowed=True, reports_by_probe=True, reports_job_starts=True)
 
 
 def answer(model: Model, busy: dict[int, int]) -> None:
@@ -74,11 +74,11 @@
     settings = dy.Settings(
         fleet_size=dispatchers,
         classes=(SAFE,),
-        fall_multiple=3.0,
-        fall_window=1_500_000,
-        start_capacity=0.2,
-        warm_after=20_000_000,
-        tells_start=True,
+        collapse_multiple=3.0,
+        collapse_window=1_500_000,
+        initial_capacity=0.2,
+        warmup_duration=20_000_000,
+        reports_job_starts=True,
         reports_inline=True,
     )
     fleet = [Dispatcher(settings, seed * 1000 + each) for each in range(dispatchers)]
@@ -174,7 +174,7 @@
 
 def rated(weights_tell: bool, *runs: int) -> list[float]:
     """Rates of a worker of two slots and one of five, after runs on the first that took so long."""
-    settings = dy.Settings(classes=(SAFE,), weights_tell=weights_tell, tells_start=True)
+    settings = dy.Settings(classes=(SAFE,), weights_enabled=weights_tell, reports_job_starts=True)
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(
         dy.MembershipUpdate(dy.ListKind.FULL, (dy.WorkerEntry(1), dy.WorkerEntry(2))), 1_000_000
@@ -214,7 +214,7 @@
 
 def first_call(fleet: int, seed: int) -> int:
     """When a dispatcher that has just started asks for its first list."""
-    model = Model(dy.Settings(fleet_size=fleet, classes=(SAFE,), list_must_be_asked=True), seed)
+    model = Model(dy.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True), seed)
     began = model.now
     model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
     model.advance(20_000_000)
@@ -232,12 +232,12 @@
 def test_nobody_waits_longer_to_ask_than_the_settings_allow(fleet):
     """Guards dispatchers that counted as told and had not asked: 200 spread their first calls over 20 s
     where 10 were allowed, and waited for up to 120 s after failed ones, where one counts as told after 40."""
-    settings = dy.Settings(fleet_size=fleet, classes=(SAFE,), list_must_be_asked=True)
-    assert max(first_call(fleet, seed) for seed in range(40)) <= settings.ask_within // 2
+    settings = dy.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
+    assert max(first_call(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
     chance, retry = random.Random(1), DiscoveryRetry()
     waits = [retry.retry_delay(settings, chance) for _ in range(2_000)]
-    assert max(waits) <= settings.ask_within // 2
-    assert min(waits[20:]) >= settings.ask_within // 16, "a service that is down is not asked again and again"
+    assert max(waits) <= settings.poll_interval // 2
+    assert min(waits[20:]) >= settings.poll_interval // 16, "a service that is down is not asked again and again"
 
 
 @pytest.mark.parametrize("fleet", [200, 450])
@@ -258,7 +258,7 @@
     """Guards the operators' term: a change counts as told 6 s after discovery had it and could be reached.
     From the third failure on a dispatcher waited up to half of `ask_within`, and for a call up to 6 s
     besides."""
-    settings = dy.Settings(fleet_size=fleet, list_must_be_asked=True, ask_within=ask_within)
+    settings = dy.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=ask_within)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         chance, retry = random.Random(seed), DiscoveryRetry()
@@ -283,7 +283,7 @@
 def test_who_was_cut_off_has_asked_twice_by_the_time_that_counts(fleet):
     """Guards a watch that falls silent: what it missed counts as told 2 s after its wait, and 200 dispatchers
     that found out in one moment waited for 2.5 to 15 s. The first call of each fails once more."""
-    settings, asked = dy.Settings(fleet_size=fleet, list_must_be_asked=True), []
+    settings, asked = dy.Settings(fleet_size=fleet, list_is_polled=True), []
     for seed in range(fleet):
         chance, retry = random.Random(seed), DiscoveryRetry()
         found_out = HOLD_GRACE_S * 1_000_000
@@ -329,7 +329,7 @@
 def test_the_parts_of_a_large_fleet_add_up_to_the_cold_budget(dispatchers):
     """Guards a cold server: servers without a report seemed to hold nobody's jobs, so each of 40 dispatchers
     thought most jobs its own and took four parts: 23 of them sent to one server within a second."""
-    settings = dy.Settings(fleet_size=dispatchers, classes=(SAFE,), fall_multiple=2.5)
+    settings = dy.Settings(fleet_size=dispatchers, classes=(SAFE,), collapse_multiple=2.5)
     dispatcher = Dispatcher(settings, 1)
     now = 1_000_000
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, tuple(map(dy.WorkerEntry, range(1, 61)))), now)
@@ -340,13 +340,13 @@
         )
         assert (
             dispatcher.slow_start.share * dispatchers
-            <= SAFE_COLD_FRACTION * settings.fall_multiple * settings.fall_window
+            <= SAFE_COLD_FRACTION * settings.collapse_multiple * settings.collapse_window
         )
 
 
 def test_runs_on_one_server_tell_of_its_kind():
     """Guards against rates learnt from a handful of runs: small boxes were thought 1.6 times too fast."""
-    dispatcher = Dispatcher(dy.Settings(classes=(SAFE,), weights_tell=False, tells_start=True), 1)
+    dispatcher = Dispatcher(dy.Settings(classes=(SAFE,), weights_enabled=False, reports_job_starts=True), 1)
     entries = tuple(dy.WorkerEntry(number, machine_kind=number % 2) for number in range(1, 7))
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.FULL, entries), 1_000_000)
     for worker in dispatcher.workers.values():
@@ -392,7 +392,7 @@
 
 def waiting_long(answers: bool) -> Model:
     """A job that has not started after 1.5 s, at one of two servers, in a large fleet."""
-    model = Model(spoken(40, tells_start=True, second_copies_allowed=True))
+    model = Model(spoken(40, reports_job_starts=True, hedging_allowed=True))
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     model.advance(200_000)
     answer(model, {})
@@ -411,7 +411,7 @@
     """Guards an overloaded fleet: each hears of a server only by its own few jobs, so those that waited
     made copies and shut their servers out: a fifth of all attempts, and the rest filled up as well."""
     model = waiting_long(answers=True)
-    assert len(model.sends) == 1 and not model.dispatcher.avoided(model.now)
+    assert len(model.sends) == 1 and not model.dispatcher.workers_in_backoff(model.now)
     model = waiting_long(answers=False)
     assert len(model.sends) == 2, "one that does not answer either is silent"
     assert model.dispatcher.workers[model.sends[0][1]].backoff
--- a/tests/decisions/test_fleet_plan.py
+++ b/tests/decisions/test_fleet_plan.py
@@ -15,7 +15,7 @@
 from hazelbend.decisions.worker import Worker
 
 SLOTS, RUN = 4, 200_000  # of each server; microseconds of a mean job
-SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=600_000)
+SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=600_000)
 
 
 @dataclass
@@ -37,10 +37,10 @@
         settings = self.settings = dy.Settings(
             fleet_size=self.dispatchers,
             classes=(SAFE,),
-            tells_start=True,
-            fall_multiple=3.0,
-            start_capacity=0.2,
-            warm_after=15_000_000,
+            reports_job_starts=True,
+            collapse_multiple=3.0,
+            initial_capacity=0.2,
+            warmup_duration=15_000_000,
         )
         self.chance = random.Random(self.seed)
         self.fleet = [Dispatcher(settings, self.seed * 1000 + each) for each in range(self.dispatchers)]
@@ -87,7 +87,7 @@
         if began:
             self.came[send.worker].append(at)
         starts = max(at, heapq.heappop(slots))
-        ends = starts + round(self.chance.expovariate(1 / RUN) / self.settings.warmth(began, starts))
+        ends = starts + round(self.chance.expovariate(1 / RUN) / self.settings.capacity_fraction(began, starts))
         heapq.heappush(slots, ends)
         self.sends[send.worker] += 1
         self.waits.append(starts - at)
@@ -195,16 +195,16 @@
     assert 0.5 * part < first / sent < 1.3 * part
     for server, times in site.came.items():
         for at in times:
-            warmth = site.settings.warmth(site.started[server], at)
-            allowed = 3.0 * warmth * SLOTS / RUN * site.settings.fall_window
-            inside = sum(at - site.settings.fall_window < each <= at for each in times)
+            capacity_fraction = site.settings.capacity_fraction(site.started[server], at)
+            allowed = 3.0 * capacity_fraction * SLOTS / RUN * site.settings.collapse_window
+            inside = sum(at - site.settings.collapse_window < each <= at for each in times)
             assert inside <= allowed + 3 * allowed**0.5 + 3, "it falls over"
 
 
 def test_jobs_that_wait_for_less_than_some_runs_are_no_sign_of_silence():
     """Guards servers of several slots: the expected delay was a part of a run there, so that in a fleet that
     waits for half a second servers counted as silent, and waits that were longest were not counted."""
-    settings = dy.Settings(fleet_size=200, classes=(SAFE,), tells_start=True)
+    settings = dy.Settings(fleet_size=200, classes=(SAFE,), reports_job_starts=True)
     dispatcher, now = Dispatcher(settings, 1), 10_000_000
     entries = tuple(dy.WorkerEntry(each, weight=6.0) for each in range(1, 5))
     dispatcher.handle(dy.MembershipUpdate(dy.ListKind.CACHED, entries), now)
@@ -220,7 +220,7 @@
 
 def test_where_none_is_warm_some_work_is_for_nobody():
     """Guards a zone that returns cold as a whole: all that waited for it would come in one second."""
-    settings = dy.Settings(fall_multiple=2.0, start_capacity=0.1, warm_after=10_000_000)
+    settings = dy.Settings(collapse_multiple=2.0, initial_capacity=0.1, warmup_duration=10_000_000)
     now = 100_000_000
     cold = [Worker(dy.WorkerEntry(each, started_at=now), 1.0, rate=1.0) for each in range(1, 5)]
     warm = [Worker(dy.WorkerEntry(each), 1.0, rate=2.0) for each in range(5, 7)]
@@ -253,8 +253,8 @@
 
 @pytest.mark.parametrize("told", [{"reports_inline": True}, {"weights_fall_with_load": True}])
 def test_where_servers_tell_nothing_is_taken_from_own_sends(told):
-    assert dy.Settings(fleet_size=200, **told).blind is False
-    assert dy.Settings(fleet_size=200, reports_by_probe=True, probes_allowed=True).blind is False
-    assert dy.Settings(fleet_size=200, reports_by_probe=True).blind is True, (
+    assert dy.Settings(fleet_size=200, **told).lacks_load_reports is False
+    assert dy.Settings(fleet_size=200, reports_by_probe=True, probes_allowed=True).lacks_load_reports is False
+    assert dy.Settings(fleet_size=200, reports_by_probe=True).lacks_load_reports is True, (
         "reports that may not be asked for"
     )
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -8,12 +8,12 @@
 from hazelbend.decisions.health import suspect
 from tests.support.model import Model
 
-SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=0.5)
+SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=0.5)
 EMPTY = dy.LoadReport(0.0, 0.0, 4.0)
 
 
 def two_workers(job: dy.JobClass = SAFE, **settings: object) -> Model:
-    model = Model(dy.Settings(classes=(job,), tells_start=True, **settings))
+    model = Model(dy.Settings(classes=(job,), reports_job_starts=True, **settings))
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     return model
 
@@ -34,7 +34,7 @@
 
 def test_a_dispatcher_just_started_sends_nothing_to_a_cold_worker_for_one_window():
     """What it sent before a restart of its own may have spent the budget."""
-    model = Model(dy.Settings(classes=(SAFE,), fall_window=1_000_000, fall_multiple=50.0, start_capacity=0.5))
+    model = Model(dy.Settings(classes=(SAFE,), collapse_window=1_000_000, collapse_multiple=50.0, initial_capacity=0.5))
     model.list_workers(dy.WorkerEntry(1, started_at=model.now), kind=dy.ListKind.CACHED)
     model.arrive(1)
     model.advance(990_000)
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(("after", "attempts"), [(500_000, 2), (1_900_000, 1)])
 def test_a_keyed_request_is_sent_again_only_while_its_key_is_surely_remembered(after, attempts):
-    job = dy.JobClass(effect=dy.Effect.KEYED, objective=200_000, late_worth=0.5, repeat_window=2_000_000)
+    job = dy.JobClass(idempotency=dy.Idempotency.KEYED, objective=200_000, late_value_fraction=0.5, dedup_window=2_000_000)
     model = two_workers(job)
     model.arrive(1, patience=8_000_000, key=5)
     model.start(1)
@@ -57,14 +57,14 @@
 
 @pytest.mark.parametrize("copies", [False, True])
 def test_a_second_copy_goes_out_only_where_the_settings_allow_it(copies):
-    model = two_workers(second_copies_allowed=copies)
+    model = two_workers(hedging_allowed=copies)
     model.arrive(1)
     model.advance(4_000_000)
     assert (len(model.sends) > 1) == copies
 
 
 def test_a_class_goes_only_to_the_kind_of_machine_that_runs_it():
-    model = Model(dy.Settings(classes=(dy.JobClass(effect=dy.Effect.SAFE, machine_kind=1),)))
+    model = Model(dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, machine_kind=1),)))
     model.list_workers(dy.WorkerEntry(1, machine_kind=0, weight=9.0), dy.WorkerEntry(2, machine_kind=1))
     for request in range(6):
         model.arrive(request)
@@ -72,7 +72,7 @@
 
 
 def test_copies_still_out_are_called_back_where_that_is_allowed():
-    model = two_workers(second_copies_allowed=True, cancel_allowed=True)
+    model = two_workers(hedging_allowed=True, cancel_allowed=True)
     model.arrive(1)
     model.advance(3_000_000)
     assert len(model.jobs[1].tries) > 1
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -5,11 +5,11 @@
 from hazelbend.decisions import interface as dy
 from tests.support.model import Model
 
-SAFE = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000)
+SAFE = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000)
 
 
 def two_workers(**settings: object) -> Model:
-    model = Model(dy.Settings(classes=(SAFE,), tells_start=True, **settings))
+    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True, **settings))
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     return model
 
@@ -30,7 +30,7 @@
 
 
 def test_silent_worker_is_shunned_and_its_repeatable_work_sent_elsewhere():
-    model = two_workers(second_copies_allowed=True)
+    model = two_workers(hedging_allowed=True)
     late = play(model, silent=2, seconds=12)
     assert late[2] <= 3, "trials only, one at a time"
     stuck = [job for job in model.jobs.values() if job.tries[0].worker.worker == 2]
@@ -39,7 +39,7 @@
 
 
 def test_a_worker_that_speaks_again_is_trusted_again():
-    model = two_workers(second_copies_allowed=True)
+    model = two_workers(hedging_allowed=True)
     play(model, silent=2, seconds=8)
     assert play(model, silent=0, seconds=12)[2] > 10
 
@@ -57,7 +57,7 @@
 
 def resets(*stale: bool) -> bool:
     """Whether a worker still gets work after its connections broke like this, without a sign in between."""
-    model = Model(dy.Settings(classes=(SAFE,), tells_start=True))
+    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True))
     model.list_workers(dy.WorkerEntry(1))
     for request, each in enumerate(stale):
         model.arrive(request)
@@ -75,7 +75,7 @@
 
 
 def test_unsafe_request_at_a_silent_worker_is_never_sent_again():
-    model = Model(dy.Settings(classes=(dy.JobClass(),), tells_start=True, second_copies_allowed=True))
+    model = Model(dy.Settings(classes=(dy.JobClass(),), reports_job_starts=True, hedging_allowed=True))
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     for request in range(6):
         model.arrive(request)
@@ -87,8 +87,8 @@
 def test_late_work_is_refused_where_it_earns_nothing_and_held_where_it_earns_something():
     """A jam feeds itself when late jobs keep the queues full."""
     for late_worth, refused in ((0.0, True), (0.5, False)):
-        job_class = dy.JobClass(effect=dy.Effect.SAFE, objective=200_000, late_worth=late_worth)
-        model = Model(dy.Settings(classes=(job_class,), tells_start=True))
+        job_class = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth)
+        model = Model(dy.Settings(classes=(job_class,), reports_job_starts=True))
         model.list_workers(dy.WorkerEntry(1))
         model.arrive(0)
         model.start(0)
@@ -101,7 +101,7 @@
 
 
 def test_failed_list_calls_are_repeated_later_and_later():
-    model = Model(dy.Settings(list_must_be_asked=True))
+    model = Model(dy.Settings(list_is_polled=True))
     model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
     for _ in range(6):
         model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
@@ -110,12 +110,12 @@
         after - before for before, after in zip(model.subscriptions, model.subscriptions[1:], strict=False)
     ]
     assert len(model.subscriptions) == 7
-    assert max(gaps) < model.settings.ask_within
+    assert max(gaps) < model.settings.poll_interval
 
 
 def test_the_first_call_after_a_failed_one_comes_soon_and_a_list_that_arrives_starts_that_anew():
     """Guards against working by an old list for seconds because one answer broke off."""
-    model = Model(dy.Settings(list_must_be_asked=True))
+    model = Model(dy.Settings(list_is_polled=True))
     model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
     waits = []
     for failed in (True, True, True, True, False, True):
@@ -133,7 +133,7 @@
 
 def test_a_job_that_later_ones_overtake_is_copied_and_its_worker_stays():
     """Guards against waiting for a connection that fell silent at a worker that goes on speaking."""
-    model = Model(dy.Settings(classes=(SAFE,), tells_start=True, second_copies_allowed=True))
+    model = Model(dy.Settings(classes=(SAFE,), reports_job_starts=True, hedging_allowed=True))
     model.list_workers(dy.WorkerEntry(1))
     model.arrive(0)
     model.advance(1_000)
@@ -149,9 +149,9 @@
 
 def test_a_job_that_misses_one_note_of_progress_is_copied_in_time():
     """Guards jobs whose answer stopped short: two notes later the copy would be late as well."""
-    job = dy.JobClass(effect=dy.Effect.SAFE, objective=3_000_000)
+    job = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=3_000_000)
     settings = dy.Settings(
-        classes=(job,), tells_start=True, progress_interval=1_000_000, second_copies_allowed=True
+        classes=(job,), reports_job_starts=True, progress_interval=1_000_000, hedging_allowed=True
     )
     model = Model(settings)
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -15,7 +15,7 @@
     found = []
     for job_class in (CHEAP, DEAR):
         classes = tuple(
-            dy.JobClass(effect=dy.Effect.SAFE, objective=RUN, stretch=8.0, worth=worth) for worth in worths
+            dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth) for worth in worths
         )
         model = Model(dy.Settings(classes=classes, **settings))
         model.list_workers(dy.WorkerEntry(1))
@@ -48,9 +48,9 @@
 
 def test_worth_may_be_counted_by_the_request_or_by_its_work():
     """The same worth for ten times the work is a tenth of it by the request, and the same by the work."""
-    light, heavy = (dy.JobClass(effect=dy.Effect.SAFE, objective=work) for work in (RUN, 10 * RUN))
+    light, heavy = (dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=work) for work in (RUN, 10 * RUN))
     for by_work, dearer in ((False, 10.0), (True, 1.0)):
-        model = Model(dy.Settings(classes=(heavy, light), worth_by_work=by_work))
+        model = Model(dy.Settings(classes=(heavy, light), value_per_work=by_work))
         worths = [
             model.dispatcher.admission.value_rate(job, index)
             for index, job in enumerate(model.settings.classes)
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -6,7 +6,7 @@
 
 def refusal(queued: int) -> dy.Refuse:
     """What is answered to one more job where a lone server has said that so many wait there."""
-    model = Model(dy.Settings(classes=(dy.JobClass(effect=dy.Effect.SAFE, objective=200_000),)))
+    model = Model(dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000),)))
     model.list_workers(dy.WorkerEntry(1))
     model.arrive(0)
     model.start(0)
@@ -24,7 +24,7 @@
 
 
 def test_where_all_are_shut_out_the_first_trial_is_waited_for():
-    model = Model(dy.Settings(max_attempts=1, classes=(dy.JobClass(effect=dy.Effect.SAFE),)))
+    model = Model(dy.Settings(max_attempts=1, classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE),)))
     model.list_workers(dy.WorkerEntry(1))
     model.arrive(0)
     model.jobs[0].tries[0].outcome = dy.Outcome.CONNECT_FAILED
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -10,11 +10,11 @@
 from tests.support.model import Model
 
 CLASSES = (
-    dy.JobClass(effect=dy.Effect.SAFE, objective=400_000),
-    dy.JobClass(effect=dy.Effect.UNSAFE, objective=300_000),
-    dy.JobClass(effect=dy.Effect.KEYED, group=dy.Group.ALL, repeat_window=2_000_000),
-    dy.JobClass(effect=dy.Effect.KEYED, group=dy.Group.ZONE, repeat_window=2_000_000),
-    dy.JobClass(effect=dy.Effect.KEYED, group=dy.Group.CELL, repeat_window=2_000_000),
+    dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=400_000),
+    dy.JobClass(idempotency=dy.Idempotency.UNSAFE, objective=300_000),
+    dy.JobClass(idempotency=dy.Idempotency.KEYED, dedup_scope=dy.DedupScope.ALL, dedup_window=2_000_000),
+    dy.JobClass(idempotency=dy.Idempotency.KEYED, dedup_scope=dy.DedupScope.ZONE, dedup_window=2_000_000),
+    dy.JobClass(idempotency=dy.Idempotency.KEYED, dedup_scope=dy.DedupScope.CELL, dedup_window=2_000_000),
 )
 READY = dy.WorkerState.READY
 STATES = st.sampled_from([READY, READY, dy.WorkerState.DRAINING, dy.WorkerState.GONE])
@@ -84,12 +84,12 @@
 def test_rules_hold_whatever_happens(steps, seed, copies, cancel, asked):
     settings = dy.Settings(
         classes=CLASSES,
-        second_copies_allowed=copies,
+        hedging_allowed=copies,
         cancel_allowed=cancel,
-        list_must_be_asked=asked,
+        list_is_polled=asked,
         probes_allowed=asked,
         reports_by_probe=asked,
-        tells_start=True,
+        reports_job_starts=True,
         progress_interval=500_000,
         tick=4_000,
     )
@@ -102,16 +102,16 @@
 def test_same_events_same_actions(steps, seed):
     histories = []
     for _ in range(2):
-        model = Model(dy.Settings(classes=CLASSES, tells_start=True), seed)
+        model = Model(dy.Settings(classes=CLASSES, reports_job_starts=True), seed)
         model.list_workers(*(entry(worker) for worker in range(1, 5)), kind=dy.ListKind.CACHED)
         play(model, steps)
         histories.append((model.sends, model.refused, model.failed, model.cancels, model.timers))
     assert histories[0] == histories[1]
 
 
-@pytest.mark.parametrize("effect", list(dy.Effect))
+@pytest.mark.parametrize("effect", list(dy.Idempotency))
 def test_no_worker_at_all_ends_in_a_refusal(effect):
-    model = Model(dy.Settings(classes=(dy.JobClass(effect=effect),)))
+    model = Model(dy.Settings(classes=(dy.JobClass(idempotency=effect),)))
     model.list_workers(kind=dy.ListKind.CACHED)
     model.arrive(1, 2_000_000)
     model.advance(999_000)
@@ -139,13 +139,13 @@
     """Jobs of one length on workers of known size: what a cold one is sent stays within its budget."""
     run, window = 200_000, 1_000_000
     settings = dy.Settings(
-        classes=(dy.JobClass(effect=dy.Effect.SAFE, objective=run),),
+        classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=run),),
         fleet_size=fleet_size,
-        fall_multiple=3.0,
-        fall_window=window,
-        start_capacity=0.2,
-        warm_after=10_000_000,
-        tells_start=True,
+        collapse_multiple=3.0,
+        collapse_window=window,
+        initial_capacity=0.2,
+        warmup_duration=10_000_000,
+        reports_job_starts=True,
         reports_inline=True,
     )
     model = Model(settings, seed)
@@ -179,11 +179,11 @@
 def test_light_hints_do_not_open_the_cold_budget():
     """Hints are rough: a row of jobs said to be tiny must not pass as next to no work at a cold worker."""
     settings = dy.Settings(
-        classes=(dy.JobClass(effect=dy.Effect.SAFE, objective=200_000),),
-        fall_multiple=3.0,
-        fall_window=1_000_000,
-        start_capacity=0.2,
-        warm_after=10_000_000,
+        classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000),),
+        collapse_multiple=3.0,
+        collapse_window=1_000_000,
+        initial_capacity=0.2,
+        warmup_duration=10_000_000,
     )
     model = Model(settings)
     model.list_workers(dy.WorkerEntry(1, started_at=model.now))
--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -11,9 +11,9 @@
 from hazelbend.transport.http import client_connection, http_listener
 from tests.dispatcher.test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
-from tests.support.site_kit import FakeStompClient, site, until
-from tests.transport.test_client_listener import open_kept, request, talk
-from tests.transport.test_ops_door import OPS, asked
+from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.transport.test_client_listener import open_keep_alive, request, send_and_receive
+from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
@@ -34,15 +34,15 @@
 
 def test_a_drain_says_no_serves_what_comes_and_closes_what_is_idle(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
-            reader, writer = await open_kept(app.client_listener.port)
-            idle, _ = await open_kept(app.client_listener.port, "idle")
-            long = asyncio.create_task(talk(app.client_listener.port, request("long", b"2500")))
-            await until(lambda: app.router.requests)
-            assert (await asked(app, "/ops/drain/start", "POST"))[0] == 200
-            assert (await asked(app, "/ops/readiness"))[0] == 503
-            assert b" 503 " in await talk(app.client_listener.port, HEALTHZ)
-            late = await talk(app.client_listener.port, request("late"))
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+            reader, writer = await open_keep_alive(app.client_listener.port)
+            idle, _ = await open_keep_alive(app.client_listener.port, "idle")
+            long = asyncio.create_task(send_and_receive(app.client_listener.port, request("long", b"2500")))
+            await wait_until(lambda: app.router.requests)
+            assert (await call_ops(app, "/ops/drain/start", "POST"))[0] == 200
+            assert (await call_ops(app, "/ops/readiness"))[0] == 503
+            assert b" 503 " in await send_and_receive(app.client_listener.port, HEALTHZ)
+            late = await send_and_receive(app.client_listener.port, request("late"))
             assert b" 200 " in late and b"\r\nConnection: close\r\n" in late
             writer.write(request("on a kept one"))
             answer = await reader.read()
@@ -50,11 +50,11 @@
             assert await idle.read() == b"", "it was idle: closed without a word"
             assert app.client_listener.connections == 1, "what was taken before goes on"
             assert b" 200 " in await long
-            assert (await asked(app, "/ops/drain/start", "POST"))[0] == 200, "it may be said again"
-            assert (await asked(app, "/ops/drain/stop", "POST"))[0] == 200
-            assert (await asked(app, "/ops/readiness"))[0] == 200
-            assert b" 200 " in await talk(app.client_listener.port, HEALTHZ)
-            _, again = await open_kept(app.client_listener.port, "again")
+            assert (await call_ops(app, "/ops/drain/start", "POST"))[0] == 200, "it may be said again"
+            assert (await call_ops(app, "/ops/drain/stop", "POST"))[0] == 200
+            assert (await call_ops(app, "/ops/readiness"))[0] == 200
+            assert b" 200 " in await send_and_receive(app.client_listener.port, HEALTHZ)
+            _, again = await open_keep_alive(app.client_listener.port, "again")
             assert app.client_listener.connections == 1
             again.close()
 
@@ -65,21 +65,21 @@
     """Guards the rule that at 4 s no connection carries a job of the last 2 s."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             loop = asyncio.get_running_loop()
             app.drain()
             began = loop.time()
-            await until(lambda: "drain" in app._final_deadlines)  # what comes from now on is bounded
+            await wait_until(lambda: "drain" in app._final_deadlines)  # what comes from now on is bounded
             half, slow = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             slow.write(request("half")[:40])
-            answer = await talk(app.client_listener.port, request("late", b"hang"))
+            answer = await send_and_receive(app.client_listener.port, request("late", b"hang"))
             assert answer.startswith(b"HTTP/1.1 50") and loop.time() - began < 3.0, "not its own 4 s"
             assert b" 408 " in await half.read()
             # Its end is told by the program: on a busy machine it is later than the clock says.
-            await until(
+            await wait_until(
                 lambda: loop.time() - began > drain.WINDOW_END_S and "drain" not in app._final_deadlines
             )
-            after = asyncio.create_task(talk(app.client_listener.port, request("after", b"100")))
+            after = asyncio.create_task(send_and_receive(app.client_listener.port, request("after", b"100")))
             assert b" 200 " in await after, "who comes even then is served"
 
     asyncio.run(run())
@@ -90,10 +90,10 @@
     them for late ones of the drain, for as long as it was not stopped."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.drain()
-            await until(lambda: "drain" in app._final_deadlines)
-            await until(lambda: "drain" not in app._final_deadlines)
+            await wait_until(lambda: "drain" in app._final_deadlines)
+            await wait_until(lambda: "drain" not in app._final_deadlines)
             silent, later = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             parted, sending = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             sending.write(request("in parts")[:40])
@@ -109,7 +109,7 @@
 
 def test_stop_crosses_start_and_a_reload(tmp_path, hurried):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for _ in range(3):
                 app.drain()
                 assert app.undrain() and app.undrain()
@@ -117,7 +117,7 @@
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.admin.listener.port}", name="n9"))
             assert not app.accepts_clients, "a reload ends no drain"
             app.undrain()
-            reader, writer = await open_kept(app.client_listener.port)
+            reader, writer = await open_keep_alive(app.client_listener.port)
             await asyncio.sleep(drain.WINDOW_END_S)
             writer.write(request("on"))
             async with asyncio.timeout(30):  # a refusal would not hold these words
@@ -133,17 +133,17 @@
     monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 0.01)
 
     async def run():
-        async with site(tmp_path, ops=OPS) as (app, _):
+        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
             idle = await FakeStompClient.connect(app.stomp.port, client_id="idle")
             busy = await FakeStompClient.connect(app.stomp.port, client_id="busy")
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             busy.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             busy.job("b", b"1000")
-            await until(lambda: app.router.requests)
+            await wait_until(lambda: app.router.requests)
             app.drain()
-            await until(lambda: idle.closed)
+            await wait_until(lambda: idle.closed)
             assert "emptied" in idle.of("ERROR")[0].headers["message"] and not busy.closed
-            await until(lambda: busy.closed)
+            await wait_until(lambda: busy.closed)
             assert busy.answers() == {"b": ["served"]} and not box.closed
             await asyncio.sleep(drain.WINDOW_END_S)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
@@ -151,7 +151,7 @@
             late = await FakeStompClient.connect(app.stomp.port, client_id="late")
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
-            await until(lambda: late.closed)
+            await wait_until(lambda: late.closed)
             assert late.answers() == {"l": ["served"]}
             app.undrain()
 
@@ -163,14 +163,14 @@
     monkeypatch.setattr("hazelbend.dispatcher.shutdown.FIRST_REQUESTS_S", 0.3)
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.conf = replace(app.conf, passed_socket=3)
-            _, first = await open_kept(app.client_listener.port, "first")
-            _reader, writer = await open_kept(app.client_listener.port)
+            _, first = await open_keep_alive(app.client_listener.port, "first")
+            _reader, writer = await open_keep_alive(app.client_listener.port)
             app.drain()
-            await until(lambda: app._final_deadlines)
+            await wait_until(lambda: app._final_deadlines)
             leaving = asyncio.create_task(app.leave())
-            await until(lambda: app.leaving)
+            await wait_until(lambda: app.leaving)
             assert "drain" not in app._final_deadlines
             leaving.cancel()
             await asyncio.gather(leaving, return_exceptions=True)
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -7,13 +7,13 @@
 from hazelbend.decisions.interface import Outcome
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
-from tests.support.site_kit import FakeStompClient, site, until
-from tests.transport.test_client_listener import request, talk
-from tests.transport.test_ops_door import OPS, asked
+from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.transport.test_client_listener import request, send_and_receive
+from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 
 
 async def stats(app) -> dict[str, int]:
-    status, text = await asked(app, "/ops/stats")
+    status, text = await call_ops(app, "/ops/stats")
     assert status == 200 and text.endswith("\n")
     rows = [line.partition("=") for line in text.splitlines()]
     assert all(name.startswith("relay.") for name, _, _ in rows)
@@ -26,16 +26,16 @@
 
 def test_each_job_counts_once_in_its_class(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, [toy]):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             assert set((await stats(app)).values()) == {0, 1}, "every class is there from the start"
             reserve = closing("f", b"1 fail", more="Idempotency-Key: k\r\n").replace(b"/nearby", b"/reserve")
             for data in (closing("a", b"1"), closing("b", b"1"), reserve):
-                await talk(app.client_listener.port, data)
-            running = asyncio.create_task(talk(app.client_listener.port, closing("run", b"1500")))
-            await until(lambda: toy.holds)
-            await talk(app.client_listener.port, closing("bad", b"1").replace(b"/nearby", b"/bogus"))
+                await send_and_receive(app.client_listener.port, data)
+            running = asyncio.create_task(send_and_receive(app.client_listener.port, closing("run", b"1500")))
+            await wait_until(lambda: toy.holds)
+            await send_and_receive(app.client_listener.port, closing("bad", b"1").replace(b"/nearby", b"/bogus"))
             app.router.set_manual_drain("toy-0", True)
-            assert b" 503 " in await talk(app.client_listener.port, closing("c", b"1", 100)), (
+            assert b" 503 " in await send_and_receive(app.client_listener.port, closing("c", b"1", 100)), (
                 "no server takes work"
             )
             app.router.set_manual_drain("toy-0", False)
@@ -53,7 +53,7 @@
 
 def test_a_fault_counts_once_and_a_client_that_left_is_no_longer_outstanding(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, [toy]):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             handle = app.router.module.handle
 
             def faulty(event, now):
@@ -62,15 +62,15 @@
                 return handle(event, now)
 
             app.router.module.handle = faulty
-            assert b" 200 " in await talk(app.client_listener.port, closing("a", b"1")), (
+            assert b" 200 " in await send_and_receive(app.client_listener.port, closing("a", b"1")), (
                 "it was served by then"
             )
             app.router.module.handle = handle
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("gone", b"hang"))
-            await until(lambda: toy.holds == 1)
+            await wait_until(lambda: toy.holds == 1)
             writer.close()
-            await until(lambda: not app.router.requests)
+            await wait_until(lambda: not app.router.requests)
             found = await stats(app)
             assert found["outstanding"] == 0 and found["forwards"] == 2
             assert [found[f"{name}.nearby"] for name in ("succeeded", "declined", "aborted")] == [1, 0, 0]
@@ -80,21 +80,21 @@
 
 def test_both_fronts_count_alike_a_full_mailbox_too(tmp_path):
     async def run():
-        async with site(tmp_path, ops=OPS) as (app, _):
+        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             box.send("SUBSCRIBE", id="w", destination="/hazelbend/work")
-            await until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.servers) == 2)
             app.router.set_manual_drain("toy-0", True)
             peer.job("to the box", b"1")
-            await until(lambda: box.of("MESSAGE"))
+            await wait_until(lambda: box.of("MESSAGE"))
             found = await stats(app)
             assert (found["forwards"], found["outstanding"]) == (1, 1)
             assert (found["discovered"], found["ejected"]) == (2, 1), "drained by hand: avoided"
             app.stomp.settings.mailbox_limits.waiting = 1
             peer.job("too many", b"1")
-            await until(lambda: peer.answers() == {"too many": ["refused"]})
+            await wait_until(lambda: peer.answers() == {"too many": ["refused"]})
             assert (await stats(app))["declined.nearby"] == 1
             assert app.router.counters.received == 2
 
@@ -103,9 +103,9 @@
 
 def test_a_server_that_is_shut_out_is_ejected(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, [toy]):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             await toy.close()
-            await talk(app.client_listener.port, closing("a", b"1", 300))
+            await send_and_receive(app.client_listener.port, closing("a", b"1", 300))
             found = await stats(app)
             assert (found["ejected"], found["discovered"], found["forwards"]) == (1, 1, 0)
 
@@ -114,9 +114,9 @@
 
 def test_door_console_and_snmp_show_the_same(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS) as (app, _):
+        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for number in range(3):
-                await talk(app.client_listener.port, closing(f"r{number}", b"1"))
+                await send_and_receive(app.client_listener.port, closing(f"r{number}", b"1"))
             app.router.set_manual_drain("toy-0", True)
             found = await stats(app)
             shown = Commands(app).run("show figures")
--- a/tests/dispatcher/test_fleet_site.py
+++ b/tests/dispatcher/test_fleet_site.py
@@ -184,7 +184,7 @@
             [part] = app.extensions.values()
             assert "nobody leads" in Commands(app).run("show fleet")
             links = PeerLinks("127.0.0.1")
-            await links.found_epoch(f"127.0.0.1:{port}", force=False, timeout_s=5.0)
+            await links.start_new_epoch(f"127.0.0.1:{port}", force=False, timeout_s=5.0)
             asked = Acquire("job", "me", 1, 1_000_000)
             assert (await links.submit(f"127.0.0.1:{port}", asked, 5.0)).response.reason == "not open yet"
             while not part.node.leases.state.is_open:
@@ -247,7 +247,7 @@
         async with site(tmp_path, stomp="") as (app, _):
             [part] = app.extensions.values()
             task, leases = part.snapshot, part.node.leases
-            part.driver.found_epoch(False)
+            part.driver.start_new_epoch(False)
 
             async def until(truth):
                 async with asyncio.timeout(60):
