--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -11,8 +11,8 @@
 from hazelbend.dispatcher import config
 from hazelbend.protocol.discovery import EndpointListCodec
 from tests.dispatcher.test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
-from tests.support.site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
-from tests.transport.test_client_listener import request, talk
+from tests.support.site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, wait_until
+from tests.transport.test_client_listener import request, send_and_receive
 
 
 class Service:
@@ -63,14 +63,14 @@
             served(new) as second,
             site(tmp_path, toys=0, discovery=first, membership_mode="ask") as (app, _),
         ):
-            await until(lambda: len(old.asked) == 2)
+            await wait_until(lambda: len(old.asked) == 2)
             running = asyncio.create_task(
-                talk(app.client_listener.port, request("a", b"150", more="Connection: close\r\n"))
+                send_and_receive(app.client_listener.port, request("a", b"150", more="Connection: close\r\n"))
             )
-            await until(lambda: app.router.requests)
+            await wait_until(lambda: app.router.requests)
             app.apply(changed(app, tmp_path, {"membership_mode": "ask"}, discovery=second))
             assert app.router.table.servers, "the list is kept until the new address has answered"
-            await until(lambda: len(new.asked) == 2 and old.open == 0)
+            await wait_until(lambda: len(new.asked) == 2 and old.open == 0)
             assert new.asked[0] == "/v1/servers", "another service: its numbers say nothing of the old ones"
             assert len(old.asked) == 2, "nothing more goes to the old address"
             assert b" 200 " in await running
@@ -90,17 +90,17 @@
             changes = {"lanes": lanes, "limits": limits, "orgs": [*SETTINGS["orgs"], {"name": "new"}]}
             before = app.pool.session
             data = request("running", b"200", more="Connection: close\r\n")
-            running = asyncio.create_task(talk(app.client_listener.port, data))
-            await until(lambda: toy.ran)
+            running = asyncio.create_task(send_and_receive(app.client_listener.port, data))
+            await wait_until(lambda: toy.ran)
             app.apply(changed(app, tmp_path, changes, limits={"sockets": 256}, name="n9"))
             assert app.conf.name == "n9" and app.client_listener.connection_limit < 128
-            assert app.pool.settings.keepalive == 2.0 and app.pool.settings.connect_timeout == 0.1
+            assert app.pool.settings.keepalive_s == 2.0 and app.pool.settings.connect_timeout_s == 0.1
             assert b" 200 " in await running, "what is out goes on over the connection that it has"
-            await until(lambda: before.closed)
+            await wait_until(lambda: before.closed)
             plan = request("p", more="Connection: close\r\n").replace(b"/nearby/", b"/plan/")
-            assert b" 200 " in await talk(app.client_listener.port, plan.replace(b"ege-volt", b"new"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, plan.replace(b"ege-volt", b"new"))
             peer.job("s", b"1", job_class="plan", tenant="new")
-            await until(lambda: peer.answers() == {"s": ["served"]})
+            await wait_until(lambda: peer.answers() == {"s": ["served"]})
             assert not peer.closed
 
     asyncio.run(run())
@@ -117,7 +117,7 @@
             assert app.conf.listen == listen and app.conf.settings is settings and app.conf.name == "n9"
             assert "wait for a restart: listen, known, stomp, settings" in caplog.text
             assert "reloaded: name\n" in caplog.text
-            assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
 
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -19,9 +19,9 @@
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import ready, run_beside
 from tests.support.pace import pace
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, until
+from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, wait_until
 from tests.support.srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
-from tests.transport.test_client_listener import request, talk
+from tests.transport.test_client_listener import request, send_and_receive
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
 
@@ -33,7 +33,7 @@
     statuses, tasks, stop = [], set(), False
 
     async def one(number):
-        answer = await talk(
+        answer = await send_and_receive(
             app.client_listener.port, request(f"load-{number}", body, more="Connection: close\r\n")
         )
         statuses.append(int(answer.split()[1]))
@@ -42,7 +42,7 @@
         number = 0
         while not stop:
             number += 1
-            await until(lambda: len(tasks) < 16)
+            await wait_until(lambda: len(tasks) < 16)
             task = asyncio.create_task(one(number))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
@@ -123,17 +123,17 @@
             (tmp_path / "srv.toml").write_text(srv_toml([server.address]))
             more = {"discovery": discovery, "membership_mode": "ask"}
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
-                await until(lambda: len(app.router.table.servers) == 2)
+                await wait_until(lambda: len(app.router.table.servers) == 2)
                 worst, learned = 0.0, []
-                app.router.table.watcher = lambda each, up: learned.append((time.monotonic(), each, up))
+                app.router.table.on_accepts_work_changed = lambda each, up: learned.append((time.monotonic(), each, up))
                 # By its weight the other box is the second choice.
                 async with load(app, b"14") as statuses:
                     for _ in range(200):
                         had = len(toys[0].targets)
-                        await until(lambda had=had: len(toys[0].targets) > had)
+                        await wait_until(lambda had=had: len(toys[0].targets) > had)
                         learned.clear()
                         service.tell(entry("DELETED"))
-                        await until(lambda: learned)
+                        await wait_until(lambda: learned)
                         [(at, gone, up)] = learned
                         assert gone.entry.host == host and not up
                         assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
@@ -142,7 +142,7 @@
                         worst = max([worst, *(when - at for when, _ in toys[0].targets[had:])])
                         learned.clear()
                         service.tell(entry("SERVING"))
-                        await until(lambda: learned)
+                        await wait_until(lambda: learned)
                 assert set(statuses) <= {200, 503} and statuses.count(200) > 500
                 assert worst < 0.3, worst
                 assert {name for name, _ in app.extensions["srv"].resolver.names.endpoints(NAME).items()}, (
@@ -158,21 +158,21 @@
 def test_all_nameservers_fail_for_longer_than_all_lifetimes_and_come_back(tmp_path):
     async def run():
         async with srv_site(tmp_path, count=3) as (app, _, servers):
-            await until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             async with load(app) as statuses:
                 for fault in ("servfail", "silent", "refused"):
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
-                    await until(lambda: app.extensions["srv"].resolver.names.roots[NAME].failing_since)
-                    await until(lambda before=before: time.monotonic() > before + 1.3)
+                    await wait_until(lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
+                    await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
-                await until(lambda: not app.extensions["srv"].resolver.names.roots[NAME].failing_since)
+                await wait_until(lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
@@ -190,10 +190,10 @@
 
     async def run():
         async with srv_site(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
-            await until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             changes = []
-            app.router.table.watcher = lambda server, up: changes.append((server.entry.host, up))
+            app.router.table.on_accepts_work_changed = lambda server, up: changes.append((server.entry.host, up))
             async with load(app) as statuses:
                 for liar in servers:
                     if lie == "old zone":
@@ -223,7 +223,7 @@
             _toys,
             [server],
         ):
-            await until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.servers) == 3)
             ports = {each.entry.host.partition(".")[0]: port_of(each.entry.dial)
                      for each in app.router.table.servers.values()}  # fmt: skip
             rows = sorted(ports.items())
@@ -231,7 +231,7 @@
                 for turn in range(6):
                     server.serve_zone(zone(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
                     want = 2 if turn % 2 == 0 else 3
-                    await until(lambda want=want: len(app.router.table.servers) == want)
+                    await wait_until(lambda want=want: len(app.router.table.servers) == want)
             assert set(statuses) == {200}
 
     asyncio.run(run())
@@ -244,7 +244,7 @@
         patient = f"start_spread_s = 0.0\ntimeout_s = {pace():.1f}\nrest_s = 0.1\nper_s = 2000"
         lifetimes = "least_s = 1.0\nmost_s = 1.0"
         async with srv_site(tmp_path, toys=3, lifetimes=lifetimes, budgets=patient) as (app, _, [server]):
-            await until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.servers) == 3)
             rows = sorted(
                 (each.entry.host.partition(".")[0], port_of(each.entry.dial))
                 for each in app.router.table.servers.values()
@@ -252,11 +252,11 @@
             many = [(f"b{number}", 9, 10) for number in range(500)]
             server.serve_zone(zone(*rows, *many))
             async with load(app) as statuses:
-                await until(lambda: len(app.router.table.servers) == 503)
+                await wait_until(lambda: len(app.router.table.servers) == 503)
             assert set(statuses) == {200} and any(each.tcp for each in server.queries)
             assert len(await boxes_of(app)) == 3, "the five hundred are spare"
             server.serve_zone(zone(*rows))
-            await until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.servers) == 3)
 
     asyncio.run(run())
 
@@ -269,19 +269,19 @@
             [toy],
             [server],
         ):
-            await until(lambda: app.router.table.servers)
+            await wait_until(lambda: app.router.table.servers)
             [box] = app.router.table.servers.values()
             started_at, port = box.entry.started_at, port_of(box.entry.dial)
             long = asyncio.create_task(
-                talk(app.client_listener.port, request("long", b"1200", more="Connection: close\r\n"))
+                send_and_receive(app.client_listener.port, request("long", b"1200", more="Connection: close\r\n"))
             )
-            await until(lambda: toy.ran or long.done())
+            await wait_until(lambda: toy.ran or long.done())
             assert toy.ran, f"the job has an answer and never ran: {long.result()!r}"
             assert (await other.listen("127.0.0.2", port)) == f"127.0.0.2:{port}"
             server.serve_zone(zone(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
-            await until(lambda: box.entry.dial == f"127.0.0.2:{port}")
+            await wait_until(lambda: box.entry.dial == f"127.0.0.2:{port}")
             assert box.entry.started_at > started_at, "another process: cold"
-            answer = await talk(app.client_listener.port, request("new", b"1", more="Connection: close\r\n"))
+            answer = await send_and_receive(app.client_listener.port, request("new", b"1", more="Connection: close\r\n"))
             assert b"moved did new" in answer
             assert b"toy-0 did long" in await long
         await other.close()
@@ -299,26 +299,26 @@
             toys,
             [server],
         ):
-            await until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.servers) == 2)
             first, spare = sorted(app.router.table.servers.values(), key=lambda each: each.entry.host)
             ports = [port_of(each.entry.dial) for each in (first, spare)]
             both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
-            await until(lambda: not spare.accepts_work)
+            await wait_until(lambda: not spare.accepts_work)
             async with load(app) as statuses:
                 app.router.set_manual_drain(first.entry.host, True)
-                await until(lambda: spare.accepts_work)
+                await wait_until(lambda: spare.accepts_work)
                 app.router.set_manual_drain(first.entry.host, False)
                 back = time.monotonic()
                 assert first.accepts_work and spare.accepts_work
-                await until(lambda: not spare.accepts_work)
+                await wait_until(lambda: not spare.accepts_work)
                 assert time.monotonic() - back > 0.29, "the hysteresis"
-                app.module.avoided = lambda now: {first.id}
-                await until(lambda: spare.accepts_work)
-                del app.module.avoided
-                await until(lambda: not spare.accepts_work)
+                app.module.workers_in_backoff = lambda now: {first.id}
+                await wait_until(lambda: spare.accepts_work)
+                del app.module.workers_in_backoff
+                await wait_until(lambda: not spare.accepts_work)
                 server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
-                await until(lambda: len(app.router.table.servers) == 1)
+                await wait_until(lambda: len(app.router.table.servers) == 1)
                 assert await boxes_of(app) == {spare.entry.host}
             assert set(statuses) == {200} and len(toys[1].ran) > 0
 
@@ -328,14 +328,14 @@
 def test_both_fronts_serve_while_refreshes_are_out_and_reloads_and_drains_happen(tmp_path):
     async def run():
         async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
-            await until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
-            await until(lambda: app.extensions["srv"].queries_in_flight)
+            await wait_until(lambda: app.extensions["srv"].queries_in_flight)
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with load(app) as statuses:
                 peer.job("over-stomp", b"5")
-                await until(lambda: peer.answers().get("over-stomp") == ["served"])
+                await wait_until(lambda: peer.answers().get("over-stomp") == ["served"])
                 # SIGHUP: other names, other bounds, off, on again; a bad file changes nothing.
                 toml = srv_toml([server.address])
                 for text, boxes in (
@@ -348,14 +348,14 @@
                     (tmp_path / "srv.toml").write_text(text)
                     server.faults = [] if boxes else [Fault("silent")]
                     app.apply(changed(app, tmp_path))
-                    await until(lambda boxes=boxes: len(app.router.table.servers) == boxes)
+                    await wait_until(lambda boxes=boxes: len(app.router.table.servers) == boxes)
                     if not boxes:
                         # With no box at all the module holds jobs, and refuses none before their time.
                         await asyncio.sleep(0.05)
                 app.drain()
                 assert app.undrain()
                 server.faults = [Fault("silent")]
-                await until(lambda: app.extensions["srv"].queries_in_flight)
+                await wait_until(lambda: app.extensions["srv"].queries_in_flight)
             assert set(statuses) == {200}
             with pytest.raises(Exception, match=r"srv.toml: name\[0\].zone: 'izmir'"):
                 (tmp_path / "srv.toml").write_text(toml.replace("konya-1", "izmir"))
@@ -367,7 +367,7 @@
 def test_the_console_and_the_door_tell_of_names(tmp_path):
     async def run():
         async with srv_site(tmp_path, listed=1, ops="127.0.0.1:0") as (app, _, [server]):
-            await until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.servers) == 3)
             commands = Commands(app)
             shown = commands.run("show names")
             assert NAME in shown and "listed" in shown and " 2 " in shown
@@ -379,7 +379,7 @@
                 commands.run("show names other")
             assert app.figures().named()["names.boxes"] == 2
             server.faults = [Fault("servfail")]
-            await until(lambda: "SERVFAIL" in commands.run("show names"))
+            await wait_until(lambda: "SERVFAIL" in commands.run("show names"))
             assert app.figures().named()["names.failures"] > 0
 
     asyncio.run(run())
@@ -391,7 +391,7 @@
         path = tmp_path / "disk" / "names.json"
         snapshot = f'path = "{path}"\nevery_s = 0.05'
         async with srv_site(tmp_path, snapshot=snapshot) as (app, _, [server]):
-            await until(lambda: len(app.router.table.servers) == 2 and path.exists())
+            await wait_until(lambda: len(app.router.table.servers) == 2 and path.exists())
             boxes, conf = await boxes_of(app), app.conf
             started = {each.entry.host: each.entry.started_at for each in app.router.table.servers.values()}
             await app.extensions["srv"].close()
@@ -402,7 +402,7 @@
             assert started == {
                 each.entry.host: each.entry.started_at for each in second.router.table.servers.values()
             }, "they have not started again"
-            assert b" 200 " in await talk(second.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(second.client_listener.port, request(more="Connection: close\r\n"))
             await second.close()
             path.write_bytes(path.read_bytes()[:-9])
             third = App(conf)
--- a/tests/dispatcher/test_upgrade.py
+++ b/tests/dispatcher/test_upgrade.py
@@ -15,7 +15,7 @@
 from hazelbend.transport.http.http_listener import inherited_listener
 from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
 from tests.support.site_kit import ROOT, SETTINGS, STOMP, host_entry, site
-from tests.transport.test_client_listener import request, talk
+from tests.transport.test_client_listener import request, send_and_receive
 
 
 def run_beside(begin, tmp_path, listener, name, **more):
@@ -170,6 +170,6 @@
             assert path.exists(), "it is the first one's"
             await first.close()
             assert not path.exists()
-            assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
--- a/tests/dispatcher/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -13,8 +13,8 @@
 from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import ready, run_beside
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, until
-from tests.transport.test_client_listener import request, talk
+from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, wait_until
+from tests.transport.test_client_listener import request, send_and_receive
 
 SITE = ROOT / "example/toy_server.py"
 WAITING = "enabled = true\nhttp_headers = true\n"
@@ -31,7 +31,7 @@
 
 def post(app, job_id, body=b"5", timeout=4_000, **more):
     return asyncio.create_task(
-        talk(app.client_listener.port, request(job_id, body, timeout, headers(**more)))
+        send_and_receive(app.client_listener.port, request(job_id, body, timeout, headers(**more)))
     )
 
 
@@ -53,7 +53,7 @@
     async def run():
         async with waiting_site(tmp_path) as (app, [toy]):
             child = post(app, "plan", b"5", After="n1, n2", Take_Results="1")
-            await until(lambda: app.extensions["waiting"].gate.rows())
+            await wait_until(lambda: app.extensions["waiting"].gate.rows())
             assert app.router.is_open("plan") and not toy.ran
             parents = [post(app, each, b"20") for each in ("n1", "n2")]
             answers = await asyncio.gather(child, *parents)
@@ -62,7 +62,7 @@
             peer = await stomp_client(app)
             peer.job("c", b"5", after="p", **{"take-results": "1"})
             peer.job("p", b"5")
-            await until(lambda: peer.answers().get("c") == ["served"])
+            await wait_until(lambda: peer.answers().get("c") == ["served"])
             assert (
                 app.router.counters.received == 6
                 and not app.extensions["waiting"].gate.pending
@@ -77,7 +77,7 @@
         async with waiting_site(tmp_path) as (app, _):
             child, other = post(app, "c", After="p"), post(app, "e", After="p;ended")
             below = post(app, "d", After="c")
-            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 3)
+            await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 3)
             assert status(await post(app, "p", b"fail")) in (502, 503)
             answer = await child
             assert status(answer) == 503 and b"X-Reason: p, for which it waited: " in answer
@@ -85,7 +85,7 @@
             assert status(await other) == 200
             peer = await stomp_client(app)
             peer.job("c", b"5", after="never", deadline="300")
-            await until(lambda: frames_of(peer, "c"), 3)
+            await wait_until(lambda: frames_of(peer, "c"), 3)
             assert frames_of(peer, "c")[0].headers["reason"] == "its time is over"
 
     asyncio.run(run())
@@ -110,7 +110,7 @@
             peer = await stomp_client(app)
             names = {key.lower().removesuffix("_ms").replace("_", "-"): value for key, value in more.items()}
             peer.job("a", b"5", **names)
-            await until(lambda: peer.closed)
+            await wait_until(lambda: peer.closed)
             assert words in peer.of("ERROR")[0].headers["message"]
             assert not app.extensions["waiting"].gate.pending and not app.router.open_ids
             assert status(await post(app, "a")) == 200, "the id is free, and the front serves on"
@@ -132,7 +132,7 @@
         async with waiting_site(tmp_path, toys=4) as (app, toys):
             at = int(time.time() * 1e3) + 400
             jobs = [post(app, f"t{number}", Not_Before=at) for number in range(4)]
-            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
+            await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
             past = post(app, "past", Not_Before=at - 10**6)
             assert status(await past) == 200 and [job for toy in toys for job in toy.ran] == ["past"]
             assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
@@ -147,18 +147,18 @@
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("gone", more=headers(After="p")))
             child = post(app, "below", After="gone;ended")
-            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
+            await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             writer.close()
             assert status(await child) == 200, "of one that left, it needed no more than its end"
             assert app.router.counters.abandoned == 1 and "gone" not in toy.ran
             peer = await stomp_client(app)
             peer.job("s", b"5", after="p2")
-            await until(lambda: app.extensions["waiting"].gate.rows())
+            await wait_until(lambda: app.extensions["waiting"].gate.rows())
             peer.writer.close()
-            await until(lambda: app.stomp.connections == 0)
+            await wait_until(lambda: app.stomp.connections == 0)
             again = await stomp_client(app)
             again.job("p2", b"5")
-            await until(lambda: again.answers().get("s") == ["served"])
+            await wait_until(lambda: again.answers().get("s") == ["served"])
 
     asyncio.run(run())
 
@@ -169,13 +169,13 @@
             commands, peer = Commands(app), await stomp_client(app)
             peer.job("one", after="never")
             peer.job("two", after="never")
-            await until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
+            await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             assert "the end of never" in commands.run("show waiting")
             peer.send("SEND", destination="/hazelbend/cancel", request_id="one")
-            await until(lambda: peer.answers().get("one") == ["refused"])
+            await wait_until(lambda: peer.answers().get("one") == ["refused"])
             assert frames_of(peer, "one")[0].headers["reason"] == "cancelled"
             commands.run("cancel dashboard two")
-            await until(lambda: peer.answers().get("two") == ["refused"])
+            await wait_until(lambda: peer.answers().get("two") == ["refused"])
             with pytest.raises(CommandError):
                 commands.run("cancel dashboard two")
             assert app.figures().named()["waiting.cancelled"] == 2
@@ -190,7 +190,7 @@
         async with waiting_site(tmp_path, text) as (app, [toy]):
             app.extensions["waiting"].gate.engine.admission.mean_run_us[0] = 100_000.0
             jobs = [post(app, f"j{number}", b"100") for number in range(8)]
-            await until(lambda: toy.holds == 2)
+            await wait_until(lambda: toy.holds == 2)
             tight = await post(app, "tight", b"100", Wanted_Ms=120, After="j0;ended")
             assert status(tight) in (200, 503)
             most = 0
@@ -209,13 +209,13 @@
         text = WAITING + "[admission]\nin_service = 1\naged = 0\nordinary = true\n"
         async with waiting_site(tmp_path, text, stomp=STOMP) as (app, [toy]):
             jobs = [post(app, f"j{number}", b"150") for number in range(4)]
-            await until(lambda: toy.holds == 1 and len(app.extensions["waiting"].gate.rows()) == 3)
+            await wait_until(lambda: toy.holds == 1 and len(app.extensions["waiting"].gate.rows()) == 3)
             (tmp_path / "waiting.toml").write_text(text.replace("in_service = 1", "in_service = 4"))
             app.apply(changed(app, tmp_path))
-            await until(lambda: toy.holds == 4)
+            await wait_until(lambda: toy.holds == 4)
             assert [status(each) for each in await asyncio.gather(*jobs)] == [200] * 4
             waits = post(app, "waits", After="never")
-            await until(lambda: app.extensions["waiting"].gate.rows())
+            await wait_until(lambda: app.extensions["waiting"].gate.rows())
             (tmp_path / "waiting.toml").write_text("enabled = false\n")
             app.apply(changed(app, tmp_path))
             assert status(await waits) == 503 and "waiting" not in app.extensions
@@ -240,7 +240,7 @@
 
     async def run():
         def send(job_id, body=b"5", **more):
-            return asyncio.create_task(talk(port, request(job_id, body, 120_000, headers(**more))))
+            return asyncio.create_task(send_and_receive(port, request(job_id, body, 120_000, headers(**more))))
 
         far = send("far", Not_Before=int(time.time() * 1e3) + 120_000)
         never, parent, child = send("never", After="x"), send("p", b"held"), send("c", After="p")
@@ -292,7 +292,7 @@
         assert [ask(port)[0] for _ in range(20)] == [200] * 20, "by now its speed is known"
 
         async def run():
-            waits = asyncio.create_task(talk(port, request("w", b"5", 4_900, headers(After="never"))))
+            waits = asyncio.create_task(send_and_receive(port, request("w", b"5", 4_900, headers(After="never"))))
             await asyncio.to_thread(wait_for, lambda: "waiting.jobs=1" in ask(first, "GET", "/ops/stats")[2])
             return await work(
                 port, old, waits, lambda: run_beside(start, tmp_path, listener, "new", known=known)
@@ -307,12 +307,12 @@
         await asyncio.to_thread(wait_for, lambda: ready(second))
         seen = set()
         for _ in range(20):  # whichever of the two it comes to
-            seen.add(status(await talk(port, request("w", b"5", 500, headers()))))
+            seen.add(status(await send_and_receive(port, request("w", b"5", 500, headers()))))
         assert seen == {409}
         old.send_signal(signal.SIGTERM)
         assert b"X-Reason: the dispatcher ends" in await waits
         assert await asyncio.to_thread(old.wait, 10) == 0
-        assert status(await talk(port, request("w", b"5", 4_000, headers()))) == 200, "its id is free"
+        assert status(await send_and_receive(port, request("w", b"5", 4_000, headers()))) == 200, "its id is free"
         assert new.poll() is None
 
     upgrade(start, tmp_path, work)
@@ -326,7 +326,7 @@
         assert await waits == b"", "its connection was cut: no answer was given"
         _, second = await asyncio.to_thread(begin)
         await asyncio.to_thread(wait_for, lambda: ready(second))
-        assert status(await talk(port, request("w", b"5", 4_000, headers()))) == 200
+        assert status(await send_and_receive(port, request("w", b"5", 4_000, headers()))) == 200
         assert "waiting.jobs=0" in ask(second, "GET", "/ops/stats")[2]
 
     upgrade(start, tmp_path, work)
--- a/tests/dns_discovery/test_dns_discovery.py
+++ b/tests/dns_discovery/test_dns_discovery.py
@@ -55,16 +55,16 @@
         """Let this much time go by."""
         end = self.now + round(seconds * SECOND)
         while True:
-            self.send(self.resolver.due(self.now))
+            self.send(self.resolver.take_due_queries(self.now))
             times = [at for at, _ in self.out]
-            if (at := self.resolver.next_at(self.now)) is not None:
+            if (at := self.resolver.next_due_at(self.now)) is not None:
                 times.append(max(at, self.now))
             self.now = min([*times, end])
             if self.now >= end and not any(at <= end for at, _ in self.out):
                 return self
             for at, query in [each for each in self.out if each[0] <= self.now]:
                 self.out.remove((at, query))
-                self.send(self.resolver.query_done(query.id, self.answered(query), self.now))
+                self.send(self.resolver.handle_result(query.id, self.answered(query), self.now))
 
     def answered(self, query):
         """By the script; if that has only SRV, addresses come from its additional section."""
@@ -235,7 +235,7 @@
     run = Run(lambda query: srv_answer(RECORDS) if query.over_tcp else TruncatedAnswer()).until(1)
     assert run.endpoints == {A, B} and [query.over_tcp for _, query in run.asked] == [False, True]
     run = Run(lambda query: TruncatedAnswer(), budgets={"tries": 1}).until(0.5)
-    assert run.resolver.names.roots[NAME].last_error.endswith("truncated over TCP")
+    assert run.resolver.names.by_srv_name[NAME].last_error.endswith("truncated over TCP")
 
 
 def test_cname_chains_are_followed_to_a_bound():
@@ -243,7 +243,7 @@
     run = Run(lambda query: srv_answer(RECORDS) if query.name == away else CnameAlias(away)).until(1)
     assert run.endpoints == {A, B}
     run = Run(lambda query: CnameAlias(f"x{query.id}.example"), budgets={"tries": 1}).until(0.5)
-    assert run.count() == MAX_CNAME_CHAIN + 1 and "aliases" in run.resolver.names.roots[NAME].last_error
+    assert run.count() == MAX_CNAME_CHAIN + 1 and "aliases" in run.resolver.names.by_srv_name[NAME].last_error
 
 
 def test_a_server_without_edns_is_queried_without_it():
@@ -263,18 +263,18 @@
     ).until(10)
     bad.append(True)
     run.until(600)
-    assert run.endpoints == {A, B} and run.resolver.names.roots[NAME].failing_since
+    assert run.endpoints == {A, B} and run.resolver.names.by_srv_name[NAME].failing_since
     asked = run.count()
     run.until(100)
     assert run.endpoints == set() and run.count() - asked < 30, "it backs off between rounds"
     bad.clear()
     run.until(60)
-    assert run.endpoints == {A, B} and not run.resolver.names.roots[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
 
 
 def test_the_next_nameserver_is_queried_and_a_failing_one_backs_off():
     run = Run(lambda query: TIMED_OUT if query.server == 0 else srv_answer(RECORDS, 5), count=3).until(600)
-    assert run.endpoints == {A, B} and not run.resolver.names.roots[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
     assert run.resolver.nameservers.health[0].queries < 30
 
 
@@ -365,7 +365,7 @@
     )
     assert sum(budget.try_retry() for _ in range(100)) == 10
     for _ in range(5):
-        budget.first_attempt()
+        budget.record_first_attempt()
     assert budget.try_retry() and not budget.try_retry()
 
 
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -9,7 +9,7 @@
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
 from hazelbend.endpoints.merger import EndpointMerger, Tombstone
-from hazelbend.endpoints.precedence import Decision, ListReport, SrvReport, decide, srv_report
+from hazelbend.endpoints.precedence import PrecedenceResult, ListReport, SrvReport, apply_precedence, srv_report
 from hazelbend.endpoints.priority_pool import PriorityPool
 from hazelbend.endpoints.srv_claims import SrvClaim
 from hazelbend.endpoints.view import LIST_SOURCE, STOMP_SOURCE
@@ -51,24 +51,24 @@
     boxes = {} if by_srv is SrvReport.NOT_LISTED else {KEY: claim()}
     merger.apply_srv(NAME, boxes, 10)
     found = {each.entry.host: each.entry for each in merger.view.members.values()}
-    verdict = decide(by_list, by_srv)
+    verdict = apply_precedence(by_list, by_srv)
     if by_list is ListReport.SERVING or by_list is ListReport.DRAINING:
         wanted = {HOST: entry(state=READY if by_list is ListReport.SERVING else DRAINING)}
-        assert verdict is Decision.AS_LISTED
+        assert verdict is PrecedenceResult.AS_LISTED
     elif by_list is ListReport.NEVER_LISTED and by_srv is not SrvReport.NOT_LISTED:
         wanted = {str(KEY): Endpoint(str(KEY), DIAL, 1, 1, 0, READY, 2.0, 10)}
-        assert verdict is Decision.BY_SRV
+        assert verdict is PrecedenceResult.BY_SRV
     else:
         wanted = {}
-        assert verdict in (Decision.REMOVED, Decision.ABSENT)
+        assert verdict in (PrecedenceResult.REMOVED, PrecedenceResult.ABSENT)
     assert found == wanted and merger.list_report(KEY) is by_list
 
 
 def test_srv_report_of_a_name():
-    assert srv_report(listed=True, failing=False, ttl_over=False) is SrvReport.LISTED
-    assert srv_report(listed=True, failing=True, ttl_over=False) is SrvReport.UNKNOWN
-    assert srv_report(listed=True, failing=True, ttl_over=True) is SrvReport.STALE
-    assert srv_report(listed=False, failing=True, ttl_over=True) is SrvReport.NOT_LISTED
+    assert srv_report(listed=True, failing=False, ttl_expired=False) is SrvReport.LISTED
+    assert srv_report(listed=True, failing=True, ttl_expired=False) is SrvReport.UNKNOWN
+    assert srv_report(listed=True, failing=True, ttl_expired=True) is SrvReport.STALE
+    assert srv_report(listed=False, failing=True, ttl_expired=True) is SrvReport.NOT_LISTED
 
 
 @pytest.mark.parametrize("dial, host", [(DIAL, "s-17"), ("127.0.0.9:7101", "A.Konya-1.Example.ORG.")])
--- a/tests/golden/golden_kit.py
+++ b/tests/golden/golden_kit.py
@@ -41,7 +41,7 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.quotas import ledger
 from hazelbend.quotas import operations as quota_operations
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 from hazelbend.transport.http import worker_orders
 from hazelbend.transport.storage.control_store import ControlStore
 from hazelbend.transport.storage.soft_state_file import write_soft_state
@@ -70,7 +70,7 @@
 
 
 def quota_machine(content: bytes) -> ledger.QuotaLedger:
-    machine = ledger.QuotaLedger(QuotaTerms())
+    machine = ledger.QuotaLedger(QuotaParameters())
     machine.restore(content)
     return machine
 
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -193,7 +193,7 @@
     for step in range(3_000):
         now += 10 * MS
         if step == 5:
-            fleets[addresses[0]].found_epoch(1_764_000_000.0, now)
+            fleets[addresses[0]].start_new_epoch(1_764_000_000.0, now)
         leading = [address for address, fleet in fleets.items() if fleet.raft.is_leader]
         if step == 1_000:
             fleets[leading[0]].transfer_leadership(now)
@@ -242,18 +242,18 @@
 
 def settings(**more: Any) -> face.Settings:
     classes = (
-        face.JobClass(200 * MS, 1.0, 1.0, 0.5, face.Effect.SAFE),
-        face.JobClass(400 * MS, 0.0, 3.0, 0.0, face.Effect.KEYED, face.Group.ZONE, 2 * S),
-        face.JobClass(300 * MS, 0.0, 2.0, 0.2, face.Effect.UNSAFE, machine_kind=1),
+        face.JobClass(200 * MS, 1.0, 1.0, 0.5, face.Idempotency.SAFE),
+        face.JobClass(400 * MS, 0.0, 3.0, 0.0, face.Idempotency.KEYED, face.DedupScope.ZONE, 2 * S),
+        face.JobClass(300 * MS, 0.0, 2.0, 0.2, face.Idempotency.UNSAFE, machine_kind=1),
     )
-    return face.Settings(fleet_size=2, classes=classes, fall_window=500 * MS, warm_after=4 * S, **more)
+    return face.Settings(fleet_size=2, classes=classes, collapse_window=500 * MS, warmup_duration=4 * S, **more)
 
 
 DISPATCHERS = {
-    "inline": settings(reports_inline=True, tells_start=True, cancel_allowed=True),
-    "probes": settings(reports_by_probe=True, probes_allowed=True, second_copies_allowed=True),
-    "blind": settings(progress_interval=50 * MS, list_must_be_asked=True, cross_zone_charge=0.1),
-    "weights": settings(weights_fall_with_load=True, worth_by_work=True, handshake_charge=0.1),
+    "inline": settings(reports_inline=True, reports_job_starts=True, cancel_allowed=True),
+    "probes": settings(reports_by_probe=True, probes_allowed=True, hedging_allowed=True),
+    "blind": settings(progress_interval=50 * MS, list_is_polled=True, cross_zone_charge=0.1),
+    "weights": settings(weights_fall_with_load=True, value_per_work=True, handshake_charge=0.1),
 }
 
 
@@ -344,7 +344,7 @@
                 handle(face.AttemptEnded(request, worker, attempt, outcome, False, run, said))
             case _:
                 handle(event)
-    trace.add(learned_state.export_state(dispatcher, now), sorted(dispatcher.avoided(now)))
+    trace.add(learned_state.export_state(dispatcher, now), sorted(dispatcher.workers_in_backoff(now)))
     trace.add(next_draws(dispatcher))
     return trace
 
@@ -438,7 +438,7 @@
         if step % 20 == 19:
             loads = {f"w{n}": Load(chance.randrange(6), chance.randrange(3_000)) for n in range(8)}
             placement.apply_load_report(loads, (CachedPrefix("w0", "p1", 200),), now)
-            placement.update_silence({"w7": step * MS}, 1 * S)
+            placement.update_heartbeat_ages({"w7": step * MS}, 1 * S)
             trace.add(placement.own_loads(now), placement.take_outcomes(), placement.newly_cached)
             placement.newly_cached = []
     trace.add(next_draws(placement.selector))
@@ -476,7 +476,7 @@
     """Jobs that wait on each other, on a clock and on admission."""
     trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
-        in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, come_within=400 * MS
+        in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, submission_timeout_us=400 * MS
     )
     engine = JobQueueEngine(bounds)
     running: list[Any] = []
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -222,7 +222,7 @@
     flags = system_main.FLAGS._flags()
     found["hazelbend.system"] = {name: values_of(flags[name].default) for name in ("settings", "log_level")}
     found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
-    found["variables"] = [system_main.ENVIRONMENT, deploy_files.DEPLOY_VARIABLE, config.PASSED_SOCKET]
+    found["variables"] = [system_main.SETTINGS_PATH_VARIABLE, deploy_files.DEPLOY_VARIABLE, config.PASSED_SOCKET]
     return as_lines(found)
 
 
@@ -595,7 +595,7 @@
     state = handover.HandoverState(
         ("nearby",), reader.from_object(kit.ENDPOINT_LIST), ("h1",), ("f1",), {"a": 1}, {"srv": {"b": 2}}
     )
-    news = (handover.FlowIdUpdate("f1", True), handover.FlowIdUpdate("f1", False))
+    news = (handover.JobIdUpdate("f1", True), handover.JobIdUpdate("f1", False))
     lines = [handover.encode_state(state, reader), *map(handover.encode_update, news)]
     return "".join(line.decode() for line in lines)
 
--- a/tests/job_queue/test_waiting.py
+++ b/tests/job_queue/test_waiting.py
@@ -24,7 +24,7 @@
 
 MS = 1_000
 WALL = 10**15
-RAN = (JobOutcome.SERVED, JobOutcome.REFUSED, JobOutcome.FAILED, JobOutcome.CANCELLED, JobOutcome.LEFT)
+RAN = (JobOutcome.SERVED, JobOutcome.REFUSED, JobOutcome.FAILED, JobOutcome.CANCELLED, JobOutcome.CLIENT_DISCONNECTED)
 
 
 class Run:
@@ -96,24 +96,24 @@
 
 @pytest.mark.parametrize("edge", DependencyCondition)
 def test_a_parent_that_never_comes(edge):
-    run = Run(come_within=50 * MS).submit("c", Dependency("p", edge)).wait(49 * MS)
+    run = Run(submission_timeout_us=50 * MS).submit("c", Dependency("p", edge)).wait(49 * MS)
     assert not run.refused
     run.wait(1 * MS)
     assert "never came" in run.refused["c"].reason and not run.engine.jobs
 
 
 def test_a_parent_that_comes_later():
-    run = Run(come_within=50 * MS).submit("c", "p").wait(40 * MS).submit("p").wait(100 * MS).end("p")
+    run = Run(submission_timeout_us=50 * MS).submit("c", "p").wait(40 * MS).submit("p").wait(100 * MS).end("p")
     assert run.released == ["p", "c"]
 
 
 @pytest.mark.parametrize("edge", DependencyCondition)
 @pytest.mark.parametrize("how", ["cancelled", "left", "expired", "refused for its own parent"])
 def test_a_parent_that_ends_while_it_waits(how, edge):
-    run = Run(come_within=50 * MS).submit("p", "g", deadline=20 * MS).submit("c", Dependency("p", edge))
+    run = Run(submission_timeout_us=50 * MS).submit("p", "g", deadline=20 * MS).submit("c", Dependency("p", edge))
     match how:
         case "cancelled" | "left":
-            run.cancel("p", JobOutcome.CANCELLED if how == "cancelled" else JobOutcome.LEFT)
+            run.cancel("p", JobOutcome.CANCELLED if how == "cancelled" else JobOutcome.CLIENT_DISCONNECTED)
         case "expired":
             run.wait(20 * MS)
         case _:
@@ -218,7 +218,7 @@
 
 
 def test_when_to_look_again():
-    run = Run(come_within=90).submit("a", at=WALL + 50, deadline=1_000)
+    run = Run(submission_timeout_us=90).submit("a", at=WALL + 50, deadline=1_000)
     assert run.engine.next_at(0, WALL) == 50
     run.submit("b", "never", deadline=1_000)
     assert run.engine.next_at(60, WALL + 60) <= 60
@@ -384,7 +384,7 @@
     jobs, seen, complete = GRAPHS[graph], set(), 0
 
     def replay(path):
-        run = Run(come_within=10**12, in_service=places, aged=1)
+        run = Run(submission_timeout_us=10**12, in_service=places, aged=1)
         for what, job in path:
             if what == "come":
                 run.submit(job, *(Dependency(each, edge) for each in jobs[job]), wanted=10**9)
@@ -438,7 +438,7 @@
 @settings(max_examples=150)
 @given(st.lists(events, max_size=40), st.integers(0, 3), st.integers(0, 1))
 def test_any_events_leave_the_invariants_and_one_end_for_each(steps, places, aged):
-    run = Run(come_within=30, in_service=places, aged=aged, depth=3, by_class=((2, 1),), shares=((1, 0.4),))
+    run = Run(submission_timeout_us=30, in_service=places, aged=aged, depth=3, by_class=((2, 1),), shares=((1, 0.4),))
     taken, running = set(), set()
     numbers = itertools.count()
     names = {}
@@ -524,7 +524,7 @@
     )
 )
 def test_the_engine_does_as_a_slow_and_obvious_model(steps):
-    run, model = Run(come_within=10**12, remember_for=10**12), Model()
+    run, model = Run(submission_timeout_us=10**12, ended_job_ttl_us=10**12), Model()
     for what, *rest in steps:
         match what, rest:
             case "come", [number, after, at] if str(number) not in model.jobs:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -294,7 +294,7 @@
 
 def test_a_flood_of_acquires_is_rate_limited_and_renewals_are_not():
     node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS, acquires_per_s=10.0), 1, 0)
-    node.found_epoch(1.9e9, 0)
+    node.start_new_epoch(1.9e9, 0)
     node.tick(11 * S)
     node.submit(0, Acquire("a", "x", 1, 2 * S), 11 * S)
     token = node.replies.pop()[1].response.token
@@ -315,7 +315,7 @@
 
 def test_a_waiter_is_answered_when_it_is_granted_the_lease_or_after_the_long_poll():
     node = LeaseNode("a#1@h:1", LeaseNodeSettings("f", (), limits=LIMITS), 1, 0)
-    node.found_epoch(1.9e9, 0)
+    node.start_new_epoch(1.9e9, 0)
     node.tick(11 * S)
     node.submit(0, Acquire("a", "x", 1, 4 * S), 11 * S)
     token = node.replies.pop()[1].response.token
@@ -347,7 +347,7 @@
     by_address = {f"h:{n}": LeaseNode(name, settings, n, 0) for n, name in enumerate(names)}
     for now in range(0, 60 * S, S // 20):
         if now == 20 * S:
-            by_address["h:0"].found_epoch(1.9e9, now)
+            by_address["h:0"].start_new_epoch(1.9e9, now)
         for each in by_address.values():
             each.tick(now)
         while any(each.outbox for each in by_address.values()):
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -233,9 +233,9 @@
 def test_a_worker_that_drains_or_changes_its_phase_is_not_chosen(placement):
     placement.merge(worker(1, "prefill", seq=2, state=WorkerState.DRAINING))
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
-    placement.set_switching({"i-2"})
+    placement.set_phase_changing({"i-2"})
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill is None
-    placement.set_switching(set())
+    placement.set_phase_changing(set())
     placement.merge(worker(2, "decode", seq=2))
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill is None
     placement.merge(worker(3, "decode", seq=1, state=WorkerState.DRAINING))
@@ -244,7 +244,7 @@
 
 def test_an_unreachable_or_silent_worker_is_the_last_choice(placement):
     placement.workers["i-5"].record_connect_failure(0)
-    placement.update_silence({"i-6": 30 * S}, 60 * S)
+    placement.update_heartbeat_ages({"i-6": 30 * S}, 60 * S)
     assert placement.selector.choose("s", 1, set()).worker.record.instance == "i-7"
     assert placement.selector.choose("s", 1, {"i-7"}).worker.record.instance == "i-6"
     assert placement.selector.choose("s", 1, {"i-6", "i-7"}).worker.record.instance == "i-5"
@@ -256,12 +256,12 @@
     twice for a pair, and every prompt went to the few decode workers."""
     before = placement.selector.choose_pair("llm", LONG, 0, set())
     assert before.prefill is not None
-    placement.update_silence(dict.fromkeys(placement.workers, 3 * S), 60 * S)
+    placement.update_heartbeat_ages(dict.fromkeys(placement.workers, 3 * S), 60 * S)
     after = placement.selector.choose_pair("llm", LONG, 0, set())
     assert after.prefill is not None
     prefill, decode = after.prefill.worker.record.instance, after.decode.worker.record.instance
     heard = {each: 3 * S for each in placement.workers if each not in (prefill, decode)}
-    placement.update_silence(heard, 60 * S)
+    placement.update_heartbeat_ages(heard, 60 * S)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == prefill
 
 
@@ -269,10 +269,10 @@
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
-    placement.update_silence({"i-5": 20 * S}, 10 * S)
+    placement.update_heartbeat_ages({"i-5": 20 * S}, 10 * S)
     assert "i-5" in placement.workers
     placement.end_attempt(send)
-    placement.update_silence({"i-5": 20 * S}, 10 * S)
+    placement.update_heartbeat_ages({"i-5": 20 * S}, 10 * S)
     assert "i-5" not in placement.workers
 
 
@@ -280,17 +280,17 @@
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
-    placement.update_silence({"i-5": 20 * S}, 10 * S)
-    placement.update_silence({}, 10 * S)
+    placement.update_heartbeat_ages({"i-5": 20 * S}, 10 * S)
+    placement.update_heartbeat_ages({}, 10 * S)
     assert placement.workers["i-5"].silent
     placement.end_attempt(send)
-    placement.update_silence({}, 10 * S)
+    placement.update_heartbeat_ages({}, 10 * S)
     assert "i-5" not in placement.workers
 
 
 def test_a_worker_that_is_heard_again_is_not_silent(placement):
-    placement.update_silence({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
-    placement.update_silence({"i-6": 4 * S}, 10 * S)
+    placement.update_heartbeat_ages({"i-5": 3 * S, "i-6": 3 * S}, 10 * S)
+    placement.update_heartbeat_ages({"i-6": 4 * S}, 10 * S)
     assert not placement.workers["i-5"].silent and placement.workers["i-6"].silent
 
 
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -22,13 +22,13 @@
     ReturnUnits,
     SetAccounts,
 )
-from hazelbend.quotas.timing import QuotaTerms
+from hazelbend.quotas.timing import QuotaParameters
 
 ACCOUNTS = (Account("all", 10), Account("a", 8, 4, "all"), Account("b", 6, 3, "all"))
 
 
 def open_ledger(accounts: tuple[Account, ...] = ACCOUNTS) -> QuotaLedger:
-    ledger = QuotaLedger(QuotaTerms())
+    ledger = QuotaLedger(QuotaParameters())
     ledger.begin(1)
     ledger.execute(OpenEpoch())
     assert not ledger.execute(SetAccounts(accounts)).reason
@@ -71,18 +71,18 @@
 
 
 def test_units_of_a_lost_allocation_stay_in_doubt_until_its_jobs_cannot_run():
-    ledger, watcher = open_ledger(), AllocationExpiryWatcher(QuotaTerms())
+    ledger, watcher = open_ledger(), AllocationExpiryWatcher(QuotaParameters())
     held = allocate(ledger, "a", "m1", 8, 1)
     watcher.observe(ledger, 0)
-    assert not watcher.expired(ledger, QuotaTerms().allocation_ttl_us - 1)
-    [expire] = watcher.expired(ledger, QuotaTerms().allocation_ttl_us)
+    assert not watcher.expired(ledger, QuotaParameters().allocation_ttl_us - 1)
+    [expire] = watcher.expired(ledger, QuotaParameters().allocation_ttl_us)
     assert expire == Expire("a", "m1", held.token, 1)
     ledger.execute(expire)
-    watcher.observe(ledger, QuotaTerms().allocation_ttl_us)
+    watcher.observe(ledger, QuotaParameters().allocation_ttl_us)
     assert allocate(ledger, "a", "m2", 8, 1).units == 0, "a dispatcher that dies frees nothing"
     assert allocate(ledger, "a", "m1", 8, 2, held.token).reason == "lost"
-    end = QuotaTerms().allocation_ttl_us + watcher.terms.reclaim_after_us
-    assert watcher.terms.reclaim_after_us >= QuotaTerms().allocation_ttl_us + QuotaTerms().max_job_time_us
+    end = QuotaParameters().allocation_ttl_us + watcher.parameters.reclaim_after_us
+    assert watcher.parameters.reclaim_after_us >= QuotaParameters().allocation_ttl_us + QuotaParameters().max_job_time_us
     assert not [each for each in watcher.expired(ledger, end - 1) if isinstance(each, Reclaim)]
     for each in watcher.expired(ledger, end):
         ledger.execute(each)
@@ -131,7 +131,7 @@
 
 
 def test_a_client_admits_only_within_its_time_and_a_permit_returns_once():
-    ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaTerms(), 0)
+    ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaParameters(), 0)
     assert client.admit(0) is None, "nothing is held yet"
     request = client.tick(0)
     answer = ledger.execute(request)
@@ -141,7 +141,7 @@
     client.release(permit, 60_000)
     client.release(permit, 70_000)
     assert client.used == 0
-    assert client.expires_at <= client.sent_at + QuotaTerms().allocation_ttl_us * 0.95, (
+    assert client.expires_at <= client.sent_at + QuotaParameters().allocation_ttl_us * 0.95, (
         "shortened, from before the request was sent"
     )
     assert client.admit(client.expires_at) is None
@@ -149,7 +149,7 @@
 
 def test_a_response_about_an_allocation_that_has_ended_is_void():
     """Found by the check after every event: a job of the old tranche ran, and the client counted 0 used."""
-    ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaTerms(), 0)
+    ledger, client = open_ledger(), AllocationClient("a", "m1", QuotaParameters(), 0)
     client.admit(0)
     request = client.tick(0)
     client.handle_response(request.request_number, ledger.execute(request), 1_000)
@@ -210,7 +210,7 @@
     ledger = open_ledger()
     held = allocate(ledger, "a", "m1", 5, 1)
     ledger.execute(Expire("a", "m1", held.token, 1))
-    other = QuotaLedger(QuotaTerms())
+    other = QuotaLedger(QuotaParameters())
     other.restore(ledger.snapshot())
     assert other.state == ledger.state and check_ledger(other) == check_ledger(ledger)
 
@@ -229,7 +229,7 @@
 
 def test_a_fleet_without_faults_uses_most_of_its_limits():
     accounts = (Account("all", 120), Account("a", 120, 0, "all"))
-    simulation = QuotaSimulation(3, Scenario(machines=12, terms=SHORT, faults=False, accounts=accounts))
+    simulation = QuotaSimulation(3, Scenario(machines=12, parameters=SHORT, faults=False, accounts=accounts))
     simulation.run(6 * S)
     assert simulation.counts["overshoot"] == 0
     assert simulation.busy_us / (6 * S) / 120 > 0.6
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerState
+from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
@@ -25,9 +25,9 @@
 
 SAFE, KEYED, UNSAFE = range(3)
 CLASSES = (
-    JobClass(effect=Effect.SAFE, objective=2_000_000),
-    JobClass(effect=Effect.KEYED, group=Group.ZONE, repeat_window=800_000, objective=2_000_000),
-    JobClass(effect=Effect.UNSAFE, objective=2_000_000),
+    JobClass(idempotency=Idempotency.SAFE, objective=2_000_000),
+    JobClass(idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ZONE, dedup_window=800_000, objective=2_000_000),
+    JobClass(idempotency=Idempotency.UNSAFE, objective=2_000_000),
 )
 BACKENDS = 5
 ENDINGS = [Outcome.SERVED, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
@@ -60,7 +60,7 @@
         return self.begun_at is not None and self.over not in (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
-class HeldLink:
+class BlockedBackendClient:
     def __init__(self, machine: CrossingMachine, entry: Endpoint) -> None:
         self.machine, self.backend = machine, int(entry.host)
 
@@ -125,18 +125,18 @@
         self.settings = Settings(
             classes=CLASSES,
             cancel_allowed=cancel,
-            second_copies_allowed=copies,
+            hedging_allowed=copies,
             max_attempts=attempts,
-            tells_start=True,
+            reports_job_starts=True,
             progress_interval=200_000,
-            fall_multiple=100.0,  # so that a restart does not keep a backend out of the rest
-            warm_after=500_000,
+            collapse_multiple=100.0,  # so that a restart does not keep a backend out of the rest
+            warmup_duration=500_000,
         )
 
         def build():
             self.dispatcher = Dispatcher(self.settings, 1)
             self.router = Router(
-                self.dispatcher, LoopClock(self.loop), BackendTable(lambda entry: HeldLink(self, entry))
+                self.dispatcher, LoopClock(self.loop), BackendTable(lambda entry: BlockedBackendClient(self, entry))
             )
             self.router.start(EndpointList(tuple(map(self.entry, range(BACKENDS))), is_complete=True))
 
@@ -297,19 +297,19 @@
         """The rules on sends, in the turn in which one begins."""
         flow, server = self.flows[held.job.id], self.router.table.by_host(str(held.backend))
         now, job = self.router.clock.now(), CLASSES[self.classes[held.job.id]]
-        assert not flow.client_left, "its client has gone"
+        assert not flow.client_disconnected, "its client has gone"
         assert not flow.answered.done(), "it has its answer"
         assert 0 < left <= flow.deadline - now, "more time than is left"
         assert server is not None and server.accepts_work, "drained or gone"
         earlier = [each for each in self.attempts if each.job.id == held.job.id and each.begun_at is not None]
         ran = [each for each in earlier if each.may_have_run]
         assert len(earlier) < self.settings.max_attempts
-        if not self.settings.second_copies_allowed:
+        if not self.settings.hedging_allowed:
             assert all(each.over is not None for each in earlier), "two attempts out"
-        if ran and job.effect is Effect.UNSAFE:
+        if ran and job.idempotency is Idempotency.UNSAFE:
             raise AssertionError("it may have run")
-        if ran and job.effect is Effect.KEYED:
-            assert now < ran[0].begun_at + job.repeat_window, "its window is over"
+        if ran and job.idempotency is Idempotency.KEYED:
+            assert now < ran[0].begun_at + job.dedup_window, "its window is over"
             assert ran[0].backend % 2 == held.backend % 2, "in another zone"
         held.begun_at = now
 
@@ -334,7 +334,7 @@
         for flow in open_flows:
             assert now <= flow.deadline + round(DECISION_GRACE_S * 1e6) + 1_000, "no answer by its time"
         out = Counter(
-            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_over
+            each.worker_id for flow in self.flows.values() for each in flow.attempts if not each.is_finished
         )
         assert sum(out.values()) == self.running, "attempts out and attempts counted"
         for number, worker in self.dispatcher.workers.items():
@@ -343,7 +343,7 @@
                 each.backend is self.router.table.servers[number]
                 for flow in self.flows.values()
                 for each in flow.attempts
-                if not each.is_over
+                if not each.is_finished
             )
             assert counted == mine and len(worker.attempts) <= out[number]
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -7,12 +7,12 @@
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Effect, Group, JobClass, Outcome, Settings, WorkerEntry, WorkerState
+from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Outcome, Settings, WorkerEntry, WorkerState
 from hazelbend.routing.ports import Verdict
-from tests.routing.test_router import ENTRY, ID, JOB, Module, send
+from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
 from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
 from tests.support.model import Model
-from tests.support.site_kit import until
+from tests.support.site_kit import wait_until
 
 LONG = replace(JOB, timeout_us=20_000_000)
 
@@ -25,12 +25,12 @@
     """Play one job whose connection is held until `change` is made, then one more."""
 
     async def run():
-        decider = module or Module(RequestArrived=send, AttemptEnded=refuse)
+        decider = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held() as connects:
                 flow = site.router.accept(job)
-                await until(lambda: connects.waiting)
+                await wait_until(lambda: connects.waiting)
                 await change(site, flow)
                 await turns()
                 connects.let_go()
@@ -72,10 +72,10 @@
 def test_the_connection_of_an_attempt_that_may_not_be_sent_serves_the_next():
     """Guards the price of connections: the check comes before anything is written, so this one is unused."""
 
-    class Once(Module):
+    class Once(ScriptedModule):
         asked = 0
 
-        def may_begin(self, request, attempt, now):
+        def may_still_send(self, request, attempt, now):
             self.asked += 1
             return self.asked > 1
 
@@ -104,7 +104,7 @@
     """Guards the order of the inbox: the Send stands there before the word that the client has gone."""
 
     async def run():
-        decider = Module()
+        decider = ScriptedModule()
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             flow = site.router.accept(LONG)
@@ -128,7 +128,7 @@
         while site.router.clock.now() < flow.arrived_at + 300_000:
             await asyncio.sleep(0.01)
 
-    _, site, flow = hold_and(wait, Module(RequestArrived=send))
+    _, site, flow = hold_and(wait, ScriptedModule(RequestArrived=send))
     told = [int(each.field("X-Timeout-Ms")) for each in site.backend.requests]
     assert told[0] <= (flow.job.timeout_us - 300_000) // 1_000 < told[1]
 
@@ -137,7 +137,7 @@
     """Guards requests of an unsafe class: one that never left this process can be refused without harm."""
 
     async def run():
-        decider = Module(RequestArrived=send, AttemptEnded=refuse)
+        decider = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
         async with core(decider, ENTRY, backend) as site:
             with HeldConnects(backend.port).held():
@@ -153,7 +153,7 @@
 
 # --- what the decision module says in that moment ---
 
-KEYED = JobClass(effect=Effect.KEYED, group=Group.ALL, repeat_window=1_000_000)
+KEYED = JobClass(idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ALL, dedup_window=1_000_000)
 
 
 def one_worker(settings: Settings, **entry: int) -> Model:
@@ -168,17 +168,17 @@
     model.arrive(1)
     [job] = model.jobs.values()
     worker = job.tries[0].worker.worker
-    assert model.dispatcher.may_begin(1, 0, model.now + 1_000)
+    assert model.dispatcher.may_still_send(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=face.ListKind.DELTA)
-    assert not model.dispatcher.may_begin(1, 0, model.now), "its process is another one: it is cold now"
+    assert not model.dispatcher.may_still_send(1, 0, model.now), "its process is another one: it is cold now"
     model.leave(1)
-    assert not model.dispatcher.may_begin(1, 0, model.now)
+    assert not model.dispatcher.may_still_send(1, 0, model.now)
 
 
 @pytest.mark.parametrize("window", [100_000, 400_000, 1_000_000])
 def test_a_repeat_is_checked_against_its_window_at_the_first_byte(window):
     """Guards against a second run: workers forget a key some time after its first send."""
-    job = replace(KEYED, repeat_window=window)
+    job = replace(KEYED, dedup_window=window)
     model = one_worker(Settings(classes=(job,)))
     model.arrive(1)
     first = model.now
@@ -186,27 +186,27 @@
     assert len(model.jobs[1].tries) == 2, (
         "a window shorter than the usual pause of a worker still has a repeat"
     )
-    assert model.dispatcher.may_begin(1, 1, first + window // 2)
-    assert not model.dispatcher.may_begin(1, 1, first + window)
+    assert model.dispatcher.may_still_send(1, 1, first + window // 2)
+    assert not model.dispatcher.may_still_send(1, 1, first + window)
 
 
 def test_no_second_copy_begins_where_none_is_allowed():
-    model = one_worker(Settings(classes=(JobClass(effect=Effect.SAFE),), max_attempts=4))
+    model = one_worker(Settings(classes=(JobClass(idempotency=Idempotency.SAFE),), max_attempts=4))
     model.arrive(1)
     request = model.dispatcher.requests[1]
     model.end(1, Outcome.NOT_SENT)
     request.attempts[0].outcome = None
-    assert not model.dispatcher.may_begin(1, 1, model.now), "the first is out"
+    assert not model.dispatcher.may_still_send(1, 1, model.now), "the first is out"
 
 
 def cold(now: int) -> tuple[Dispatcher, int]:
     """A dispatcher with one cold worker, and one attempt sent there."""
     settings = Settings(
-        classes=(JobClass(effect=Effect.SAFE),), warm_after=60_000_000, start_capacity=0.5, fall_multiple=4.0
+        classes=(JobClass(idempotency=Idempotency.SAFE),), warmup_duration=60_000_000, initial_capacity=0.5, collapse_multiple=4.0
     )
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, (WorkerEntry(1, started_at=now),)), now)
-    now += 2 * settings.fall_window
+    now += 2 * settings.collapse_window
     dispatcher.slow_start.draw(dispatcher.workers.values(), settings, dispatcher.random, now)
     dispatcher.handle(face.RequestArrived(1, 5_000_000), now)
     return dispatcher, now
@@ -218,9 +218,9 @@
     [worker] = dispatcher.workers.values()
     assert [each.at for each in worker.cold_attempts] == [now]
     late = now + 900_000
-    assert dispatcher.may_begin(1, 0, late) and [each.at for each in worker.cold_attempts] == [late]
+    assert dispatcher.may_still_send(1, 0, late) and [each.at for each in worker.cold_attempts] == [late]
     worker.cold_attempts.append(type(worker.cold_attempts[0])(late, 10**6))
-    assert not dispatcher.may_begin(1, 0, late + 10_000), "others have spent the window by now"
+    assert not dispatcher.may_still_send(1, 0, late + 10_000), "others have spent the window by now"
 
 
 def test_what_was_not_sent_spends_nothing():
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -24,7 +24,7 @@
 JOB = Job("9b", 0, 0, 500_000)
 
 
-class Module:
+class ScriptedModule:
     """Does what a test says on each kind of event; keeps the events."""
 
     def __init__(self, **script):
@@ -35,17 +35,17 @@
         answer = self.script.get(type(event).__name__, [])
         return answer(event) if callable(answer) else answer
 
-    def may_begin(self, request, attempt, now):
+    def may_still_send(self, request, attempt, now):
         return True
 
-    def avoided(self, now):
+    def workers_in_backoff(self, now):
         return set()
 
     def of(self, kind):
         return [event for event in self.events if isinstance(event, kind)]
 
 
-class FakeLink:
+class FakeBackendClient:
     def __init__(self, ending=None, news=()):
         self.ending, self.news, self.calls = ending, news, 0
 
@@ -87,8 +87,8 @@
 
 
 def test_a_flow_from_its_arrival_to_its_one_answer():
-    module = Module(RequestArrived=send)
-    link = FakeLink(AttemptResult(Outcome.SERVED, b"r"), [ProgressReport(), ProgressReport(0.5)])
+    module = ScriptedModule(RequestArrived=send)
+    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"), [ProgressReport(), ProgressReport(0.5)])
     [answer], router = play(module, link, JOB)
     assert (answer.verdict, answer.result) == (Verdict.SERVED, b"r")
     assert [type(event).__name__ for event in module.events] == [
@@ -101,8 +101,8 @@
 def test_a_server_that_drains_between_decision_and_first_byte_gets_nothing():
     """Guards the drain rule: the module's Send is an intention."""
     for state, held in ((WorkerState.DRAINING, False), (WorkerState.GONE, False), (WorkerState.READY, True)):
-        module = Module(RequestArrived=send, AttemptEnded=lambda event: [face.Refuse(event.request)])
-        link = FakeLink(AttemptResult(Outcome.SERVED))
+        module = ScriptedModule(RequestArrived=send, AttemptEnded=lambda event: [face.Refuse(event.request)])
+        link = FakeBackendClient(AttemptResult(Outcome.SERVED))
 
         def change(router, state=state, held=held):
             entry = Endpoint("s-1", "h:1", 0, 0, 0, state, 1.0, 0)
@@ -115,10 +115,10 @@
 
 
 def test_nothing_is_sent_once_the_client_has_left_and_what_is_out_is_called_back():
-    module = Module(
+    module = ScriptedModule(
         RequestArrived=send, ClientGone=lambda event: [face.Cancel(event.request, 0), *send(event)]
     )
-    link = FakeLink()
+    link = FakeBackendClient()
 
     async def run():
         router = Router(module, Clock(), BackendTable(lambda entry: link))
@@ -142,11 +142,11 @@
 def test_a_scheduling_cancelled_before_its_task_first_runs_is_over_all_the_same():
     """Guards the end of flows whose clients leave in the moment of a send: they stayed open for ever, and the
     load on the server, the id and the end of the program hung on them."""
-    module = Module(
+    module = ScriptedModule(
         RequestArrived=lambda event: [*send(event), face.Cancel(event.request, 0)],
         AttemptEnded=lambda event: [face.Refuse(event.request)],
     )
-    link = FakeLink()
+    link = FakeBackendClient()
     [answer], router = play(module, link, JOB)
     assert answer.verdict is Verdict.REFUSED and link.calls == 0
     [ended] = module.of(face.AttemptEnded)
@@ -159,10 +159,10 @@
     """A storm of leaves, each so many turns of the loop after its job came: none may stay."""
 
     async def run():
-        module = Module(
+        module = ScriptedModule(
             RequestArrived=send, ClientGone=lambda event: [face.Cancel(event.request, 0), *send(event)]
         )
-        router = Router(module, Clock(), BackendTable(lambda entry: FakeLink()))
+        router = Router(module, Clock(), BackendTable(lambda entry: FakeBackendClient()))
         router.start(EndpointList((ENTRY,), is_complete=True))
         for turns in range(8):
             for number in range(4):
@@ -182,7 +182,7 @@
 
 def test_a_flow_ended_before_its_task_first_runs_leaves_nothing():
     async def run():
-        router = Router(Module(), Clock(), BackendTable(lambda entry: FakeLink()))
+        router = Router(ScriptedModule(), Clock(), BackendTable(lambda entry: FakeBackendClient()))
         flow = router.accept(JOB)
         router.close()
         async with asyncio.timeout(10):
@@ -197,7 +197,7 @@
     """The attempt is under way by then: one of which nothing was written would be withdrawn."""
     answered = asyncio.Event()
 
-    class LateLink(FakeLink):
+    class LateLink(FakeBackendClient):
         async def attempt(self, job, before_first_byte, on_progress):
             ending = await super().attempt(job, before_first_byte, on_progress)
             await answered.wait()
@@ -207,26 +207,26 @@
         asyncio.get_running_loop().call_soon(answered.set)
         return [face.Refuse(event.request), face.Fail(event.request)]
 
-    module = Module(RequestArrived=send, JobStarted=started)
+    module = ScriptedModule(RequestArrived=send, JobStarted=started)
     [answer], router = play(module, LateLink(AttemptResult(Outcome.SERVED), [ProgressReport()]), JOB)
     assert answer.verdict is Verdict.REFUSED and router.counters.verdicts[Verdict.REFUSED] == 1
     assert [event.outcome for event in module.of(face.AttemptEnded)] == [Outcome.SERVED]
 
 
 def test_an_attempt_ends_at_the_deadline_and_a_silent_module_is_overruled():
-    module = Module(RequestArrived=send)
-    [answer], _ = play(module, FakeLink(), Job("9b", 0, 0, 50_000))
+    module = ScriptedModule(RequestArrived=send)
+    [answer], _ = play(module, FakeBackendClient(), Job("9b", 0, 0, 50_000))
     assert answer.verdict is Verdict.FAILED and answer.is_expired
     assert module.of(face.AttemptEnded)[0].outcome is Outcome.TIMED_OUT
     assert module.of(face.ClientGone), "the module is told, so that it lets go of the flow"
 
 
 def test_an_attempts_own_time_out_comes_first():
-    module = Module(
+    module = ScriptedModule(
         RequestArrived=lambda event: [face.Send(event.request, ID, timeout=20_000)],
         AttemptEnded=lambda event: [face.Fail(event.request)],
     )
-    [answer], _ = play(module, FakeLink(), JOB)
+    [answer], _ = play(module, FakeBackendClient(), JOB)
     assert answer.verdict is Verdict.FAILED and not answer.is_expired
 
 
@@ -237,7 +237,7 @@
         return send(event)
 
     with caplog.at_level(logging.CRITICAL):
-        answers, _ = play(Module(RequestArrived=arrived), FakeLink(AttemptResult(Outcome.SERVED)), JOB, JOB)
+        answers, _ = play(ScriptedModule(RequestArrived=arrived), FakeBackendClient(AttemptResult(Outcome.SERVED)), JOB, JOB)
     assert [answer.verdict for answer in answers] == [Verdict.FAILED, Verdict.SERVED]
 
 
@@ -247,18 +247,18 @@
     def started(event):
         raise RuntimeError("the module's fault")
 
-    module = Module(RequestArrived=send, JobStarted=started)
+    module = ScriptedModule(RequestArrived=send, JobStarted=started)
     with caplog.at_level(logging.CRITICAL):
-        [answer], router = play(module, FakeLink(news=[ProgressReport()]), JOB)
+        [answer], router = play(module, FakeBackendClient(news=[ProgressReport()]), JOB)
     [ended] = module.of(face.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
     assert [server.in_flight for server in router.table.servers.values()] == [0]
 
 
 def test_a_fault_in_a_link_is_an_error_of_that_attempt(caplog):
-    module = Module(RequestArrived=send, AttemptEnded=lambda event: [face.Fail(event.request)])
+    module = ScriptedModule(RequestArrived=send, AttemptEnded=lambda event: [face.Fail(event.request)])
     with caplog.at_level(logging.CRITICAL):
-        [answer], _ = play(module, FakeLink(RuntimeError("fault")), JOB)
+        [answer], _ = play(module, FakeBackendClient(RuntimeError("fault")), JOB)
     assert answer.verdict is Verdict.FAILED and module.of(face.AttemptEnded)[0].outcome is Outcome.ERROR
 
 
@@ -275,22 +275,22 @@
 
     script = {"RequestArrived": [face.StartTimer(1_000, 7)], "TimerFired": ring}
     with caplog.at_level(logging.CRITICAL):
-        [answer], _ = play(Module(**script), FakeLink(), JOB)
+        [answer], _ = play(ScriptedModule(**script), FakeBackendClient(), JOB)
     assert rings == [7, 7] and answer.verdict is Verdict.REFUSED
 
 
 def test_without_discovery_a_subscription_is_answered_from_what_is_known():
-    module = Module(RequestArrived=lambda event: [face.Subscribe(), face.Refuse(event.request)])
-    play(module, FakeLink(), JOB)
+    module = ScriptedModule(RequestArrived=lambda event: [face.Subscribe(), face.Refuse(event.request)])
+    play(module, FakeBackendClient(), JOB)
     kinds = [event.kind for event in module.of(face.MembershipUpdate)]
     assert kinds == [face.ListKind.CACHED, face.ListKind.FULL]
 
 
 def test_a_whole_list_keeps_boxes_that_connected_by_themselves():
-    table = BackendTable(lambda entry: FakeLink())
+    table = BackendTable(lambda entry: FakeBackendClient())
     changes = []
-    table.watcher = lambda server, up: changes.append((server.entry.host, up))
-    table.register(Endpoint("box", "", 0, 0, 0, WorkerState.READY, 1.0, 9), FakeLink())
+    table.on_accepts_work_changed = lambda server, up: changes.append((server.entry.host, up))
+    table.register(Endpoint("box", "", 0, 0, 0, WorkerState.READY, 1.0, 9), FakeBackendClient())
     update = table.apply(EndpointList((ENTRY,), is_complete=True))
     assert {entry.worker for entry in update.entries} == {ID, stable_id("box")}
     update = table.apply(EndpointList((), is_complete=True))
@@ -301,7 +301,7 @@
 
 
 def test_a_drain_by_hand_outlasts_an_absence_from_the_list():
-    table = BackendTable(lambda entry: FakeLink())
+    table = BackendTable(lambda entry: FakeBackendClient())
     table.apply(EndpointList((ENTRY,), is_complete=True))
     table.set_manual_drain("s-1", True)
     table.apply(EndpointList((), is_complete=True))
@@ -325,10 +325,10 @@
 
 def test_before_the_programs_end_a_flow_gets_no_more_time_than_there_is():
     """Guards a planned restart: a flow that is still open when the program is killed is lost."""
-    module = Module(RequestArrived=lambda event: [face.Fail(event.request)])
+    module = ScriptedModule(RequestArrived=lambda event: [face.Fail(event.request)])
 
     async def run():
-        router = Router(module, Clock(), BackendTable(lambda entry: FakeLink()))
+        router = Router(module, Clock(), BackendTable(lambda entry: FakeBackendClient()))
         await router.accept(JOB).answered
         router.set_final_deadline(router.clock.now() + 200_000)
         for patience in (100_000, 500_000):
@@ -337,7 +337,7 @@
         await router.accept(JOB).answered
 
     asyncio.run(run())
-    before, short, long, after = (event.patience for event in module.of(face.RequestArrived))
+    before, short, long, after = (event.client_timeout for event in module.of(face.RequestArrived))
     assert (before, short, after) == (500_000, 100_000, 1) and long <= 200_000
 
 
@@ -347,7 +347,7 @@
     the flow starts, the attempt starts and ends in its first, and the flow answers in the next."""
 
     async def run():
-        router = Router(Module(RequestArrived=send), Clock(), BackendTable(lambda entry: link))
+        router = Router(ScriptedModule(RequestArrived=send), Clock(), BackendTable(lambda entry: link))
         router.start(EndpointList((ENTRY,), is_complete=True))
         flow, turns = router.accept(JOB), 0
         while not flow.answered.done():
@@ -355,7 +355,7 @@
             turns += 1
         return turns
 
-    link = FakeLink(AttemptResult(Outcome.SERVED, b"r"))
+    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
     assert asyncio.run(run()) == 3
 
 
@@ -380,8 +380,8 @@
         await asyncio.wait_for(router.wait_idle(), 10)
         return in_the_same_turn, reply.result(), hangs.answered.result()
 
-    module = Module(RequestArrived=send)
-    link = FakeLink(AttemptResult(Outcome.SERVED, b"r"))
+    module = ScriptedModule(RequestArrived=send)
+    link = FakeBackendClient(AttemptResult(Outcome.SERVED, b"r"))
     in_the_same_turn, answer, other = asyncio.run(run())
     assert in_the_same_turn and answer.verdict is Verdict.SERVED
     assert other.verdict is Verdict.FAILED and len(module.of(face.ClientGone)) == 1
--- a/tests/support/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -23,7 +23,7 @@
 
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.app import App
-from tests.support.site_kit import ToyServer, host_entry, running, until
+from tests.support.site_kit import ToyServer, host_entry, running, wait_until
 
 JOBS = 24
 SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
@@ -235,9 +235,9 @@
     assert server is not None
     # A list that is pushed comes on a watch too: what discovery has counts as told, whether or not one is
     # open.
-    await until(lambda: listing.asked > 1)
+    await wait_until(lambda: listing.asked > 1)
     listing.drain("s-0")
-    await until(lambda: not server.accepts_work)
+    await wait_until(lambda: not server.accepts_work)
     if conf["membership_mode"] == "push":
         assert app.router.set_manual_drain("s-0", True), "and by hand besides"
 
--- a/tests/support/model.py
+++ b/tests/support/model.py
@@ -159,9 +159,9 @@
                 job = self._close(request)
                 self.refused.append(request)
                 if job.first_that_may_have_run is not None:
-                    assert job.job_class.effect is not dy.Effect.UNSAFE
-                    if job.job_class.effect is dy.Effect.KEYED:
-                        assert job.job_class.group is dy.Group.ALL
+                    assert job.job_class.idempotency is not dy.Idempotency.UNSAFE
+                    if job.job_class.idempotency is dy.Idempotency.KEYED:
+                        assert job.job_class.dedup_scope is dy.DedupScope.ALL
             case dy.Fail(request=request):
                 self._close(request)
                 self.failed.append(request)
@@ -191,16 +191,16 @@
         stopped = self.stopped_at.get(action.worker)
         assert stopped is None or self.now == stopped, "the worker drains or is gone"
         assert len(job.tries) < self.settings.max_attempts
-        if not self.settings.second_copies_allowed:
+        if not self.settings.hedging_allowed:
             assert all(each.outcome is not None for each in job.tries)
         first, job_class = job.first_that_may_have_run, job.job_class
         if first is not None:
-            assert job_class.effect is not dy.Effect.UNSAFE, "unsafe, and it may have run"
-            if job_class.effect is dy.Effect.KEYED:
-                assert self.now < first.sent_at + job_class.repeat_window
-                if job_class.group is dy.Group.ZONE:
+            assert job_class.idempotency is not dy.Idempotency.UNSAFE, "unsafe, and it may have run"
+            if job_class.idempotency is dy.Idempotency.KEYED:
+                assert self.now < first.sent_at + job_class.dedup_window
+                if job_class.dedup_scope is dy.DedupScope.ZONE:
                     assert entry.zone == first.worker.zone
-                elif job_class.group is dy.Group.CELL:
+                elif job_class.dedup_scope is dy.DedupScope.CELL:
                     assert entry.cell == first.worker.cell
         job.tries.append(Try(entry, self.now))
         self.sends.append((self.now, action.worker, action.request))
--- a/tests/support/site_kit.py
+++ b/tests/support/site_kit.py
@@ -1,7 +1,7 @@
 """A small site on loopback for tests: the program in-process, toy servers, and fake STOMP peers.
 
 The fakes are written from the public STOMP specification, apart from hazelbend's own codec, so that the
-two cannot share a mistake; test_stomp_front.py holds their frames against stomp.py.
+two cannot share a mistake; test_stomp_listener.py holds their frames against stomp.py.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
             await each.close()
 
 
-async def until(truth: Any, seconds: float = 60.0) -> None:
+async def wait_until(truth: Any, seconds: float = 60.0) -> None:
     """Wait for what must become true; the limit is only there to end a test that has failed."""
     async with asyncio.timeout(seconds):
         while not truth():
@@ -149,7 +149,7 @@
         peer.task = asyncio.create_task(peer._listen())
         hello = {"accept-version": "1.1,1.2", "host": "hazelbend", "login": login, "passcode": SECRET}
         peer.send("CONNECT", **hello | {name.replace("_", "-"): value for name, value in headers.items()})
-        await until(lambda: peer.frames or peer.closed)
+        await wait_until(lambda: peer.frames or peer.closed)
         return peer
 
     def send(self, command: str, body: bytes = b"", **headers: str) -> None:
@@ -173,7 +173,7 @@
     async def drop(self) -> None:
         """The connection is lost, without a word."""
         self.writer.transport.abort()
-        await until(lambda: self.closed)
+        await wait_until(lambda: self.closed)
 
     async def _listen(self) -> None:
         try:
--- a/tests/system/test_control_node.py
+++ b/tests/system/test_control_node.py
@@ -59,7 +59,7 @@
     """The response, and how long it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    response = await api.answer(request)
+    response = await api.handle(request)
     return response, loop.time() - began
 
 
@@ -109,7 +109,7 @@
     async def scenario(node: ControlNode, api: ControlApi, store: Store) -> None:
         store.is_full = True
         response, seconds = await answered(api, PUT)
-        assert (response.status, response.body) == (503, control_api.CONFIG_UNKNOWN.body)
+        assert (response.status, response.body) == (503, control_api.CONFIG_OUTCOME_UNKNOWN.body)
         assert seconds < AT_ONCE_S < OUTCOME_TIMEOUT_S
         assert node.config.version == 0 and node.is_abstaining
 
--- a/tests/transport/test_backend_client.py
+++ b/tests/transport/test_backend_client.py
@@ -13,7 +13,7 @@
 from hazelbend.routing.ports import AttemptWritten, Job, ProgressReport
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 from tests.support.crossing_kit import OK, ScriptedBackend, chunk
-from tests.support.site_kit import until
+from tests.support.site_kit import wait_until
 
 JOB = Job("9b", 0, 0, 1_000_000, target="/nearby/%31?q=%20+&x=", body=b"a\0b", idempotency_key="k")
 DONE = b'{"id":"9b","state":"done","result":"r"}\n'
@@ -259,7 +259,7 @@
         first = await client.attempt(JOB, lambda: 500_000, lambda news: None)
         backend.writers[0].write(REFUSED)
         connector = pool.session.connector
-        await until(lambda: any(held.should_close for held, _ in next(iter(connector._conns.values()))))
+        await wait_until(lambda: any(held.should_close for held, _ in next(iter(connector._conns.values()))))
         second = await client.attempt(JOB, lambda: 500_000, lambda news: None)
         backend.close()
         await pool.close()
@@ -308,10 +308,10 @@
             client = pool.client(f"127.0.0.1:{backend.port}")
             assert (await client.attempt(JOB, lambda: 500_000, lambda news: None)).outcome is Outcome.SERVED
         resting = sum(map(len, pool.session.connector._conns.values()))
-        await until(lambda: backends[0].closed and backends[1].closed)
+        await wait_until(lambda: backends[0].closed and backends[1].closed)
         last = pool.client(f"127.0.0.1:{backends[4].port}")
         await last.attempt(JOB, lambda: 500_000, lambda news: None)
-        await until(lambda: backends[2].closed)
+        await wait_until(lambda: backends[2].closed)
         closed = [backend.closed for backend in backends]
         for backend in backends:
             backend.close()
--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -8,7 +8,7 @@
 
 from hazelbend.transport.http import client_connection, client_listener, http_listener
 from tests.support.parser_kit import garbage, pieces
-from tests.support.site_kit import site, until
+from tests.support.site_kit import site, wait_until
 
 HEAD = (
     "POST /nearby/17 HTTP/1.1\r\nHost: x\r\nX-Request-ID: {}\r\nX-Tenant-Id: ege-volt\r\nX-Timeout-Ms: {}\r\n"
@@ -19,7 +19,7 @@
     return (HEAD.format(job_id, timeout) + f"{more}Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-async def talk(port: int, *data: bytes, end: bool = False) -> bytes:
+async def send_and_receive(port: int, *data: bytes, end: bool = False) -> bytes:
     """Send it all, in these pieces, and perhaps an end; what comes back until the connection closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for piece in data:
@@ -32,7 +32,7 @@
     return answer
 
 
-async def open_kept(port: int, job_id: str = "first"):
+async def open_keep_alive(port: int, job_id: str = "first"):
     """A connection that has had an answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request(job_id))
@@ -81,15 +81,15 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             for name, (data, status) in BAD.items():
-                answer = await talk(app.client_listener.port, data)
+                answer = await send_and_receive(app.client_listener.port, data)
                 assert answer[:13] in (b"HTTP/1.1 %d " % status, b"HTTP/1.0 %d " % status), (name, answer)
             chunked = request(more="Transfer-Encoding: chunked\r\n").replace(b"Content-Length: 1\r\n", b"")
             too_much = b"%x\r\n" % 70_000 + b"x" * 70_000 + b"\r\n0\r\n\r\n"
-            assert b"HTTP/1.1 413 " in await talk(
+            assert b"HTTP/1.1 413 " in await send_and_receive(
                 app.client_listener.port, chunked.partition(b"\r\n\r\n")[0] + b"\r\n\r\n", too_much
             )
             assert app.router.counters.received == 0
-            assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
 
@@ -98,7 +98,7 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"ege-volt", b"nobody")
-            answer = await talk(app.client_listener.port, bad + request(more="Connection: close\r\n"))
+            answer = await send_and_receive(app.client_listener.port, bad + request(more="Connection: close\r\n"))
             assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1 200 ") == 1
 
     asyncio.run(run())
@@ -107,7 +107,7 @@
 def test_a_client_that_waits_to_be_told_to_go_on_is_told(tmp_path):
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            answer = await talk(
+            answer = await send_and_receive(
                 app.client_listener.port, request(more="Expect: 100-continue\r\nConnection: close\r\n")
             )
             assert answer.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 ")
@@ -121,9 +121,9 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             app.client_listener.connection_limit = 1
-            running = asyncio.create_task(talk(app.client_listener.port, request("run", b"300")))
-            await until(lambda: app.router.requests)
-            assert b"\r\nConnection: close\r\n" in await talk(app.client_listener.port, request())
+            running = asyncio.create_task(send_and_receive(app.client_listener.port, request("run", b"300")))
+            await wait_until(lambda: app.router.requests)
+            assert b"\r\nConnection: close\r\n" in await send_and_receive(app.client_listener.port, request())
             app.client_listener.connection_limit = 0
             assert b"\r\nConnection: close\r\n" in await running
 
@@ -136,13 +136,13 @@
             good = request(more="Connection: close\r\n")
             for seed in range(25):
                 cut = [piece for piece in pieces(good, seed) if piece]
-                assert b" 200 " in await talk(app.client_listener.port, *cut)
+                assert b" 200 " in await send_and_receive(app.client_listener.port, *cut)
                 wrong = garbage(good, seed)
                 if random.Random(seed).random() < 0.5:
                     wrong = b"\0" + wrong
-                answer = await talk(app.client_listener.port, wrong, end=True)
+                answer = await send_and_receive(app.client_listener.port, wrong, end=True)
                 assert not answer or answer.startswith(b"HTTP/1.")
-            await until(lambda: not app.router.requests)
+            await wait_until(lambda: not app.router.requests)
 
     asyncio.run(run())
 
@@ -154,9 +154,9 @@
         async with site(tmp_path, stomp="") as (app, [toy]):
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request(body=b"hang"))
-            await until(lambda: toy.ran)
+            await wait_until(lambda: toy.ran)
             writer.close()
-            await until(lambda: toy.holds == 0 and not app.router.requests)
+            await wait_until(lambda: toy.holds == 0 and not app.router.requests)
             assert app.router.counters.abandoned == 1
 
     asyncio.run(run())
@@ -171,7 +171,7 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             data = request(body=body, timeout=400, more="Connection: close\r\n")
-            answer = await talk(app.client_listener.port, data)
+            answer = await send_and_receive(app.client_listener.port, data)
             assert answer.startswith(b"HTTP/1.1 %d " % status)
             if status == 503 and body != b"hang":
                 retry_after = answer.partition(b"Retry-After: ")[2].split(b"\r\n")[0]
@@ -186,11 +186,11 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             data = request(body=b"hang", timeout=400, more="Connection: close\r\nIdempotency-Key: k\r\n")
-            assert (await talk(app.client_listener.port, data.replace(b"/nearby", b"/reserve"))).startswith(
+            assert (await send_and_receive(app.client_listener.port, data.replace(b"/nearby", b"/reserve"))).startswith(
                 b"HTTP/1.1 504 "
             )
             lost = data.replace(b"/nearby", b"/reserve").replace(b"hang", b"fail")
-            assert (await talk(app.client_listener.port, lost)).startswith(b"HTTP/1.1 50")
+            assert (await send_and_receive(app.client_listener.port, lost)).startswith(b"HTTP/1.1 50")
 
     asyncio.run(run())
 
@@ -206,9 +206,9 @@
             data = request("slow", b"100")
             reader, busy = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             busy.write(data[:-2])  # its body is still to come
-            await until(lambda: app.client_listener.connections == 2)
-            running = asyncio.create_task(talk(app.client_listener.port, request("run", b"200")))
-            await until(lambda: app.router.requests)
+            await wait_until(lambda: app.client_listener.connections == 2)
+            running = asyncio.create_task(send_and_receive(app.client_listener.port, request("run", b"200")))
+            await wait_until(lambda: app.router.requests)
             app.client_listener.stop_accepting()
             assert await asyncio.wait_for(kept.read(), 10) == b""
             busy.write(data[-2:])
@@ -248,13 +248,13 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
             running = asyncio.create_task(
-                talk(app.client_listener.port, request(body=b"200", more="Connection: close\r\n"))
+                send_and_receive(app.client_listener.port, request(body=b"200", more="Connection: close\r\n"))
             )
-            await until(lambda: toy.ran)
-            again = await talk(app.client_listener.port, request(more="Connection: close\r\n"))
+            await wait_until(lambda: toy.ran)
+            again = await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
             assert again.startswith(b"HTTP/1.1 409 ") and b" 200 " in await running
             assert toy.ran == ["9b"] and app.router.counters.received == 1
-            assert b" 200 " in await talk(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
 
     asyncio.run(run())
 
@@ -284,9 +284,9 @@
         async with site(tmp_path, stomp="") as (app, _):
             assert app.client_listener.request_timeout_s == 0.2
             data, status = SLOW[name]
-            answer = await talk(app.client_listener.port, data)
+            answer = await send_and_receive(app.client_listener.port, data)
             assert answer[9:12] == status
-            await until(lambda: app.client_listener.connections == 0)
+            await wait_until(lambda: app.client_listener.connections == 0)
             assert app.router.counters.received == 0
 
     asyncio.run(run())
@@ -317,13 +317,13 @@
             kept[1].write(request("kept"))
             assert b" 200 " in await kept[0].readuntil(b"did kept")
             data = request("run", b"300", more="Connection: close\r\n")
-            running = asyncio.create_task(talk(app.client_listener.port, data))
-            await until(lambda: "run" in toy.ran)
+            running = asyncio.create_task(send_and_receive(app.client_listener.port, data))
+            await wait_until(lambda: "run" in toy.ran)
             silent = []
             for _ in range(20):
                 silent.append(await asyncio.open_connection("127.0.0.1", app.client_listener.port))
-            await until(lambda: app.client_listener.connections <= 4)
-            assert b"HTTP/1.1 200 " in await talk(
+            await wait_until(lambda: app.client_listener.connections <= 4)
+            assert b"HTTP/1.1 200 " in await send_and_receive(
                 app.client_listener.port, request("new", more="Connection: close\r\n")
             )
             assert await asyncio.wait_for(silent[0][0].read(), 10) == b"", "the oldest of the silent go first"
@@ -344,7 +344,7 @@
             bad = request().replace(b"/nearby/", b"/bogus/")
             loop = asyncio.get_running_loop()
             began = loop.time()
-            answer = await talk(app.client_listener.port, bad * 3 + request(more="Connection: close\r\n"))
+            answer = await send_and_receive(app.client_listener.port, bad * 3 + request(more="Connection: close\r\n"))
             assert answer.count(b"HTTP/1.1 400 ") == 3 and answer.count(b"HTTP/1.1 200 ") == 1
             assert loop.time() - began >= client_listener.INVALID_REQUEST_DELAY_S * (1 + 2)
 
@@ -363,7 +363,7 @@
                 look(connection, now)
 
             monkeypatch.setattr(client_connection.ClientConnection, "enforce_deadline", faulty)
-            assert await asyncio.gather(*(talk(app.client_listener.port) for _ in range(3))) == [b""] * 3
+            assert await asyncio.gather(*(send_and_receive(app.client_listener.port) for _ in range(3))) == [b""] * 3
             assert len(faults) == 1
 
     asyncio.run(run())
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -10,8 +10,8 @@
 from hazelbend.dispatcher import shutdown
 from hazelbend.transport.http import client_connection, half_close, http_listener
 from tests.support.crossing_kit import turns
-from tests.support.site_kit import SETTINGS, site, until
-from tests.transport.test_client_listener import open_kept, request
+from tests.support.site_kit import SETTINGS, site, wait_until
+from tests.transport.test_client_listener import open_keep_alive, request
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
@@ -34,7 +34,7 @@
 
     async def run():
         async with site(tmp_path, stomp="") as (app, [toy]):
-            reader, writer = await open_kept(app.client_listener.port)
+            reader, writer = await open_keep_alive(app.client_listener.port)
             monkeypatch.setattr(client_connection.ClientConnection, "has_unread", False)
             at_once(writer, request("crossing"))
             if close == "stop accepting":
@@ -47,7 +47,7 @@
                 app.client_listener._sweep()
             assert await rest(reader) == b""
             writer.close()
-            await until(lambda: app.client_listener.connections == 0 and not app.client_listener._lingering)
+            await wait_until(lambda: app.client_listener.connections == 0 and not app.client_listener._lingering)
             assert toy.ran == ["first"] and app.router.counters.received == 1
 
     asyncio.run(run())
@@ -73,7 +73,7 @@
         async with site(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("a", b"100"))
-            await until(lambda: toy.ran)
+            await wait_until(lambda: toy.ran)
             app.client_listener.connection_limit = 0  # its answer closes the connection
             writer.write(request("b") * 200)
             answer = await rest(reader)
@@ -89,11 +89,11 @@
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            reader, writer = await open_kept(app.client_listener.port)
+            reader, writer = await open_keep_alive(app.client_listener.port)
             app.client_listener.stop_accepting()
             assert await rest(reader) == b""
             assert not app.client_listener.connections
-            await until(lambda: not app.client_listener._lingering)
+            await wait_until(lambda: not app.client_listener._lingering)
             writer.close()
 
     asyncio.run(run())
@@ -105,7 +105,7 @@
 
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
-            peers = [await open_kept(app.client_listener.port, f"k{number}") for number in range(5)]
+            peers = [await open_keep_alive(app.client_listener.port, f"k{number}") for number in range(5)]
             for connection in list(app.client_listener._open):
                 connection.force_close()
             assert len(app.client_listener._lingering) == 2
@@ -150,7 +150,7 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
-            await until(lambda: app.client_listener.connections == 1)
+            await wait_until(lambda: app.client_listener.connections == 1)
             app.client_listener.stop_accepting()
             await turns()
             writer.write(request("late"))
@@ -172,9 +172,9 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             data = request("part", b"50")
             writer.write(data[:-1])
-            await until(lambda: any(each.has_partial_request for each in app.client_listener._open))
+            await wait_until(lambda: any(each.has_partial_request for each in app.client_listener._open))
             leaving = asyncio.create_task(app.leave())
-            await until(lambda: not app.client_listener._is_serving)
+            await wait_until(lambda: not app.client_listener._is_serving)
             await turns()
             assert not leaving.done()
             writer.write(data[-1:])
@@ -212,11 +212,11 @@
         async with site(tmp_path, stomp="") as (app, [toy]):
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("first", b"hang") + b"".join(request(f"b{n}") for n in range(behind)))
-            await until(lambda: toy.ran and app.client_listener._open)
+            await wait_until(lambda: toy.ran and app.client_listener._open)
             await writer.drain()
             go(writer)
-            await until(lambda: app.router.counters.abandoned == 1)
-            await until(lambda: not app.router.requests and toy.holds == 0)
+            await wait_until(lambda: app.router.counters.abandoned == 1)
+            await wait_until(lambda: not app.router.requests and toy.holds == 0)
             assert toy.ran == ["first"] and app.router.counters.received == 1
             writer.close()
 
@@ -279,7 +279,7 @@
             await reader.readuntil(b"ok\n")
             data = request("slow", b"10")
             writer.write(data[:-1])
-            await until(lambda: any(each.has_partial_request for each in app.client_listener._open))
+            await wait_until(lambda: any(each.has_partial_request for each in app.client_listener._open))
             await asyncio.sleep(0.3)
             writer.write(data[-1:])
             await reader.readuntil(b"did slow")
@@ -303,7 +303,7 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
                 writer.write(request(f"h{number}", b"hang"))
                 peers.append((reader, writer))
-            await until(lambda: len(app.router.requests) == 5)
+            await wait_until(lambda: len(app.router.requests) == 5)
             shut = [await rest(reader) for reader, _ in peers[5:]]
             assert shut == [b""] * 4 and app.client_listener.connections == 5
             for _, writer in peers:
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -9,7 +9,7 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.transport.http import discovery_watch
 from tests.support.crossing_kit import turns
-from tests.support.site_kit import host_entry, site, until
+from tests.support.site_kit import host_entry, site, wait_until
 
 
 def answer(seq: int, whole: bool, *names: str) -> bytes:
@@ -51,11 +51,11 @@
         each.known_version = held
         for _ in range(subscriptions):
             each.subscribe(told.append)
-        await until(lambda: len(asked) > len(answers) or (told and told[-1].failed))
+        await wait_until(lambda: len(asked) > len(answers) or (told and told[-1].failed))
         while again and left:
             told.clear()
             each.subscribe(told.append)
-            await until(lambda: told and told[-1].failed)
+            await wait_until(lambda: told and told[-1].failed)
         await each.close()
         server.close()
         return told, asked, gaps
@@ -202,7 +202,7 @@
         each = discovery_watch.DiscoveryWatch(address, EndpointListCodec((), ()))
         for number in (1, 2):
             each.subscribe(told.append)
-            await until(lambda number=number: len(told) == number)
+            await wait_until(lambda number=number: len(told) == number)
         assert all(news.failed for news in told) and len(set(ports)) == 2
         await each.close()
         server.close()
@@ -237,13 +237,13 @@
         reader = EndpointListCodec(("ankara-1",), ("big-box",))
         each = discovery_watch.DiscoveryWatch("127.0.0.1:1", reader)
         each.subscribe(told.append)
-        await until(lambda: told)
+        await wait_until(lambda: told)
         assert told[0].failed
         each.change_address(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", reader)
-        await until(lambda: asked)
+        await wait_until(lambda: asked)
         each.subscribe(told.append)  # the retry that the failure led to
         go.set()
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert told[1].seq == 1 and b"closed" not in asked
         await each.close()
         server.close()
@@ -266,10 +266,10 @@
         each = discovery_watch.DiscoveryWatch("127.0.0.1:1", EndpointListCodec(("ankara-1",), ("big-box",)))
         each._fetch = fetch
         each.subscribe(told.append)
-        await until(lambda: asked)
+        await wait_until(lambda: asked)
         body.set_result((200, answer(7, True, "old").partition(b"\r\n\r\n")[2]))
         each.change_address(None, EndpointListCodec((), ()))
-        await until(lambda: told)
+        await wait_until(lambda: told)
         await turns()
         assert [news.seq for news in told] == [0], "what a site without discovery is told"
         await each.close()
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -15,7 +15,7 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    FlowIdUpdate,
+    JobIdUpdate,
     HandoverState,
     decode_state,
     decode_update,
@@ -25,11 +25,11 @@
 from hazelbend.transport.peer import handover
 from hazelbend.transport.peer.handover import Handover
 from tests.support.parser_kit import SEEDS, garbage, survives
-from tests.support.site_kit import FakeStompClient, host_entry, site, until
-from tests.transport.test_client_listener import request, talk
+from tests.support.site_kit import FakeStompClient, host_entry, site, wait_until
+from tests.transport.test_client_listener import request, send_and_receive
 
 ENTRIES = (face.WorkerEntry(1), face.WorkerEntry(2, started_at=900_000), face.WorkerEntry(3, machine_kind=1))
-SETTINGS = Settings(fall_window=1, warm_after=1)
+SETTINGS = Settings(collapse_window=1, warmup_duration=1)
 BUSY = face.LoadReport(in_flight=9.0, queued=5.0, free_slots=0.0)
 IDLE = face.LoadReport(in_flight=0.0, queued=0.0, free_slots=4.0)
 
@@ -62,9 +62,9 @@
 
 def test_what_was_learnt_goes_on():
     old, new, now = seasoned(), fresh(), 4_200_000
-    assert old.avoided(now) == {2} and new.avoided(now) == set()
+    assert old.workers_in_backoff(now) == {2} and new.workers_in_backoff(now) == set()
     import_state(new, passed(export_state(old, now)), now)
-    assert new.avoided(now) == {2}
+    assert new.workers_in_backoff(now) == {2}
     assert [each.value for each in new.load_model.run_times] == [
         each.value for each in old.load_model.run_times
     ]
@@ -88,7 +88,7 @@
     entries = (ENTRIES[0], face.WorkerEntry(2, started_at=4_000_000))
     new.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_150_000)
     import_state(new, passed(export_state(old, 4_200_000)), 4_200_000)
-    assert new.avoided(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
+    assert new.workers_in_backoff(4_200_000) == set() and new.workers[1].peer_jobs and 3 not in new.workers
 
 
 def test_levels_by_the_rate_that_an_earlier_version_passes_on_are_not_taken():
@@ -100,7 +100,7 @@
         each["level"] = each.pop("usual")
         del each["size"]
     import_state(new, memory, now)
-    assert new.load_model.usual_levels == {} and new.avoided(now) == {2}
+    assert new.load_model.usual_levels == {} and new.workers_in_backoff(now) == {2}
     for worker in new.workers.values():
         new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
@@ -142,7 +142,7 @@
 @given(SEEDS)
 def test_any_line_is_read_or_refused(seed):
     survives(lambda line: decode_state(line, READER), garbage(encode_state(STATE, READER), seed), ValueError)
-    survives(decode_update, garbage(encode_update(FlowIdUpdate("9b", True)), seed), ValueError)
+    survives(decode_update, garbage(encode_update(JobIdUpdate("9b", True)), seed), ValueError)
 
 
 def test_a_state_and_news_are_read_as_they_were_written():
@@ -153,8 +153,8 @@
         == 1
     ), "zones go by name: the next process may have them in another order"
     assert decode_state(encode_state(STATE, READER), READER) == STATE
-    assert [decode_update(encode_update(FlowIdUpdate("9b", taken))) for taken in (True, False)] == [
-        FlowIdUpdate("9b", True), FlowIdUpdate("9b", False)
+    assert [decode_update(encode_update(JobIdUpdate("9b", taken))) for taken in (True, False)] == [
+        JobIdUpdate("9b", True), JobIdUpdate("9b", False)
     ]  # fmt: skip
     assert decode_update(b'{"something": "later versions say"}') is None
 
@@ -185,17 +185,17 @@
         async with listening(path) as (old, old_told):
             new_told = Told()
             new = Handover(path, new_told, lambda: READER)
-            assert await new.fetch() == STATE
-            assert new.holds("a") and not new.holds("c") and new_told.counts == [1]
-            old.tell("c", True)
-            old.tell("a", False)
-            await until(lambda: new.holds("c") and not new.holds("a"))
-            new.tell("d", True)
-            await until(lambda: old.holds("d"))
+            assert await new.fetch_state() == STATE
+            assert new.is_open_elsewhere("a") and not new.is_open_elsewhere("c") and new_told.counts == [1]
+            old.broadcast_update("c", True)
+            old.broadcast_update("a", False)
+            await wait_until(lambda: new.is_open_elsewhere("c") and not new.is_open_elsewhere("a"))
+            new.broadcast_update("d", True)
+            await wait_until(lambda: old.is_open_elsewhere("d"))
             await new.listen()
             await old.close()
-            await until(lambda: new_told.counts == [1, 0])
-            assert not new.holds("c") and path.exists(), "the socket is the new one's by now"
+            await wait_until(lambda: new_told.counts == [1, 0])
+            assert not new.is_open_elsewhere("c") and path.exists(), "the socket is the new one's by now"
             await new.close()
             assert not path.exists() and not list(tmp_path.iterdir())
         assert old_told.counts == [1, 0]
@@ -223,7 +223,7 @@
             server = await asyncio.start_unix_server(speak, str(path))
         told = Told()
         new = Handover(path, told, lambda: READER)
-        assert await new.fetch() is None and told.counts == []
+        assert await new.fetch_state() is None and told.counts == []
         await new.listen()
         assert path.is_socket()
         await new.close()
@@ -237,10 +237,10 @@
     async def run():
         async with listening(tmp_path / "next") as (old, told):
             _, writer = await asyncio.open_unix_connection(str(tmp_path / "next"), limit=2**22)
-            await until(lambda: told.counts == [1])
+            await wait_until(lambda: told.counts == [1])
             writer.write(b'{"taken": "x"}\n\x00\xff\n')
-            await until(lambda: told.counts == [1, 0])
-            assert not old.holds("x")
+            await wait_until(lambda: told.counts == [1, 0])
+            assert not old.is_open_elsewhere("x")
             writer.close()
 
     asyncio.run(run())
@@ -249,7 +249,7 @@
 def test_a_path_that_is_too_long_is_gone_without(tmp_path):
     async def run():
         new = Handover(tmp_path / ("x" * 200), Told(), lambda: READER)
-        assert await new.fetch() is None
+        assert await new.fetch_state() is None
         await new.listen()
         await new.close()
 
@@ -261,37 +261,37 @@
         async with site(tmp_path) as (app, [toy]):
             whole = app.client_listener.connection_limit
             here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
-            app.router.is_open_elsewhere, app.router.on_id_changed = here.holds, here.tell
+            app.router.is_open_elsewhere, app.router.on_open_ids_changed = here.is_open_elsewhere, here.broadcast_update
             await here.listen()
             other = Told()
             there = Handover(tmp_path / "next", other, lambda: app.conf.reader)
             running = asyncio.create_task(
-                talk(app.client_listener.port, request("a", b"300", more="Connection: close\r\n"))
+                send_and_receive(app.client_listener.port, request("a", b"300", more="Connection: close\r\n"))
             )
-            await until(lambda: toy.holds)
-            state = await there.fetch()
-            assert state.flow_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
+            await wait_until(lambda: toy.is_open_elsewhere)
+            state = await there.fetch_state()
+            assert state.open_job_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
             assert (
-                app.client_listener.connection_limit < whole / 2 and app.pool.settings.connections < whole / 2
+                app.client_listener.connection_limit < whole / 2 and app.pool.settings.max_connections < whole / 2
             )
-            there.tell("b", True)
-            await until(lambda: here.holds("b"))
+            there.broadcast_update("b", True)
+            await wait_until(lambda: here.is_open_elsewhere("b"))
             again = request("b", more="Connection: close\r\n")
-            assert b" 409 " in await talk(app.client_listener.port, again)
+            assert b" 409 " in await send_and_receive(app.client_listener.port, again)
             own_id = blake2b(b"dashboard\0s", digest_size=16).hexdigest()
-            there.tell(own_id, True)
-            await until(lambda: here.holds(own_id))
+            there.broadcast_update(own_id, True)
+            await wait_until(lambda: here.is_open_elsewhere(own_id))
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.job("s", b"1")
-            await until(lambda: peer.closed)
+            await wait_until(lambda: peer.closed)
             assert "open in another process" in peer.of("ERROR")[0].headers["message"], "the other front"
-            there.tell("b", False)
-            await until(lambda: not here.holds("b"))
-            assert b" 200 " in await talk(app.client_listener.port, again)
+            there.broadcast_update("b", False)
+            await wait_until(lambda: not here.is_open_elsewhere("b"))
+            assert b" 200 " in await send_and_receive(app.client_listener.port, again)
             assert b" 200 " in await running
-            await until(lambda: not there.holds("a"))
+            await wait_until(lambda: not there.is_open_elsewhere("a"))
             await there.close()
-            await until(lambda: app.client_listener.connection_limit == whole)
+            await wait_until(lambda: app.client_listener.connection_limit == whole)
             await here.close()
 
     asyncio.run(run())
--- a/tests/transport/test_snmp.py
+++ b/tests/transport/test_snmp.py
@@ -27,7 +27,7 @@
 from pysnmp.smi.compiler import add_mib_compiler
 
 from hazelbend.transport.snmp import hazelbend_mib
-from tests.support.site_kit import ROOT, site, until
+from tests.support.site_kit import ROOT, site, wait_until
 
 COMMUNITY = "reading-room"
 
@@ -175,9 +175,9 @@
         enable(tmp_path, f'"127.0.0.1:{port}"')
         async with site(tmp_path, stomp="") as (app, _):
             app.router.set_manual_drain("toy-0", True)
-            await until(lambda: len(heard) == 1)
+            await wait_until(lambda: len(heard) == 1)
             app.router.set_manual_drain("toy-0", False)
-            await until(lambda: len(heard) == 2)
+            await wait_until(lambda: len(heard) == 2)
         receiver.close_dispatcher()
         kinds = [tuple(each[(1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0)]) for each in heard]
         assert kinds == [mib["hbServerDown"].name, mib["hbServerUp"].name]
--- a/tests/transport/test_stomp_front.py
+++ b/tests/transport/test_stomp_listener.py
@@ -9,7 +9,7 @@
 
 from hazelbend.transport.stomp import stomp_session
 from tests.support.parser_kit import garbage, pieces
-from tests.support.site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, until, write_frame
+from tests.support.site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, wait_until, write_frame
 
 ANSWERS = {"id": "a", "destination": "/hazelbend/answers"}
 WORK = {"id": "w", "destination": "/hazelbend/work"}
@@ -44,7 +44,7 @@
     async with site(folder, toys=0) as (app, _):
         box = await FakeStompWorker.connect(app.stomp.port, "box-1")
         box.send("SUBSCRIBE", **WORK)
-        await until(lambda: app.stomp_workers.connected == 1)
+        await wait_until(lambda: app.stomp_workers.connected == 1)
         yield app, box, await client(app.stomp.port)
 
 
@@ -61,32 +61,32 @@
             port = app.stomp.port
             box = await FakeStompWorker.connect(port, "box-1")
             box.send("SUBSCRIBE", **WORK)
-            await until(lambda: app.stomp_workers.connected == 1)
+            await wait_until(lambda: app.stomp_workers.connected == 1)
             peer = await client(port)
             leaving = await client(port, "partner")
             leaving.job("gone", b"500", "reserve", tenant="toros-sarj")
-            await until(lambda: box.ran or toy.ran)
+            await wait_until(lambda: box.ran or toy.ran)
             await leaving.drop()  # its reserve runs on
             bodies = [b"20", b"20 fail", b"20 lose", b"return", b"5 reset", b"hang"]
             plan = [(b, c) for b in bodies for c in ("nearby", "reserve") * 2]
             posts = []
             for number, (body, job_class) in enumerate(plan):
                 if number == plan.index((b"hang", "nearby")):  # what waited behind one would time out as well
-                    await until(lambda: not app.router.requests)
+                    await wait_until(lambda: not app.router.requests)
                 # Receipts are asked for, and must not count.
                 more = {"deadline": "1500", "receipt": f"r{number}", "key": f"k{number}"}
                 peer.job(f"s{number}", body, job_class, **more)
                 posts.append(
                     asyncio.create_task(post(app.client_listener.port, f"h{number}", body, job_class, 1_500))
                 )
-                await until(lambda: app.router.counters.received == 2 * len(posts) + 1)
+                await wait_until(lambda: app.router.counters.received == 2 * len(posts) + 1)
             statuses = await asyncio.gather(*posts)
-            await until(lambda: len(peer.answers()) == len(plan))
-            await until(lambda: not app.router.requests)
+            await wait_until(lambda: len(peer.answers()) == len(plan))
+            await wait_until(lambda: not app.router.requests)
             back = await client(port, "partner")
-            await until(lambda: back.answers())
+            await wait_until(lambda: back.answers())
             peer.send("DISCONNECT", receipt="last")
-            await until(lambda: peer.closed)
+            await wait_until(lambda: peer.closed)
 
             answers = {**peer.answers(), **back.answers()}
             assert all(len(each) == 1 for each in answers.values()), answers
@@ -118,20 +118,20 @@
         async with site(tmp_path) as (app, [toy]):
             first = await client(app.stomp.port, ack="client-individual")
             first.job("one", b"1")
-            await until(lambda: first.answers())
+            await wait_until(lambda: first.answers())
             sent = first.of("MESSAGE")[0]
             await first.drop()
             second = await client(app.stomp.port, ack="client-individual")
-            await until(lambda: second.answers())
+            await wait_until(lambda: second.answers())
             again = second.of("MESSAGE")[0]
             assert again.headers["message-id"] == sent.headers["message-id"]
             assert again.body == sent.body
             second.send("ACK", id=again.headers["ack"], receipt="acked")
-            await until(lambda: second.of("RECEIPT"))
+            await wait_until(lambda: second.of("RECEIPT"))
             await second.drop()
             third = await client(app.stomp.port, ack="client-individual")
             third.job("one", b"1", receipt="sent")  # known: it attaches, nothing runs anew
-            await until(lambda: third.answers())
+            await wait_until(lambda: third.answers())
             assert third.of("MESSAGE")[0].body == sent.body
             assert len(toy.ran) == app.router.counters.received == 1
 
@@ -146,10 +146,10 @@
             quiet = await FakeStompClient.connect(app.stomp.port)
             await client(app.stomp.port, client_id="another")
             quiet.job("one", b"1", receipt="taken")
-            await until(lambda: quiet.of("RECEIPT"))
+            await wait_until(lambda: quiet.of("RECEIPT"))
             await quiet.drop()
             back = await client(app.stomp.port)
-            await until(lambda: back.answers())
+            await wait_until(lambda: back.answers())
             assert back.answers() == {"one": ["served"]}
 
     asyncio.run(run())
@@ -161,9 +161,9 @@
             peer = await client(app.stomp.port)
             for _ in range(3):
                 peer.job("one", b"100", "reserve", key="k")
-            await until(lambda: peer.answers())
+            await wait_until(lambda: peer.answers())
             peer.send("DISCONNECT", receipt="end")
-            await until(lambda: peer.closed)
+            await wait_until(lambda: peer.closed)
             assert peer.answers() == {"one": ["served"]}
             assert len(toy.ran) == 1
 
@@ -175,9 +175,9 @@
         async with site(tmp_path) as (app, _):
             peer = await client(app.stomp.port)
             peer.job("late", b"hang", "reserve", deadline="300")
-            await until(lambda: app.router.requests)
+            await wait_until(lambda: app.router.requests)
             taken = list(app.router.requests.values())
-            await until(lambda: peer.answers())
+            await wait_until(lambda: peer.answers())
             assert peer.answers() == {"late": ["failed"]}
             assert peer.of("MESSAGE")[0].headers["reason"] == "deadline"
             [flow] = taken
@@ -192,9 +192,9 @@
             [server] = app.router.table.servers.values()
             assert server.entry.started_at > app.router.started_at, "a box that connects is cold"
             peer.job("one", b"hang", "reserve")
-            await until(lambda: box.ran)
+            await wait_until(lambda: box.ran)
             await box.drop()
-            await until(lambda: peer.answers())
+            await wait_until(lambda: peer.answers())
             assert peer.answers() == {"one": ["failed"]}, "it may have run: no refusal"
             assert not app.router.table.servers
 
@@ -205,11 +205,11 @@
     async def run():
         async with box_and_client(tmp_path) as (app, box, peer):
             peer.job("first", b"20")
-            await until(lambda: box.ran)
+            await wait_until(lambda: box.ran)
             box.send("UNSUBSCRIBE", id="w")
-            await until(lambda: not next(iter(app.router.table.servers.values())).accepts_work)
+            await wait_until(lambda: not next(iter(app.router.table.servers.values())).accepts_work)
             peer.job("second", b"20", deadline="300")
-            await until(lambda: len(peer.answers()) == 2)
+            await wait_until(lambda: len(peer.answers()) == 2)
             assert peer.answers() == {"first": ["served"], "second": ["refused"]}
             assert len(box.ran) == 1
 
@@ -222,13 +222,13 @@
     async def run():
         async with box_and_client(tmp_path) as (app, box, peer):
             peer.job("one", b"hang", "reserve", deadline="500")
-            await until(lambda: box.ran)
+            await wait_until(lambda: box.ran)
             again = await FakeStompWorker.connect(app.stomp.port, "box-1")
             again.send("SUBSCRIBE", **WORK)
-            await until(lambda: box.closed)
+            await wait_until(lambda: box.closed)
             assert "taken its place" in box.of("ERROR")[0].headers["message"]
             peer.job("two", b"1")
-            await until(lambda: len(peer.answers()) == 2)
+            await wait_until(lambda: len(peer.answers()) == 2)
             # The first was reset; its repeat may go to a server of the same zone, which is what it did.
             assert peer.answers() == {"one": ["failed"], "two": ["served"]}
             assert box.ran[0] in again.ran and len(again.ran) == 2
@@ -252,7 +252,7 @@
                 answer = await asyncio.wait_for(reader.read(), 10)
                 assert answer.startswith(b"CONNECTED\n")
                 writer.close()
-            await until(lambda: app.stomp.connections == 0)
+            await wait_until(lambda: app.stomp.connections == 0)
 
     asyncio.run(run())
 
@@ -261,7 +261,7 @@
     async def run():
         async with box_and_client(tmp_path) as (_app, box, peer):
             peer.job("one", b"hang", deadline="300")
-            await until(lambda: box.cancelled)
+            await wait_until(lambda: box.cancelled)
             assert box.cancelled == box.ran
 
     asyncio.run(run())
@@ -290,18 +290,18 @@
             for words, (command, headers) in refusals().items():
                 peer = await client(app.stomp.port)
                 peer.send(command, receipt="r", **headers)
-                await until(lambda peer=peer: peer.closed)
+                await wait_until(lambda peer=peer: peer.closed)
                 [error] = peer.of("ERROR")
                 assert words in error.headers["message"]
                 assert not peer.of("RECEIPT")
             stranger = await FakeStompClient.connect(app.stomp.port, "dashboard", passcode="guess")
-            await until(lambda: stranger.closed)
+            await wait_until(lambda: stranger.closed)
             assert [frame.command for frame in stranger.frames] == ["ERROR"]
             old = await FakeStompClient.connect(app.stomp.port, accept_version="1.0")
             assert old.frames[0].headers["version"] == "1.1,1.2", "the specification asks to name them"
             other = await client(app.stomp.port, "partner")
             other.job("1", tenant="ege-volt")
-            await until(lambda: other.closed)
+            await wait_until(lambda: other.closed)
             assert "may not send for that tenant" in other.of("ERROR")[0].headers["message"]
             assert app.router.counters.received == 0
 
@@ -315,11 +315,11 @@
             peer = await client(app.stomp.port)
             peer.job("one", b"100")
             peer.job("two", b"100")
-            await until(lambda: len(peer.answers()) == 2)
+            await wait_until(lambda: len(peer.answers()) == 2)
             assert peer.answers() == {"one": ["served"], "two": ["refused"]}
             assert float(peer.of("MESSAGE")[0].headers["retry-after"]) > 0
             silent = await client(app.stomp.port, heart_beat="50,50")
-            await until(lambda: silent.closed)
+            await wait_until(lambda: silent.closed)
             assert "nothing came in time" in silent.of("ERROR")[0].headers["message"]
 
     asyncio.run(run())
@@ -333,14 +333,14 @@
         async with site(tmp_path, stomp=text) as (app, _):
             first, second = await client(app.stomp.port), await client(app.stomp.port, client_id="b")
             first.job("one", b"1 ".ljust(60_000))
-            await until(lambda: first.answers())  # settled: the room of its job is free again
+            await wait_until(lambda: first.answers())  # settled: the room of its job is free again
             second.job("two", b"hang ".ljust(65_500), deadline="1000")
-            await until(lambda: app.router.requests)
+            await wait_until(lambda: app.router.requests)
             first.job("three", b"1 ".ljust(100))
-            await until(lambda: len(first.answers()) == 2 and second.answers())
+            await wait_until(lambda: len(first.answers()) == 2 and second.answers())
             assert first.answers() == {"one": ["served"], "three": ["refused"]}
             first.job("four", b"1 ".ljust(60_000))
-            await until(lambda: len(first.answers()) == 3)
+            await wait_until(lambda: len(first.answers()) == 3)
             assert first.answers()["four"] == ["served"]
 
     asyncio.run(run())
@@ -360,7 +360,7 @@
             )
             receipts = write_frame("ACK", {"id": "none", "receipt": "r" * 8_000}) * 600
             writer.write(receipts)
-            await until(lambda: app.stomp.connections == 0)
+            await wait_until(lambda: app.stomp.connections == 0)
             writer.close()
 
     asyncio.run(run())
@@ -393,7 +393,7 @@
         async with site(tmp_path) as (app, [toy]):
             for number, kind in enumerate((stomp.Connection11, stomp.Connection12)):
                 heard, connection = await asyncio.to_thread(talk, app.stomp.port, kind, number)
-                await until(lambda heard=heard: heard.messages)
+                await wait_until(lambda heard=heard: heard.messages)
                 [message] = heard.messages
                 assert message.headers["status"] == "served"
                 assert message.headers["request-id"] == "a:b\\c"
@@ -419,7 +419,7 @@
         async with site(tmp_path, stomp=text) as (app, _):
             known = await FakeStompClient.connect(app.stomp.port)
             silent = [await asyncio.open_connection("127.0.0.1", app.stomp.port) for _ in range(8)]
-            await until(lambda: app.stomp.connections == 3)
+            await wait_until(lambda: app.stomp.connections == 3)
             peer = await FakeStompClient.connect(app.stomp.port, "partner")
             assert peer.of("CONNECTED") and not known.closed and app.stomp.connections <= 3
             assert b"others wait" in await asyncio.wait_for(silent[0][0].read(), 10)
