--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -20,6 +20,7 @@
     MAX_LINE_BYTES,
     JobIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -17,6 +17,7 @@
 from hazelbend.protocol.handover import (
     JobIdUpdate,
     HandoverState,
+    JobIdUpdate,
     decode_state,
     decode_update,
     encode_state,
