--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -37,10 +37,10 @@
     AttemptEnded,
     Cancel,
     ClientGone,
-    Idempotency,
+    DedupScope,
     Event,
     Fail,
-    DedupScope,
+    Idempotency,
     JobProgress,
     JobStarted,
     ListKind,
@@ -251,7 +251,9 @@
         """Give the final answer: a rejection where it is true that trying again does no harm."""
         job = request.job
         may_have_run = request.first_possible_run is not None
-        is_repeatable = job.idempotency is Idempotency.SAFE or (job.idempotency is Idempotency.KEYED and job.dedup_scope is DedupScope.ALL)
+        is_repeatable = job.idempotency is Idempotency.SAFE or (
+            job.idempotency is Idempotency.KEYED and job.dedup_scope is DedupScope.ALL
+        )
         retry_after = self.admission.retry_after(request, option, self.membership.ready, now)
         if is_repeatable or not may_have_run:
             self._actions.append(Refuse(request.id, retry_after))
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -9,7 +9,7 @@
 from typing import TypeAlias
 
 from hazelbend.decisions.fleet_plan import FleetPlan, preference_order
-from hazelbend.decisions.interface import Idempotency, DedupScope, RequestId, Settings
+from hazelbend.decisions.interface import DedupScope, Idempotency, RequestId, Settings
 from hazelbend.decisions.job_count import expected_jobs
 from hazelbend.decisions.load_model import LoadModel
 from hazelbend.decisions.membership import Membership
--- a/hazelbend/decisions/settings.py
+++ b/hazelbend/decisions/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Settings
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Settings
 
 
 class SettingsError(ValueError):
--- a/hazelbend/dispatcher/app.py
+++ b/hazelbend/dispatcher/app.py
@@ -23,7 +23,7 @@
 from hazelbend.dispatcher.shutdown import GracefulShutdown
 from hazelbend.protocol.handover import HandoverState
 from hazelbend.routing.clock import Clock
-from hazelbend.routing.overview import Figures, Overview, collect_figures, build_overview
+from hazelbend.routing.overview import Figures, Overview, build_overview, collect_figures
 from hazelbend.routing.ports import EndpointList
 from hazelbend.routing.router import Router
 from hazelbend.routing.table import Backend, BackendTable
@@ -102,7 +102,10 @@
         self.handover: Handover | None = None
         if conf.handover is not None:
             self.handover = Handover(conf.handover, self, lambda: self.conf.reader)
-            self.router.is_open_elsewhere, self.router.on_open_ids_changed = self.handover.is_open_elsewhere, self.handover.broadcast_update
+            self.router.is_open_elsewhere, self.router.on_open_ids_changed = (
+                self.handover.is_open_elsewhere,
+                self.handover.broadcast_update,
+            )
         self._opening: list[asyncio.Task[None]] = []  # addresses that are not free yet
 
     # --- what operators see and do ---
--- a/hazelbend/dispatcher/settings_report.py
+++ b/hazelbend/dispatcher/settings_report.py
@@ -11,8 +11,14 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Settings
-from hazelbend.decisions.settings import IDEMPOTENCY_BY_SEMANTICS, DEDUP_SCOPES, report_fields, rows_in, table_in
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Settings
+from hazelbend.decisions.settings import (
+    DEDUP_SCOPES,
+    IDEMPOTENCY_BY_SEMANTICS,
+    report_fields,
+    rows_in,
+    table_in,
+)
 from hazelbend.dispatcher.tracked_table import TrackedTable
 
 # Settings with a fixed set of values. An unknown value is read as the last one.
--- a/hazelbend/dns_discovery/tracked_names.py
+++ b/hazelbend/dns_discovery/tracked_names.py
@@ -47,7 +47,9 @@
     question: Question
     quorum: AnswerQuorum[Any, Any]
     active: bool = True  # False: it is no longer tracked
-    next_refresh_at: int = NOT_SCHEDULED  # of its refresh; NOT_SCHEDULED: it waits for a query or has one in flight
+    next_refresh_at: int = (
+        NOT_SCHEDULED  # of its refresh; NOT_SCHEDULED: it waits for a query or has one in flight
+    )
     scheduled_at: int = 0  # when its current round was to begin
     schedule_sequence: int = 0  # of its valid entry in the schedule
     expiry_scheduled: bool = False
@@ -149,7 +151,9 @@
             tracked.quorum.server_count = self._server_count
             tracked.quorum.votes.clear()
             refresh_at = now + self._start_delay(tracked.question)
-            self.schedule(tracked, refresh_at if tracked.in_round else min(tracked.next_refresh_at, refresh_at))
+            self.schedule(
+                tracked, refresh_at if tracked.in_round else min(tracked.next_refresh_at, refresh_at)
+            )
 
     # --- what the records say ---
 
--- a/hazelbend/endpoints/host_index.py
+++ b/hazelbend/endpoints/host_index.py
@@ -43,7 +43,9 @@
         """
         if hosts := self._by_key.get(key):
             return min(hosts)
-        return min((min(self._by_dial[dial]) for dial in dial_addresses if dial in self._by_dial), default=None)
+        return min(
+            (min(self._by_dial[dial]) for dial in dial_addresses if dial in self._by_dial), default=None
+        )
 
 
 def _discard(index: dict[K, set[str]], key: K, host: str) -> None:
--- a/hazelbend/endpoints/merger.py
+++ b/hazelbend/endpoints/merger.py
@@ -34,7 +34,7 @@
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery.answers import EndpointKey, canonical_name
 from hazelbend.endpoints.host_index import HostIndex
-from hazelbend.endpoints.precedence import PrecedenceResult, ListReport, SrvReport, apply_precedence
+from hazelbend.endpoints.precedence import ListReport, PrecedenceResult, SrvReport, apply_precedence
 from hazelbend.endpoints.srv_claims import SrvClaim, SrvClaims
 from hazelbend.endpoints.view import LIST_SOURCE, STOMP_SOURCE, EndpointView, MergedEndpoint
 from hazelbend.routing.ports import Endpoint, EndpointList
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -200,7 +200,9 @@
     # --- steps of a submission ---
 
     def _needs_room(self, request: JobRequest) -> bool:
-        crowded = 0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
+        crowded = (
+            0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
+        )
         return request.terms.waits or crowded
 
     def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
@@ -234,7 +236,9 @@
             self.graph.add_parent_result(job, key, past.outcome, past.result)
             return None
         if parent is None:
-            parent = QueuedJob(key, JobState.EXPECTED, submission_deadline=now + self.bounds.submission_timeout_us)
+            parent = QueuedJob(
+                key, JobState.EXPECTED, submission_deadline=now + self.bounds.submission_timeout_us
+            )
             self.jobs[key] = parent
             self.timers.add_deadline(parent.submission_deadline, key)
         self.graph.add_edge(parent, job, edge)
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -215,7 +215,8 @@
             "waiting.missed": totals.missed,
             "waiting.refused": totals.rejected[JobOutcome.REFUSED],
             "waiting.expired": totals.rejected[JobOutcome.EXPIRED],
-            "waiting.cancelled": totals.rejected[JobOutcome.CANCELLED] + totals.rejected[JobOutcome.CLIENT_DISCONNECTED],
+            "waiting.cancelled": totals.rejected[JobOutcome.CANCELLED]
+            + totals.rejected[JobOutcome.CLIENT_DISCONNECTED],
         }
         for index, name in enumerate(classes):
             found[f"waiting.longest_ms.{name}"] = totals.longest_wait_us.get(index, 0) // US_PER_MS
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -121,7 +121,9 @@
         forwards=router.counters.forwards,
         outstanding=sum(not flow.is_closed for flow in router.requests.values()),
         discovered=len(servers),
-        ejected=sum(server.is_manually_drained or number in workers_in_backoff for number, server in servers.items()),
+        ejected=sum(
+            server.is_manually_drained or number in workers_in_backoff for number, server in servers.items()
+        ),
     )
 
 
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -55,7 +55,9 @@
         """`connect` makes the client of a listed backend."""
         self._connect = connect
         self.servers: dict[int, Backend] = {}
-        self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = None  # gets changes of `accepts_work`
+        self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = (
+            None  # gets changes of `accepts_work`
+        )
         self._registered: set[int] = set()  # have connected by themselves
         self._indexes: dict[int, int] = {}
         self._manually_drained: set[int] = set()  # kept while a backend is absent from the list
--- a/hazelbend/system/router_update_handler.py
+++ b/hazelbend/system/router_update_handler.py
@@ -77,7 +77,9 @@
         """Take the number of routers, and which workers are silent or change their phase."""
         self._state.max_routers = max(self._state.max_routers, update.routers)
         self._placement.set_phase_changing(set(update.switching))
-        self._placement.update_heartbeat_ages(update.silent_ages_us, EXPIRY_HEARTBEATS * self.settings.heartbeat_us)
+        self._placement.update_heartbeat_ages(
+            update.silent_ages_us, EXPIRY_HEARTBEATS * self.settings.heartbeat_us
+        )
         self._on_fleet_status(update)
 
     def apply_loads(self, update: LoadUpdate) -> None:
--- a/hazelbend/transport/peer/handover.py
+++ b/hazelbend/transport/peer/handover.py
@@ -18,7 +18,6 @@
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
     MAX_LINE_BYTES,
-    JobIdUpdate,
     HandoverState,
     JobIdUpdate,
     decode_state,
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -137,7 +137,11 @@
         while window[0] <= at - site.rules.collapse_window:
             window.popleft()
         budget = (
-            site.rules.collapse_multiple * site.rules.capacity_fraction(START, at) * SLOTS / RUN * site.rules.collapse_window
+            site.rules.collapse_multiple
+            * site.rules.capacity_fraction(START, at)
+            * SLOTS
+            / RUN
+            * site.rules.collapse_window
         )
         assert len(window) <= budget + 2 * sqrt(budget) + 2, f"at {(at - START) / SECOND:.2f} s"
     assert len(site.sent_to_cold) > 20, "it is used"
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -237,7 +237,9 @@
     chance, retry = random.Random(1), DiscoveryRetry()
     waits = [retry.retry_delay(settings, chance) for _ in range(2_000)]
     assert max(waits) <= settings.poll_interval // 2
-    assert min(waits[20:]) >= settings.poll_interval // 16, "a service that is down is not asked again and again"
+    assert min(waits[20:]) >= settings.poll_interval // 16, (
+        "a service that is down is not asked again and again"
+    )
 
 
 @pytest.mark.parametrize("fleet", [200, 450])
--- a/tests/decisions/test_fleet_plan.py
+++ b/tests/decisions/test_fleet_plan.py
@@ -87,7 +87,9 @@
         if began:
             self.came[send.worker].append(at)
         starts = max(at, heapq.heappop(slots))
-        ends = starts + round(self.chance.expovariate(1 / RUN) / self.settings.capacity_fraction(began, starts))
+        ends = starts + round(
+            self.chance.expovariate(1 / RUN) / self.settings.capacity_fraction(began, starts)
+        )
         heapq.heappush(slots, ends)
         self.sends[send.worker] += 1
         self.waits.append(starts - at)
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -34,7 +34,9 @@
 
 def test_a_dispatcher_just_started_sends_nothing_to_a_cold_worker_for_one_window():
     """What it sent before a restart of its own may have spent the budget."""
-    model = Model(dy.Settings(classes=(SAFE,), collapse_window=1_000_000, collapse_multiple=50.0, initial_capacity=0.5))
+    model = Model(
+        dy.Settings(classes=(SAFE,), collapse_window=1_000_000, collapse_multiple=50.0, initial_capacity=0.5)
+    )
     model.list_workers(dy.WorkerEntry(1, started_at=model.now), kind=dy.ListKind.CACHED)
     model.arrive(1)
     model.advance(990_000)
@@ -45,7 +47,9 @@
 
 @pytest.mark.parametrize(("after", "attempts"), [(500_000, 2), (1_900_000, 1)])
 def test_a_keyed_request_is_sent_again_only_while_its_key_is_surely_remembered(after, attempts):
-    job = dy.JobClass(idempotency=dy.Idempotency.KEYED, objective=200_000, late_value_fraction=0.5, dedup_window=2_000_000)
+    job = dy.JobClass(
+        idempotency=dy.Idempotency.KEYED, objective=200_000, late_value_fraction=0.5, dedup_window=2_000_000
+    )
     model = two_workers(job)
     model.arrive(1, patience=8_000_000, key=5)
     model.start(1)
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -87,7 +87,9 @@
 def test_late_work_is_refused_where_it_earns_nothing_and_held_where_it_earns_something():
     """A jam feeds itself when late jobs keep the queues full."""
     for late_worth, refused in ((0.0, True), (0.5, False)):
-        job_class = dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth)
+        job_class = dy.JobClass(
+            idempotency=dy.Idempotency.SAFE, objective=200_000, late_value_fraction=late_worth
+        )
         model = Model(dy.Settings(classes=(job_class,), reports_job_starts=True))
         model.list_workers(dy.WorkerEntry(1))
         model.arrive(0)
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -33,7 +33,10 @@
 
 def test_all_dispatchers_agree_on_the_worker_of_a_key_without_a_word():
     settings = dy.Settings(
-        fleet_size=3, reports_job_starts=True, reports_inline=True, classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE),)
+        fleet_size=3,
+        reports_job_starts=True,
+        reports_inline=True,
+        classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE),),
     )
     assert homes(settings, 300_000, seed=1) == homes(settings, 300_000, seed=2)
 
@@ -42,7 +45,10 @@
     """Guards against a hot key that scatters over all workers, each of which must fetch its data."""
     used = []
     for seed in (1, 2, 3):
-        model = Model(dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, late_value_fraction=0.5),)), seed)
+        model = Model(
+            dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, late_value_fraction=0.5),)),
+            seed,
+        )
         model.list_workers(*(dy.WorkerEntry(worker) for worker in range(1, 9)))
         for request in range(8):
             model.arrive(request, key=5)
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -15,7 +15,8 @@
     found = []
     for job_class in (CHEAP, DEAR):
         classes = tuple(
-            dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth) for worth in worths
+            dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=RUN, stretch=8.0, value=worth)
+            for worth in worths
         )
         model = Model(dy.Settings(classes=classes, **settings))
         model.list_workers(dy.WorkerEntry(1))
--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -12,8 +12,8 @@
 from tests.dispatcher.test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.support.site_kit import FakeStompClient, site, wait_until
-from tests.transport.test_client_listener import open_keep_alive, request, send_and_receive
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
+from tests.transport.test_client_listener import open_keep_alive, request, send_and_receive
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -8,8 +8,8 @@
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
 from tests.support.site_kit import FakeStompClient, site, wait_until
-from tests.transport.test_client_listener import request, send_and_receive
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
+from tests.transport.test_client_listener import request, send_and_receive
 
 
 async def stats(app) -> dict[str, int]:
@@ -33,7 +33,9 @@
                 await send_and_receive(app.client_listener.port, data)
             running = asyncio.create_task(send_and_receive(app.client_listener.port, closing("run", b"1500")))
             await wait_until(lambda: toy.holds)
-            await send_and_receive(app.client_listener.port, closing("bad", b"1").replace(b"/nearby", b"/bogus"))
+            await send_and_receive(
+                app.client_listener.port, closing("bad", b"1").replace(b"/nearby", b"/bogus")
+            )
             app.router.set_manual_drain("toy-0", True)
             assert b" 503 " in await send_and_receive(app.client_listener.port, closing("c", b"1", 100)), (
                 "no server takes work"
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -98,7 +98,9 @@
             assert b" 200 " in await running, "what is out goes on over the connection that it has"
             await wait_until(lambda: before.closed)
             plan = request("p", more="Connection: close\r\n").replace(b"/nearby/", b"/plan/")
-            assert b" 200 " in await send_and_receive(app.client_listener.port, plan.replace(b"ege-volt", b"new"))
+            assert b" 200 " in await send_and_receive(
+                app.client_listener.port, plan.replace(b"ege-volt", b"new")
+            )
             peer.job("s", b"1", job_class="plan", tenant="new")
             await wait_until(lambda: peer.answers() == {"s": ["served"]})
             assert not peer.closed
@@ -117,7 +119,9 @@
             assert app.conf.listen == listen and app.conf.settings is settings and app.conf.name == "n9"
             assert "wait for a restart: listen, known, stomp, settings" in caplog.text
             assert "reloaded: name\n" in caplog.text
-            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(
+                app.client_listener.port, request(more="Connection: close\r\n")
+            )
 
     asyncio.run(run())
 
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -19,7 +19,16 @@
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import ready, run_beside
 from tests.support.pace import pace
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, wait_until
+from tests.support.site_kit import (
+    ROOT,
+    SETTINGS,
+    STOMP,
+    FakeStompClient,
+    ToyServer,
+    host_entry,
+    site,
+    wait_until,
+)
 from tests.support.srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
 from tests.transport.test_client_listener import request, send_and_receive
 
@@ -125,7 +134,9 @@
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
                 await wait_until(lambda: len(app.router.table.servers) == 2)
                 worst, learned = 0.0, []
-                app.router.table.on_accepts_work_changed = lambda each, up: learned.append((time.monotonic(), each, up))
+                app.router.table.on_accepts_work_changed = lambda each, up: learned.append(
+                    (time.monotonic(), each, up)
+                )
                 # By its weight the other box is the second choice.
                 async with load(app, b"14") as statuses:
                     for _ in range(200):
@@ -165,14 +176,18 @@
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
-                    await wait_until(lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
+                    await wait_until(
+                        lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                    )
                     await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
                     assert await boxes_of(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
-                await wait_until(lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since)
+                await wait_until(
+                    lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                )
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
@@ -193,7 +208,9 @@
             await wait_until(lambda: len(app.router.table.servers) == 2)
             boxes = await boxes_of(app)
             changes = []
-            app.router.table.on_accepts_work_changed = lambda server, up: changes.append((server.entry.host, up))
+            app.router.table.on_accepts_work_changed = lambda server, up: changes.append(
+                (server.entry.host, up)
+            )
             async with load(app) as statuses:
                 for liar in servers:
                     if lie == "old zone":
@@ -273,7 +290,9 @@
             [box] = app.router.table.servers.values()
             started_at, port = box.entry.started_at, port_of(box.entry.dial)
             long = asyncio.create_task(
-                send_and_receive(app.client_listener.port, request("long", b"1200", more="Connection: close\r\n"))
+                send_and_receive(
+                    app.client_listener.port, request("long", b"1200", more="Connection: close\r\n")
+                )
             )
             await wait_until(lambda: toy.ran or long.done())
             assert toy.ran, f"the job has an answer and never ran: {long.result()!r}"
@@ -281,7 +300,9 @@
             server.serve_zone(zone(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
             await wait_until(lambda: box.entry.dial == f"127.0.0.2:{port}")
             assert box.entry.started_at > started_at, "another process: cold"
-            answer = await send_and_receive(app.client_listener.port, request("new", b"1", more="Connection: close\r\n"))
+            answer = await send_and_receive(
+                app.client_listener.port, request("new", b"1", more="Connection: close\r\n")
+            )
             assert b"moved did new" in answer
             assert b"toy-0 did long" in await long
         await other.close()
@@ -402,7 +423,9 @@
             assert started == {
                 each.entry.host: each.entry.started_at for each in second.router.table.servers.values()
             }, "they have not started again"
-            assert b" 200 " in await send_and_receive(second.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(
+                second.client_listener.port, request(more="Connection: close\r\n")
+            )
             await second.close()
             path.write_bytes(path.read_bytes()[:-9])
             third = App(conf)
--- a/tests/dispatcher/test_upgrade.py
+++ b/tests/dispatcher/test_upgrade.py
@@ -170,6 +170,8 @@
             assert path.exists(), "it is the first one's"
             await first.close()
             assert not path.exists()
-            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(
+                app.client_listener.port, request(more="Connection: close\r\n")
+            )
 
     asyncio.run(run())
--- a/tests/dispatcher/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -240,7 +240,9 @@
 
     async def run():
         def send(job_id, body=b"5", **more):
-            return asyncio.create_task(send_and_receive(port, request(job_id, body, 120_000, headers(**more))))
+            return asyncio.create_task(
+                send_and_receive(port, request(job_id, body, 120_000, headers(**more)))
+            )
 
         far = send("far", Not_Before=int(time.time() * 1e3) + 120_000)
         never, parent, child = send("never", After="x"), send("p", b"held"), send("c", After="p")
@@ -292,7 +294,9 @@
         assert [ask(port)[0] for _ in range(20)] == [200] * 20, "by now its speed is known"
 
         async def run():
-            waits = asyncio.create_task(send_and_receive(port, request("w", b"5", 4_900, headers(After="never"))))
+            waits = asyncio.create_task(
+                send_and_receive(port, request("w", b"5", 4_900, headers(After="never")))
+            )
             await asyncio.to_thread(wait_for, lambda: "waiting.jobs=1" in ask(first, "GET", "/ops/stats")[2])
             return await work(
                 port, old, waits, lambda: run_beside(start, tmp_path, listener, "new", known=known)
@@ -312,7 +316,9 @@
         old.send_signal(signal.SIGTERM)
         assert b"X-Reason: the dispatcher ends" in await waits
         assert await asyncio.to_thread(old.wait, 10) == 0
-        assert status(await send_and_receive(port, request("w", b"5", 4_000, headers()))) == 200, "its id is free"
+        assert status(await send_and_receive(port, request("w", b"5", 4_000, headers()))) == 200, (
+            "its id is free"
+        )
         assert new.poll() is None
 
     upgrade(start, tmp_path, work)
--- a/tests/endpoints/test_endpoints.py
+++ b/tests/endpoints/test_endpoints.py
@@ -9,7 +9,13 @@
 from hazelbend.decisions.interface import WorkerState
 from hazelbend.dns_discovery.answers import EndpointKey, SrvPreference
 from hazelbend.endpoints.merger import EndpointMerger, Tombstone
-from hazelbend.endpoints.precedence import PrecedenceResult, ListReport, SrvReport, apply_precedence, srv_report
+from hazelbend.endpoints.precedence import (
+    ListReport,
+    PrecedenceResult,
+    SrvReport,
+    apply_precedence,
+    srv_report,
+)
 from hazelbend.endpoints.priority_pool import PriorityPool
 from hazelbend.endpoints.srv_claims import SrvClaim
 from hazelbend.endpoints.view import LIST_SOURCE, STOMP_SOURCE
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -246,7 +246,9 @@
         face.JobClass(400 * MS, 0.0, 3.0, 0.0, face.Idempotency.KEYED, face.DedupScope.ZONE, 2 * S),
         face.JobClass(300 * MS, 0.0, 2.0, 0.2, face.Idempotency.UNSAFE, machine_kind=1),
     )
-    return face.Settings(fleet_size=2, classes=classes, collapse_window=500 * MS, warmup_duration=4 * S, **more)
+    return face.Settings(
+        fleet_size=2, classes=classes, collapse_window=500 * MS, warmup_duration=4 * S, **more
+    )
 
 
 DISPATCHERS = {
@@ -476,7 +478,12 @@
     """Jobs that wait on each other, on a clock and on admission."""
     trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
-        in_service=5, by_class=((1, 2),), shares=((0, 0.4),), aged=2, waiting=60, submission_timeout_us=400 * MS
+        in_service=5,
+        by_class=((1, 2),),
+        shares=((0, 0.4),),
+        aged=2,
+        waiting=60,
+        submission_timeout_us=400 * MS,
     )
     engine = JobQueueEngine(bounds)
     running: list[Any] = []
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -222,7 +222,11 @@
     flags = system_main.FLAGS._flags()
     found["hazelbend.system"] = {name: values_of(flags[name].default) for name in ("settings", "log_level")}
     found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
-    found["variables"] = [system_main.SETTINGS_PATH_VARIABLE, deploy_files.DEPLOY_VARIABLE, config.PASSED_SOCKET]
+    found["variables"] = [
+        system_main.SETTINGS_PATH_VARIABLE,
+        deploy_files.DEPLOY_VARIABLE,
+        config.PASSED_SOCKET,
+    ]
     return as_lines(found)
 
 
--- a/tests/job_queue/test_waiting.py
+++ b/tests/job_queue/test_waiting.py
@@ -24,7 +24,13 @@
 
 MS = 1_000
 WALL = 10**15
-RAN = (JobOutcome.SERVED, JobOutcome.REFUSED, JobOutcome.FAILED, JobOutcome.CANCELLED, JobOutcome.CLIENT_DISCONNECTED)
+RAN = (
+    JobOutcome.SERVED,
+    JobOutcome.REFUSED,
+    JobOutcome.FAILED,
+    JobOutcome.CANCELLED,
+    JobOutcome.CLIENT_DISCONNECTED,
+)
 
 
 class Run:
@@ -103,14 +109,20 @@
 
 
 def test_a_parent_that_comes_later():
-    run = Run(submission_timeout_us=50 * MS).submit("c", "p").wait(40 * MS).submit("p").wait(100 * MS).end("p")
+    run = (
+        Run(submission_timeout_us=50 * MS).submit("c", "p").wait(40 * MS).submit("p").wait(100 * MS).end("p")
+    )
     assert run.released == ["p", "c"]
 
 
 @pytest.mark.parametrize("edge", DependencyCondition)
 @pytest.mark.parametrize("how", ["cancelled", "left", "expired", "refused for its own parent"])
 def test_a_parent_that_ends_while_it_waits(how, edge):
-    run = Run(submission_timeout_us=50 * MS).submit("p", "g", deadline=20 * MS).submit("c", Dependency("p", edge))
+    run = (
+        Run(submission_timeout_us=50 * MS)
+        .submit("p", "g", deadline=20 * MS)
+        .submit("c", Dependency("p", edge))
+    )
     match how:
         case "cancelled" | "left":
             run.cancel("p", JobOutcome.CANCELLED if how == "cancelled" else JobOutcome.CLIENT_DISCONNECTED)
@@ -438,7 +450,14 @@
 @settings(max_examples=150)
 @given(st.lists(events, max_size=40), st.integers(0, 3), st.integers(0, 1))
 def test_any_events_leave_the_invariants_and_one_end_for_each(steps, places, aged):
-    run = Run(submission_timeout_us=30, in_service=places, aged=aged, depth=3, by_class=((2, 1),), shares=((1, 0.4),))
+    run = Run(
+        submission_timeout_us=30,
+        in_service=places,
+        aged=aged,
+        depth=3,
+        by_class=((2, 1),),
+        shares=((1, 0.4),),
+    )
     taken, running = set(), set()
     numbers = itertools.count()
     names = {}
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -82,7 +82,10 @@
     assert allocate(ledger, "a", "m2", 8, 1).units == 0, "a dispatcher that dies frees nothing"
     assert allocate(ledger, "a", "m1", 8, 2, held.token).reason == "lost"
     end = QuotaParameters().allocation_ttl_us + watcher.parameters.reclaim_after_us
-    assert watcher.parameters.reclaim_after_us >= QuotaParameters().allocation_ttl_us + QuotaParameters().max_job_time_us
+    assert (
+        watcher.parameters.reclaim_after_us
+        >= QuotaParameters().allocation_ttl_us + QuotaParameters().max_job_time_us
+    )
     assert not [each for each in watcher.expired(ledger, end - 1) if isinstance(each, Reclaim)]
     for each in watcher.expired(ledger, end):
         ledger.execute(each)
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Outcome, Settings, WorkerState
+from hazelbend.decisions.interface import DedupScope, Idempotency, JobClass, Outcome, Settings, WorkerState
 from hazelbend.routing.ports import AttemptResult, AttemptWritten, Endpoint, EndpointList, Job, ProgressReport
 from hazelbend.routing.request_context import RequestContext
 from hazelbend.routing.router import DECISION_GRACE_S, Router
@@ -26,7 +26,9 @@
 SAFE, KEYED, UNSAFE = range(3)
 CLASSES = (
     JobClass(idempotency=Idempotency.SAFE, objective=2_000_000),
-    JobClass(idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ZONE, dedup_window=800_000, objective=2_000_000),
+    JobClass(
+        idempotency=Idempotency.KEYED, dedup_scope=DedupScope.ZONE, dedup_window=800_000, objective=2_000_000
+    ),
     JobClass(idempotency=Idempotency.UNSAFE, objective=2_000_000),
 )
 BACKENDS = 5
@@ -136,7 +138,9 @@
         def build():
             self.dispatcher = Dispatcher(self.settings, 1)
             self.router = Router(
-                self.dispatcher, LoopClock(self.loop), BackendTable(lambda entry: BlockedBackendClient(self, entry))
+                self.dispatcher,
+                LoopClock(self.loop),
+                BackendTable(lambda entry: BlockedBackendClient(self, entry)),
             )
             self.router.start(EndpointList(tuple(map(self.entry, range(BACKENDS))), is_complete=True))
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -7,7 +7,15 @@
 
 from hazelbend.decisions import interface as face
 from hazelbend.decisions.dispatcher import Dispatcher
-from hazelbend.decisions.interface import Idempotency, DedupScope, JobClass, Outcome, Settings, WorkerEntry, WorkerState
+from hazelbend.decisions.interface import (
+    DedupScope,
+    Idempotency,
+    JobClass,
+    Outcome,
+    Settings,
+    WorkerEntry,
+    WorkerState,
+)
 from hazelbend.routing.ports import Verdict
 from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
 from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
@@ -202,7 +210,10 @@
 def cold(now: int) -> tuple[Dispatcher, int]:
     """A dispatcher with one cold worker, and one attempt sent there."""
     settings = Settings(
-        classes=(JobClass(idempotency=Idempotency.SAFE),), warmup_duration=60_000_000, initial_capacity=0.5, collapse_multiple=4.0
+        classes=(JobClass(idempotency=Idempotency.SAFE),),
+        warmup_duration=60_000_000,
+        initial_capacity=0.5,
+        collapse_multiple=4.0,
     )
     dispatcher = Dispatcher(settings, 1)
     dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, (WorkerEntry(1, started_at=now),)), now)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -237,7 +237,9 @@
         return send(event)
 
     with caplog.at_level(logging.CRITICAL):
-        answers, _ = play(ScriptedModule(RequestArrived=arrived), FakeBackendClient(AttemptResult(Outcome.SERVED)), JOB, JOB)
+        answers, _ = play(
+            ScriptedModule(RequestArrived=arrived), FakeBackendClient(AttemptResult(Outcome.SERVED)), JOB, JOB
+        )
     assert [answer.verdict for answer in answers] == [Verdict.FAILED, Verdict.SERVED]
 
 
--- a/tests/transport/test_admin_listener.py
+++ b/tests/transport/test_admin_listener.py
@@ -20,7 +20,9 @@
 
 async def call_ops(app, path: str, method: str = "GET") -> tuple[int, str]:
     """One call: its status and text; the door closes after it."""
-    head, _, text = (await send_and_receive(app.admin.listener.port, call(path, method))).partition(b"\r\n\r\n")
+    head, _, text = (await send_and_receive(app.admin.listener.port, call(path, method))).partition(
+        b"\r\n\r\n"
+    )
     return int(head.split()[1]), text.decode()
 
 
@@ -126,7 +128,9 @@
             await wait_until(lambda: caplog.text.count("the door stays where it was") == 2)  # tried again
             app.apply(changed(app, tmp_path, ops="127.0.0.2:0"))
             app.apply(changed(app, tmp_path, ops="localhost:0"))
-            await wait_until(lambda: app.admin.listener is not first and app.admin.address == ("localhost", 0))
+            await wait_until(
+                lambda: app.admin.listener is not first and app.admin.address == ("localhost", 0)
+            )
             assert (await call_ops(app, "/ops/readiness"))[0] == 200
             app.apply(changed(app, tmp_path))
             await wait_until(lambda: app.admin.listener is None)
--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -89,7 +89,9 @@
                 app.client_listener.port, chunked.partition(b"\r\n\r\n")[0] + b"\r\n\r\n", too_much
             )
             assert app.router.counters.received == 0
-            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(
+                app.client_listener.port, request(more="Connection: close\r\n")
+            )
 
     asyncio.run(run())
 
@@ -98,7 +100,9 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"ege-volt", b"nobody")
-            answer = await send_and_receive(app.client_listener.port, bad + request(more="Connection: close\r\n"))
+            answer = await send_and_receive(
+                app.client_listener.port, bad + request(more="Connection: close\r\n")
+            )
             assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1 200 ") == 1
 
     asyncio.run(run())
@@ -186,9 +190,9 @@
     async def run():
         async with site(tmp_path, stomp="") as (app, _):
             data = request(body=b"hang", timeout=400, more="Connection: close\r\nIdempotency-Key: k\r\n")
-            assert (await send_and_receive(app.client_listener.port, data.replace(b"/nearby", b"/reserve"))).startswith(
-                b"HTTP/1.1 504 "
-            )
+            assert (
+                await send_and_receive(app.client_listener.port, data.replace(b"/nearby", b"/reserve"))
+            ).startswith(b"HTTP/1.1 504 ")
             lost = data.replace(b"/nearby", b"/reserve").replace(b"hang", b"fail")
             assert (await send_and_receive(app.client_listener.port, lost)).startswith(b"HTTP/1.1 50")
 
@@ -254,7 +258,9 @@
             again = await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
             assert again.startswith(b"HTTP/1.1 409 ") and b" 200 " in await running
             assert toy.ran == ["9b"] and app.router.counters.received == 1
-            assert b" 200 " in await send_and_receive(app.client_listener.port, request(more="Connection: close\r\n"))
+            assert b" 200 " in await send_and_receive(
+                app.client_listener.port, request(more="Connection: close\r\n")
+            )
 
     asyncio.run(run())
 
@@ -344,7 +350,9 @@
             bad = request().replace(b"/nearby/", b"/bogus/")
             loop = asyncio.get_running_loop()
             began = loop.time()
-            answer = await send_and_receive(app.client_listener.port, bad * 3 + request(more="Connection: close\r\n"))
+            answer = await send_and_receive(
+                app.client_listener.port, bad * 3 + request(more="Connection: close\r\n")
+            )
             assert answer.count(b"HTTP/1.1 400 ") == 3 and answer.count(b"HTTP/1.1 200 ") == 1
             assert loop.time() - began >= client_listener.INVALID_REQUEST_DELAY_S * (1 + 2)
 
@@ -363,7 +371,10 @@
                 look(connection, now)
 
             monkeypatch.setattr(client_connection.ClientConnection, "enforce_deadline", faulty)
-            assert await asyncio.gather(*(send_and_receive(app.client_listener.port) for _ in range(3))) == [b""] * 3
+            assert (
+                await asyncio.gather(*(send_and_receive(app.client_listener.port) for _ in range(3)))
+                == [b""] * 3
+            )
             assert len(faults) == 1
 
     asyncio.run(run())
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -47,7 +47,9 @@
                 app.client_listener._sweep()
             assert await rest(reader) == b""
             writer.close()
-            await wait_until(lambda: app.client_listener.connections == 0 and not app.client_listener._lingering)
+            await wait_until(
+                lambda: app.client_listener.connections == 0 and not app.client_listener._lingering
+            )
             assert toy.ran == ["first"] and app.router.counters.received == 1
 
     asyncio.run(run())
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -15,7 +15,6 @@
 from hazelbend.decisions.learned_state import export_state, import_state
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.protocol.handover import (
-    JobIdUpdate,
     HandoverState,
     JobIdUpdate,
     decode_state,
@@ -262,18 +261,24 @@
         async with site(tmp_path) as (app, [toy]):
             whole = app.client_listener.connection_limit
             here = Handover(tmp_path / "next", app, lambda: app.conf.reader)
-            app.router.is_open_elsewhere, app.router.on_open_ids_changed = here.is_open_elsewhere, here.broadcast_update
+            app.router.is_open_elsewhere, app.router.on_open_ids_changed = (
+                here.is_open_elsewhere,
+                here.broadcast_update,
+            )
             await here.listen()
             other = Told()
             there = Handover(tmp_path / "next", other, lambda: app.conf.reader)
             running = asyncio.create_task(
                 send_and_receive(app.client_listener.port, request("a", b"300", more="Connection: close\r\n"))
             )
-            await wait_until(lambda: toy.is_open_elsewhere)
+            await wait_until(lambda: toy.holds)
             state = await there.fetch_state()
-            assert state.open_job_ids == ("a",) and [each.host for each in state.endpoints.entries] == ["toy-0"]
+            assert state.open_job_ids == ("a",) and [each.host for each in state.endpoints.entries] == [
+                "toy-0"
+            ]
             assert (
-                app.client_listener.connection_limit < whole / 2 and app.pool.settings.max_connections < whole / 2
+                app.client_listener.connection_limit < whole / 2
+                and app.pool.settings.max_connections < whole / 2
             )
             there.broadcast_update("b", True)
             await wait_until(lambda: here.is_open_elsewhere("b"))
--- a/tests/transport/test_stomp_listener.py
+++ b/tests/transport/test_stomp_listener.py
@@ -9,7 +9,15 @@
 
 from hazelbend.transport.stomp import stomp_session
 from tests.support.parser_kit import garbage, pieces
-from tests.support.site_kit import SECRET, STOMP, FakeStompClient, FakeStompWorker, site, wait_until, write_frame
+from tests.support.site_kit import (
+    SECRET,
+    STOMP,
+    FakeStompClient,
+    FakeStompWorker,
+    site,
+    wait_until,
+    write_frame,
+)
 
 ANSWERS = {"id": "a", "destination": "/hazelbend/answers"}
 WORK = {"id": "w", "destination": "/hazelbend/work"}
