--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -56,12 +56,12 @@
 class StepBudget(NamedTuple):
     """How often each kind of step may still happen. The field names are also command line options."""
 
-    stands: int = 2
-    writes: int = 2
+    stands: int = 2  # campaigns
+    writes: int = 2  # changes that are sent for the first time
     resends: int = 1
     restarts: int = 1
-    wipes: int = 1
-    late: int = 1
+    wipes: int = 1  # disk losses
+    late: int = 1  # messages that are delayed
 
 
 class ModelState:
