--- a/hazelbend/decisions/admission.py
+++ b/hazelbend/decisions/admission.py
@@ -46,22 +46,24 @@
     def _max_wait(self, request: Request, option: Option, time_left: float) -> float:
         """Return the longest wait at the worker with which the request is admitted.
 
-        That is the longest wait with which it can still be in time, shortened where other classes have more
-        value per unit of work. The lower the request's own value is beside such a class, the nearer the
-        result is to the wait that lets a job of that class be in time after this request: in overload the job
-        of more value takes its place.
+        That is the longest wait with which it can still be in time, shortened where another class has more
+        value per unit of work. Then the result lies between that wait and the longest one with which a job of
+        the other class can still be in time behind this request; the lower the request's own value, the
+        nearer it is to the latter. In overload, jobs of more value thus take the place of this request.
         """
         model = self._load_model
-        pace = option.run_time / model.work.value
+        run_ratio = option.run_time / model.work.value
         added_wait = request.cost * option.run_time / option.worker.concurrency
-        own_wait = (time_left - pace * request.work) / WAIT_SAFETY_FACTOR
+        own_wait = (time_left - run_ratio * request.work) / WAIT_SAFETY_FACTOR
         own_value = self.value_rate(request.job, request.class_index)
         waits = [own_wait]
         for index, job in enumerate(self.settings.classes):
             value = self.value_rate(job, index)
             if value > own_value:
                 run_time = model.run_times[index].value
-                wait = (job.objective + (job.stretch - pace) * run_time) / WAIT_SAFETY_FACTOR - added_wait
+                wait = (
+                    job.objective + (job.stretch - run_ratio) * run_time
+                ) / WAIT_SAFETY_FACTOR - added_wait
                 waits.append(wait + (own_wait - wait) * own_value / value)
         return min(waits)
 
--- a/hazelbend/decisions/discovery_retry.py
+++ b/hazelbend/decisions/discovery_retry.py
@@ -9,9 +9,9 @@
 as notified" from the moment at which a dispatcher must obey it, whether or not it has learnt of it. Times are
 in microseconds.
 
-Constraints on the delays, from the settings' `poll_interval` and the operators' requirements:
+Constraints on the delays, from the settings' `max_poll_interval` and the operators' requirements:
 
-- If a dispatcher has not called for `poll_interval`, everything that was listed that long ago counts as
+- If a dispatcher has not called for `max_poll_interval`, everything that was listed that long ago counts as
   notified. After any failure of discovery, so does everything that discovery had 6 s ago, even if the
   dispatcher has started since. First calls are therefore spread over a small part of both times, and no later
   delay is longer.
@@ -49,8 +49,8 @@
 CALL_TIMEOUT_US = 2_500_000
 MAX_RETRY_US = 1_250_000
 ANSWER_TIME_US = NOTIFIED_AFTER_FAILURE_US - CALL_TIMEOUT_US - 2 * MAX_RETRY_US
-MAX_DELAY_FRACTION = 0.5  # the longest delay, as a fraction of `poll_interval`
-BACKOFF_FRACTION = 0.0075  # of `poll_interval`: the initial backoff, which doubles with each failure
+MAX_DELAY_FRACTION = 0.5  # the longest delay, as a fraction of `max_poll_interval`
+BACKOFF_FRACTION = 0.0075  # of `max_poll_interval`: the initial backoff, which doubles with each failure
 MAX_PUSHED_RETRY_US = 100_000  # where lists are pushed: the grace period of a drain may be as short
 MAX_COUNTED_FAILURES = 30
 WATCH_HOLD_US = 3_000_000  # the time that a watch waits for a change
@@ -77,7 +77,7 @@
         spread = min(
             FIRST_CALL_SPREAD_US * settings.fleet_size,
             MAX_FIRST_CALL_SPREAD_US,
-            MAX_DELAY_FRACTION * settings.poll_interval,
+            MAX_DELAY_FRACTION * settings.max_poll_interval,
         )
         return round(rng.uniform(0.0, spread))
 
@@ -91,7 +91,9 @@
         else:
             backoff = BACKOFF_FRACTION * 2**self.failures * max(settings.fleet_size / LARGE_FLEET, 1.0)
             longest = min(
-                backoff * settings.poll_interval, MAX_DELAY_FRACTION * settings.poll_interval, MAX_RETRY_US
+                backoff * settings.max_poll_interval,
+                MAX_DELAY_FRACTION * settings.max_poll_interval,
+                MAX_RETRY_US,
             )
         return round(longest * rng.uniform(0.5, 1.0))
 
--- a/hazelbend/decisions/dispatcher.py
+++ b/hazelbend/decisions/dispatcher.py
@@ -297,7 +297,7 @@
         if request.key:
             # A worker is assumed to cache at least the data that its slots need.
             worker.mark_key_cached(request.key, max(worker.slots, 1.0))
-        if worker.lottery_number:
+        if worker.slow_start_draw:
             spend_budget(attempt, now)
         self._actions.append(Send(request.id, worker.entry.worker))
 
@@ -314,7 +314,7 @@
         if not still_allows_attempt(attempt, self.settings, now):
             return False
         is_late = now > attempt.sent_at + self.settings.tick
-        if not is_late or not worker.lottery_number:
+        if not is_late or not worker.slow_start_draw:
             return True
         return self._move_budget(attempt, now)
 
--- a/hazelbend/decisions/fleet_plan.py
+++ b/hazelbend/decisions/fleet_plan.py
@@ -41,9 +41,8 @@
 MAX_COUNTED_JOBS = 1_024  # own jobs in the popularity estimate, and so the limit on the number of keys
 START_MEMORY_US = 2_000_000  # time constant with which counted starts fade
 PRIOR_STARTS = 2.0  # added to the counted starts
-SAFE_WARMUP_FRACTION = (
-    0.6  # of the work that makes a warming-up worker collapse: what all dispatchers may send it
-)
+# Of the work that makes a warming-up worker collapse: the fraction that all dispatchers together may send it.
+SAFE_WARMUP_FRACTION = 0.6
 
 
 def work_shares(workers: Iterable[Worker], settings: Settings, now: int) -> dict[Worker, float]:
@@ -122,7 +121,7 @@
         if order is None:
             order = list(preference_order(key, self.other_shares))
             self.key_orders[key] = order
-        needed = (count - 1) / self.job_count  # minus one, since keys are selected by a high count
+        needed = (count - 1) / self.job_count  # minus one: a key selected by its high count is overestimated
         shares: dict[Worker, float] = {}
         for worker in order:
             if needed <= 0:
--- a/hazelbend/decisions/interface.py
+++ b/hazelbend/decisions/interface.py
@@ -91,7 +91,7 @@
     # neither, sent without a request.
     list_is_polled: bool = False
     list_is_pushed: bool = False
-    poll_interval: int = 10_000_000  # the longest time that the settings allow between two polls
+    max_poll_interval: int = 10_000_000  # the list must be polled at least this often
     weights_enabled: bool = True  # whether listed weights say anything about the speed of workers
     weights_fall_with_load: bool = False  # a listed weight shrinks as its worker gets busier
     # Load reports: on probes, or in the answers to requests.
@@ -105,7 +105,7 @@
     probe_charge: float = 0.0
     cross_zone_charge: float = 0.0
     handshake_charge: float = 0.0
-    keepalive: int = 60_000_000  # an idle connection is closed after this time
+    keepalive_timeout: int = 60_000_000  # an idle connection is closed after this time
     tick: int = 1_000  # the caller's time resolution: deadlines keep a margin of two ticks
     # Warm-up: a worker that started less than `warmup_duration` ago can do only a fraction of its usual work,
     # from `initial_capacity` to 1. It collapses when it gets `collapse_multiple` times that much work within
--- a/hazelbend/decisions/learned_state.py
+++ b/hazelbend/decisions/learned_state.py
@@ -53,7 +53,9 @@
         "means": {key: _export_mean(getattr(dispatcher.load_model, name)) for key, name in MEANS.items()},
         "share": _export_mean(dispatcher.slow_start.own_traffic),
         "runs": [_export_mean(mean) for mean in dispatcher.load_model.run_times],
-        "usuals": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.usual_levels.items()],
+        "usuals": [
+            [kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.peer_load_levels.items()
+        ],
         "paces": [[kind, _export_mean(mean)] for kind, mean in dispatcher.load_model.kind_run_ratios.items()],
         "misses": dispatcher.load_model.report_lag.errors,
         "part": dispatcher.slow_start.share,
@@ -70,7 +72,7 @@
         "spent": [(attempt.at, attempt.cost) for attempt in worker.warmup_attempts],
         "ratio": _export_mean(worker.run_time_ratio),
         **{key: getattr(worker, name) for key, name in (WORKER_NUMBERS | WORKER_TIMES).items()},
-        "usual": _export_mean(worker.usual_level),
+        "usual": _export_mean(worker.peer_load_level),
         "size": worker.size,
         "soundness": astuple(worker.reliability),
     }
@@ -84,14 +86,14 @@
     """
     try:
         means = {name: _mean(state["means"][key]) for key, name in MEANS.items() if key in state["means"]}
-        # An earlier version stores it among the means.
+        # An earlier version stores the share of own traffic among the means.
         stored_traffic = state.get("share", state["means"].get("share"))
         own_traffic = (
             _mean(stored_traffic) if stored_traffic is not None else dispatcher.slow_start.own_traffic
         )
         run_times = [_mean(value) for value in state["runs"]]
         # An earlier version exports levels relative to the rate, under another key: not comparable.
-        usual_levels = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
+        peer_load_levels = {int(kind): _mean(value) for kind, value in state.get("usuals", [])}
         kind_run_ratios = {int(kind): _mean(value) for kind, value in state.get("paces", [])}
         lag_errors = [_number(value) for value in state["misses"]]
         share = _number(state["part"])
@@ -107,7 +109,7 @@
     for name, mean in means.items():
         setattr(model, name, mean)
     model.run_times = run_times
-    model.usual_levels = usual_levels
+    model.peer_load_levels = peer_load_levels
     model.kind_run_ratios = kind_run_ratios
     model.report_lag.errors = lag_errors
     dispatcher.slow_start.own_traffic = own_traffic
@@ -135,7 +137,7 @@
     attributes["backoff"] = min(attributes["backoff"], MAX_BACKOFF_US)
     attributes["peer_jobs"] = int(_number(values["others"]))
     attributes["peer_jobs_at"] = now
-    attributes["usual_level"] = _mean(values.get("usual", (0.0, 0.0)))
+    attributes["peer_load_level"] = _mean(values.get("usual", (0.0, 0.0)))
     attributes["size"] = _number(values.get("size", 1.0))
     if attributes["size"] <= 0:
         raise ValueError("worker state: the size must be positive")
--- a/hazelbend/decisions/load_model.py
+++ b/hazelbend/decisions/load_model.py
@@ -56,7 +56,7 @@
         self.rates = Mean(1.0, 1.0)
         self.weights = Mean(1.0, 1.0)
         # By machine kind.
-        self.usual_levels: dict[int, Mean] = {}  # load levels: jobs of peers divided by `Worker.size`
+        self.peer_load_levels: dict[int, Mean] = {}  # load levels: jobs of peers divided by `Worker.size`
         self.full_weights: dict[int, float] = {}  # the highest weight that was listed
         self.kind_run_ratios: dict[int, Mean] = {}
         self.report_period = ReportPeriod()
@@ -107,8 +107,8 @@
         worker.observe_slots(jobs - queued + (load.free_slots or 0.0))
         self.update_rate(worker, now)  # the level below needs the size that follows from this report
         level = worker.peer_jobs / worker.size
-        self.usual_levels.setdefault(worker.entry.machine_kind, Mean()).add(level, MEMORY_SAMPLES)
-        worker.usual_level.add(level, LEVEL_MEMORY_REPORTS)
+        self.peer_load_levels.setdefault(worker.entry.machine_kind, Mean()).add(level, MEMORY_SAMPLES)
+        worker.peer_load_level.add(level, LEVEL_MEMORY_REPORTS)
         self.update_rate(worker, now)
 
     def learn_run_time(self, attempt: Attempt, now: int) -> None:
@@ -143,9 +143,8 @@
         typical = self.rates.value * self.run_ratio.value  # concurrency of a worker without reports
         worker.size = (worker.concurrency if worker.slots else typical) * listed / ratio
         worker.rate = worker.concurrency / (ratio * self.work.value)
-        is_warming_up = bool(
-            worker.lottery_number
-        )  # a warming-up worker has fewer jobs than the others of its kind
-        kind_level = self.usual_levels.get(kind, Mean()).value * (not is_warming_up)
-        level = worker.usual_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
+        # A warming-up worker has fewer jobs than the others of its kind.
+        is_warming_up = bool(worker.slow_start_draw)
+        kind_level = self.peer_load_levels.get(kind, Mean()).value * (not is_warming_up)
+        level = worker.peer_load_level.with_prior(kind_level, LEVEL_PRIOR_REPORTS)
         worker.background_load = level * worker.size / worker.rate
--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -45,7 +45,7 @@
         settings = self._load_model.settings
         is_warming_up = settings.capacity_fraction(entry.started_at, now) < 1.0
         # 1.0 is higher than any drawn number: no request is sent there until `SlowStart` draws one.
-        worker.lottery_number = float(is_warming_up and not self._load_model.uses_plan)
+        worker.slow_start_draw = float(is_warming_up and not self._load_model.uses_plan)
         if settings.weights_fall_with_load:
             self._load_model.apply_weight(worker, now)
         self._load_model.update_rate(worker, now)
--- a/hazelbend/decisions/probing.py
+++ b/hazelbend/decisions/probing.py
@@ -15,12 +15,13 @@
 
 MAX_PROBES = 2  # for one request
 SAMPLE_SIZE = 8  # candidates of a selection with probes: with more, all dispatchers select the same workers
-PROBE_WAIT_FRACTION = 0.1  # of the mean run time, that a request waits for probes: reports gain no more
+# A request waits for probes for at most this fraction of the mean run time: newer reports gain no more.
+PROBE_WAIT_FRACTION = 0.1
 # The fraction of a request's value that may be spent on probes.
 REQUEST_SPENDING = 0.01  # for requests, where probes are the only source of reports
 LARGE_FLEET_SPENDING = 0.004  # for requests, in a large fleet with reports in answers
 REFRESH_SPENDING = 0.002  # to refresh old reports, in a large fleet
-# Older reports are refreshed.
+# Reports older than this are refreshed.
 MAX_REPORT_AGE_US = 1_000_000
 MAX_CANDIDATE_REPORT_AGE_US = 400_000  # of the candidates of a selection
 
@@ -88,15 +89,16 @@
         return old[: self._probes_per_request]
 
     def _choose_sample(self, request: Request, eligible: list[Worker], now: int) -> list[Worker]:
-        closes_at = now - self._settings.keepalive  # connections idle since then are closed
+        # Connections that have been idle since before this time are closed.
+        closed_before = now - self._settings.keepalive_timeout
         cheap = [
             worker
             for worker in eligible
-            if worker.connection_idle_at > closes_at
+            if worker.connection_idle_at > closed_before
             and not worker.attempts
             and worker.entry.zone == self._settings.zone
         ]
-        warming = [worker for worker in eligible if worker.lottery_number]
+        warming = [worker for worker in eligible if worker.slow_start_draw]
         drawn: list[Worker] = []
         for workers, size in ((cheap, SAMPLE_SIZE // 2), (eligible, SAMPLE_SIZE), (warming, SAMPLE_SIZE)):
             drawn += self._random.sample(workers, min(size, len(workers)))
--- a/hazelbend/decisions/reliability.py
+++ b/hazelbend/decisions/reliability.py
@@ -4,8 +4,9 @@
 fails an unknown fraction, with a uniform prior. Each result updates the probability of the failing state by
 Bayes' rule; the fraction is learnt from the results seen while the worker was believed to be failing. A
 healthy worker fails one attempt in a thousand, so a single error already makes the failing state the more
-likely one. A success is the stronger evidence against it, the fewer attempts a failing worker would serve.
-Without new results the estimate fades towards the prior, since failures come and go.
+likely one. A success lowers the probability of the failing state by more, the smaller the fraction of its
+attempts that a failing worker serves. Without new results the estimate fades towards the prior, since
+failures come and go.
 
 Only results that say something about the worker are recorded. If a request has failed at another worker
 before, the request itself is as likely to be the cause.
--- a/hazelbend/decisions/report_age.py
+++ b/hazelbend/decisions/report_age.py
@@ -10,9 +10,8 @@
 MEMORY_REPORTS = 60.0  # number of reports that an estimate of their age remembers
 CANDIDATE_AGES_US = (0, 100_000, 200_000, 400_000, 800_000, 1_600_000, 3_200_000)
 MAX_GAP_US = 1_000_000  # reports further apart almost always differ, and say nothing about the period
-MAX_SAME_US = (
-    3_200_000  # after this time an equal report counts as new: those of an idle worker are all equal
-)
+# After this time an equal report counts as a new one, since the reports of an idle worker are all equal.
+MAX_SAME_US = 3_200_000
 
 
 @dataclass(slots=True, eq=False)
--- a/hazelbend/decisions/retry_rules.py
+++ b/hazelbend/decisions/retry_rules.py
@@ -43,5 +43,5 @@
     """
     if first is None or job.idempotency is Idempotency.SAFE:
         return True
-    spared = max(margin - job.dedup_window // WINDOW_PARTS, 0)
-    return job.idempotency is Idempotency.KEYED and arrival - spared < first.sent_at + job.dedup_window
+    excess_margin = max(margin - job.dedup_window // WINDOW_PARTS, 0)
+    return job.idempotency is Idempotency.KEYED and arrival - excess_margin < first.sent_at + job.dedup_window
--- a/hazelbend/decisions/selection.py
+++ b/hazelbend/decisions/selection.py
@@ -107,7 +107,7 @@
             if now > worker.rated_at + RATE_LIFETIME_US:
                 model.update_rate(worker, now)
             rate = worker.rate * settings.capacity_fraction(worker.entry.started_at, now)
-            if worker.lottery_number and not self.has_budget(worker, request.cost, rate, now):
+            if worker.slow_start_draw and not self.has_budget(worker, request.cost, rate, now):
                 continue
             # An error loses the full value where no retry follows. Else it costs the time until the error,
             # and again for each further error.
@@ -136,5 +136,5 @@
     def _charge(worker: Worker, settings: Settings, now: int) -> float:
         """Return the charge of crossing zones and of opening a connection, as a fraction of the value."""
         is_remote = worker.entry.zone != settings.zone
-        opens = worker.attempts or now >= worker.connection_idle_at + settings.keepalive
+        opens = worker.attempts or now >= worker.connection_idle_at + settings.keepalive_timeout
         return is_remote * settings.cross_zone_charge + (settings.handshake_charge if opens else 0.0)
--- a/hazelbend/decisions/slow_start.py
+++ b/hazelbend/decisions/slow_start.py
@@ -51,11 +51,11 @@
         self.share = safe_budget(settings) * min(self.own_traffic.value, largest, 1.0)
         for worker in workers:
             is_warming_up = settings.capacity_fraction(worker.entry.started_at, now) < 1.0
-            worker.lottery_number = rng.random() if is_warming_up else 0.0
+            worker.slow_start_draw = rng.random() if is_warming_up else 0.0
 
     def is_selectable(self, worker: Worker) -> bool:
-        """Whether a worker is warm, its share is a job or more, or its draw for this window has won."""
-        return worker.lottery_number <= self.share * worker.rate
+        """Whether a worker is warm, its share is a job or more, or the draw for this window allows a job."""
+        return worker.slow_start_draw <= self.share * worker.rate
 
     def allows(
         self, worker: Worker, cost: float, rate: float, settings: Settings, started_at: int, now: int
@@ -81,7 +81,7 @@
         # many of them win their draw.
         capacity = safe_budget(settings) * rate - worker.peer_jobs - worker.own_load
         return (
-            worker.lottery_number * cost < share and cost <= capacity and not worker.warmup_cost_since(since)
+            worker.slow_start_draw * cost < share and cost <= capacity and not worker.warmup_cost_since(since)
         )
 
 
--- a/hazelbend/decisions/worker.py
+++ b/hazelbend/decisions/worker.py
@@ -40,7 +40,7 @@
     peer_jobs: int = 0
     peer_jobs_at: int = 0  # the time for which `peer_jobs` was reported
     own_jobs: CountHistory = field(default_factory=CountHistory)
-    usual_level: Mean = field(default_factory=Mean)  # reported jobs of peers divided by `size`
+    peer_load_level: Mean = field(default_factory=Mean)  # reported jobs of peers divided by `size`
     background_load: float = 0.0  # usual jobs of peers divided by `rate`
     # The rate: the most jobs that run at once divided by their mean run time, measured as a ratio to the
     # expected run time.
@@ -67,7 +67,7 @@
     reliability: FailureEstimate = field(default_factory=FailureEstimate)
     # Slow start, keys, probes.
     warmup_attempts: deque[WarmupAttempt] = field(default_factory=deque)
-    lottery_number: float = 0.0  # drawn for this window while the worker warms up; 0: it is warm
+    slow_start_draw: float = 0.0  # random, for this window, while the worker warms up; 0: it is warm
     cached_keys: dict[int, None] = field(default_factory=dict)  # used by own attempts, least recent first
     waiting_requests: list[Request] = field(default_factory=list)  # waiting for its answer to a probe
 
--- a/hazelbend/dispatcher/fleet.py
+++ b/hazelbend/dispatcher/fleet.py
@@ -44,13 +44,13 @@
         if self.settings.store:
             await self.driver.open_store()
         await self.listener.listen(*self.settings.listen_address)
-        log.info("fleet %s: %s", self.settings.id, self.node.me)
+        log.info("fleet %s: %s", self.settings.id, self.node.identity)
         self.driver.pump()
         if self.settings.snapshot is not None:
             self.snapshot = SnapshotTask(
                 self.settings.snapshot,
                 self.settings.leases.limits,
-                self.node.me,
+                self.node.identity,
                 self._clock,
                 self.driver.submit_to_leader,
                 self.driver.view,
--- a/hazelbend/dispatcher/lease_node_driver.py
+++ b/hazelbend/dispatcher/lease_node_driver.py
@@ -116,7 +116,7 @@
     async def submit_to_leader(self, operation: Operation) -> LeaseResponse | None:
         """Submit an operation to the leader, whoever that is. None: no leader has answered."""
         reply = await self.submit(operation)
-        if reply.response is None and reply.leader not in ("", self.node.me):
+        if reply.response is None and reply.leader not in ("", self.node.identity):
             address = address_of(reply.leader)
             return await self.links.submit_to_leader(address, operation, COMMIT_TIMEOUT_S)
         return reply.response
--- a/hazelbend/dispatcher/waiting.py
+++ b/hazelbend/dispatcher/waiting.py
@@ -34,7 +34,7 @@
         self.gate = JobGate(
             context.router,
             self._bounds(),
-            self.settings.ordinary,
+            self.settings.admission_for_all,
             lambda index: context.conf.settings.classes[index].late_value_fraction,
             lambda index: context.conf.settings.classes[index].objective,
         )
@@ -49,7 +49,7 @@
         return self.settings.bounds(tuple(row.name for row in catalogue.classes), catalogue.tenants)
 
     def _join(self) -> None:
-        reads = self.settings.http_headers or self.settings.ordinary
+        reads = self.settings.http_headers or self.settings.admission_for_all
         self._context.client_listener.gate = self._http if reads else None
         if self._context.stomp is not None:
             self._context.stomp.gate = self._stomp
@@ -58,7 +58,7 @@
     def change(self) -> None:
         """Apply reloaded settings."""
         self.settings = self._wanted()
-        self.gate.change(self._bounds(), self.settings.ordinary)
+        self.gate.change(self._bounds(), self.settings.admission_for_all)
         self._join()
 
     def stop(self) -> None:
@@ -71,7 +71,7 @@
 
     async def leave(self, seconds: float) -> None:
         """Refuse at once what can't start within these seconds."""
-        self.gate.leave(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
+        self.gate.begin_shutdown(ENDING_REASON, wall_now() + round(seconds * US_PER_S))
 
     async def finish(self, seconds: float) -> None:
         """What can still run does; the rest is refused in time for its clients to hear of it."""
--- a/hazelbend/forwarding/prefill.py
+++ b/hazelbend/forwarding/prefill.py
@@ -19,13 +19,8 @@
 from hazelbend.placement.retry_budget import RetryBudget
 
 MAX_PREFILL_SENDS = 2  # prefill calls that may reach workers for one request
-PRIORITY_BOUNDS_TOKENS = (
-    1_000,
-    2_500,
-    6_000,
-    12_000,
-    25_000,
-)  # each of these sizes that is reached lowers the priority by one level
+# Each of these prompt sizes that is reached lowers the priority by one level.
+PRIORITY_BOUNDS_TOKENS = (1_000, 2_500, 6_000, 12_000, 25_000)
 
 
 class PrefillResult(msgspec.Struct):
--- a/hazelbend/job_queue/admission.py
+++ b/hazelbend/job_queue/admission.py
@@ -1,6 +1,6 @@
 """The admission queues, which decide which ready job gets a free slot, and ageing of late jobs.
 
-A slot is a place in service: the right of one job to run. Each class has two queues: `in time`, ordered by
+A slot is the right of one job to run. Each class has two queues: `in time`, ordered by
 latest start (due time minus expected run time), and `aged`, ordered by when jobs were queued. The rule and
 the argument for it are in docs/design/0002-waiting.md.
 """
@@ -53,11 +53,11 @@
 
         It counts only the slots that aged jobs never use.
         """
-        slots = max(self.bounds.in_service - self.bounds.aged, 1)
+        slots_in_time = max(self.bounds.slots - self.bounds.aged, 1)
         work = sum(count * self.expected_run_us(index) for index, count in self.queued_in_time.items())
-        if not work and self.running_count < self.bounds.in_service:
+        if not work and self.running_count < self.bounds.slots:
             return 0.0
-        return work / slots + self.expected_run_us(class_index) / slots
+        return work / slots_in_time + self.expected_run_us(class_index) / slots_in_time
 
     # --- slots ---
 
@@ -72,12 +72,12 @@
         limit = dict(self.bounds.by_class).get(job.request.class_index)
         if limit is not None and self.running[job.request.class_index] >= limit:
             return False
-        return not self.bounds.in_service or self.running_count < self.bounds.in_service
+        return not self.bounds.slots or self.running_count < self.bounds.slots
 
     def is_over_share(self, tenant: int) -> bool:
         """Whether a tenant already uses its whole share of the slots."""
         share = dict(self.bounds.shares).get(tenant)
-        return share is not None and self.running_by_tenant[tenant] >= share * self.bounds.in_service
+        return share is not None and self.running_by_tenant[tenant] >= share * self.bounds.slots
 
     def occupy(self, job: QueuedJob) -> None:
         """Give a slot to a job that `pop_next` returned."""
--- a/hazelbend/job_queue/dependency_graph.py
+++ b/hazelbend/job_queue/dependency_graph.py
@@ -144,7 +144,7 @@
         retained = result if len(result) <= self.bounds.result_bytes else b""
         self.ended_jobs.pop(key, None)
         self.ended_jobs[key] = EndedJob(outcome, retained, now)
-        while len(self.ended_jobs) > self.bounds.remember:
+        while len(self.ended_jobs) > self.bounds.max_ended_jobs:
             self.ended_jobs.popitem(last=False)
 
     def expire_ended_jobs(self, now: int) -> None:
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -7,7 +7,7 @@
     state     waits for                                  transition
     -------   ----------------------------------------   ------------------------------------------------
     BLOCKED   its parents, or its start time             to QUEUED when nothing blocks it any more
-    QUEUED    a slot (a place in service)                to RUNNING when a slot is free, by `Release`
+    QUEUED    a slot                                     to RUNNING when a slot is free, by `Release`
     RUNNING   its answer, from the router                ends by `ended`
     (ended)   (its outcome is retained for children)     deleted after a TTL, or beyond the bound on number
 
@@ -18,13 +18,13 @@
     ---------------------------------   -----------------------   ----------------
     served                              parent removed            parent removed
     refused, failed, cancelled,
-    its client left, expired            rejected, naming parent   parent removed
-    never came                          rejected, naming parent   rejected
+    client disconnected, expired        rejected, naming parent   parent removed
+    never submitted                     rejected, naming parent   rejected
 
 A child waits for a parent that is not submitted yet for up to `submission_timeout_us`. The length of chains,
 the number of parents and children, and the number and bytes of waiting jobs are bounded.
 
-Admission: at most `in_service` jobs run at once, and of some classes at most a number of their own. There are
+Admission: at most `slots` jobs run at once, and of some classes at most a number of their own. There are
 two queues:
 
     in time   Ordered by latest start: due_at minus the expected run time. New jobs of short classes have a
@@ -34,7 +34,7 @@
               once), and jobs of a tenant beyond its share. First come, first served, on at most `aged` slots
               while jobs that are in time are queued.
 
-When a job is queued, its wait is estimated from the jobs queued in time and from the `in_service - aged`
+When a job is queued, its wait is estimated from the jobs queued in time and from the `slots - aged`
 slots that aged jobs do not use. If it would miss its due time by this estimate, it does not count as in time.
 If it is then rejected, `retry_after` is the time in which that queue is expected to drain.
 
@@ -204,15 +204,14 @@
     # --- steps of a submission ---
 
     def _may_have_to_wait(self, request: JobRequest) -> bool:
-        slots_full = (
-            0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
-        )
+        slots_full = 0 < self.bounds.slots <= self.admission.running_count and not request.bypasses_admission
         return request.terms.waits or slots_full
 
     def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
         bounds = self.bounds
         full = (
-            self.waiting >= bounds.waiting or self.waiting_bytes + request.size_bytes > bounds.waiting_bytes
+            self.waiting >= bounds.max_waiting
+            or self.waiting_bytes + request.size_bytes > bounds.max_waiting_bytes
         )
         if not full and self.by_client[request.key[0]] < bounds.by_client:
             return None
@@ -313,13 +312,13 @@
         run_us = self.admission.expected_run_us(request.class_index)
         objective = now + request.objective if request.objective else request.deadline
         due_at = min(request.terms.due_at or objective, request.deadline)
-        if self.bounds.in_service:
+        if self.bounds.slots:
             wait_us = self.admission.expected_wait_us(request.class_index)
             late = now + wait_us + run_us > due_at and not self.admission.has_slot_for(job)
             if late and not request.late_value:
                 self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait_us) or 1)
                 return
-            # In the queue of jobs in time, it would delay jobs that were admitted to it before.
+            # Queued as in time, it would delay the jobs that are already queued there.
             job.aged = late or self.admission.is_over_share(request.tenant)
         self.admission.enqueue(job, round(due_at - run_us))
 
@@ -348,7 +347,7 @@
         """Queue a job that missed its latest start as aged, or reject it if a late answer has no value."""
         assert job.request is not None
         self.totals.missed += 1
-        if not job.request.late_value and self.bounds.in_service:
+        if not job.request.late_value and self.bounds.slots:
             wait_us = round(self.admission.expected_wait_us(job.request.class_index))
             self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait_us or 1)
         else:
--- a/hazelbend/job_queue/gate.py
+++ b/hazelbend/job_queue/gate.py
@@ -65,11 +65,11 @@
         """Return a future of the final answer. Cancelling it does not cancel `answered`."""
         return asyncio.shield(self.answered)
 
-    def leave(self) -> None:
-        """Handle that the client has disconnected: cancel a waiting job, abandon a running one."""
+    def on_client_disconnected(self) -> None:
+        """Handle the disconnection of the client: cancel a waiting job, abandon a running one."""
         self.client_disconnected = True
         if self.context is not None:
-            self.context.leave()
+            self.context.on_client_disconnected()
         else:
             self.gate.cancel(self.key, JobOutcome.CLIENT_DISCONNECTED)
 
@@ -111,7 +111,7 @@
         self._wall = wall
         self.pending: dict[JobKey, PendingJob] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._shutdown: tuple[str, int] | None = None  # the arguments of `leave`
+        self._shutdown: tuple[str, int] | None = None  # the arguments of `begin_shutdown`
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -148,7 +148,7 @@
         self.router.reserve_id(job.id)
         self._carry_out(effects)
         if self._shutdown is not None:
-            self.leave(*self._shutdown)
+            self.begin_shutdown(*self._shutdown)
         self._reset_timer()
         return pending
 
@@ -169,8 +169,8 @@
         self._carry_out(self.engine.change(bounds, self.router.clock.now()))
         self._reset_timer()
 
-    def leave(self, reason: str, start_by: int) -> None:
-        """Begin the shutdown: reject the jobs, also future ones, that cannot start by then (wall clock)."""
+    def begin_shutdown(self, reason: str, start_by: int) -> None:
+        """Reject all jobs, also those submitted later, that cannot start by `start_by` (wall clock)."""
         self._shutdown = reason, start_by
         self._carry_out(self.engine.reject_all(reason, self.router.clock.now(), start_by))
 
--- a/hazelbend/job_queue/invariants.py
+++ b/hazelbend/job_queue/invariants.py
@@ -22,8 +22,8 @@
         blocked = bool(job.parents) or (job.not_before is not None)
         assert blocked is (job.state is JobState.BLOCKED), "2"
         assert all(job.key in engine.jobs[key].children for key in job.parents), "4: edges"
-    if engine.bounds.in_service:
-        assert len(running) <= engine.bounds.in_service, "3: too many jobs run"
+    if engine.bounds.slots:
+        assert len(running) <= engine.bounds.slots, "3: too many jobs run"
     queued = [job for job in waiting if job.state is JobState.QUEUED]
     assert not any(engine.admission.has_slot_for(job) for job in queued), "3: a slot is free for a queued job"
     for job in jobs:
--- a/hazelbend/job_queue/settings.py
+++ b/hazelbend/job_queue/settings.py
@@ -65,7 +65,7 @@
     admission: Admission | None = None
 
     @property
-    def ordinary(self) -> bool:
+    def admission_for_all(self) -> bool:
         """Whether admission also applies to jobs without terms."""
         return self.admission is not None and self.admission.ordinary
 
@@ -76,17 +76,17 @@
         by_class = admission.job_class if admission else ()
         shares = admission.tenant if admission else ()
         return Bounds(
-            waiting=limits.jobs,
-            waiting_bytes=limits.bytes,
+            max_waiting=limits.jobs,
+            max_waiting_bytes=limits.bytes,
             by_client=limits.by_client,
             parents=limits.parents,
             children=limits.children,
             depth=limits.depth,
             submission_timeout_us=round(limits.come_within_s * US_PER_S),
-            remember=limits.remembered,
+            max_ended_jobs=limits.remembered,
             ended_job_ttl_us=round(limits.remember_s * US_PER_S),
             result_bytes=limits.result_bytes,
-            in_service=admission.in_service if admission else 0,
+            slots=admission.in_service if admission else 0,
             by_class=tuple((classes.index(row.name), row.in_service) for row in by_class),
             shares=tuple((tenants.index(row.name), row.share) for row in shares),
             aged=admission.aged if admission else 0,
--- a/hazelbend/job_queue/terms.py
+++ b/hazelbend/job_queue/terms.py
@@ -75,20 +75,20 @@
 class Bounds:
     """Bounds on waiting and running jobs. The settings are described in `deploy/waiting.toml`."""
 
-    waiting: int = 10_000  # waiting jobs, whatever they wait for
-    waiting_bytes: int = 64 * 1024 * 1024
+    max_waiting: int = 10_000  # waiting jobs, whatever they wait for
+    max_waiting_bytes: int = 64 * 1024 * 1024
     by_client: int = 1_000  # waiting jobs of one client
     parents: int = 64  # of one job
     children: int = 1_000  # of one job
     depth: int = 100  # length of a chain of jobs that wait for each other
     submission_timeout_us: int = 5_000_000  # how long to wait for a parent that is not submitted yet
-    remember: int = 10_000  # outcomes of ended jobs, retained for children that are submitted later
+    max_ended_jobs: int = 10_000  # outcomes of ended jobs, retained for children that are submitted later
     ended_job_ttl_us: int = 60_000_000  # how long they are retained
     result_bytes: int = 65_536  # results of parents that one child receives
-    in_service: int = 0  # running jobs (slots); 0: unlimited, without admission
+    slots: int = 0  # jobs that may run at once; 0: unlimited, without admission
     by_class: tuple[tuple[int, int], ...] = ()  # class, its maximum of running jobs
-    shares: tuple[tuple[int, float], ...] = ()  # tenant, its share of `in_service`
-    aged: int = 1  # slots of `in_service` for aged jobs while jobs in time are queued
+    shares: tuple[tuple[int, float], ...] = ()  # tenant, its share of `slots`
+    aged: int = 1  # of `slots`, those for aged jobs while jobs in time are queued
 
 
 @dataclass(slots=True, frozen=True)
--- a/hazelbend/leases/lease_node.py
+++ b/hazelbend/leases/lease_node.py
@@ -120,7 +120,7 @@
         self._now = now
 
     @property
-    def me(self) -> str:
+    def identity(self) -> str:
         """This process's identity."""
         return self.members.identity
 
@@ -178,7 +178,7 @@
         self._now = now
         if isinstance(message, Packet):
             self.members.receive(message, now)
-        elif message.to == self.me:  # skips messages to an earlier process at this address
+        elif message.to == self.identity:  # skips messages to an earlier process at this address
             self.raft.receive(message, now)
         self._collect_output()
 
@@ -187,7 +187,7 @@
         self._now = now
         if isinstance(operation, Acquire) and self.raft.is_leader and not self._acquire_rate.try_take(now):
             # Only acquisitions are rate-limited: a flood of them must not prevent holders from renewing.
-            self._reply(number, Reply(LeaseResponse(reason=Reason.BUSY), self.me))
+            self._reply(number, Reply(LeaseResponse(reason=Reason.BUSY), self.identity))
             return
         proposal_id = self.raft.propose(encode(operation), now)
         if proposal_id is None:
@@ -198,7 +198,7 @@
 
     def start_new_epoch(self, unix_s: float, now: int) -> int:
         """Start a new epoch with this node as its only voter, for an operator. Returns the epoch."""
-        epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.me)
+        epoch = next_epoch(self.raft.persistent.epoch, unix_s, self.identity)
         self.raft.force_new_cluster(epoch, now)
         self._collect_output()
         return epoch
@@ -214,7 +214,7 @@
         Returns False if this node is not the leader or there is no other active voter. Call it until then.
         """
         active = self.members.table.active()
-        others = [voter for voter in self.raft.voters if voter in active and voter != self.me]
+        others = [voter for voter in self.raft.voters if voter in active and voter != self.identity]
         if not self.raft.is_leader or not others:
             return False
         self.raft.transfer_leadership(others[0], now)
@@ -226,7 +226,7 @@
         raft = self.raft
         return FleetView(
             fleet=self.settings.fleet,
-            me=self.me,
+            me=self.identity,
             role=raft.role.value if raft.is_voter else "member",
             epoch=raft.persistent.epoch,
             term=raft.persistent.current_term,
@@ -283,7 +283,7 @@
         raft = self.raft
         active = self.members.table.active()
         inactive_voters = {voter for voter in raft.voters if voter not in active}
-        wanted = next_voters(raft.voters, self.me, active, inactive_voters, self.settings.voters)
+        wanted = next_voters(raft.voters, self.identity, active, inactive_voters, self.settings.voters)
         raft.set_learners(set(wanted or ()) - set(raft.voters), now)
         if wanted is not None:
             raft.change_voters(wanted, now)
--- a/hazelbend/placement/choices.py
+++ b/hazelbend/placement/choices.py
@@ -46,7 +46,7 @@
     sent_at: int
     queued_units: float  # prefill units that were expected ahead of it in the queue
     prompt_units: float  # size of the whole prompt
-    unconfirmed_units: float  # of the shared prefix: assumed to be cached, though no router has reported it
+    unconfirmed_units: float  # of a shared prefix that is assumed to be cached but was never reported
     unit_time: float  # expected microseconds per prefill unit
     policy: Policy
     expected_delay: float = 0.0  # microseconds to the worker's first response
--- a/hazelbend/placement/estimates.py
+++ b/hazelbend/placement/estimates.py
@@ -37,7 +37,7 @@
     def expected(self, now: int) -> float:
         """Estimate E[N]."""
         self.jobs.concurrency = self.concurrency
-        self.jobs.background_load = self.jobs.usual_level.value / self.rate
+        self.jobs.background_load = self.jobs.peer_load_level.value / self.rate
         return expected_jobs(self.jobs, now, self.rate)
 
     def delay(self, size: float, now: int) -> float:
@@ -58,7 +58,7 @@
         """Set the jobs of all peers from a load report: n0 at time t0 in the paper."""
         self.jobs.peer_jobs = peer_jobs
         self.jobs.peer_jobs_at = now
-        self.jobs.usual_level.add(peer_jobs, LEVEL_MEMORY_REPORTS)
+        self.jobs.peer_load_level.add(peer_jobs, LEVEL_MEMORY_REPORTS)
 
     def add_rate_sample(self, rate: float) -> None:
         """Update the rate by a measured one."""
--- a/hazelbend/placement/policy.py
+++ b/hazelbend/placement/policy.py
@@ -21,9 +21,7 @@
     initial_prefill_overhead_us: float = 22_000  # fixed time of a prefill call
     decode_worker_slowdown: float = 2.2  # factor of a prefill's time at a worker that decodes as well
     initial_run_time_us: float = 200_000  # from the start of a request to its end
-    initial_first_event_us: float = (
-        20_000  # from a send to the first event, if the prompt is prefilled already
-    )
+    initial_first_event_us: float = 20_000  # from a send to the first event of a prefilled prompt
     initial_hit_rate: float = 0.5  # cache hit rate of preferred workers for prefixes that no router reported
 
     # Learning: the number of samples that an estimate remembers (memory), or that its initial guess counts as
@@ -34,9 +32,7 @@
     first_event_prior_samples: float = 4.0
     hit_rate_memory_samples: float = 20.0
     hit_rate_prior_samples: float = 3.0
-    max_queued_fraction: float = (
-        0.25  # a sample is valid if the queue ahead is at most this part of the prefill
-    )
+    max_queued_fraction: float = 0.25  # of a prefill, that may be queued ahead of it in a valid sample
     min_shared_tokens: int = 2 * PREFILL_UNIT_TOKENS  # with fewer, the time does not show a hit or a miss
     max_inferred_progress: float = 0.9  # of a prompt that counts as prefilled before its worker has answered
 
--- a/hazelbend/quotas/allocation.py
+++ b/hazelbend/quotas/allocation.py
@@ -30,9 +30,7 @@
 REQUEST_TIMEOUTS_PER_TTL = 6  # a request counts as lost after TTL / 6
 MIN_REQUEST_INTERVAL_US = 50_000  # when more units are wanted, or some are wanted back
 IDLE_POLL_INTERVAL_US = 100_000  # of a holder with idle units, which polls whether others want them
-KEEP_AFTER_REJECTION_US = (
-    100_000  # for this time after it rejected a job, a holder returns no units to others
-)
+KEEP_AFTER_REJECTION_US = 100_000  # after a holder has rejected a job, it returns no units for this time
 ARRIVAL_WINDOW_US = 300_000  # time constant of the arrival rate
 INITIAL_SERVICE_TIME_US = 500_000.0  # the mean before any job has ended
 SERVICE_TIME_SAMPLES = 20.0  # a new sample has the weight 1 / 20 in the mean service time
--- a/hazelbend/quotas/operations.py
+++ b/hazelbend/quotas/operations.py
@@ -101,7 +101,8 @@
     """The state machine's response to one operation.
 
     `units` is the new number of units of the allocation with this token. `wanted_back` is the number of units
-    that others in the account's tree lack: the holder returns unused ones. `reason`: why nothing changed.
+    that others in the account's tree lack: the holder should return as many of its unused ones. `reason`: why
+    nothing changed.
     """
 
     token: int = 0
--- a/hazelbend/routing/attempt_runner.py
+++ b/hazelbend/routing/attempt_runner.py
@@ -43,7 +43,7 @@
         It ends as `NOT_SENT` at once if its backend no longer accepts work, or if the request has ended.
         """
         now = self._clock.now()
-        backend = self._table.servers.get(send.worker)
+        backend = self._table.backends.get(send.worker)
         remaining = request.deadline - now
         timeout = min(send.timeout or remaining, remaining)
         client = backend.client if backend is not None else None
--- a/hazelbend/routing/overview.py
+++ b/hazelbend/routing/overview.py
@@ -1,7 +1,7 @@
 """A snapshot of the dispatcher's state for the console, the admin endpoint and SNMP.
 
-Counts run from the start of the process; all other values are as of the snapshot. Operators' interfaces call
-an open request a flow, and the metrics here figures.
+Counts run from the start of the process; all other values are as of the snapshot. In the operators'
+interfaces an open request is called a flow, and a metric a figure.
 """
 
 from __future__ import annotations
@@ -64,9 +64,8 @@
     outstanding: int  # jobs received and not yet answered
     discovered: int  # servers on the endpoint list
     ejected: int  # of those, the ones in backoff by the decision module or manually drained
-    component_figures: Mapping[str, int] = field(
-        default_factory=dict
-    )  # metrics of optional components, by name
+    # Metrics of optional components, by name.
+    component_figures: Mapping[str, int] = field(default_factory=dict)
 
     def named(self) -> dict[str, int]:
         """Return all metrics by the names under which they are published."""
@@ -109,7 +108,7 @@
 def collect_figures(router: Router, classes: Iterable[str]) -> Figures:
     """Collect a router's metrics, without those of optional components. `classes`: names by class index."""
     answers = router.counters.answers
-    servers = router.table.servers
+    servers = router.table.backends
     workers_in_backoff = router.module.workers_in_backoff(router.clock.now())
     return Figures(
         classes=tuple(
@@ -135,7 +134,7 @@
 ) -> Overview:
     """Take a snapshot of a router. `name`, `state` and `fronts` are copied into it unchanged."""
     now = router.clock.now()
-    servers = sorted(router.table.servers.values(), key=lambda server: server.index)
+    servers = sorted(router.table.backends.values(), key=lambda server: server.index)
     return Overview(
         name=name,
         uptime_us=now - router.started_at,
--- a/hazelbend/routing/ports.py
+++ b/hazelbend/routing/ports.py
@@ -54,8 +54,8 @@
     def answered(self) -> asyncio.Future[Answer]:
         """A future that is done once the final answer is set."""
 
-    def leave(self) -> None:
-        """Report that the client has disconnected."""
+    def on_client_disconnected(self) -> None:
+        """Handle the disconnection of the client."""
 
     def reply(self) -> asyncio.Future[Answer]:
         """Return a new future of the final answer, which the caller may cancel."""
--- a/hazelbend/routing/request_context.py
+++ b/hazelbend/routing/request_context.py
@@ -58,7 +58,7 @@
         """Whether events are in its inbox, or attempts have yet to report their results."""
         return not (self.inbox.empty() and all(attempt.is_finished for attempt in self.attempts))
 
-    def leave(self) -> None:
+    def on_client_disconnected(self) -> None:
         """Record that the client has disconnected. No attempt is sent from this moment on."""
         if not self.client_disconnected:
             self.client_disconnected = True
--- a/hazelbend/routing/router.py
+++ b/hazelbend/routing/router.py
@@ -379,7 +379,7 @@
     async def _probe(self, worker: int) -> None:
         started_at = self.clock.now()
         result = AttemptResult(Outcome.CONNECT_FAILED)
-        backend = self.table.servers.get(worker)
+        backend = self.table.backends.get(worker)
         if backend is not None:
             try:
                 result = await backend.client.probe(PROBE_TIMEOUT_US)
--- a/hazelbend/routing/table.py
+++ b/hazelbend/routing/table.py
@@ -57,7 +57,7 @@
     def __init__(self, connect: Callable[[Endpoint], BackendClient]) -> None:
         """Create an empty table. `connect` creates the client of a listed backend."""
         self._connect = connect
-        self.servers: dict[int, Backend] = {}
+        self.backends: dict[int, Backend] = {}
         # Called with a backend and the new value of its `accepts_work` when that changes.
         self.on_accepts_work_changed: Callable[[Backend, bool], None] | None = None
         self._registered: set[int] = set()
@@ -74,15 +74,15 @@
             return MembershipUpdate(ListKind.DELTA, tuple(self._apply_entries(endpoints.entries)))
         listed = list(self._apply_entries(endpoints.entries))
         present = {entry.worker for entry in listed} | self._registered
-        absent = [number for number in self.servers if number not in present]
+        absent = [number for number in self.backends if number not in present]
         for number in absent:
-            self._remove(self.servers[number])
-        registered = [self.servers[number].worker_entry() for number in sorted(self._registered)]
+            self._remove(self.backends[number])
+        registered = [self.backends[number].worker_entry() for number in sorted(self._registered)]
         return MembershipUpdate(kind, (*listed, *registered))
 
     def _apply_entries(self, entries: Iterable[Endpoint]) -> Iterable[WorkerEntry]:
         for entry in entries:
-            backend = self.servers.get(stable_id(entry.host))
+            backend = self.backends.get(stable_id(entry.host))
             if backend is None:
                 if entry.state is WorkerState.GONE:
                     continue
@@ -105,7 +105,7 @@
 
     def change_registered(self, host: str, state: WorkerState) -> MembershipUpdate:
         """Set the state of a registered backend; `GONE` removes it."""
-        backend = self.servers[stable_id(host)]
+        backend = self.backends[stable_id(host)]
         self._replace_entry(backend, replace(backend.entry, state=state))
         update = MembershipUpdate(ListKind.DELTA, (backend.worker_entry(),))
         if state is WorkerState.GONE:
@@ -117,7 +117,7 @@
 
     def set_manual_drain(self, host: str, is_drained: bool) -> MembershipUpdate | None:
         """Drain or undrain a backend on an operator's command; return None if the host is not listed."""
-        backend = self.servers.get(stable_id(host))
+        backend = self.backends.get(stable_id(host))
         if backend is None:
             return None
         accepted_work = backend.accepts_work
@@ -139,22 +139,22 @@
 
     def by_host(self, host: str) -> Backend | None:
         """Return the backend with this host name; None if the table has none."""
-        return self.servers.get(stable_id(host))
+        return self.backends.get(stable_id(host))
 
     def registered(self) -> tuple[Backend, ...]:
         """Return the registered backends."""
-        return tuple(self.servers[number] for number in sorted(self._registered))
+        return tuple(self.backends[number] for number in sorted(self._registered))
 
     def listed(self) -> EndpointList:
         """Return the listed backends with their present entries."""
         entries = (
-            backend.entry for number, backend in self.servers.items() if number not in self._registered
+            backend.entry for number, backend in self.backends.items() if number not in self._registered
         )
         return EndpointList(tuple(entries), is_complete=True)
 
     def manually_drained(self) -> tuple[str, ...]:
         """Return the host names of the backends that an operator has drained."""
-        return tuple(backend.entry.host for backend in self.servers.values() if backend.is_manually_drained)
+        return tuple(backend.entry.host for backend in self.backends.values() if backend.is_manually_drained)
 
     # --- changes to one backend ---
 
@@ -163,7 +163,7 @@
         index = self._indexes.setdefault(number, len(self._indexes) + 1)
         is_drained = number in self._manually_drained
         backend = Backend(number, index, entry, client, is_manually_drained=is_drained)
-        self.servers[number] = backend
+        self.backends[number] = backend
         self._report_accepts_work(backend, False)
         return backend
 
@@ -176,7 +176,7 @@
         """Remove a backend. It gets no new attempts; those in flight continue to their end."""
         accepted_work = backend.accepts_work
         backend.is_listed = False
-        self.servers.pop(backend.id, None)
+        self.backends.pop(backend.id, None)
         self._report_accepts_work(backend, accepted_work)
         backend.client.close()
 
--- a/hazelbend/transport/http/client_listener.py
+++ b/hazelbend/transport/http/client_listener.py
@@ -52,9 +52,8 @@
         assert isinstance(connection, ClientConnection)
         queueing_time_s = connection.take_queueing_time()
         if not request.content.is_eof():
-            queueing_time_s = (
-                0.0  # the body has not arrived yet, so the client has not waited for this process
-            )
+            # The body has not arrived yet, so the client has not waited for this process.
+            queueing_time_s = 0.0
         response = await self._respond(request, connection, queueing_time_s)
         is_valid = not 400 <= response.status < 500
         if not is_valid and connection.invalid_requests:
@@ -87,7 +86,7 @@
         try:
             return _http_response(await pending.reply())
         except asyncio.CancelledError:
-            pending.leave()  # the client has closed the connection
+            pending.on_client_disconnected()  # the client has closed the connection
             raise
 
     def _accept_job(self, request: web.BaseRequest, body: bytes, queueing_time_s: float) -> PendingJob:
--- a/hazelbend/transport/http/http_listener.py
+++ b/hazelbend/transport/http/http_listener.py
@@ -208,9 +208,8 @@
 
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
-        self._sweep_timer = loop.call_later(
-            SWEEP_PERIOD_S, self._sweep
-        )  # set first, so that no error ends it
+        # The next sweep is scheduled first, so that an error in this one does not end the sweeps.
+        self._sweep_timer = loop.call_later(SWEEP_PERIOD_S, self._sweep)
         for connection in list(self._open):
             try:
                 self._check_connection(connection, loop.time())
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -50,7 +50,7 @@
 
 def test_a_drain_by_hand_stops_new_work_and_undrain_takes_it_back(tmp_path, capsys):
     async def work(app, toys, console, path):
-        [server] = app.router.table.servers.values()
+        [server] = app.router.table.backends.values()
         assert await console("drain toy-0", "show servers") == 0 and not server.accepts_work
         assert await console("undrain toy-0") == 0 and server.accepts_work
 
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -260,11 +260,13 @@
     failed calls where a change counts as notified after 40 s.
     """
     settings = interface.Settings(fleet_size=fleet, classes=(SAFE,), list_is_polled=True)
-    assert max(first_call_delay(fleet, seed) for seed in range(40)) <= settings.poll_interval // 2
+    assert max(first_call_delay(fleet, seed) for seed in range(40)) <= settings.max_poll_interval // 2
     rng, retry = random.Random(1), DiscoveryRetry()
     waits = [retry.retry_delay(settings, rng) for _ in range(2_000)]
-    assert max(waits) <= settings.poll_interval // 2
-    assert min(waits[20:]) >= settings.poll_interval // 16, "a failed service is not called in a tight loop"
+    assert max(waits) <= settings.max_poll_interval // 2
+    assert min(waits[20:]) >= settings.max_poll_interval // 16, (
+        "a failed service is not called in a tight loop"
+    )
 
 
 @pytest.mark.parametrize("fleet", [200, 450])
@@ -288,7 +290,7 @@
     """Guards the operators' requirement: a change counts as notified 6 s after discovery had it and could be
     reached. From the third failure on, a dispatcher waited up to half of `poll_interval`, and up to 6 s more
     for a call."""
-    settings = interface.Settings(fleet_size=fleet, list_is_polled=True, poll_interval=poll_interval)
+    settings = interface.Settings(fleet_size=fleet, list_is_polled=True, max_poll_interval=poll_interval)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
         rng, retry = random.Random(seed), DiscoveryRetry()
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -121,7 +121,7 @@
         after - before for before, after in zip(model.subscriptions, model.subscriptions[1:], strict=False)
     ]
     assert len(model.subscriptions) == 7
-    assert max(gaps) < model.settings.poll_interval
+    assert max(gaps) < model.settings.max_poll_interval
 
 
 def test_first_discovery_retry_is_early_and_received_list_resets_backoff():
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -87,7 +87,7 @@
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
             box.send("SUBSCRIBE", id="w", destination="/hazelbend/work")
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             app.router.set_manual_drain("toy-0", True)
             peer.job("to the box", b"1")
             await wait_until(lambda: box.of("MESSAGE"))
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -69,12 +69,12 @@
             )
             await wait_until(lambda: app.router.requests)
             app.apply(changed(app, tmp_path, {"membership_mode": "ask"}, discovery=second))
-            assert app.router.table.servers, "the list is kept until the new address has answered"
+            assert app.router.table.backends, "the list is kept until the new address has answered"
             await wait_until(lambda: len(new.asked) == 2 and old.open == 0)
             assert new.asked[0] == "/v1/servers", "another service: its numbers say nothing of the old ones"
             assert len(old.asked) == 2, "nothing more goes to the old address"
             assert b" 200 " in await running
-            assert app.router.counters.received == 1 and app.router.table.servers
+            assert app.router.counters.received == 1 and app.router.table.backends
         await toy.close()
 
     asyncio.run(run())
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -132,7 +132,7 @@
             (tmp_path / "srv.toml").write_text(srv_toml([server.address]))
             more = {"discovery": discovery, "membership_mode": "ask"}
             async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
-                await wait_until(lambda: len(app.router.table.servers) == 2)
+                await wait_until(lambda: len(app.router.table.backends) == 2)
                 worst, learned = 0.0, []
                 app.router.table.on_accepts_work_changed = lambda each, up: learned.append(
                     (time.monotonic(), each, up)
@@ -169,7 +169,7 @@
 def test_all_nameservers_fail_for_longer_than_all_lifetimes_and_come_back(tmp_path):
     async def run():
         async with srv_site(tmp_path, count=3) as (app, _, servers):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             boxes = await boxes_of(app)
             async with load(app) as statuses:
                 for fault in ("servfail", "silent", "refused"):
@@ -205,7 +205,7 @@
 
     async def run():
         async with srv_site(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             boxes = await boxes_of(app)
             changes = []
             app.router.table.on_accepts_work_changed = lambda server, up: changes.append(
@@ -240,15 +240,15 @@
             _toys,
             [server],
         ):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             ports = {each.entry.host.partition(".")[0]: port_of(each.entry.dial)
-                     for each in app.router.table.servers.values()}  # fmt: skip
+                     for each in app.router.table.backends.values()}  # fmt: skip
             rows = sorted(ports.items())
             async with load(app) as statuses:
                 for turn in range(6):
                     server.serve_zone(zone(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
                     want = 2 if turn % 2 == 0 else 3
-                    await wait_until(lambda want=want: len(app.router.table.servers) == want)
+                    await wait_until(lambda want=want: len(app.router.table.backends) == want)
             assert set(statuses) == {200}
 
     asyncio.run(run())
@@ -261,19 +261,19 @@
         patient = f"start_spread_s = 0.0\ntimeout_s = {pace():.1f}\nrest_s = 0.1\nper_s = 2000"
         lifetimes = "least_s = 1.0\nmost_s = 1.0"
         async with srv_site(tmp_path, toys=3, lifetimes=lifetimes, budgets=patient) as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             rows = sorted(
                 (each.entry.host.partition(".")[0], port_of(each.entry.dial))
-                for each in app.router.table.servers.values()
+                for each in app.router.table.backends.values()
             )
             many = [(f"b{number}", 9, 10) for number in range(500)]
             server.serve_zone(zone(*rows, *many))
             async with load(app) as statuses:
-                await wait_until(lambda: len(app.router.table.servers) == 503)
+                await wait_until(lambda: len(app.router.table.backends) == 503)
             assert set(statuses) == {200} and any(each.tcp for each in server.queries)
             assert len(await boxes_of(app)) == 3, "the five hundred are spare"
             server.serve_zone(zone(*rows))
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.backends) == 3)
 
     asyncio.run(run())
 
@@ -286,8 +286,8 @@
             [toy],
             [server],
         ):
-            await wait_until(lambda: app.router.table.servers)
-            [box] = app.router.table.servers.values()
+            await wait_until(lambda: app.router.table.backends)
+            [box] = app.router.table.backends.values()
             started_at, port = box.entry.started_at, port_of(box.entry.dial)
             long = asyncio.create_task(
                 send_and_receive(
@@ -320,8 +320,8 @@
             toys,
             [server],
         ):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
-            first, spare = sorted(app.router.table.servers.values(), key=lambda each: each.entry.host)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
+            first, spare = sorted(app.router.table.backends.values(), key=lambda each: each.entry.host)
             ports = [port_of(each.entry.dial) for each in (first, spare)]
             both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
@@ -339,7 +339,7 @@
                 del app.module.workers_in_backoff
                 await wait_until(lambda: not spare.accepts_work)
                 server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
-                await wait_until(lambda: len(app.router.table.servers) == 1)
+                await wait_until(lambda: len(app.router.table.backends) == 1)
                 assert await boxes_of(app) == {spare.entry.host}
             assert set(statuses) == {200} and len(toys[1].ran) > 0
 
@@ -349,7 +349,7 @@
 def test_both_fronts_serve_while_refreshes_are_out_and_reloads_and_drains_happen(tmp_path):
     async def run():
         async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 2)
+            await wait_until(lambda: len(app.router.table.backends) == 2)
             server.faults = [Fault("silent")]
             await wait_until(lambda: app.extensions["srv"].queries_in_flight)
             peer = await FakeStompClient.connect(app.stomp.port)
@@ -369,7 +369,7 @@
                     (tmp_path / "srv.toml").write_text(text)
                     server.faults = [] if boxes else [Fault("silent")]
                     app.apply(changed(app, tmp_path))
-                    await wait_until(lambda boxes=boxes: len(app.router.table.servers) == boxes)
+                    await wait_until(lambda boxes=boxes: len(app.router.table.backends) == boxes)
                     if not boxes:
                         # With no box at all the module holds jobs, and refuses none before their time.
                         await asyncio.sleep(0.05)
@@ -388,7 +388,7 @@
 def test_the_console_and_the_door_tell_of_names(tmp_path):
     async def run():
         async with srv_site(tmp_path, listed=1, ops="127.0.0.1:0") as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 3)
+            await wait_until(lambda: len(app.router.table.backends) == 3)
             commands = Commands(app)
             shown = commands.run("show names")
             assert NAME in shown and "listed" in shown and " 2 " in shown
@@ -412,16 +412,16 @@
         path = tmp_path / "disk" / "names.json"
         snapshot = f'path = "{path}"\nevery_s = 0.05'
         async with srv_site(tmp_path, snapshot=snapshot) as (app, _, [server]):
-            await wait_until(lambda: len(app.router.table.servers) == 2 and path.exists())
+            await wait_until(lambda: len(app.router.table.backends) == 2 and path.exists())
             boxes, conf = await boxes_of(app), app.conf
-            started = {each.entry.host: each.entry.started_at for each in app.router.table.servers.values()}
+            started = {each.entry.host: each.entry.started_at for each in app.router.table.backends.values()}
             await app.extensions["srv"].close()
             await server.stop()
             second = App(conf)
             await second.start()
             assert await boxes_of(second) == boxes, "before a single query was answered"
             assert started == {
-                each.entry.host: each.entry.started_at for each in second.router.table.servers.values()
+                each.entry.host: each.entry.started_at for each in second.router.table.backends.values()
             }, "they have not started again"
             assert b" 200 " in await send_and_receive(
                 second.client_listener.port, request(more="Connection: close\r\n")
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -478,11 +478,11 @@
     """Jobs that wait on each other, on a clock and on admission."""
     trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
-        in_service=5,
+        slots=5,
         by_class=((1, 2),),
         shares=((0, 0.4),),
         aged=2,
-        waiting=60,
+        max_waiting=60,
         submission_timeout_us=400 * MS,
     )
     engine = JobQueueEngine(bounds)
--- a/tests/job_queue/test_waiting.py
+++ b/tests/job_queue/test_waiting.py
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("end", [JobOutcome.SERVED, JobOutcome.FAILED])
 def test_10000_children_of_one_parent_are_released_or_rejected(end):
-    run = Run(checked=False, children=10_000, by_client=20_000, waiting=20_000)
+    run = Run(checked=False, children=10_000, by_client=20_000, max_waiting=20_000)
     run.submit("p")
     for number in range(10_000):
         run.submit(str(number), "p")
@@ -249,7 +249,7 @@
     """The only slot is in use, and a job passes its latest start. It is rejected, and its child, the first
     job of another class, runs next. Guards against a change of the queues while they are iterated over.
     """
-    run = Run(in_service=1).submit("long").submit("late", wanted=1_200 * MS)
+    run = Run(slots=1).submit("long").submit("late", wanted=1_200 * MS)
     assert not run.rejected
     run.submit("child", Dependency("late", DependencyCondition.ENDED), cls=1)
     run.wait(800 * MS)
@@ -259,7 +259,7 @@
 
 
 def test_slots_go_to_the_earliest_latest_start_within_the_limits_of_classes():
-    run = Run(in_service=2, by_class=((1, 1),), aged=0).submit("1").submit("2")
+    run = Run(slots=2, by_class=((1, 1),), aged=0).submit("1").submit("2")
     run.submit("slow", wanted=9_000 * MS).submit("soon", wanted=5_000 * MS)
     run.submit("k1", cls=1, wanted=4_000 * MS).submit("k2", cls=1, wanted=4_100 * MS)
     run.end("1").end("2")
@@ -269,7 +269,7 @@
 
 
 def test_job_that_would_be_late_is_rejected_at_submission_with_retry_after():
-    run = Run(in_service=2, aged=1)
+    run = Run(slots=2, aged=1)
     for job in "ab":
         run.submit(job)
     run.now = 100 * MS
@@ -282,7 +282,7 @@
 
 
 def test_due_time_of_a_child_is_its_class_objective_counted_from_when_it_is_ready():
-    engine = JobQueueEngine(Bounds(in_service=1, aged=0))
+    engine = JobQueueEngine(Bounds(slots=1, aged=0))
     engine.admission.mean_run_us = {0: 10.0, 1: 10.0}
     for job, cls, objective, after in (("p", 0, 0, ()), ("c", 1, 50, (Dependency("p"),)), ("x", 0, 200, ())):
         engine.submit(JobRequest(("c", job), cls, 0, 10**9, 1, JobTerms(after), objective), 0, WALL)
@@ -292,7 +292,7 @@
 
 
 def test_jobs_of_a_tenant_over_its_share_run_only_on_aged_slots():
-    run = Run(in_service=4, shares=((0, 0.25),), aged=1).submit("x", tenant=0)
+    run = Run(slots=4, shares=((0, 0.25),), aged=1).submit("x", tenant=0)
     for job in "abc":
         run.submit(job, tenant=1)
     run.submit("over1", tenant=0).submit("over2", tenant=0).submit("in", tenant=1)
@@ -301,8 +301,8 @@
 
 
 def test_full_queue_rejects_by_number_bytes_and_client():
-    for bound, more in (("waiting", {}), ("by_client", {}), ("waiting_bytes", {"size": 10})):
-        run = Run(**{bound: 25 if bound == "waiting_bytes" else 2})
+    for bound, more in (("max_waiting", {}), ("by_client", {}), ("max_waiting_bytes", {"size": 10})):
+        run = Run(**{bound: 25 if bound == "max_waiting_bytes" else 2})
         for job in "ab":
             run.submit(job, "never", **more)
         run.submit("c", "never", **more)
@@ -312,7 +312,7 @@
 def test_aged_jobs_keep_their_bound_during_a_flood_and_delay_no_job_past_its_due_time():
     """Ten seconds of virtual time: 500 short jobs a second, and every 100 ms a job that is late already."""
     slots, aged, run_ms = 20, 2, 30
-    run = Run(checked=False, in_service=slots, aged=aged, by_client=10**6, waiting=10**6)
+    run = Run(checked=False, slots=slots, aged=aged, by_client=10**6, max_waiting=10**6)
     ends, due_at, late_waits, delayed = [], {}, [], 0
     run.engine.admission.mean_run_us = {0: run_ms * MS, 1: run_ms * MS}
     arrived, number = {}, 0
@@ -367,17 +367,17 @@
     """Guards against releasing a job because the rejection of another one unblocked it or made room for it,
     although the process ends and will not run it.
     """
-    run = Run(in_service=1, checked=False).submit("a").submit("q1", wanted=10**8).submit("q2", wanted=10**8)
+    run = Run(slots=1, checked=False).submit("a").submit("q1", wanted=10**8).submit("q2", wanted=10**8)
     run.submit("b", "q1").submit("e", Dependency("q1", DependencyCondition.ENDED))
     run.record(run.engine.reject_all("the end", run.now))
     assert run.released == ["a"] and set(run.rejected) == {"q1", "q2", "b", "e"}
 
 
 def test_new_bounds_release_queued_jobs_at_once():
-    run = Run(in_service=1)
+    run = Run(slots=1)
     for job in "abc":
         run.submit(job, wanted=10**8)
-    run.record(run.engine.change(Bounds(in_service=3), run.now))
+    run.record(run.engine.change(Bounds(slots=3), run.now))
     assert run.released == ["a", "b", "c"]
     run.end("a").end("b").end("c")
     assert not run.engine.jobs
@@ -403,7 +403,7 @@
     jobs, seen, complete = GRAPHS[graph], set(), 0
 
     def replay(path):
-        run = Run(submission_timeout_us=10**12, in_service=slots, aged=1)
+        run = Run(submission_timeout_us=10**12, slots=slots, aged=1)
         for what, job in path:
             if what == "submit":
                 run.submit(job, *(Dependency(parent, edge) for parent in jobs[job]), wanted=10**9)
@@ -460,7 +460,7 @@
 def test_random_events_keep_the_invariants_and_give_each_job_one_answer(steps, slots, aged):
     run = Run(
         submission_timeout_us=30,
-        in_service=slots,
+        slots=slots,
         aged=aged,
         depth=3,
         by_class=((2, 1),),
--- a/tests/routing/test_crossing_states.py
+++ b/tests/routing/test_crossing_states.py
@@ -199,7 +199,7 @@
     def client_disconnects(self, data, iterations):
         """A client disconnects. Only a few loop iterations follow; the others run in the next step."""
         attempt = data.draw(st.sampled_from(self.in_flight()))
-        self.do(self.requests[attempt.job.id].leave, iterations)
+        self.do(self.requests[attempt.job.id].on_client_disconnected, iterations)
 
     @rule(job_class=st.sampled_from([SAFE, KEYED, UNSAFE]), iterations=st.integers(0, 6))
     def request_arrives_and_client_disconnects(self, job_class, iterations):
@@ -210,7 +210,7 @@
             self.requests[job_id] = self.router.accept(Job(job_id, job_class, 0, 1_000_000))
 
         self.do(accept, iterations)
-        self.do(self.requests[job_id].leave)
+        self.do(self.requests[job_id].on_client_disconnected)
 
     @precondition(lambda self: self.connecting())
     @rule(data=st.data(), all_at_once=st.booleans(), delay_s=st.sampled_from([0.0, 0.05, 0.4, 0.9]))
@@ -234,7 +234,7 @@
             if connects_first:
                 attempt.connected.set()
             if change == "leave":
-                self.requests[attempt.job.id].leave()
+                self.requests[attempt.job.id].on_client_disconnected()
             elif change == "drain":
                 self.states[attempt.backend] = WorkerState.DRAINING
                 self.apply_entry(attempt.backend)
@@ -254,7 +254,7 @@
             if not attempt.result.done():
                 attempt.result.set_result(AttemptResult(outcome, b"r"))
             if with_disconnect:  # the client disconnects in the same loop iteration as the answer
-                self.requests[attempt.job.id].leave()
+                self.requests[attempt.job.id].on_client_disconnected()
 
         self.do(finish)
 
@@ -371,9 +371,9 @@
         )
         assert sum(unfinished.values()) == self.running_attempts, "unfinished and running attempts differ"
         for worker_id, worker in self.dispatcher.workers.items():
-            counted = self.router.table.servers[worker_id].in_flight
+            counted = self.router.table.backends[worker_id].in_flight
             expected = sum(
-                attempt.backend is self.router.table.servers[worker_id]
+                attempt.backend is self.router.table.backends[worker_id]
                 for request in self.requests.values()
                 for attempt in request.attempts
                 if not attempt.is_finished
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -98,7 +98,7 @@
 
 
 async def disconnect_client(site, request):
-    request.leave()
+    request.on_client_disconnected()
 
 
 def test_client_disconnect_during_the_connect_withdraws_the_attempt():
@@ -123,7 +123,7 @@
             request = site.router.accept(LONG)
             await turns()
             request.inbox.put_nowait(decisions.Send(request.number, ID))
-            request.leave()
+            request.on_client_disconnected()
             async with asyncio.timeout(10):
                 await site.router.wait_idle()
             return module, backend
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -134,7 +134,7 @@
         request = router.accept(JOB)
         while not client.calls:
             await asyncio.sleep(0)
-        request.leave()
+        request.on_client_disconnected()
         await asyncio.wait_for(router.wait_idle(), 10)
         return router
 
@@ -162,7 +162,7 @@
     assert answer.verdict is Verdict.REFUSED and client.calls == 0
     [ended] = module.of(decisions.AttemptEnded)
     assert ended.outcome is Outcome.NOT_SENT, "no byte was written"
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
     assert not router.is_open(JOB.id)
 
 
@@ -180,14 +180,14 @@
                 request = router.accept(replace(JOB, id=f"{iterations}-{number}"))
                 for _ in range(iterations):
                     await asyncio.sleep(0)
-                request.leave()
+                request.on_client_disconnected()
         async with asyncio.timeout(10):
             await router.wait_idle()
         return router, module
 
     router, module = asyncio.run(run())
     assert len(module.of(decisions.AttemptEnded)) == 2 * 32, "one end for each of the two sends per request"
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
     assert router.counters.abandoned == 32 and not router.open_ids
 
 
@@ -265,7 +265,7 @@
         [answer], router = run_jobs(module, FakeBackendClient(progress=[ProgressReport()]), JOB)
     [ended] = module.of(decisions.AttemptEnded)
     assert (answer.verdict, ended.outcome, ended.closed) == (Verdict.FAILED, Outcome.CANCELLED, True)
-    assert [server.in_flight for server in router.table.servers.values()] == [0]
+    assert [server.in_flight for server in router.table.backends.values()] == [0]
 
 
 def test_exception_in_a_backend_client_ends_the_attempt_with_an_error(caplog):
@@ -312,7 +312,7 @@
     assert [entry.worker for entry in update.entries] == [stable_id("box")]
     assert table.change_registered("box", WorkerState.GONE).entries[0].state is WorkerState.GONE
     assert changes == [("box", True), ("s-1", True), ("s-1", False), ("box", False)]
-    assert not table.servers
+    assert not table.backends
 
 
 def test_manual_drain_survives_absence_from_the_list():
@@ -398,7 +398,7 @@
         pending_reply = pending.reply()
         await asyncio.sleep(0)
         pending_reply.cancel()
-        pending.leave()
+        pending.on_client_disconnected()
         await asyncio.wait_for(router.wait_idle(), 10)
         return in_same_iteration, reply.result(), pending.answered.result()
 
--- a/tests/support/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -280,7 +280,7 @@
     attempts = defaultdict(list)
     for each in played.seen:
         attempts[each.job].append(each)
-    hosts = {each.entry.host: each.entry for each in played.app.router.table.servers.values()}
+    hosts = {each.entry.host: each.entry for each in played.app.router.table.backends.values()}
     for job, (index, words) in played.sent.items():
         lane, tries = conf["lanes"][index], attempts[job]
         assert len(played.answers[job]) == 1, f"{job} got {played.answers[job]}"
--- a/tests/support/srv_kit.py
+++ b/tests/support/srv_kit.py
@@ -88,4 +88,4 @@
 
 async def boxes_of(app: App) -> set[str]:
     await asyncio.sleep(0)
-    return {each.entry.host for each in app.router.table.servers.values() if each.accepts_work}
+    return {each.entry.host for each in app.router.table.backends.values() if each.accepts_work}
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -307,7 +307,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with site(tmp_path, stomp="", discovery=address, membership_mode="push") as (app, _):
-            [backend] = app.router.table.servers.values()
+            [backend] = app.router.table.backends.values()
             assert not backend.accepts_work, "before the first client can connect"
             assert app.conf.settings_report.effective["list"] == "pushed on a watch"
         server.close()
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -76,7 +76,8 @@
     for number, worker in new.workers.items():
         assert worker.rate == old.workers[number].rate and not worker.attempts
         assert (
-            worker.usual_level == old.workers[number].usual_level and worker.size == old.workers[number].size
+            worker.peer_load_level == old.workers[number].peer_load_level
+            and worker.size == old.workers[number].size
         )
         assert worker.reliability.risk(now) == old.workers[number].reliability.risk(now)
         assert worker.peer_jobs >= bool(in_flight[number]), "the jobs of the old process still run there"
@@ -105,7 +106,7 @@
         worker_state["level"] = worker_state.pop("usual")
         del worker_state["size"]
     import_state(new, learned_state, now)
-    assert new.load_model.usual_levels == {} and new.workers_in_backoff(now) == {2}
+    assert new.load_model.peer_load_levels == {} and new.workers_in_backoff(now) == {2}
     for worker in new.workers.values():
         new.load_model.update_rate(worker, now)
         assert worker.background_load == 0.0
--- a/tests/transport/test_stomp_listener.py
+++ b/tests/transport/test_stomp_listener.py
@@ -205,14 +205,14 @@
 def test_lost_worker_resets_its_jobs_and_is_removed(tmp_path):
     async def run():
         async with worker_and_client(tmp_path) as (app, worker, peer):
-            [server] = app.router.table.servers.values()
+            [server] = app.router.table.backends.values()
             assert server.entry.started_at > app.router.started_at, "a worker that connects is in slow start"
             peer.job("one", b"hang", "reserve")
             await wait_until(lambda: worker.ran)
             await worker.drop()
             await wait_until(lambda: peer.answers())
             assert peer.answers() == {"one": ["failed"]}, "it may have run, so it is not refused"
-            assert not app.router.table.servers
+            assert not app.router.table.backends
 
     asyncio.run(run())
 
@@ -223,7 +223,7 @@
             peer.job("first", b"20")
             await wait_until(lambda: worker.ran)
             worker.send("UNSUBSCRIBE", id="w")
-            await wait_until(lambda: not next(iter(app.router.table.servers.values())).accepts_work)
+            await wait_until(lambda: not next(iter(app.router.table.backends.values())).accepts_work)
             peer.job("second", b"20", deadline="300")
             await wait_until(lambda: len(peer.answers()) == 2)
             assert peer.answers() == {"first": ["served"], "second": ["refused"]}
