--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -97,7 +97,7 @@
     assert expected_jobs(wide, 500_000, 8e-6) == pytest.approx(expected_jobs(narrow, 500_000, 2e-6))
 
 
-def test_usual_level_is_that_of_machine_kind_until_worker_has_reported():
+def test_peer_load_level_is_that_of_machine_kind_until_worker_has_reported():
     dispatcher = Dispatcher(interface.Settings(), 1)
     entries = [interface.WorkerEntry(worker, machine_kind=worker % 2) for worker in range(8)]
     dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, tuple(entries)), 1_000)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -142,7 +142,7 @@
     """Each dispatcher's share of the budget is less than one job per window, and is spent by random draws."""
     warmup_sends, started_at = simulate_warmup(seed, dispatchers=60)
     assert len(warmup_sends) > 10, "the warming-up worker is used before it is warm"
-    rate = 1 / 200_000  # one job at a time is all that is known of the worker
+    rate = 1 / 200_000  # of a worker that is known to run one job at a time
     for at in warmup_sends:
         share = min(0.2 + 0.8 * (at - started_at) / 20_000_000, 1.0)
         sent = sum(at - 1_500_000 < other <= at for other in warmup_sends)
@@ -288,8 +288,8 @@
 @pytest.mark.parametrize("poll_interval", [2_000_000, 10_000_000, 60_000_000])
 def test_two_discovery_calls_fit_after_any_failure_before_changes_count_as_notified(fleet, poll_interval):
     """Guards the operators' requirement: a change counts as notified 6 s after discovery had it and could be
-    reached. From the third failure on, a dispatcher waited up to half of `poll_interval`, and up to 6 s more
-    for a call."""
+    reached. From the third failure on, a dispatcher waited up to half of `max_poll_interval`, and up to 6 s
+    more for a call."""
     settings = interface.Settings(fleet_size=fleet, list_is_polled=True, max_poll_interval=poll_interval)
     limit = max(discovery_watch.CALL_TIMEOUT_S, discovery_retry.FIRST_HOLD_US / 1e6 + HOLD_GRACE_S) * 1e6
     for seed in range(20):
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -111,7 +111,7 @@
         assert len(model.sends) < 6
 
 
-def test_failed_discovery_calls_are_retried_within_poll_interval():
+def test_failed_discovery_calls_are_retried_within_max_poll_interval():
     model = Model(interface.Settings(list_is_polled=True))
     model.list_workers(interface.WorkerEntry(1), kind=interface.ListKind.CACHED)
     for _ in range(6):
--- a/tests/forwarding/test_reliability.py
+++ b/tests/forwarding/test_reliability.py
@@ -70,18 +70,18 @@
 # --- estimates ---
 
 
-def test_a_worker_that_fails_half_of_its_attempts_is_avoided_despite_the_shortest_queue(placement):
+def test_half_failing_worker_is_avoided_despite_shortest_queue(placement):
     record_outcomes(placement, "i-1", 4, S, served=4)
     assert chosen_instances(placement, S, IDEMPOTENT) == {"i-2", "i-3", "i-4", "i-5"}
 
 
-def test_where_all_workers_fail_alike_all_are_chosen(placement):
+def test_equally_failing_workers_are_all_chosen(placement):
     for instance in placement.workers:
         record_outcomes(placement, instance, 6, S)
     assert chosen_instances(placement, S, NOT_IDEMPOTENT) == set(placement.workers)
 
 
-def test_a_failing_worker_gets_idempotent_requests_when_others_are_busy(placement):
+def test_failing_worker_gets_idempotent_requests_when_others_are_busy(placement):
     """A worker that fails some attempts is chosen for idempotent requests while all others are busy."""
     record_outcomes(placement, "i-1", 2, S, served=6)
     for instance in ("i-2", "i-3", "i-4", "i-5"):
@@ -92,7 +92,7 @@
     assert "i-1" not in chosen_instances(placement, S, NOT_IDEMPOTENT)
 
 
-def test_a_recovered_worker_is_chosen_again(placement):
+def test_recovered_worker_is_chosen_again(placement):
     record_outcomes(placement, "i-1", 5, S)
     assert "i-1" not in chosen_instances(placement, S, IDEMPOTENT)
     costs = [placement.workers["i-1"].reliability.expected_cost(IDEMPOTENT, S + at * S) for at in (0, 20, 60)]
@@ -103,7 +103,7 @@
     assert "i-1" in chosen_instances(placement, 61 * S, IDEMPOTENT)
 
 
-def test_rejections_by_a_full_worker_do_not_count(placement):
+def test_rejections_by_full_worker_do_not_count(placement):
     full = placement.workers["i-1"]
     before = full.reliability.expected_cost(IDEMPOTENT, S)
     sends = [
@@ -124,7 +124,7 @@
 # --- reports of peers ---
 
 
-def test_failures_and_successes_of_a_suspect_worker_are_reported_to_peers(placement):
+def test_failures_and_successes_of_suspect_worker_are_reported_to_peers(placement):
     """Guards large fleets of routers, each of which sends to a given worker only once in ten seconds."""
     other = PlacementEngine("z", 2)
     other.merge(worker(1))
@@ -139,7 +139,7 @@
     assert "i-1" not in chosen_instances(placement, S, IDEMPOTENT)
 
 
-def test_outcomes_in_the_own_zone_take_precedence_over_reports_of_other_zones(placement):
+def test_outcomes_in_own_zone_take_precedence_over_reports_of_other_zones(placement):
     """A worker that fails only callers of one zone is still used by routers of other zones."""
     record_outcomes(placement, "i-1", 0, S, served=1)
     before = placement.workers["i-1"].reliability.expected_cost(IDEMPOTENT, S)
@@ -155,7 +155,7 @@
 # --- retries ---
 
 
-def test_an_error_is_forwarded_only_where_no_retry_is_allowed():
+def test_error_is_forwarded_only_if_no_retry_is_allowed():
     assert RouterHarness(kind="safe").serve(ERROR, ScriptedResponse()).status == 200
     for harness in (
         RouterHarness(kind="unsafe"),
@@ -166,20 +166,20 @@
         assert (reply.status, reply.body) == (500, b"broken") and len(harness.calls) == 1
 
 
-def test_an_error_is_forwarded_where_the_budget_forbids_a_retry():
+def test_error_is_forwarded_if_retry_budget_is_spent():
     harness = RouterHarness(kind="safe")
     harness.forwarder.retry_policy.budgets["s"] = RetryBudget(0.0, 0.0, S)
     reply = harness.serve(ERROR, ScriptedResponse())
     assert (reply.status, reply.body) == (500, b"broken") and len(harness.calls) == 1
 
 
-def test_the_last_error_is_forwarded_where_all_attempts_fail():
+def test_last_error_is_forwarded_if_all_attempts_fail():
     harness = RouterHarness(kind="safe", retries=2)
     reply = harness.serve(ERROR, ScriptedResponse(502, [b"again"]), ScriptedResponse())
     assert (reply.status, reply.body) == (502, b"again") and len(harness.calls) == 2
 
 
-def test_a_second_failure_of_a_request_does_not_count_against_the_second_worker():
+def test_second_failure_of_request_does_not_count_against_second_worker():
     harness = RouterHarness(kind="safe", retries=2)
     harness.serve(ERROR, ERROR)
     first, second = (
@@ -188,7 +188,7 @@
     assert first.reliability.is_suspect(harness.now()) and not second.reliability.is_suspect(harness.now())
 
 
-def test_an_idempotent_request_is_retried_when_its_worker_hangs():
+def test_idempotent_request_is_retried_when_worker_hangs():
     harness = RouterHarness(kind="safe", timeoutMs=8_000)
     before = harness.now()
     reply = harness.serve(HANG_S, ScriptedResponse(), client_timeout_ms=8_000)
@@ -199,13 +199,13 @@
 
 
 @pytest.mark.parametrize("kind", ["unsafe", "stream"])
-def test_a_request_that_is_not_idempotent_waits_for_its_worker(kind):
+def test_request_that_is_not_idempotent_waits_for_hanging_worker(kind):
     harness = RouterHarness(kind=kind, timeoutMs=8_000)
     reply = harness.serve(5.0, ScriptedResponse(), client_timeout_ms=8_000)
     assert reply.status == 200 and len(harness.calls) == 1
 
 
-def test_without_retry_budget_a_request_waits_for_its_worker():
+def test_request_without_retry_budget_waits_for_hanging_worker():
     harness = RouterHarness(kind="safe", timeoutMs=8_000)
     harness.forwarder.retry_policy.budgets["s"] = RetryBudget(0.0, 0.0, S)
     assert (
@@ -214,7 +214,7 @@
     )
 
 
-def test_a_request_waits_for_a_worker_that_has_begun_to_answer():
+def test_request_waits_for_worker_that_has_begun_to_respond():
     slow = ScriptedResponse(parts=[EVENTS[0]])
 
     async def chunks():
@@ -228,7 +228,7 @@
     assert reply.body == EVENTS[0] + EVENTS[1] and reply.ended == "complete" and len(harness.calls) == 1
 
 
-def test_a_prefill_is_retried_when_its_worker_hangs():
+def test_prefill_is_retried_when_worker_hangs():
     """Guards requests whose first worker never answers: no other one was tried until the deadline."""
     harness = model_harness()
     before = harness.now()
@@ -243,14 +243,14 @@
 @pytest.mark.parametrize(
     "failure", [OutcomeUnknownError("reset"), ScriptedResponse(500), ScriptedResponse(200, [b"nonsense"])]
 )
-def test_a_prefill_worker_that_fails_becomes_suspect(failure):
+def test_failing_prefill_worker_becomes_suspect(failure):
     harness = model_harness()
     harness.serve(failure, PREFILL_RESULT, ScriptedResponse(parts=EVENTS), client_timeout_ms=6_000, **PROMPT)
     prefill_worker = harness.state.placement.workers[extra_headers(harness.calls[0])["Expect-Instance"]]
     assert prefill_worker.reliability.is_suspect(harness.now())
 
 
-def test_a_worker_that_rejects_despite_free_capacity_costs_more():
+def test_worker_that_rejects_despite_free_capacity_has_higher_cost():
     harness = RouterHarness(kind="safe")
     harness.serve(REJECTION, ScriptedResponse())
     rejecting = harness.state.placement.workers[extra_headers(harness.calls[0])["Expect-Instance"]]
@@ -260,7 +260,7 @@
 # --- log, probes, metrics ---
 
 
-def test_each_change_of_suspicion_calls_the_callback_once(placement):
+def test_suspicion_callback_is_called_once_per_change(placement):
     notified: list[tuple[str, bool]] = []
     placement.on_suspicion_changed = lambda record, suspect: notified.append((record.instance, suspect))
     send = placement.begin_attempt(placement.selector.choose("s", S, set()), NO_PROMPT, S, takes_slot=True)
@@ -270,7 +270,7 @@
     assert notified == [(instance, True), (instance, False)]
 
 
-def test_some_idempotent_requests_probe_whether_a_worker_has_recovered():
+def test_some_idempotent_requests_are_sent_to_failing_worker():
     harness = RouterHarness(kind="safe", retries=2)
     placement = harness.state.placement
     record_outcomes(placement, "i-1", 4, harness.now())
@@ -284,7 +284,7 @@
     assert not placement.workers["i-1"].reliability.is_suspect(harness.now()), "the probes were served"
 
 
-def test_requests_that_are_not_idempotent_never_probe():
+def test_requests_that_are_not_idempotent_are_not_sent_to_failing_worker():
     harness = RouterHarness(kind="unsafe")
     record_outcomes(harness.state.placement, "i-1", 4, harness.now())
     for _ in range(100):
--- a/tests/forwarding/test_router_simulation.py
+++ b/tests/forwarding/test_router_simulation.py
@@ -17,15 +17,15 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_histories_keep_the_rules(seed):
+def test_simulated_histories_break_no_rule(seed):
     history = play(seed)
     assert sum(history.statuses.values()) == len(history.clients) > 500
     assert len(history.sends) > len(history.clients) / 2
 
 
 @pytest.mark.parametrize("defect", sorted(DEFECTS))
-def test_each_planted_defect_is_found(defect):
-    """Each defect is found within the searched seeds, and reported with the rule that it breaks."""
+def test_planted_defect_is_detected(defect):
+    """The defect is detected within the searched seeds, and reported with the rule that it violates."""
     for seed in SEARCHED_SEEDS:
         try:
             with planted(defect):
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -160,9 +160,9 @@
     delay=st.integers(0, 20 * S),
     rates=st.tuples(*[st.sampled_from((0.95, 1.0, 1.05))] * 2),
 )
-@example(ttl=1_048_576, delay=252_444, rates=(0.95, 1.05))  # 0.4 us too long, when it was rounded
+@example(ttl=1_048_576, delay=252_444, rates=(0.95, 1.05))  # rounding made the holder's TTL 0.4 us too long
 def test_a_client_stops_before_any_grantor_may_expire_its_lease(ttl, delay, rates):
-    """The request leaves at true time 0, is applied at once, and its answer is as late as it may be."""
+    """The request leaves at true time 0, is applied at once, and its response arrives at any later time."""
     client = LeaseClient(Acquire("a", "x", 1, ttl), LIMITS, 0)
     [request] = client.tick(0)
     client.handle_response(request.number, LeaseResponse(token=5), round(delay * rates[0]))
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -41,7 +41,7 @@
     assert routes.find("c.example", "/a/") is None
 
 
-def test_a_split_route_picks_backends_by_weight():
+def test_split_route_picks_backends_by_weight():
     split = [{"backend": "s", "weight": 90}, {"backend": "t", "weight": 10}, {"backend": "u", "weight": 0}]
     route = route_table({"split": split, "backend": ""}).find("a.example", "/")
     rng = random.Random(1)
@@ -60,7 +60,7 @@
 # --- prompts ---
 
 
-def test_a_prompt_is_parsed_from_its_headers():
+def test_prompt_is_parsed_from_its_headers():
     prompt = parse_prompt("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
     assert (prompt.tokens, prompt.max_output_tokens) == (1460, 80)
     assert prompt.shared_prefix == (PrefixSegment("5c1e07a2", 800), PrefixSegment("91bd3f06", 410))
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_an_overhead_far_from_the_initial_guess_is_learnt_from_a_dozen_prefills(seed):
+def test_prefill_overhead_far_from_initial_guess_is_learnt_from_a_dozen_prefills(seed):
     """Guards large fleets, where each router sees few prefills.
 
     Prefills of less than a unit took 136 ms where the model estimated 62 ms, for a whole day.
@@ -152,7 +152,7 @@
 SHORT = parse_prompt("100,100", "cc:60,dd:40")
 
 
-def test_without_phases_the_worker_with_the_least_expected_delay_is_chosen(placement):
+def test_service_without_phases_uses_worker_with_least_expected_delay(placement):
     placement.apply_load_report({"i-5": Load(6, 0), "i-6": Load(4, 0), "i-7": Load(5, 0)}, (), 0)
     assert placement.selector.choose("s", 0, set()).worker.record.instance == "i-6"
     assert placement.selector.choose("s", 0, {"i-6"}).worker.record.instance == "i-7"
@@ -167,7 +167,7 @@
     placement.end_attempt(send)
 
 
-def test_jobs_of_peers_depart_as_a_report_ages(placement):
+def test_estimated_peer_jobs_decrease_with_age_of_report(placement):
     estimate = placement.workers["i-5"].requests
     for _ in range(20):  # the usual job count is low
         placement.apply_load_report({}, (), 0)
@@ -176,7 +176,7 @@
     assert estimate.expected(100_000) < 5.5 and estimate.expected(10 * S) < 3
 
 
-def test_a_long_prompt_goes_to_a_prefill_worker_and_a_short_one_to_its_decode_worker(placement):
+def test_long_prompt_goes_to_prefill_worker_and_short_one_to_decode_worker(placement):
     pair = placement.selector.choose_pair("llm", LONG, 0, set())
     assert pair.prefill.worker.record.phase == "prefill" and pair.decode.worker.record.phase == "decode"
     assert placement.selector.choose_pair("llm", SHORT, 0, set()).prefill is None
@@ -193,12 +193,12 @@
         assert pair.prefill.worker.record.instance == holder and pair.prefill.prefill_tokens == 4_000
 
 
-def test_a_prefill_backlog_outweighs_a_cached_prefix(placement):
+def test_prefill_backlog_outweighs_cached_prefix(placement):
     placement.apply_load_report({"i-1": Load(5, 60_000)}, (CachedPrefix("i-1", "aa", 13_000),), 0)
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
 
 
-def test_all_routers_prefer_the_same_worker_for_an_unknown_prefix():
+def test_all_routers_prefer_same_worker_for_unknown_prefix():
     preferred = set()
     for seed in range(5):
         engine = PlacementEngine("z", seed)
@@ -209,7 +209,7 @@
     assert len(preferred) == 1
 
 
-def test_a_decode_worker_in_the_zone_of_the_prefill_worker_is_preferred():
+def test_decode_worker_in_zone_of_prefill_worker_is_preferred():
     engine = PlacementEngine("z", 2)
     engine.services = {"llm": Service("llm", engine=route_table().services["llm"].engine)}
     for record in (worker(1, "prefill"), worker(2, "decode", zone="y"), worker(3, "decode")):
@@ -236,7 +236,7 @@
     assert send.worker.prefill.own_jobs == 0
 
 
-def test_a_worker_that_drains_or_changes_its_phase_is_not_chosen(placement):
+def test_draining_or_phase_changing_worker_is_not_chosen(placement):
     placement.merge(worker(1, "prefill", seq=2, state=WorkerState.DRAINING))
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == "i-2"
     placement.set_phase_changing({"i-2"})
@@ -271,7 +271,7 @@
     assert placement.selector.choose_pair("llm", LONG, 0, set()).prefill.worker.record.instance == prefill
 
 
-def test_an_expired_worker_is_dropped_once_no_attempt_is_in_flight(placement):
+def test_expired_worker_is_dropped_once_no_attempt_is_in_flight(placement):
     send = placement.begin_attempt(
         placement.selector.choose("s", 0, {"i-6", "i-7"}), parse_prompt(None, None), 0, takes_slot=True
     )
@@ -300,7 +300,7 @@
     assert not placement.workers["i-5"].misses_heartbeats and placement.workers["i-6"].misses_heartbeats
 
 
-def test_the_recompute_price_rises_with_the_utilization_of_prefill_workers(placement):
+def test_recompute_price_rises_with_utilization_of_prefill_workers(placement):
     """At busy workers, a prefill delays later requests by more than its own time; at idle ones, by less."""
     fleet = placement._fleet
     idle = fleet.recompute_price("llm")
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_simulation_detects_each_planted_defect(defect):
+def test_simulation_detects_planted_defects(defect):
     found = run_schedules(40, 20.0, fault_scenario(3, defect))
     assert found["broken"], f"{defect}: not detected within {found['schedules']} schedules"
 
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -185,7 +185,9 @@
     worker = job.tries[0].worker.worker
     assert model.dispatcher.may_still_send(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=decisions.ListKind.DELTA)
-    assert not model.dispatcher.may_still_send(1, 0, model.now), "the worker's process is a new one, and cold"
+    assert not model.dispatcher.may_still_send(1, 0, model.now), (
+        "the worker's process is a new one, and is warming up"
+    )
     model.leave(1)
     assert not model.dispatcher.may_still_send(1, 0, model.now)
 
@@ -216,8 +218,8 @@
     assert not model.dispatcher.may_still_send(1, 1, model.now), "the first attempt is in flight"
 
 
-def dispatcher_with_cold_worker(now: int) -> tuple[Dispatcher, int]:
-    """Return a dispatcher with one cold worker that has one attempt, and the present time."""
+def dispatcher_with_warming_worker(now: int) -> tuple[Dispatcher, int]:
+    """Return a dispatcher with one warming-up worker that has one attempt, and the present time."""
     settings = Settings(
         classes=(JobClass(idempotency=Idempotency.SAFE),),
         warmup_duration=60_000_000,
@@ -234,9 +236,9 @@
     return dispatcher, now
 
 
-def test_cold_worker_budget_is_spent_in_the_window_of_the_first_byte():
-    """Attempts that are sent within a second reach a cold worker together if all their connects are slow."""
-    dispatcher, now = dispatcher_with_cold_worker(10**9)
+def test_slow_start_budget_is_spent_in_the_window_of_the_first_byte():
+    """Attempts sent within a second reach a warming-up worker together if their connects are slow."""
+    dispatcher, now = dispatcher_with_warming_worker(10**9)
     [worker] = dispatcher.workers.values()
     assert [attempt.at for attempt in worker.warmup_attempts] == [now]
     late = now + 900_000
@@ -247,13 +249,13 @@
     assert not dispatcher.may_still_send(1, 0, late + 10_000), "another attempt has spent the window's budget"
 
 
-def test_attempt_that_was_not_sent_spends_no_budget_of_a_cold_worker():
+def test_attempt_that_was_not_sent_spends_no_slow_start_budget():
     for outcome in (Outcome.NOT_SENT, Outcome.CONNECT_FAILED):
-        dispatcher, now = dispatcher_with_cold_worker(10**9)
+        dispatcher, now = dispatcher_with_warming_worker(10**9)
         [worker] = dispatcher.workers.values()
         dispatcher.handle(decisions.AttemptEnded(1, 1, 0, outcome, closed=True), now + 1_000)
         assert not worker.warmup_attempts
-    dispatcher, now = dispatcher_with_cold_worker(10**9)
+    dispatcher, now = dispatcher_with_warming_worker(10**9)
     [worker] = dispatcher.workers.values()
     dispatcher.handle(decisions.AttemptEnded(1, 1, 0, Outcome.FULL, closed=True), now + 1_000)
     assert worker.warmup_attempts, "rejecting an attempt also costs the worker"
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -121,9 +121,9 @@
 def test_connections_in_the_accept_backlog_are_served_when_the_listener_closes(tmp_path):
     """Guards clients whose connection was established in the kernel and was reset with the listening socket.
 
-    All 40 requests open a connection to the toy server in one turn of the event loop. On a busy machine that
-    takes longer than the default connect timeout of 250 ms; the server then counts as unreachable, and the
-    requests are refused once their objective has passed. This test is not about connecting.
+    All 40 requests open a connection to the toy server in one iteration of the event loop. On a busy machine
+    that takes longer than the default connect timeout of 250 ms; the server then counts as unreachable, and
+    the requests are refused once their objective has passed. This test is not about connecting.
     """
     limits = SETTINGS["limits"] | {"connect_timeout_us": 10_000_000}
 
