--- a/hazelbend/transport/stomp/stomp_backend_client.py
+++ b/hazelbend/transport/stomp/stomp_backend_client.py
@@ -115,7 +115,7 @@
             running.result.set_result(update)
 
     def acknowledge(self, message_id: str, *, accepted: bool) -> None:
-        """Apply an ACK (`accepted`: the worker has received the job) or a NACK, which returns the job."""
+        """Apply an ACK (`accepted`), which confirms only receipt, or a NACK, which returns the job."""
         running = self._attempts.get(message_id)
         if running is None or accepted or running.result.done():
             return
