--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -129,7 +129,7 @@
     for request in range(30):
         model.arrive(request)
         model.advance(2_000)
-        model.end(
+        model.end_attempt(
             request,
             interface.Outcome.SERVED,
             load=interface.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0),
@@ -152,9 +152,9 @@
     for request in range(40):
         model.arrive(request)
         model.advance(100_000)
-        if model.jobs[request].tries[0].worker.worker != 3:
+        if model.jobs[request].attempts[0].worker.worker != 3:
             report = interface.LoadReport(in_flight=8.0, queued=0.0, free_slots=0.0)
-            model.end(request, interface.Outcome.SERVED, load=report)
+            model.end_attempt(request, interface.Outcome.SERVED, load=report)
     workers = model.dispatcher.workers
     usual = [worker.background_load * worker.rate for worker in workers.values()]
     model.dispatcher.load_model.update_rate(workers[3], model.now)
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -63,20 +63,20 @@
         for _ in range(round(seconds * 10)):
             number = len(self.jobs)
             self.arrive(number, job_class=classes[number % len(classes)])
-            for job, attempt in self.out():
-                while self.jobs[job].tries[attempt].outcome is None:
+            for job, attempt in self.attempts_in_flight():
+                while self.jobs[job].attempts[attempt].outcome is None:
                     self.advance(5_000)
-                    worker = self.jobs[job].tries[attempt].worker.worker
+                    worker = self.jobs[job].attempts[attempt].worker.worker
                     if len(self.failing) < self.max_failing:
                         self.failing.add(worker)
                     if worker in self.failing:
                         self.errors[classes[job % len(classes)]] += 1
-                        self.end(job, interface.Outcome.ERROR, attempt)
-                        attempt = len(self.jobs[job].tries) - 1
+                        self.end_attempt(job, interface.Outcome.ERROR, attempt)
+                        attempt = len(self.jobs[job].attempts) - 1
                     else:
-                        self.start(job, attempt)
+                        self.start_job(job, attempt)
                         self.advance(RUN)
-                        self.end(job, interface.Outcome.SERVED, attempt)
+                        self.end_attempt(job, interface.Outcome.SERVED, attempt)
 
 
 def test_unsafe_jobs_avoid_failing_worker():
@@ -130,7 +130,7 @@
     model.list_workers(*(interface.WorkerEntry(number) for number in (1, 2, 3)))
     model.arrive(0)
     for attempt in range(3):
-        model.end(0, interface.Outcome.ERROR, attempt)
+        model.end_attempt(0, interface.Outcome.ERROR, attempt)
     failing = [
         worker for worker in model.dispatcher.workers.values() if worker.reliability.failing > PRIOR_FAILING
     ]
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -34,7 +34,7 @@
     for worker in probes:
         jobs_there = jobs_by_worker.get(worker, 0)
         load = interface.LoadReport(jobs_there, max(jobs_there - 4, 0), max(4 - jobs_there, 0))
-        model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, load))
+        model.handle_event(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, load))
 
 
 def test_best_workers_are_probed_before_selection():
@@ -357,12 +357,14 @@
     model.advance(200_000)
     probes, model.probes = model.probes, []
     for worker in probes:
-        model.tell(
+        model.handle_event(
             interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, interface.LoadReport(0.0, 0.0, 0.0))
         )
     worker = model.dispatcher.workers[1]
     assert not worker.reported_at and worker.slots == 0.0
-    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0.0, 0.0, 5.0)))
+    model.handle_event(
+        interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0.0, 0.0, 5.0))
+    )
     assert worker.reported_at and worker.slots == 5.0, "an idle server has free slots"
 
 
@@ -455,7 +457,7 @@
         probes, model.probes = model.probes, []
         for worker in probes:
             outcome = interface.Outcome.SERVED if answers or worker != where else interface.Outcome.TIMED_OUT
-            model.tell(interface.ProbeEnded(worker, outcome, 1_000))
+            model.handle_event(interface.ProbeEnded(worker, outcome, 1_000))
     return model
 
 
@@ -504,12 +506,18 @@
     worker = model.dispatcher.workers[1]
     since = worker.peer_jobs_at
     model.advance(600_000)
-    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0, 0, 4)))
+    model.handle_event(
+        interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(0, 0, 4))
+    )
     assert worker.peer_jobs_at == since, "the jobs estimated since the first report still count"
-    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
+    model.handle_event(
+        interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1))
+    )
     assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
-    model.tell(interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1)))
+    model.handle_event(
+        interface.ProbeEnded(1, interface.Outcome.SERVED, 1_000, interface.LoadReport(3, 0, 1))
+    )
     assert worker.peer_jobs_at > model.now - 2_000_000, (
         "an idle worker's equal reports count as new after a while"
     )
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -28,7 +28,7 @@
     model.list_workers(draining, kind=interface.ListKind.DELTA)
     for request in range(8):
         model.arrive(request)
-        model.end(request, interface.Outcome.SERVED)
+        model.end_attempt(request, interface.Outcome.SERVED)
     assert sent_workers(model) == [2] * 8
 
 
@@ -56,10 +56,10 @@
         dedup_window=2_000_000,
     )
     model = two_workers(job)
-    model.arrive(1, patience=8_000_000, key=5)
-    model.start(1)
+    model.arrive(1, client_timeout=8_000_000, key=5)
+    model.start_job(1)
     model.advance(after)
-    model.end(1, interface.Outcome.RESET)
+    model.end_attempt(1, interface.Outcome.RESET)
     model.advance(100_000)
     assert len(model.sends) == attempts
 
@@ -90,9 +90,9 @@
     model = two_workers(hedging_allowed=True, cancel_allowed=True)
     model.arrive(1)
     model.advance(3_000_000)
-    assert len(model.jobs[1].tries) > 1
-    model.end(1, interface.Outcome.SERVED, 1)
-    assert len(model.cancels) == len(model.jobs[1].tries) - 1
+    assert len(model.jobs[1].attempts) > 1
+    model.end_attempt(1, interface.Outcome.SERVED, 1)
+    assert len(model.cancels) == len(model.jobs[1].attempts) - 1
 
 
 def test_request_closed_while_waiting_for_probes_is_not_sent():
@@ -101,7 +101,7 @@
     model.arrive(1)
     model.leave(1)
     for worker in model.probes:
-        model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, EMPTY))
+        model.handle_event(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, EMPTY))
     assert model.sends == []
 
 
@@ -118,7 +118,7 @@
     model = two_workers()
     model.arrive(1)
     first = sent_workers(model)[0]
-    model.end(1, interface.Outcome.FULL)
+    model.end_attempt(1, interface.Outcome.FULL)
     for request in range(2, 6):
         model.arrive(request)
     assert sent_workers(model) == [first] + [3 - first] * 5
@@ -135,7 +135,7 @@
     model.list_workers(interface.WorkerEntry(1), interface.WorkerEntry(2))
     for request in range(6):
         model.arrive(request)
-        model.end(request, interface.Outcome.SERVED, load=EMPTY)
+        model.end_attempt(request, interface.Outcome.SERVED, load=EMPTY)
     assert len(set(sent_workers(model))) == 1, "the open connection is reused"
 
 
@@ -166,7 +166,7 @@
     model.arrive(1)
     assert model.probes
     for worker in list(model.probes):
-        model.tell(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, loads[worker]))
+        model.handle_event(interface.ProbeEnded(worker, interface.Outcome.SERVED, 1_000, loads[worker]))
     assert [jobs_by_worker[worker] for worker in sent_workers(model)] == [0]
 
 
@@ -182,7 +182,7 @@
         model.arrive(request)
         probe_counts.append(len(model.probes))
         for worker in list(model.probes):
-            model.tell(
+            model.handle_event(
                 interface.ProbeEnded(
                     worker, interface.Outcome.SERVED, 1_000, interface.LoadReport(request / 9, 0.0, 4.0)
                 )
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -49,15 +49,15 @@
 
 def apply_steps(model: Model, steps: list[tuple]) -> None:
     for step in steps:
-        out = model.out()
+        out = model.attempts_in_flight()
         match step:
             case ("arrive", job_class, client_timeout):
                 model.arrive(len(model.jobs), client_timeout, job_class)
             case ("end", which, outcome, load) if out:
                 request, attempt = out[which % len(out)]
-                model.end(request, outcome, attempt, load)
+                model.end_attempt(request, outcome, attempt, load)
             case ("start", which) if out:
-                model.start(*out[which % len(out)])
+                model.start_job(*out[which % len(out)])
             case ("leave", which) if model.jobs:
                 model.leave(which % len(model.jobs))
             case ("advance", duration):
@@ -66,7 +66,7 @@
                 started_at = model.now if restarted else 0
                 model.list_workers(entry(worker, state, started_at), kind=interface.ListKind.DELTA)
             case ("fail list",):
-                model.tell(interface.MembershipUpdate(interface.ListKind.FAILED))
+                model.handle_event(interface.MembershipUpdate(interface.ListKind.FAILED))
             case ("stray",):
                 # Events of unknown or finished requests, workers and timers must be ignored.
                 ignored_events = [
@@ -78,7 +78,7 @@
                     interface.ProbeEnded(10**9, interface.Outcome.SERVED),
                     interface.StreamStarted(10**9, 1, 0),
                 ]
-                assert all(model.tell(event) == [] for event in ignored_events)
+                assert all(model.handle_event(event) == [] for event in ignored_events)
     model.finish()
 
 
@@ -174,11 +174,11 @@
         for at, number, attempt in [row for row in running if row[0] <= model.now]:
             running.remove((at, number, attempt))
             load = interface.LoadReport(in_flight=0, queued=0, free_slots=slots)
-            model.end(number, interface.Outcome.SERVED, attempt, load)
+            model.end_attempt(number, interface.Outcome.SERVED, attempt, load)
         model.arrive(request)
-        for number, attempt in model.out():
-            if model.jobs[number].tries[attempt].sent_at == model.now:
-                model.start(number, attempt)
+        for number, attempt in model.attempts_in_flight():
+            if model.jobs[number].attempts[attempt].sent_at == model.now:
+                model.start_job(number, attempt)
                 running.append((model.now + run, number, attempt))
         model.advance(run // (3 * slots))
     warmup_sends = [at for at, worker, _ in model.sends if worker == 3]
