--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -33,9 +33,9 @@
 from typing import Any, NamedTuple
 
 from benchmarks.fleet_launcher import DEFECTS
-from benchmarks.fleet_rig import Machine, Site
+from benchmarks.fleet_rig import LocalFleet, Machine
 
-LEASES = ("one", "two")
+LEASE_NAMES = ("one", "two")
 TTL_S = 3.0
 MEAN_FAULT_INTERVAL_S = 0.9
 
@@ -64,10 +64,10 @@
     daemon_threads = True
     allow_reuse_address = True
 
-    def __init__(self, checks: bool = True) -> None:
+    def __init__(self, checks_tokens: bool = True) -> None:
         super().__init__(("127.0.0.1", 0), FakeStoreHandler)
-        self.checks, self.highest = checks, dict[str, int]()
-        self.rejected = self.took_lower = 0
+        self.checks_tokens, self.highest = checks_tokens, dict[str, int]()
+        self.rejected = self.accepted_stale_writes = 0
         self.lock = threading.Lock()
         self.thread = threading.Thread(target=self.serve_forever, daemon=True)
         self.thread.start()
@@ -75,10 +75,10 @@
     def put(self, name: str, token: int) -> bool:
         with self.lock:
             lower = token < self.highest.get(name, 0)
-            if lower and self.checks:
+            if lower and self.checks_tokens:
                 self.rejected += 1
                 return False
-            self.took_lower += lower
+            self.accepted_stale_writes += lower
             self.highest[name] = max(token, self.highest.get(name, 0))
             return True
 
@@ -118,14 +118,14 @@
         self.seed, self.seconds, self.defect = seed, seconds, defect
         # Of tasks: their number depends on the clock, and must not change the faults.
         self.lengths = random.Random(seed + 1)
-        self.stopped: set[int] = set()  # `lease run`s that were stopped; their commands go on
+        self.stopped_pids: set[int] = set()  # `lease run`s that were stopped; their commands go on
         draw = random.Random(seed)
         rates = tuple(draw.uniform(0.95, 1.05) for _ in range(processes))
-        self.site = Site(folder, processes, longest=TTL_S, rates=rates)
+        self.site = LocalFleet(folder, processes, max_ttl_s=TTL_S, rates=rates)
         for machine in self.site.machines:
             machine.defect = defect if defect in DEFECTS else ""
         self.path, self.folder = folder / "acts", folder
-        self.store = FakeStore(checks=defect != "no token check")
+        self.store = FakeStore(checks_tokens=defect != "no token check")
         self.tasks: dict[tuple[int, str], subprocess.Popen[str]] = {}
         self.faults: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
@@ -192,7 +192,7 @@
 
     def _restart_tasks(self) -> None:
         for machine in self.site.machines:
-            for lease in LEASES:
+            for lease in LEASE_NAMES:
                 task = self.tasks.get((machine.number, lease))
                 if task is not None and task.poll() is None:
                     continue
@@ -228,13 +228,13 @@
             process.send_signal(signal.SIGSTOP)
             self._undo_later(draw.uniform(0.5, 2 * TTL_S), lambda: process.send_signal(signal.SIGCONT))
         elif kind in ("stop task", "kill task"):
-            task = self.tasks.get((machine.number, draw.choice(LEASES)))
+            task = self.tasks.get((machine.number, draw.choice(LEASE_NAMES)))
             if task is None or task.poll() is not None:
                 return
             if kind == "kill task":
                 task.kill()
             else:
-                self.stopped.add(task.pid)
+                self.stopped_pids.add(task.pid)
                 task.send_signal(signal.SIGSTOP)
                 self._undo_later(draw.uniform(0.5, 2 * TTL_S), lambda: task.send_signal(signal.SIGCONT))
         elif kind in ("cut", "one way"):
@@ -266,12 +266,12 @@
 
     def result(self) -> dict[str, Any]:
         acts = self._read_acts()
-        by_lease = [self._check_acts([act for act in acts if act.lease == lease]) for lease in LEASES]
+        by_lease = [self._check_acts([act for act in acts if act.lease == lease]) for lease in LEASE_NAMES]
         broken = [text for checked in by_lease for text in checked.broken]
         unexpected = [status for status in self.statuses if status not in EXPECTED_STATUSES]
         broken += [f"a task ended with {status}" for status in unexpected]
-        if self.store.took_lower:
-            broken.append(f"the store took {self.store.took_lower} writes by lower tokens")
+        if self.store.accepted_stale_writes:
+            broken.append(f"the store took {self.store.accepted_stale_writes} writes by lower tokens")
         return {
             "faults": dict(self.faults),
             "acts": len(acts),
@@ -295,7 +295,7 @@
         highest = 0
         last: Act | None = None
         for act in acts:
-            if act.token < highest and act.by in self.stopped:
+            if act.token < highest and act.by in self.stopped_pids:
                 checked.late_by_stopped += 1
             elif act.token < highest and last is not None:
                 late_s = (act.at_ns - last.at_ns) / 1e9
--- a/benchmarks/fleet_gaps.py
+++ b/benchmarks/fleet_gaps.py
@@ -21,7 +21,7 @@
 import time
 from pathlib import Path
 
-from benchmarks.fleet_rig import ACT_SCRIPT, Machine, Site, read_acts, wait_for
+from benchmarks.fleet_rig import ACT_SCRIPT, LocalFleet, Machine, read_acts, wait_for
 
 KINDS = ("kill-task", "term-task", "kill-leader", "stop-leader", "cut-leader", "term-leader")
 
@@ -43,7 +43,7 @@
     return machine.start_command(*words, str(path), "/none")
 
 
-def one(site: Site, folder: Path, kind: str, ttl: float, number: int) -> float:
+def one(site: LocalFleet, folder: Path, kind: str, ttl: float, number: int) -> float:
     """Milliseconds between the last act before the fault and the first that follows a gap, or a new token."""
     path = folder / f"acts-{number}"
     leader = site.leader()
@@ -76,7 +76,7 @@
     return bool(said) and any(each["waiters"] for each in json.loads(said)["leases"])
 
 
-def fail(site: Site, leader: Machine, others: list[Machine], kind: str) -> None:
+def fail(site: LocalFleet, leader: Machine, others: list[Machine], kind: str) -> None:
     if kind == "kill-leader":
         leader.stop(signal.SIGKILL)
     elif kind == "term-leader":
@@ -88,7 +88,7 @@
         site.partitions |= pairs | {(b, a) for a, b in pairs}
 
 
-def mend(site: Site, leader: Machine, kind: str) -> None:
+def mend(site: LocalFleet, leader: Machine, kind: str) -> None:
     site.partitions.clear()
     if kind == "stop-leader":
         leader.send(signal.SIGCONT)
@@ -107,7 +107,7 @@
     parser.add_argument("--ttl", type=float, default=5.0)
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="fleet-gaps-"))
-    with Site(folder, 3, longest=args.ttl) as site:
+    with LocalFleet(folder, 3, max_ttl_s=args.ttl) as site:
         site.bootstrap()
         gaps = [one(site, folder, args.kind, args.ttl, number) for number in range(args.times)]
     shutil.rmtree(folder)
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -22,23 +22,23 @@
 
     time.monotonic_ns = paced
     if defect == "time from the answer":
-        from benchmarks.fleet_defects import Hasty
+        from benchmarks.fleet_defects import CountsTtlFromResponse
         from hazelbend.cli import lease_run
 
-        lease_run.LeaseClient = Hasty  # type: ignore[attr-defined]
+        lease_run.LeaseClient = CountsTtlFromResponse  # type: ignore[attr-defined]
     elif defect == "token reset in a new epoch":
-        from benchmarks.fleet_defects import Forgetful
+        from benchmarks.fleet_defects import RestartsTokensPerEpoch
         from hazelbend.leases import lease_node
 
-        lease_node.LeaseTable = Forgetful  # type: ignore[attr-defined]
+        lease_node.LeaseTable = RestartsTokensPerEpoch  # type: ignore[attr-defined]
     elif defect == "no wait by a new leader":
-        from benchmarks.fleet_defects import forget_the_wait
+        from benchmarks.fleet_defects import skip_expiry_wait
         from hazelbend.leases.lease_node import LeaseNode
 
         lead = LeaseNode._lead
 
         def hasty(self: LeaseNode, now: int) -> None:
-            forget_the_wait(self.expiry_watcher, self.raft.persistent.current_term)
+            skip_expiry_wait(self.expiry_watcher, self.raft.persistent.current_term)
             lead(self, now)
 
         LeaseNode._lead = hasty  # type: ignore[method-assign]
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -24,7 +24,7 @@
 from hazelbend.gossip.swim import SwimNode
 from hazelbend.gossip.timing import GossipTiming
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 class GossipCluster:
@@ -34,9 +34,9 @@
         self.random, self.timing, self.fleet = random.Random(seed), GossipTiming(), fleet
         self.now, self.sequence = 0, 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.by_address: dict[str, SwimNode] = {}
+        self.nodes_by_address: dict[str, SwimNode] = {}
         self.paused: dict[str, list[Packet]] = {}
-        self.is_cut: Callable[[str, str], bool] = lambda source, to: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda source, to: False
         self.loss = 0.0
         self.packets = self.bytes = 0
         self.encoder = msgspec.msgpack.Encoder()
@@ -55,19 +55,19 @@
             self.random.getrandbits(32),
             self.now,
         )
-        self.by_address[address] = made
+        self.nodes_by_address[address] = made
         self._wake(made)
         return made
 
     def kill(self, address: str) -> None:
-        del self.by_address[address]
+        del self.nodes_by_address[address]
 
     def pause(self, address: str) -> None:
         self.paused[address] = []
 
     def resume(self, address: str) -> None:
         waiting = self.paused.pop(address)
-        member = self.by_address[address]
+        member = self.nodes_by_address[address]
         self._pump(member)
         for packet in waiting:
             self._arrive(packet)
@@ -78,7 +78,7 @@
         heapq.heappush(self.events, (self.now + max(round(delay), 1), self.sequence, act))
 
     def run(self, seconds: float) -> None:
-        end = self.now + round(seconds * S)
+        end = self.now + round(seconds * SECOND_US)
         while self.events and self.events[0][0] <= end:
             self.now, _, act = heapq.heappop(self.events)
             act()
@@ -88,16 +88,16 @@
         """Seconds until `done`; AssertionError if it takes longer."""
         began = self.now
         while not done():
-            assert self.now < began + seconds * S, "it did not come about"
+            assert self.now < began + seconds * SECOND_US, "it did not come about"
             self.run(0.1)
-        return (self.now - began) / S
+        return (self.now - began) / SECOND_US
 
     def _wake(self, member: SwimNode) -> None:
         self.at(max(member.next_at - self.now, 1_000), lambda: self._due(member))
 
     def _due(self, member: SwimNode) -> None:
         address = address_of(member.identity)
-        if self.by_address.get(address) is member and address not in self.paused:
+        if self.nodes_by_address.get(address) is member and address not in self.paused:
             self._pump(member)
             self._wake(member)
 
@@ -110,7 +110,7 @@
             self.packets += 1
             self.bytes += len(self.encoder.encode(packet))
             to = address_of(packet.to) or packet.to
-            if not self.is_cut(address_of(packet.sender), to) and self.random.random() >= self.loss:
+            if not self.is_partitioned(address_of(packet.sender), to) and self.random.random() >= self.loss:
                 self.at(self.random.expovariate(1 / 3_000), partial(self._arrive, packet))
         member.outbox.clear()
         for change in member.table.status_changes:
@@ -123,14 +123,14 @@
         address = address_of(packet.to) or packet.to
         if address in self.paused:
             self.paused[address].append(packet)
-        elif (member := self.by_address.get(address)) is not None:
+        elif (member := self.nodes_by_address.get(address)) is not None:
             member.receive(packet, self.now)
             self._send(member)
 
     def converged(self) -> bool:
         """Whether every running process knows exactly the running processes."""
-        running = {each.identity for each in self.by_address.values()}
-        return all(set(each.table.active()) == running for each in self.by_address.values())
+        running = {each.identity for each in self.nodes_by_address.values()}
+        return all(set(each.table.active()) == running for each in self.nodes_by_address.values())
 
 
 def measure(size: int, seconds: float, seed: int) -> dict[str, float]:
@@ -142,7 +142,7 @@
     cluster.run(seconds)
     cpu = time.process_time() - began
     calm, bytes_, alarms = cluster.packets, cluster.bytes, cluster.deaths_declared
-    gone = cluster.by_address["10.0.0.1:1"].identity
+    gone = cluster.nodes_by_address["10.0.0.1:1"].identity
     killed = cluster.now
     cluster.kill("10.0.0.1:1")
     cluster.run_until(cluster.converged, 300.0)
@@ -154,8 +154,8 @@
         "bytes_per_s": round(bytes_ / seconds / size),
         "cpu_percent": round(100 * cpu / seconds / size, 3),
         "false_alarms": alarms,
-        "first_knows_s": round(known[0] / S, 1),
-        "last_knows_s": round(known[-1] / S, 1),
+        "first_knows_s": round(known[0] / SECOND_US, 1),
+        "last_knows_s": round(known[-1] / SECOND_US, 1),
     }
 
 
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -89,7 +89,7 @@
         folder: Path,
         number: int,
         advertised: list[str],
-        longest: float,
+        max_ttl_s: float,
         rate: float = 1.0,
         store: bool = False,
     ) -> None:
@@ -101,14 +101,14 @@
             f'enabled = true\nid = "rig"\nlisten = "{self.host}:{self.port}"\n'
             f'advertise = "{self.address}"\nseeds = {json.dumps(advertised[:3])}\n'
             + (f'store = "{self.folder / "store"}"\n' if store else "")
-            + f"[leases]\nshortest_s = 0.5\nlongest_s = {longest}\n"
+            + f"[leases]\nshortest_s = 0.5\nlongest_s = {max_ttl_s}\n"
         )
-        self.ops = f"127.0.0.1:{free_port()}"
+        self.ops_address = f"127.0.0.1:{free_port()}"
         conf = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.clients}",
             "settings": SETTINGS,
-            "ops": self.ops,
+            "ops": self.ops_address,
         }
         (self.folder / "config.json").write_text(json.dumps(conf))
         self.process: subprocess.Popen[bytes] | None = None
@@ -190,7 +190,7 @@
 class Relay:
     """Listens at a machine's advertised address and forwards bytes, as far as the site's faults allow."""
 
-    def __init__(self, site: Site, to: int, handle: socket.socket) -> None:
+    def __init__(self, site: LocalFleet, to: int, handle: socket.socket) -> None:
         self.site, self.to, self.handle = site, to, handle
         self.server: asyncio.Server | None = None
 
@@ -232,21 +232,21 @@
                 await writer.drain()
 
 
-class Site:
+class LocalFleet:
     """Some machines of one fleet, each pair of them joined through a relay."""
 
     def __init__(
         self,
         folder: Path,
         size: int,
-        longest: float = 2.0,
+        max_ttl_s: float = 2.0,
         rates: tuple[float, ...] = (),
         store: bool = False,
     ) -> None:
         handles = [socket.create_server(("127.0.0.1", 0)) for _ in range(size)]
         advertised = [f"127.0.0.1:{each.getsockname()[1]}" for each in handles]
         self.machines = [
-            Machine(folder, number, advertised, longest, rates[number] if rates else 1.0, store)
+            Machine(folder, number, advertised, max_ttl_s, rates[number] if rates else 1.0, store)
             for number in range(size)
         ]
         self.partitions: set[tuple[int, int]] = set()  # one way
@@ -255,7 +255,7 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
 
-    def __enter__(self) -> Site:
+    def __enter__(self) -> LocalFleet:
         self._thread.start()
         for relay in self._relays:
             asyncio.run_coroutine_threadsafe(relay.start(), self._loop).result(10)
@@ -285,14 +285,16 @@
         """As `wait_for`; the error has the views and logs of all machines."""
         return wait_for(condition, seconds, self.describe)
 
-    def bootstrap(self, voters: int = 3, opens: bool = True) -> None:
-        """Start the fleet at its first machine. Wait for so many voters and, if `opens`, for open leases."""
+    def bootstrap(self, voters: int = 3, wait_until_open: bool = True) -> None:
+        """Start the fleet at its first machine. Wait for so many voters and, if `wait_until_open`, for open leases."""
         first = self.machines[0]
         self.wait_for(lambda: len(first.view().get("members", ())) == len(self.machines))
         status, _, errors = first.run_command("fleet", "start")
         assert status == 0, errors
         self.wait_for(
-            lambda: len((view := first.view()).get("voters", ())) == voters and view["open"] >= opens
+            lambda: (
+                len((view := first.view()).get("voters", ())) == voters and view["open"] >= wait_until_open
+            )
         )
 
     def leader(self) -> Machine:
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -23,7 +23,7 @@
 from typing import NamedTuple
 
 from benchmarks import breadth_first
-from benchmarks.fleet_defects import Hopeful, Rash
+from benchmarks.fleet_defects import AllowsConcurrentVoterChanges, CommitsEarlierTermEntries
 from hazelbend.consensus.messages import Entry, Message, TimeoutNow
 from hazelbend.consensus.persistent_state import PersistentState
 from hazelbend.consensus.raft import RaftConfig, RaftNode, Role
@@ -37,11 +37,11 @@
     "entries of earlier terms are counted",
     "two voter changes at once",
 )
-KINDS = {DEFECTS[2]: Hopeful, DEFECTS[3]: Rash}
+KINDS = {DEFECTS[2]: CommitsEarlierTermEntries, DEFECTS[3]: AllowsConcurrentVoterChanges}
 OP = encode(OpenEpoch())
 
 
-class Left(NamedTuple):
+class RemainingSteps(NamedTuple):
     """How often each may still happen."""
 
     stands: int
@@ -53,7 +53,7 @@
 class World:
     """One state, and what may still happen from it."""
 
-    def __init__(self, defect: str, left: Left) -> None:
+    def __init__(self, defect: str, left: RemainingSteps) -> None:
         self.defect, self.left = defect, left
         self.sent: frozenset[Message] = frozenset()
         self.records = {
@@ -97,7 +97,7 @@
             )
             yield told, self._step(message.to, self.left, message)
 
-    def _step(self, name: str, left: Left, what: str | Message) -> World:
+    def _step(self, name: str, left: RemainingSteps, what: str | Message) -> World:
         after = copy.copy(self)
         after.left = left
         record = _copy(self.records[name])
@@ -157,7 +157,7 @@
     return made
 
 
-def search(defect: str, left: Left, most: int) -> dict[str, object]:
+def search(defect: str, left: RemainingSteps, most: int) -> dict[str, object]:
     """All states within these bounds."""
     return breadth_first.search(World(defect, left), most)
 
@@ -174,7 +174,9 @@
     parser.add_argument("--defect", choices=DEFECTS, default="")
     args = parser.parse_args()
     began = time.monotonic()
-    found = search(args.defect, Left(args.stands, args.puts, args.restarts, args.changes), args.most)
+    found = search(
+        args.defect, RemainingSteps(args.stands, args.puts, args.restarts, args.changes), args.most
+    )
     print(json.dumps(vars(args) | found | {"seconds": round(time.monotonic() - began, 1)}))
     return 1 if found["broken"] else 0
 
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -24,7 +24,13 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from benchmarks.fleet_defects import Careless, Forgetful, Hasty, Rash, forget_the_wait
+from benchmarks.fleet_defects import (
+    AllowsConcurrentVoterChanges,
+    AnswersReadsWithoutQuorum,
+    CountsTtlFromResponse,
+    RestartsTokensPerEpoch,
+    skip_expiry_wait,
+)
 from benchmarks.fleet_history import Call, linearizable
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.messages import Entry, Message
@@ -36,10 +42,10 @@
 from hazelbend.leases.lease_table import LeaseLimits, LeaseTable
 from hazelbend.leases.operations import Acquire, LeaseResponse, OpenEpoch, Operation, encode
 
-S = 1_000_000  # microseconds
-LIMITS = LeaseLimits(min_ttl_us=S, max_ttl_us=3 * S, max_clock_drift=0.05)
+SECOND_US = 1_000_000  # microseconds
+LIMITS = LeaseLimits(min_ttl_us=SECOND_US, max_ttl_us=3 * SECOND_US, max_clock_drift=0.05)
 NAMES = ("snapshot", "export")
-LOST_AFTER = S  # a member that is down so long is known to be
+LOST_AFTER = SECOND_US  # a member that is down so long is known to be
 MAX_FILE_BYTES = 50_000  # of a disk; then it is written anew
 FAULT_KINDS = ("kill", "kill", "pause", "cut", "one way", "loss", "slow", "hand over", "wipe")
 DEFECTS = (
@@ -85,7 +91,7 @@
 class FleetSimulation:
     def __init__(self, seed: int, nodes: int = 3, seconds: float = 20.0, defect: str = "") -> None:
         self.random, self.torn, self.defect = random.Random(seed), random.Random(seed), defect
-        self.now, self.end, self.sequence = 0, round(seconds * S), 0
+        self.now, self.end, self.sequence = 0, round(seconds * SECOND_US), 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         drift = LIMITS.max_clock_drift
         self.nodes = [
@@ -122,8 +128,8 @@
         first = self.nodes[0]
         assert first.raft is not None
         self._start_new_epoch(first)
-        self.at(S, self._tend)
-        self.at(self.random.expovariate(1 / S), self._fault)
+        self.at(SECOND_US, self._tend)
+        self.at(self.random.expovariate(1 / SECOND_US), self._fault)
         while self.events and self.events[0][0] <= self.end:
             self.now, _, act = heapq.heappop(self.events)
             act()
@@ -147,9 +153,12 @@
             persistent = PersistentState(identity)
         elif self.defect == "vote forgotten":
             persistent.voted_for = ""
-        leases = Forgetful(LIMITS) if self.defect.startswith("token") else LeaseTable(LIMITS)
+        leases = RestartsTokensPerEpoch(LIMITS) if self.defect.startswith("token") else LeaseTable(LIMITS)
         node.leases, node.watcher = leases, ExpiryWatcher(LIMITS)
-        kinds = {"two voter changes at once": Rash, "stale read": Careless}
+        kinds = {
+            "two voter changes at once": AllowsConcurrentVoterChanges,
+            "stale read": AnswersReadsWithoutQuorum,
+        }
         now = self.local(node)
         raft = kinds.get(self.defect, RaftNode)(
             persistent, leases, RaftConfig(), self.random.getrandbits(32), now
@@ -167,10 +176,10 @@
 
     def _new_client(self, node: Node) -> None:
         node.last_request_id += 1
-        kind = Hasty if self.defect == "time from the answer" else LeaseClient
+        kind = CountsTtlFromResponse if self.defect == "time from the answer" else LeaseClient
         name = f"n{node.number}.{node.incarnation}"
-        wait = self.random.choice((0, 5 * S))
-        lease, ttl = self.random.choice(NAMES), self.random.randint(S, 3 * S)
+        wait = self.random.choice((0, 5 * SECOND_US))
+        lease, ttl = self.random.choice(NAMES), self.random.randint(SECOND_US, 3 * SECOND_US)
         request = Acquire(lease, name, node.last_request_id, ttl, wait)
         node.clients.append(kind(request, LIMITS, self.local(node)))
 
@@ -181,12 +190,15 @@
         if node.disk is not None and self.torn.random() < 0.3:  # it was writing: some of a frame is there
             frame = state_codec.encode_frame(state_codec.LogEntries(1, (Entry(1),)))
             node.disk += frame[: self.torn.randrange(1, len(frame))]
-        self.at(self.random.uniform(0, longest) * S, lambda: self._start(node) if node.raft is None else None)
+        self.at(
+            self.random.uniform(0, longest) * SECOND_US,
+            lambda: self._start(node) if node.raft is None else None,
+        )
 
     def _start_new_epoch(self, node: Node) -> None:
         assert node.raft is not None
         known = max(node.raft.persistent.epoch, 0)
-        self.epoch = next_epoch(known, self.now / S + 1_000, node.raft.identity)
+        self.epoch = next_epoch(known, self.now / SECOND_US + 1_000, node.raft.identity)
         node.raft.force_new_cluster(self.epoch, self.local(node))
         self._pump(node)
 
@@ -254,7 +266,7 @@
 
     def _lead(self, node: Node, raft: RaftNode, now: int) -> None:
         if self.defect == "no wait by a new leader":
-            forget_the_wait(node.watcher, raft.persistent.current_term)
+            skip_expiry_wait(node.watcher, raft.persistent.current_term)
         for operation in node.watcher.new_proposals(node.leases, raft.persistent.current_term, now):
             raft.propose(encode(operation), now)
 
@@ -332,7 +344,7 @@
 
     def _tend(self) -> None:
         """Now and then: the leader sees to its voters, tasks begin and end, and somebody reads."""
-        self.at(self.random.uniform(0.1, 0.4) * S, self._tend)
+        self.at(self.random.uniform(0.1, 0.4) * SECOND_US, self._tend)
         for node in self.nodes:
             if node.raft is None or node.paused:
                 continue
@@ -399,12 +411,12 @@
             self.highest[name] = token
 
         late = self.random.random() < 0.1
-        self.at(self.random.uniform(0, 6 * S if late else 20_000), arrive)
+        self.at(self.random.uniform(0, 6 * SECOND_US if late else 20_000), arrive)
 
     # --- faults ---
 
     def _fault(self) -> None:
-        self.at(self.random.expovariate(1 / (1.2 * S)), self._fault)
+        self.at(self.random.expovariate(1 / (1.2 * SECOND_US)), self._fault)
         node = self.random.choice(self.nodes)
         kind = self.random.choice(FAULT_KINDS)
         up = [each for each in self.nodes if each.raft is not None]
@@ -437,7 +449,7 @@
             return False
         node.paused = True
         incarnation = node.incarnation
-        self.at(self.random.uniform(0.1, 6) * S, lambda: self._resume(node, incarnation))
+        self.at(self.random.uniform(0.1, 6) * SECOND_US, lambda: self._resume(node, incarnation))
         return True
 
     def _partition(self, *, both_ways: bool) -> bool:
@@ -446,17 +458,17 @@
         pairs = {(a, b) for a in side for b in set(numbers) - side}
         if both_ways:
             pairs |= {(b, a) for a, b in pairs}
-        self.partitions |= dict.fromkeys(pairs, self.now + round(self.random.uniform(0.2, 4) * S))
+        self.partitions |= dict.fromkeys(pairs, self.now + round(self.random.uniform(0.2, 4) * SECOND_US))
         return True
 
     def _lose_messages(self) -> bool:
         self.loss = self.random.uniform(0.05, 0.4)
-        self.at(self.random.uniform(0.2, 3) * S, lambda: setattr(self, "loss", 0.0))
+        self.at(self.random.uniform(0.2, 3) * SECOND_US, lambda: setattr(self, "loss", 0.0))
         return True
 
     def _slow_down(self) -> bool:
         self.slow = self.random.uniform(10, 200)
-        self.at(self.random.uniform(0.2, 2) * S, lambda: setattr(self, "slow", 1.0))
+        self.at(self.random.uniform(0.2, 2) * SECOND_US, lambda: setattr(self, "slow", 1.0))
         return True
 
     def _transfer_leadership(self, up: list[Node]) -> bool:
@@ -559,7 +571,7 @@
     try:
         simulation.run()
     except BrokenInvariantError as error:
-        broken = f"seed {seed}, {simulation.now / S:.3f} s: {error}"
+        broken = f"seed {seed}, {simulation.now / SECOND_US:.3f} s: {error}"
     return {
         "seed": seed,
         "broken": broken,
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from benchmarks.quota_sim import QuotaSimulation, S, Scenario
+from benchmarks.quota_sim import SECOND_US, QuotaSimulation, Scenario
 from hazelbend.quotas.operations import Account
 
 GOSSIP_INTERVAL_US = 200_000
@@ -133,11 +133,11 @@
 
 def measure(policy: type[QuotaSimulation], seed: int, scenario: Scenario, seconds: float) -> Measured:
     simulation = policy(seed, scenario)
-    simulation.run(round(seconds * S))
+    simulation.run(round(seconds * SECOND_US))
     simulation._count_busy_time()
     return Measured(
         simulation.counts["overshoot"],
-        simulation.busy_us / (seconds * S) / (UNITS_PER_MACHINE * scenario.machines),
+        simulation.busy_us / (seconds * SECOND_US) / (UNITS_PER_MACHINE * scenario.machines),
         simulation.counts["messages"] / max(simulation.counts["jobs"], 1),
         simulation.added_delays,
     )
--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -31,7 +31,7 @@
 from hazelbend.quotas.operations import Account, OpenEpoch, QuotaResponse, Reclaim, ReturnUnits, SetAccounts
 from hazelbend.quotas.timing import QuotaParameters
 
-S = 1_000_000  # microseconds
+SECOND_US = 1_000_000  # microseconds
 HANGING_JOBS = 0.2  # of all, where there are faults: they run for the longest time
 LONG = QuotaParameters()
 ACCOUNTS = (
@@ -41,7 +41,7 @@
     Account("c", 3, 0, "all"),
 )
 # So short that many allocations end in a schedule of 20 s.
-SHORT = QuotaParameters(allocation_ttl_us=1 * S, max_job_time_us=2 * S)
+SHORT_TTL_PARAMETERS = QuotaParameters(allocation_ttl_us=1 * SECOND_US, max_job_time_us=2 * SECOND_US)
 DEFECTS = (
     "a holder goes on after its time",
     "a unit given back twice",
@@ -54,7 +54,7 @@
 
 def busiest_machine(account: str, now: int) -> int:
     """Where most of an account's jobs arrive in this second, modulo the number of machines."""
-    return zlib.crc32(f"{account} {now // S}".encode())
+    return zlib.crc32(f"{account} {now // SECOND_US}".encode())
 
 
 @dataclass(slots=True)
@@ -141,7 +141,7 @@
             self.at(0, partial(self.pump, index))
         self.at(0, self.lead)
         if self.scenario.faults:
-            self.at(self.random.randrange(2 * S), self.fault)
+            self.at(self.random.randrange(2 * SECOND_US), self.fault)
         while self.events and self.events[0][0] <= until:
             self.now, _, act = heapq.heappop(self.events)
             act()
@@ -164,7 +164,7 @@
     def _check_limit(self, name: str, running: int, limit: int) -> None:
         self.counts["overshoot"] = max(self.counts["overshoot"], running - limit)
         if running > limit:
-            at = f"{self.now / S:.3f} s"
+            at = f"{self.now / SECOND_US:.3f} s"
             raise BrokenInvariantError(
                 f"overshoot: {running} of {name} are in service at {at}, {limit} may be"
             )
@@ -263,7 +263,7 @@
 
     def delay(self) -> int:
         if self.scenario.faults and self.random.random() < 0.03:
-            return self.random.randrange(4 * S)
+            return self.random.randrange(4 * SECOND_US)
         return self.random.randrange(1_000, 20_000)
 
     def send(self, index: int, machine: Machine, client: AllocationClient, request: Request) -> None:
@@ -334,7 +334,7 @@
         self.counts[f"fault {kind}"] += 1
         if kind == "kill":
             machine.dead = True
-            self.at(self.now + self.random.randrange(2 * S), lambda: self.start(index))
+            self.at(self.now + self.random.randrange(2 * SECOND_US), lambda: self.start(index))
         elif kind == "stop":
             machine.stopped_until = self.now + self.random.randrange(2 * self.parameters.allocation_ttl_us)
             self.at(machine.stopped_until, lambda: self.wake(index, machine))
@@ -350,7 +350,7 @@
             self.watcher.observe(self.ledger, self.now)
         elif kind == "shift":
             self.demand = {account.name: self.random.choice((0.1, 1.0, 2.0)) for account in self.leaves}
-        self.at(self.now + self.random.randrange(5 * S), self.fault)
+        self.at(self.now + self.random.randrange(5 * SECOND_US), self.fault)
 
     def start(self, index: int) -> None:
         self.machines[index] = self._machine(index)
@@ -370,7 +370,7 @@
 
 def fault_scenario(machines: int, defect: str) -> Scenario:
     """Short allocations and much load, so that a schedule has many faults that matter."""
-    return Scenario(machines=machines, parameters=SHORT, load=3.0, defect=defect)
+    return Scenario(machines=machines, parameters=SHORT_TTL_PARAMETERS, load=3.0, defect=defect)
 
 
 def run_schedules(schedules: int, seconds: float, scenario: Scenario, first_seed: int = 0) -> dict[str, Any]:
@@ -379,7 +379,7 @@
     for seed in range(first_seed, first_seed + schedules):
         simulation = QuotaSimulation(seed, scenario)
         try:
-            simulation.run(round(seconds * S))
+            simulation.run(round(seconds * SECOND_US))
         except BrokenInvariantError as error:
             counts += simulation.counts
             return {"schedules": seed - first_seed + 1, "broken": [str(error)], "seed": seed, **counts}
--- a/benchmarks/router_sim.py
+++ b/benchmarks/router_sim.py
@@ -42,13 +42,13 @@
 from hazelbend.system.router_update_handler import RouterUpdateHandler
 from tests.support.virtual_loop import VirtualLoop
 
-S = 1_000_000  # microseconds
+SECOND_US = 1_000_000  # microseconds
 LENGTH_S = 30.0
 ARRIVALS_PER_S = 40.0
 CHANGES_PER_S = 1.5  # of workers' behaviour
 RETRY_RATIO = 0.2
 RETRY_SLACK = 5.0
-RETRY_WINDOW_US = 10 * S
+RETRY_WINDOW_US = 10 * SECOND_US
 TIMEOUT_MS = 1_500
 LATE_US = 50_000  # by which a final answer may come after its deadline
 WORKERS = 6  # of each service
@@ -189,7 +189,9 @@
         self.statuses: Counter[int] = Counter()
         self.state = FleetState(PlacementEngine("z", seed))
         self.state.has_current_config = lambda: True
-        settings: Any = SimpleNamespace(config_apply_us=2 * S, heartbeat_us=S)  # all that the handler reads
+        settings: Any = SimpleNamespace(
+            config_apply_us=2 * SECOND_US, heartbeat_us=SECOND_US
+        )  # all that the handler reads
         self.handler = RouterUpdateHandler(
             settings, self.state, on_limits=lambda limits: None, on_fleet_status=lambda status: None
         )
@@ -204,9 +206,9 @@
     def now(self) -> int:
         """Virtual microseconds."""
         seconds: float = self.loop.time()
-        return round(seconds * S)
+        return round(seconds * SECOND_US)
 
-    def play(self) -> None:
+    def run_history(self) -> None:
         """Run the history.
 
         Raises:
@@ -371,10 +373,10 @@
                 raise BrokenRuleError(f"{sent} retries in a window that allows {earned:.1f}")
 
 
-def play(seed: int) -> RouterHistory:
+def run_history(seed: int) -> RouterHistory:
     """Run one history. Raises BrokenRuleError."""
     history = RouterHistory(seed)
-    history.play()
+    history.run_history()
     return history
 
 
@@ -408,7 +410,7 @@
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def planted_defect(name: str) -> Iterator[None]:
     """With this defect in the code; an empty name: with none."""
     if not name:
         yield
@@ -434,10 +436,10 @@
     began = time.monotonic()
     broken: dict[int, str] = {}
     totals: Counter[str] = Counter()
-    with planted(options.defect):
+    with planted_defect(options.defect):
         for seed in range(options.first, options.first + options.seeds):
             try:
-                history = play(seed)
+                history = run_history(seed)
             except BrokenRuleError as error:
                 broken[seed] = str(error)
                 continue
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -23,9 +23,9 @@
 class ToyServer:
     def __init__(self, name: str = NAME) -> None:
         self.name = name
-        self.ran: list[str] = []  # the ids of the jobs that started
+        self.started_job_ids: list[str] = []  # the ids of the jobs that started
         self.targets: list[str] = []
-        self.holds = 0
+        self.jobs_in_flight = 0
         self._free = asyncio.Semaphore(SLOTS)
         self._let_go = asyncio.Event()
         self._listener: asyncio.Server | None = None
@@ -42,9 +42,9 @@
         await self._server.shutdown(0.1)
 
     def load(self) -> dict[str, int]:
-        waiting = max(self.holds - SLOTS, 0)
-        free = max(SLOTS - self.holds, 0)
-        return {"inflight": self.holds, "queue": waiting, "x0": free, "x1": free}
+        waiting = max(self.jobs_in_flight - SLOTS, 0)
+        free = max(SLOTS - self.jobs_in_flight, 0)
+        return {"inflight": self.jobs_in_flight, "queue": waiting, "x0": free, "x1": free}
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.method == "GET" and request.path in ("/healthz", "/load"):
@@ -63,11 +63,11 @@
         response = web.StreamResponse(status=200)
         response.enable_chunked_encoding()
         await response.prepare(request)
-        self.holds += 1
+        self.jobs_in_flight += 1
         try:
             await self._run(job_id, words, response)
         finally:
-            self.holds -= 1
+            self.jobs_in_flight -= 1
         await response.write_eof()
         return response
 
@@ -77,7 +77,7 @@
             await response.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
 
         async with self._free:
-            self.ran.append(job_id)
+            self.started_job_ids.append(job_id)
             await say(state="started")
             await asyncio.sleep(next((int(word) for word in words if word.isdecimal()), 50) / 1e3)
             if "held" in words:
