--- a/hazelbend/decisions/membership.py
+++ b/hazelbend/decisions/membership.py
@@ -1,8 +1,8 @@
-"""The workers that are listed, as membership updates leave them."""
+"""The membership list: the known workers, and which of them take new requests."""
 
 from __future__ import annotations
 
-from hazelbend.decisions.health import trust
+from hazelbend.decisions.health import end_backoff
 from hazelbend.decisions.interface import ListKind, MembershipUpdate, WorkerEntry, WorkerId, WorkerState
 from hazelbend.decisions.load_model import LoadModel
 from hazelbend.decisions.reliability import FailureEstimate
@@ -21,7 +21,7 @@
         self.ready: dict[Worker, None] = {}
 
     def apply(self, update: MembershipUpdate, now: int) -> None:
-        """Take a complete list, or changes of it."""
+        """Apply a complete list, or changes of it."""
         if update.kind is not ListKind.DELTA:
             listed = {entry.worker for entry in update.entries}
             self.workers = {number: worker for number, worker in self.workers.items() if number in listed}
@@ -52,9 +52,9 @@
 
 
 def _reset(worker: Worker, now: int) -> None:
-    """Forget what was believed of a worker's last process: nothing runs in the new one."""
+    """Drop the estimates for a worker's previous process: nothing runs in the new one yet."""
     worker.peer_jobs = 0
     worker.peer_jobs_at = now
     worker.cached_keys = {}
     worker.reliability = FailureEstimate()
-    trust(worker, now)
+    end_backoff(worker, now)
--- a/hazelbend/job_queue/engine.py
+++ b/hazelbend/job_queue/engine.py
@@ -1,48 +1,52 @@
 """The engine of the job queue: dependencies, start times, admission and ageing.
 
-It does no I/O, and the caller passes the time.
+It does no I/O, and the caller passes the current time.
 
-A job is in one state, and moves only downwards:
+A job is in exactly one state, and moves only downwards:
 
-    state     what it waits for                      leaves it by
-    -------   ------------------------------------   -------------------------------------------------
-    BLOCKED   parents, or its time                   the last parent's end, its time: to QUEUED
-    QUEUED    a place in service                     a free place: to RUNNING (by `Release`)
-    RUNNING   its answer, which the router gives     `ended`
-    (ended)   remembered for a while, for children   time, or the bound on their number
+    state     waits for                                  transition
+    -------   ----------------------------------------   ------------------------------------------------
+    BLOCKED   its parents, or its start time             to QUEUED when nothing blocks it any more
+    QUEUED    a slot                                     to RUNNING when a slot is free, by `Release`
+    RUNNING   its answer, from the router                ends by `ended`
+    (ended)   (its outcome is retained for children)     deleted after a TTL, or beyond the bound on number
 
-From BLOCKED and QUEUED it may also end at once, by `Rejection`: it has not run, so that a retry is harmless.
-What a parent's end means for its children:
+A BLOCKED or QUEUED job may also end by `Rejection`. It has not run, so it is safe to retry.
+The outcome of a parent affects its children by the condition of the edge:
 
-    parent's end                        edge SERVED             edge ENDED
-    ---------------------------------   ---------------------   ----------
-    served                              one parent less         one less
+    parent's outcome                    edge SERVED               edge ENDED
+    ---------------------------------   -----------------------   ----------------
+    served                              parent removed            parent removed
     refused, failed, cancelled,
-    its client left, expired            refused, names parent   one less
-    never came                          refused, names parent   refused
-
-A parent that is not known yet is expected for `submission_timeout_us`. Chains, fans, bytes and numbers are bounded.
-
-Admission. At most `in_service` jobs run, and of a class so many. Of those that queue
-
-    in time   latest start first: due_at less the expected run. New jobs of short classes have later times
-              than old ones of long classes, so that a flood of them cannot hold an old one back past its own
-    aged      what will not be in time (if a late answer earns anything; else it is refused at once), and
-              what a tenant has over its share: first come, first served, on at most `aged` places while
-              anything in time queues
-
-A job whose wait, by what queues in time on the `in_service - aged` places that are never lent, would miss its
-wanted time is not in time as it comes; a refusal then tells when that line will have drained.
-
-Two claims, argued in docs/design/0002-waiting.md and held by tests: ageing takes nothing from jobs in time,
-as they are admitted against places that it does not use; and no aged job waits longer than those before it in
-its line, one run after the other on `aged` places.
-
-Invariants (`invariants` evaluates them; tests do after every event):
-    1. A job is in one state; the counts of places, clients, tenants and bytes are those of the jobs.
-    2. A BLOCKED job has a parent that has not ended or a time that has not come; a QUEUED one neither.
-    3. RUNNING is within the bounds, and if a place is free for a queued job, it has it.
-    4. The graph has no cycle, and each edge is known at both ends.
+    client disconnected, expired        rejected, naming parent   parent removed
+    never submitted                     rejected, naming parent   rejected
+
+A child waits for a parent that is not submitted yet for up to `submission_timeout_us`. The length of chains,
+the number of parents and children, and the number and bytes of waiting jobs are bounded.
+
+Admission: at most `slots` jobs run at once, and of some classes at most a number of their own. There are
+two queues:
+
+    in time   Ordered by latest start: due_at minus the expected run time. New jobs of short classes have a
+              later latest start than old jobs of long classes, so a flood of short jobs cannot delay an old
+              job beyond its own latest start.
+    aged      Jobs that would be late (if a late answer still has a value; otherwise they are rejected at
+              once), and jobs of a tenant beyond its share. First come, first served, on at most `aged` slots
+              while jobs that are in time are queued.
+
+When a job is queued, its wait is estimated from the jobs queued in time and from the `slots - aged`
+slots that aged jobs do not use. If it would miss its due time by this estimate, it does not count as in time.
+If it is then rejected, `retry_after` is the time in which that queue is expected to drain.
+
+Two guarantees, derived in docs/design/0002-waiting.md and checked by tests: aged jobs do not delay jobs that
+are in time, as these are admitted by the slots that aged jobs do not use; and an aged job waits no longer
+than the aged jobs ahead of it take when they run one after the other on `aged` slots.
+
+Invariants (`invariants` checks them; tests do so after every event):
+    1. A job is in one state; the counts of slots, clients, tenants and bytes match the jobs.
+    2. A BLOCKED job has a parent that has not ended, or a start time in the future; a QUEUED job has neither.
+    3. The number of RUNNING jobs is within the bounds, and no slot is free that a queued job could have.
+    4. The graph has no cycle, and each edge is recorded at both jobs.
 """
 
 from __future__ import annotations
@@ -72,9 +76,9 @@
 
 
 class JobQueueEngine:
-    """Takes events with their time, and returns what the caller must do: release or refuse jobs.
+    """Handles events, and returns the effects that the caller must carry out: jobs to release or reject.
 
-    `now` is always the monotonic clock, `wall` Unix time by the wall clock, both in microseconds.
+    `now` is the time of the monotonic clock, `wall` is Unix time by the wall clock, both in microseconds.
     """
 
     def __init__(self, bounds: Bounds) -> None:
@@ -91,31 +95,31 @@
 
     @property
     def ended_jobs(self) -> OrderedDict[JobKey, EndedJob]:
-        """Outcomes of the last jobs that ended, the oldest first."""
+        """The outcomes of the last jobs that ended, oldest first."""
         return self.graph.ended_jobs
 
     # --- events ---
 
     def submit(self, request: JobRequest, now: int, wall: int) -> list[Effect]:
-        """A job has come.
+        """Submit a job.
 
         Raises:
-            TermsError: its terms cannot be met; nothing has changed.
+            TermsError: its terms cannot be met; the engine's state is unchanged.
         """
         self._effects = []
         known = self.jobs.get(request.key)
         if known is not None and known.state is not JobState.EXPECTED:
             raise TermsError("a job of this id is open")
         parents = self.graph.parents_of(request, known)
-        if self._needs_room(request) and (rejection := self._rejection_if_full(request)) is not None:
-            self._reject_unknown(request.key, known, rejection, now)
+        if self._may_have_to_wait(request) and (rejection := self._rejection_if_full(request)) is not None:
+            self._reject_submission(request.key, known, rejection, now)
             return self._effects
         job = known or QueuedJob(request.key, JobState.BLOCKED)
         job.state = JobState.BLOCKED
         job.request = request
         job.arrived_at = now
         self.jobs[request.key] = job
-        self._count(job, 1)
+        self._add_to_counts(job, 1)
         self.graph.set_depth(job, max((self.graph.depth_of(key) + 1 for key in parents), default=0))
         failed: tuple[JobKey, JobOutcome] | None = None
         for key, edge in parents.items():
@@ -127,36 +131,36 @@
         self._admit(now)
         return self._effects
 
-    def ended(self, key: JobKey, end: JobOutcome, result: bytes, now: int) -> list[Effect]:
-        """A released job has its final answer."""
+    def ended(self, key: JobKey, outcome: JobOutcome, result: bytes, now: int) -> list[Effect]:
+        """Record the final answer of a released job. Has no effect on a job that is not running."""
         self._effects = []
         job = self.jobs.get(key)
         if job is None or job.state is not JobState.RUNNING:
             return self._effects
-        if end is JobOutcome.SERVED and job.request is not None:
+        if outcome is JobOutcome.SERVED and job.request is not None:
             self.admission.observe_run_time(job.request.class_index, max(now - job.started_at, 1))
-        self._finish(job, end, result, now)
+        self._finish(job, outcome, result, now)
         self._admit(now)
         return self._effects
 
-    def cancel(self, key: JobKey, end: JobOutcome, now: int, reason: str = "") -> list[Effect]:
-        """End a waiting job, as its client asks or has left. A running one is the router's to end."""
+    def cancel(self, key: JobKey, outcome: JobOutcome, now: int, reason: str = "") -> list[Effect]:
+        """End a waiting job whose client cancelled it or disconnected. Has no effect on a running job."""
         self._effects = []
         job = self.jobs.get(key)
         if job is not None and job.is_waiting:
-            self._reject(job, end, reason or end.value, now)
+            self._reject(job, outcome, reason or outcome.value, now)
             self._admit(now)
         return self._effects
 
     def reject_all(self, reason: str, now: int, start_by: int | None = None) -> list[Effect]:
-        """Refuse what cannot run any more when the process ends.
+        """Reject the waiting jobs that cannot start before the process ends.
 
-        That is a job that waits for a time after `start_by` (wall clock) or for a parent that has not come,
-        and the jobs that wait for it. Without `start_by`: every waiting job.
+        These are the jobs with a start time after `start_by` (wall clock), those with a parent that is not
+        submitted yet, and all jobs that depend on them. Without `start_by`, reject every waiting job.
         """
         self._effects = []
         for job in list(self.jobs.values()):
-            # A refusal may have ended jobs that are still ahead in this list.
+            # An earlier rejection may have ended jobs that come later in this list.
             if self.jobs.get(job.key) is not job or not job.is_waiting:
                 continue
             if start_by is None or self._cannot_start_by(job, start_by):
@@ -166,7 +170,7 @@
         return self._effects
 
     def tick(self, now: int, wall: int) -> list[Effect]:
-        """Handle the times that have come."""
+        """Handle the start times, deadlines and timeouts that have passed."""
         self._effects = []
         while (key := self.timers.pop_start(wall)) is not None:
             job = self.jobs.get(key)
@@ -183,7 +187,7 @@
         return self._effects
 
     def change(self, bounds: Bounds, now: int) -> list[Effect]:
-        """Apply other bounds: what waits stays, and new places are used at once."""
+        """Apply new bounds. Waiting jobs stay queued, and additional slots are filled at once."""
         self._effects = []
         self.bounds = bounds
         self.graph.bounds = bounds
@@ -192,23 +196,22 @@
         return self._effects
 
     def next_at(self, now: int, wall: int) -> int | None:
-        """When `tick` may have something, on the monotonic clock; None: only after another event."""
+        """Return when to call `tick` next, by the monotonic clock; None if not before another event."""
         times = self.timers.next_times(now, wall)
         starts = (max(at, now) + 1 for at in self.admission.first_latest_starts())
         return min([*times, *starts], default=None)
 
     # --- steps of a submission ---
 
-    def _needs_room(self, request: JobRequest) -> bool:
-        crowded = (
-            0 < self.bounds.in_service <= self.admission.running_count and not request.bypasses_admission
-        )
-        return request.terms.waits or crowded
+    def _may_have_to_wait(self, request: JobRequest) -> bool:
+        slots_full = 0 < self.bounds.slots <= self.admission.running_count and not request.bypasses_admission
+        return request.terms.waits or slots_full
 
     def _rejection_if_full(self, request: JobRequest) -> Rejection | None:
         bounds = self.bounds
         full = (
-            self.waiting >= bounds.waiting or self.waiting_bytes + request.size_bytes > bounds.waiting_bytes
+            self.waiting >= bounds.max_waiting
+            or self.waiting_bytes + request.size_bytes > bounds.max_waiting_bytes
         )
         if not full and self.by_client[request.key[0]] < bounds.by_client:
             return None
@@ -216,24 +219,26 @@
         reason = QUEUE_FULL if full else CLIENT_QUEUE_FULL
         return Rejection(request.key, JobOutcome.REFUSED, reason, round(INITIAL_RUN_TIME_US))
 
-    def _reject_unknown(self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int) -> None:
-        """Refuse a job that there is no room for, and tell those that expected it."""
+    def _reject_submission(
+        self, key: JobKey, known: QueuedJob | None, rejection: Rejection, now: int
+    ) -> None:
+        """Reject a job at its submission, with the children that waited for it."""
         self._effects.append(rejection)
         self.graph.remember(key, JobOutcome.REFUSED, b"", now)
         if known is not None:
-            self._end_parent(known, JobOutcome.REFUSED, b"", now)
+            self._resolve_children(known, JobOutcome.REFUSED, b"", now)
             del self.jobs[key]
 
     def _add_parent(
         self, job: QueuedJob, key: JobKey, edge: DependencyCondition, now: int
     ) -> tuple[JobKey, JobOutcome] | None:
-        """Wait for a parent; its key and outcome if it has ended in a way that fails the child."""
-        past = self.graph.ended_jobs.get(key)
+        """Add a parent to a job. Returns its key and outcome if it has ended and this fails the job."""
+        ended = self.graph.ended_jobs.get(key)
         parent = self.jobs.get(key)
-        if past is not None and parent is None:
-            if fails_child(past.outcome, edge):
-                return key, past.outcome
-            self.graph.add_parent_result(job, key, past.outcome, past.result)
+        if ended is not None and parent is None:
+            if fails_child(ended.outcome, edge):
+                return key, ended.outcome
+            self.graph.add_parent_result(job, key, ended.outcome, ended.result)
             return None
         if parent is None:
             parent = QueuedJob(
@@ -252,7 +257,7 @@
         if job.parents or job.not_before is not None:
             self.totals.waited += 1
         elif request.bypasses_admission:
-            self._count(job, -1)
+            self._add_to_counts(job, -1)
             job.state = JobState.RUNNING
             job.started_at = now
             self._effects.append(Release(job.key))
@@ -269,29 +274,29 @@
     def _check_deadline(self, job: QueuedJob, now: int) -> None:
         if job.state is JobState.EXPECTED and job.submission_deadline <= now:
             self.graph.remember(job.key, JobOutcome.NEVER_SUBMITTED, b"", now)
-            self._end_parent(job, JobOutcome.NEVER_SUBMITTED, b"", now)
+            self._resolve_children(job, JobOutcome.NEVER_SUBMITTED, b"", now)
             del self.jobs[job.key]
         elif job.is_waiting and job.request and job.request.deadline <= now:
             self._reject(job, JobOutcome.EXPIRED, DEADLINE_PASSED, now)
 
-    def _end_parent(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
-        """Let the children know of their parent's end, and theirs in turn.
+    def _resolve_children(self, parent: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
+        """Unblock or reject the children of a parent that has ended, and so on for rejected children.
 
-        A list and no recursion: a chain may be longer than the stack.
+        It uses a list in place of recursion, since a chain may be longer than the stack allows.
         """
-        ends: list[tuple[QueuedJob, JobOutcome, bytes]] = [(parent, outcome, result)]
-        while ends:
-            ended, how, result = ends.pop()
+        pending: list[tuple[QueuedJob, JobOutcome, bytes]] = [(parent, outcome, result)]
+        while pending:
+            ended, outcome, result = pending.pop()
             for key in ended.children:
                 child = self.jobs.get(key)
                 if child is None or ended.key not in child.parents:
                     continue
                 condition = child.parents.pop(ended.key)
-                if fails_child(how, condition):
-                    self._take_out(child, JobOutcome.REFUSED, _parent_reason(ended.key, how), now)
-                    ends.append((child, JobOutcome.REFUSED, b""))
+                if fails_child(outcome, condition):
+                    self._remove_rejected(child, JobOutcome.REFUSED, _parent_reason(ended.key, outcome), now)
+                    pending.append((child, JobOutcome.REFUSED, b""))
                     continue
-                self.graph.add_parent_result(child, ended.key, how, result)
+                self.graph.add_parent_result(child, ended.key, outcome, result)
                 if not child.parents and child.not_before is None:
                     self._queue(child, now)
             ended.children.clear()
@@ -299,29 +304,29 @@
     # --- admission ---
 
     def _queue(self, job: QueuedJob, now: int) -> None:
-        """Queue a job that is ready, or refuse it at once if it would be late and that earns nothing."""
+        """Queue a job that is ready, or reject it if it would be late and a late answer has no value."""
         assert job.request is not None
         request = job.request
         job.state = JobState.QUEUED
         job.queued_at = now
-        run = self.admission.expected_run_us(request.class_index)
+        run_us = self.admission.expected_run_us(request.class_index)
         objective = now + request.objective if request.objective else request.deadline
         due_at = min(request.terms.due_at or objective, request.deadline)
-        if self.bounds.in_service:
-            wait = self.admission.expected_wait_us(request.class_index)
-            late = now + wait + run > due_at and not self.admission.has_slot_for(job)
+        if self.bounds.slots:
+            wait_us = self.admission.expected_wait_us(request.class_index)
+            late = now + wait_us + run_us > due_at and not self.admission.has_slot_for(job)
             if late and not request.late_value:
-                self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait) or 1)
+                self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, round(wait_us) or 1)
                 return
-            # In time it would delay jobs that were admitted as such.
+            # Queued as in time, it would delay the jobs that are already queued there.
             job.aged = late or self.admission.is_over_share(request.tenant)
-        self.admission.enqueue(job, round(due_at - run))
+        self.admission.enqueue(job, round(due_at - run_us))
 
     def _admit(self, now: int) -> None:
-        """Fill the free places."""
+        """Fill the free slots."""
         while (job := self._next_to_run(now)) is not None:
             assert job.request is not None
-            self._count(job, -1)
+            self._add_to_counts(job, -1)
             job.state = JobState.RUNNING
             job.started_at = now
             self.admission.occupy(job)
@@ -339,40 +344,44 @@
         return self.admission.pop_next()
 
     def _requeue_late(self, job: QueuedJob, latest_start: int, now: int) -> None:
-        """Let a job that missed its latest start age, or refuse it if a late answer earns nothing."""
+        """Queue a job that missed its latest start as aged, or reject it if a late answer has no value."""
         assert job.request is not None
         self.totals.missed += 1
-        if not job.request.late_value and self.bounds.in_service:
-            wait = round(self.admission.expected_wait_us(job.request.class_index))
-            self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait or 1)
+        if not job.request.late_value and self.bounds.slots:
+            wait_us = round(self.admission.expected_wait_us(job.request.class_index))
+            self._reject(job, JobOutcome.REFUSED, WOULD_BE_LATE, now, wait_us or 1)
         else:
             self.admission.enqueue(job, latest_start)
 
     # --- ends ---
 
-    def _reject(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
-        self._take_out(job, end, reason, now, retry_after)
-        self._end_parent(job, end, b"", now)
+    def _reject(
+        self, job: QueuedJob, outcome: JobOutcome, reason: str, now: int, retry_after: int = 0
+    ) -> None:
+        self._remove_rejected(job, outcome, reason, now, retry_after)
+        self._resolve_children(job, outcome, b"", now)
 
-    def _take_out(self, job: QueuedJob, end: JobOutcome, reason: str, now: int, retry_after: int = 0) -> None:
-        """Refuse a job that has not run. The caller lets its children know."""
+    def _remove_rejected(
+        self, job: QueuedJob, outcome: JobOutcome, reason: str, now: int, retry_after: int = 0
+    ) -> None:
+        """Reject a job that has not run. The caller must then handle its children."""
         self.admission.discard(job)
         self.graph.remove(job)
-        self._count(job, -1)
-        self.totals.rejected[end] += 1
-        self.graph.remember(job.key, end, b"", now)
-        self._effects.append(Rejection(job.key, end, reason, retry_after))
+        self._add_to_counts(job, -1)
+        self.totals.rejected[outcome] += 1
+        self.graph.remember(job.key, outcome, b"", now)
+        self._effects.append(Rejection(job.key, outcome, reason, retry_after))
 
-    def _finish(self, job: QueuedJob, end: JobOutcome, result: bytes, now: int) -> None:
+    def _finish(self, job: QueuedJob, outcome: JobOutcome, result: bytes, now: int) -> None:
         assert job.request is not None
         if not job.request.bypasses_admission:
             self.admission.vacate(job)
         del self.jobs[job.key]
-        self.graph.remember(job.key, end, result, now)
-        self._end_parent(job, end, result, now)
+        self.graph.remember(job.key, outcome, result, now)
+        self._resolve_children(job, outcome, result, now)
 
-    def _count(self, job: QueuedJob, by: int) -> None:
-        """Add a job to the counts of what waits (`by` 1), or take it off (-1)."""
+    def _add_to_counts(self, job: QueuedJob, by: int) -> None:
+        """Add a job to the counts of waiting jobs (`by` is 1), or remove it from them (-1)."""
         assert job.request is not None
         client = job.key[0]
         self.waiting += by
@@ -382,5 +391,5 @@
             del self.by_client[client]
 
 
-def _parent_reason(key: JobKey, end: JobOutcome) -> str:
-    return f"{key[1]}, for which it waited: {end.value}"
+def _parent_reason(key: JobKey, outcome: JobOutcome) -> str:
+    return f"{key[1]}, for which it waited: {outcome.value}"
