--- a/hazelbend/transport/http/backend_client.py
+++ b/hazelbend/transport/http/backend_client.py
@@ -62,7 +62,7 @@
 
     @contextmanager
     def reserve_connection(self) -> Iterator[bool]:
-        """Yield whether a connection is free, and reserve it for the duration of the block.
+        """Yield whether a connection is free, and claim it for the duration of the block.
 
         There is no queue for connections: the wait would look like a fault of the backend, and the state
         that the backend was selected by would be out of date.
