--- a/hazelbend/consensus/config.py
+++ b/hazelbend/consensus/config.py
@@ -22,6 +22,7 @@
     heartbeat_us: int = 200_000
     election_timeout_us: int = 1_000_000
     max_batch_entries: int = 64  # in one message
-    snapshot_after_entries: int = 512  # number of applied entries at which a snapshot replaces them
-    snapshot_after_bytes: int = 4 * 1024 * 1024  # size of applied entries above which it does so, too
-    max_uncommitted_bytes: int = 12 * 1024 * 1024  # proposals beyond this are rejected
+    # A snapshot replaces the applied entries if there are this many, or if they are larger than this.
+    snapshot_after_entries: int = 512
+    snapshot_after_bytes: int = 4 * 1024 * 1024
+    max_uncommitted_bytes: int = 12 * 1024 * 1024  # proposals that would exceed this are rejected
--- a/hazelbend/consensus/election.py
+++ b/hazelbend/consensus/election.py
@@ -3,12 +3,12 @@
 
 Transitions of `Role`:
 
-    FOLLOWER      --is a voter, and the election timer expires-->                      PRE_CANDIDATE
-    PRE_CANDIDATE --a quorum grants the pre-vote-->                                    CANDIDATE, term + 1
-    CANDIDATE     --a quorum grants the vote-->                                        LEADER, appends a no-op
-    any           --a message of a higher term-->                                      FOLLOWER of that term
-    LEADER        --no answers of a quorum for two election timeouts (check-quorum)--> FOLLOWER
-    LEADER        --a voter list without this node is committed-->                     FOLLOWER
+    FOLLOWER      --is a voter, and the election timer expires-->                 PRE_CANDIDATE
+    PRE_CANDIDATE --a quorum grants the pre-vote-->                               CANDIDATE, term + 1
+    CANDIDATE     --a quorum grants the vote-->                                   LEADER, appends a no-op
+    any           --a message of a higher term-->                                 FOLLOWER of that term
+    LEADER        --no quorum answers for two election timeouts (check-quorum)--> FOLLOWER
+    LEADER        --a voter list without this node is committed-->                FOLLOWER
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         self.random = random.Random(seed)
         self.leader = ""
         self.hard_state_changed = False  # epoch, term or vote must be stored
-        # Last message of a leader. Initially in the past, so that a new node grants votes at once.
+        # The last message from a leader. Initially in the past, so that a new node grants votes at once.
         self.last_contact_at = now - 2 * config.election_timeout_us
         self.election_deadline = 0
         self.votes: set[str] = set()
--- a/hazelbend/consensus/persistent_state.py
+++ b/hazelbend/consensus/persistent_state.py
@@ -20,9 +20,9 @@
 def next_epoch(known_epoch: int, unix_s: float, identity: str, by_operator: bool = True) -> int:
     """The number of a new epoch.
 
-    It is higher than `known_epoch` and, if the wall clock is right, higher than any earlier epoch of which no
-    record is left. The numbers of two epochs that different nodes start within the same 16 seconds differ
-    with a probability of 127 in 128.
+    It is higher than `known_epoch` and, if the wall clock is right, also higher than earlier epochs of which
+    no node has a record any more. The numbers of two epochs that different nodes start within the same 16
+    seconds differ with a probability of 127 in 128.
     """
     started_at = max(int(unix_s) // EPOCH_TIME_UNIT_S, (known_epoch >> EPOCH_BITS) + 1)
     identity_bits = zlib.crc32(identity.encode()) % (1 << EPOCH_BITS) & ~OPERATOR_BIT
--- a/hazelbend/consensus/raft.py
+++ b/hazelbend/consensus/raft.py
@@ -111,7 +111,7 @@
         self.conflicting_epoch = 0
         self.pending_reads: list[PendingRead] = []
         self.pending_proposals: dict[int, int] = {}  # proposal id by log index, in this node's own term
-        self.last_request_id = 0
+        self.last_request_id = 0  # of proposals and reads
 
     # --- requests ---
 
@@ -370,7 +370,8 @@
         peer.last_acked_round = max(peer.last_acked_round, response.round)
         transfer = peer.transfer
         if transfer is not None and transfer.transfer_id == response.transfer_id:
-            # A duplicate answer must not send a chunk twice. A replica that has no bytes of it has restarted.
+            # A duplicate answer must not make this node send a chunk twice. A replica that has no bytes of
+            # the transfer any more has restarted.
             is_restarted = response.offset == 0 and transfer.offset > 0
             if response.offset > transfer.offset or is_restarted:
                 transfer.offset = response.offset
@@ -395,8 +396,8 @@
             self._handle_match(message.sender, peer, response, now)
         else:
             peer.next_index = max(min(response.index, self.persistent.last_index) + 1, peer.match_index + 1)
-            # Below `match_index` the answer is stale, or the replica has lost its log. The next heartbeat
-            # sends the entries then.
+            # Below `match_index` the answer is stale, or the replica has lost its log. Neither needs an
+            # immediate reply: the next heartbeat sends the entries.
             if response.index >= peer.match_index:
                 self._send_entries(message.sender, now)
         self._finish_leadership_transfer()
--- a/hazelbend/consensus/replication.py
+++ b/hazelbend/consensus/replication.py
@@ -30,7 +30,7 @@
 
     transfer_id: int
     content: bytes
-    round: int  # the leader's round when the transfer began: a rejection of an older round does not end it
+    round: int  # the leader's round at the start: a rejection that answers an earlier round does not end it
     offset: int = 0  # bytes that the replica has
     sent_at: int = 0  # when the last chunk was sent
 
@@ -53,7 +53,7 @@
     next_index: int  # index of the next entry to send
     match_index: int = 0  # the replica's log matches the leader's up to this index
     last_contact_at: int = 0
-    last_acked_round: int = 0  # the leader's last heartbeat round that the replica has answered
+    last_acked_round: int = 0  # the highest heartbeat round that the replica has answered
     transfer: OutgoingTransfer | None = None
     pending_timestamp: Timestamp | None = None  # is confirmed by a round that starts after its arrival
     pending_timestamp_round: int = 0
@@ -93,7 +93,7 @@
 
     key: tuple[str, int, int] = ("", 0, 0)  # sender, term, transfer id
     content: bytearray = field(default_factory=bytearray)
-    response: AppendResponse | None = None  # once the message is complete
+    response: AppendResponse | None = None  # set once the message is complete
 
     def add(self, chunk: Chunk) -> None:
         """Append the chunk if it is the next one."""
@@ -125,6 +125,6 @@
     return isinstance(body, InstallSnapshot) or size_of(body.entries) > BATCH_BYTES
 
 
-def begin_transfer(number: int, body: AppendEntries | InstallSnapshot, now: int) -> OutgoingTransfer:
+def begin_transfer(transfer_id: int, body: AppendEntries | InstallSnapshot, now: int) -> OutgoingTransfer:
     """A transfer of this message, with nothing sent yet."""
-    return OutgoingTransfer(number, encode_transfer(body), body.round, sent_at=now)
+    return OutgoingTransfer(transfer_id, encode_transfer(body), body.round, sent_at=now)
--- a/hazelbend/consensus/replicator.py
+++ b/hazelbend/consensus/replicator.py
@@ -42,7 +42,7 @@
         self.config = config
         self.role = Role.FOLLOWER
         self.outbox: list[Message] = []
-        self.peers: dict[str, Progress] = {}  # by identity; empty unless this node leads
+        self.peers: dict[str, Progress] = {}  # by identity; only the leader has any
         self.learners: set[str] = set()
         # Identifies this run of the process: timestamps of other incarnations are not comparable.
         self.incarnation = random.Random(seed + 1).getrandbits(INCARNATION_BITS)
@@ -52,7 +52,7 @@
         self.last_transfer_id = 0
         self.rounds = HeartbeatRounds(config.heartbeat_us)
         self._catch_up_target = CatchUpTarget(config.heartbeat_us)
-        # A confirmed time of this process, and the commit index at which it takes effect.
+        # The time that `confirmed_at` advances to, and the commit index that this replica must reach first.
         self._pending_confirmation: tuple[int, int] | None = None
 
     @property
@@ -67,7 +67,7 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this node leads and has committed an entry of its own term. Only then it is known to have
+        """Whether this node leads and has committed an entry of its own term. Only then is it known to have
         applied everything that was committed earlier (section 6.4 of the thesis).
         """
         return self.is_leader and self.persistent.term_at(self.commit_index) == self.persistent.current_term
@@ -204,7 +204,7 @@
         return self._has_quorum(answered | {self.identity})
 
     def _record_confirmation(self, append: AppendEntries) -> None:
-        """Handle the own timestamp that the leader returned to this replica.
+        """Handle the timestamp of this replica that the leader returned, if the message has one.
 
         Everything that was committed at that time is at or below `leader_commit`, so `confirmed_at` advances
         to it once this replica has committed up to that index.
--- a/hazelbend/consensus/state_codec.py
+++ b/hazelbend/consensus/state_codec.py
@@ -1,4 +1,4 @@
-"""Encodes a node's persistent state as records, and as frames of a file. No I/O; transport/storage has that.
+"""Encodes a node's persistent state as records, and as frames of a file. No I/O: see transport/storage.
 
     file   = MAGIC, frames
     frame  = header, body
--- a/hazelbend/consensus/voters.py
+++ b/hazelbend/consensus/voters.py
@@ -43,7 +43,8 @@
     if len(healthy) < target_count and candidates:
         return tuple(sorted((*voters, candidates[0])))
     removable = [voter for voter in voters if voter in replaceable and voter != leader]
-    # From an even number of voters one can be removed without a replacement: it adds no fault tolerance.
+    # Of an even number of voters, one can be removed without a replacement: with one voter less, the list
+    # tolerates as many failures.
     if removable and (len(healthy) >= min(target_count, min_healthy) or len(voters) % 2 == 0):
         return tuple(voter for voter in voters if voter != removable[0])
     if len(healthy) > target_count:
--- a/hazelbend/control/announcements.py
+++ b/hazelbend/control/announcements.py
@@ -11,7 +11,7 @@
 from hazelbend.control.messages import WorkerUpdate, WorkerUpdateAck
 from hazelbend.control.workers import WorkerRecord
 
-ANNOUNCEMENT_TIMEOUT_US = 900_000  # how long a worker's call waits for enough acknowledgements
+ANNOUNCEMENT_TIMEOUT_US = 900_000  # after which a worker's call fails without enough acknowledgements
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,8 +31,8 @@
     def is_durable(self, tolerance: int) -> bool:
         """Whether a majority of the voters, and more than `tolerance` processes, hold the announcement.
 
-        During a membership change the holders may know different voter lists. A majority is required in each
-        list in which the holder that knows it is itself a voter.
+        During a membership change the holders may know different voter lists. A majority is required of each
+        list that a holder knows and in which that holder is a voter.
         """
         voter_lists = {voters for identity, voters in self.holders.items() if identity in voters}
         majorities = [2 * len(self.holders.keys() & set(voters)) > len(voters) for voters in voter_lists]
--- a/hazelbend/control/load_table.py
+++ b/hazelbend/control/load_table.py
@@ -61,7 +61,7 @@
     """To a router: the unfinished work, new cached prefixes and request outcomes of all other routers.
 
     A `complete` update holds all workers that have work. Any other update holds only the workers whose loads
-    have changed since the last update on this connection, whichever router changed them.
+    have changed since the last update on this connection, no matter which router changed them.
     """
 
     loads: dict[str, Load]
@@ -133,7 +133,7 @@
     def __init__(self) -> None:
         self._reports: dict[str, _ReceivedReport] = {}  # by router
         self._sums: dict[str, Load] = {}  # by worker; workers without work are absent
-        self._changed: set[str] = set()  # workers for which the load of any router has changed
+        self._changed: set[str] = set()  # workers at which the load of any router has changed
 
     def merge(self, report: RouterLoad, now: int) -> bool:
         """Merge a router's report. Returns False if it is not newer than the known one."""
--- a/hazelbend/control/peers.py
+++ b/hazelbend/control/peers.py
@@ -17,7 +17,9 @@
 ALIVE_TIMEOUT_US = 1_000_000  # since its last hello, until a peer no longer counts as alive
 REPLACEMENT_TIMEOUT_US = 2_500_000  # since its last hello, until a voter may be replaced
 FORGET_TIMEOUT_US = 60_000_000  # since its last hello, until an address is no longer sent hellos
-BOOTSTRAP_WITHOUT_SEED_US = 2_000_000  # since the start, until others may bootstrap if no seed may vote
+BOOTSTRAP_WITHOUT_SEED_US = (
+    2_000_000  # since the start, until another process may bootstrap if no seed may vote
+)
 
 
 @dataclass(slots=True)
@@ -34,7 +36,7 @@
     stamp: Timestamp | None = None  # stamp of its last hello, which the next hello to it echoes
     verified_identity: str = ""  # its identity at some time after `verified_at`, proven by an echo
     verified_at: int = 0
-    digest_mismatches: int = 0  # consecutive messages whose digest of workers differs from the own one
+    digest_mismatches: int = 0  # consecutive messages with another digest of workers than this process has
 
 
 class PeerTable:
--- a/hazelbend/control/phase_planner.py
+++ b/hazelbend/control/phase_planner.py
@@ -2,7 +2,7 @@
 
 Only one planner acts at a time: that of the leader, after it has led for longer than a lease, so that orders
 of two leaders are at least a lease apart. The fencing token of orders increases with the leader's term. Each
-order pauses the worker, so an order needs a clear difference in load, and for the load only one order is
+order pauses the worker, so the load must clearly require it, and only one order that the load requires is
 pending at a time. A worker that drains no longer counts for its phase, so another worker replaces it while it
 still serves. Times are microseconds.
 """
@@ -19,10 +19,10 @@
 DECODE = "decode"
 MIN_DECODE_WORKERS = 2  # whatever the traffic
 MIN_DECODE_FRACTION = 1 / 3  # of a service's workers
-LOW_DECODE_UTILIZATION = 0.2  # of the decode capacity: up to here a decode worker can be moved to prefill
+LOW_DECODE_UTILIZATION = 0.2  # of the capacity that remains: up to here a decode worker can be moved
 HIGH_DECODE_UTILIZATION = 0.75  # of the decode capacity: above this another decode worker is needed
 PREFILL_BACKLOG_TOKENS = 400.0  # per prefill worker, from which another one justifies the pause
-SMOOTHING_SAMPLES = 3.0  # number of samples of the moving average
+SMOOTHING_SAMPLES = 3.0  # of the moving average: a new sample has a weight of one third
 WARM_UP_SAMPLES = 3  # samples of a service before its first order
 ORDER_INTERVAL_US = 1_000_000  # minimum between two orders to workers of a service
 ORDER_TIMEOUT_US = 8_000_000  # in which the worker's heartbeats must show the ordered phase
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _PhaseGroups:
-    """The workers of a service that do not drain, by their phase or the phase that they were ordered to."""
+    """The workers of a service that do not drain, by phase. A pending order counts as carried out."""
 
     prefill_workers: list[WorkerRecord]
     decode_workers: list[WorkerRecord]
@@ -155,7 +155,9 @@
 
 
 def _choose_order(service: _ServiceState, groups: _PhaseGroups, loads: dict[str, Load]) -> PhaseOrder | None:
-    """A phase that lacks workers has priority; an order for the load waits until no order is pending."""
+    """The next order, if any. A phase that lacks workers has priority; the load is considered only while no
+    order is pending.
+    """
     prefill_workers = groups.prefill_workers
     decode_workers = groups.decode_workers
     free_prefill_workers = [worker for worker in prefill_workers if worker.instance not in service.pending]
--- a/hazelbend/control/workers.py
+++ b/hazelbend/control/workers.py
@@ -17,7 +17,7 @@
 SILENT_HEARTBEATS = 2.2  # until a worker counts as silent
 RESTORED_HEARTBEATS = 1.5  # after a restart of this process, until a restored worker counts as silent
 EXPIRY_HEARTBEATS = 10.0  # until routers remove a worker
-# Control processes remove a worker later than routers do, so that each router has received its age before.
+# Control processes remove a worker later than routers do, so that each router has received its age by then.
 CONTROL_EXPIRY_HEARTBEATS = 12.0
 TOMBSTONE_US = 60_000_000  # how long the record of an ended instance is kept
 
@@ -85,8 +85,8 @@
         differs = known is None or _differs(known.record, record)
         if differs:
             changed.append(record)
-        previous_heard_at = known.last_heartbeat_at if known is not None else last_heartbeat_at - 1
-        self._track(TrackedWorker(record, previous_heard_at), differs=differs)
+        previous_heartbeat_at = known.last_heartbeat_at if known is not None else last_heartbeat_at - 1
+        self._track(TrackedWorker(record, previous_heartbeat_at), differs=differs)
         self.record_heartbeat(record.instance, last_heartbeat_at)
         return changed
 
--- a/hazelbend/gossip/member_table.py
+++ b/hazelbend/gossip/member_table.py
@@ -49,7 +49,7 @@
         """`identity`: this process's own."""
         self.identity = identity
         self.members = {identity: Member(identity, 1, MemberStatus.ALIVE, now, now)}
-        self.status_changes: list[Member] = []  # for the driver, which clears it
+        self.status_changes: list[Member] = []  # for the driver, which clears the list
         self._max_confirmations = max_confirmations
         self._updates = updates
         self._active_by_address: dict[str, str] = {}  # identity by address, without this process
--- a/hazelbend/gossip/swim.py
+++ b/hazelbend/gossip/swim.py
@@ -59,7 +59,7 @@
     started_at: int
     indirect: bool = False
     relays: int = 0  # members that were sent a `ping-req`
-    nacks: int = 0  # relays that answered with a nack: they are reachable, but have no ack from the target
+    nacks: int = 0  # relays that are reachable, but have received no ack from the target either
 
 
 @dataclass(slots=True, frozen=True)
@@ -94,7 +94,7 @@
         self.leader_hint = NO_LEADER
         self.health_score = 0  # Lifeguard's local health multiplier; 0 is healthy
         self.leaving = False
-        self.probe_order: list[str] = []  # the last one is probed next
+        self.probe_order: list[str] = []  # identities; the last one is probed next
         self.pending_probe: PendingProbe | None = None
         self.relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of this process's ping
         self.sequence_number = 0
--- a/hazelbend/gossip/timing.py
+++ b/hazelbend/gossip/timing.py
@@ -20,10 +20,10 @@
     indirect_probes: int = 3
     suspicion_multiplier: float = 4.0
     max_suspicion_multiplier: float = 6.0
-    suspicion_confirmations: int = 3  # confirmations by other members that give the minimum timeout
+    suspicion_confirmations: int = 3  # by other members; this many reduce the timeout to its minimum
     full_state_interval_us: int = 30_000_000
     join_interval_us: int = 10_000_000  # between attempts to reach seeds and dead members
-    forget_after_us: int = 300_000_000  # how long dead members and those that left are kept
+    forget_after_us: int = 300_000_000  # how long members that are dead or have left are kept
     updates_per_packet: int = 12
     retransmit_multiplier: float = 3.0  # packets per update, times the natural logarithm of the fleet's size
     max_health_score: int = 8
