--- a/benchmarks/breadth_first.py
+++ b/benchmarks/breadth_first.py
@@ -15,7 +15,7 @@
     def next(self) -> Iterator[tuple[str, Self]]:
         """All that may happen, with a name."""
 
-    def broken(self) -> str:
+    def failed_check(self) -> str:
         """The check that fails here, or nothing."""
 
 
@@ -29,7 +29,7 @@
         for world in layer:
             here = world.key()
             for told, after in world.next():
-                if why := after.broken():
+                if why := after.failed_check():
                     path = [*_path(steps, here), told]
                     return {"states": len(steps), "depth": depth, "broken": why, "steps": path}
                 key = after.key()
--- a/benchmarks/control/defects.py
+++ b/benchmarks/control/defects.py
@@ -23,8 +23,8 @@
 from hazelbend.control.messages import WorkerUpdateAck
 from hazelbend.control.peers import PeerTable
 
-STALE_READ_ID_OFFSET = 1_000_000  # offset of the ids of reads that are answered without a majority
-NEVER = 1 << 40
+STALE_READ_ID_OFFSET = 1_000_000  # keeps the ids of reads without a majority apart from those of other reads
+NEVER_HEARTBEATS = 1 << 40  # heartbeat intervals that no history reaches
 
 Patch = tuple[Any, str, Any]
 
@@ -194,8 +194,8 @@
 
 
 def _never_resend_chunks() -> list[Patch]:
-    """A transfer stops for good after a chunk or its answer was lost."""
-    return [(replicator, "CHUNK_RETRY_HEARTBEATS", NEVER)]
+    """A transfer never continues after a chunk or its answer was lost."""
+    return [(replicator, "CHUNK_RETRY_HEARTBEATS", NEVER_HEARTBEATS)]
 
 
 def _ignore_incarnation_of_acks() -> list[Patch]:
@@ -243,6 +243,7 @@
 }
 
 POINTS = {
+    # An acknowledgement, a confirmation, a leadership or a read without a majority.
     1: (
         "acknowledge_before_majority",
         "unconfirmed_counts",
@@ -250,9 +251,13 @@
         "busy_leader_begins_no_round",
         "stale_read",
     ),
+    # A change with an outdated base, or a resend, gets the wrong result.
     2: ("no_compare", "resend_not_known", "old_resend_refused"),
+    # The voter list counts a voter without state, or changes without a majority.
     3: ("wiped_voter_votes", "silent_is_erased", "list_shrinks"),
+    # State is incomplete: not stored yet, missing in a snapshot, or never transferred.
     4: ("say_before_save", "snapshot_without_digests", "lost_piece_is_not_sent_again"),
+    # A drain is acknowledged too early, or orders of two leaders are too close.
     5: ("number_alone", "drain_by_one", "no_lease_before_orders"),
 }
 
--- a/benchmarks/control/exploration.py
+++ b/benchmarks/control/exploration.py
@@ -23,7 +23,7 @@
 
 RECORDED = Path(__file__).parents[2] / "tests" / "data" / "control_histories"
 US_PER_MINUTE = 60 * S
-CHUNK = 2  # histories that a worker process takes at a time
+CHUNK = 2  # number of histories that a worker process takes at a time
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,11 +38,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PlayedHistory:
-    """The result of one history. `broken`: the invariant that it violated; empty if it violated none."""
+    """The result of one history. `violation`: the invariant that it violated; empty if it violated none."""
 
     task: Task
-    result: HistoryResult | None
-    broken: str = ""
+    result: HistoryResult | None  # None if an invariant was violated
+    violation: str = ""
 
 
 @dataclass(slots=True)
@@ -53,17 +53,16 @@
     simulated_us: int = 0
     calls: Counter[str] = field(default_factory=Counter)
     kinds: Counter[str] = field(default_factory=Counter)
-    pairs: Counter[tuple[str, str]] = field(
-        default_factory=Counter
-    )  # kinds of faults that overlapped in time
-    broken: list[PlayedHistory] = field(default_factory=list)
+    # Kinds of two faults that overlapped in time.
+    pairs: Counter[tuple[str, str]] = field(default_factory=Counter)
+    failing: list[PlayedHistory] = field(default_factory=list)
 
     def add(self, played: PlayedHistory) -> None:
         """Add the result of one history."""
         self.histories += 1
         result = played.result
         if result is None:
-            self.broken.append(played)
+            self.failing.append(played)
             return
         self.simulated_us += result.simulated_us
         for name in ("changes", "reads", "drains", "orders", "messages"):
@@ -89,7 +88,7 @@
             "pairs": len(self.pairs),
             "missing_pairs": [" + ".join(pair) for pair in self.missing_pairs()],
             "broken": {
-                f"{played.task.seed} ({played.task.machines})": played.broken for played in self.broken
+                f"{played.task.seed} ({played.task.machines})": played.violation for played in self.failing
             },
         }
 
@@ -135,14 +134,14 @@
     """Shrink a failing history to few faults, and write it as data of the test that replays it."""
     task = played.task
     with planted_defect(task.defect):
-        broken, faults = shrink(task.seed, task.machines, task.tolerance)
+        violation, faults = shrink(task.seed, task.machines, task.tolerance)
     content = {
         "seed": task.seed,
         "machines": task.machines,
         "tolerance": task.tolerance,
         "injected": [fault.number for fault in faults],
         "faults": [str(fault) for fault in faults],
-        "broken": broken,
+        "broken": violation,
     }
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{task.seed}-{task.machines}.json"
@@ -155,6 +154,6 @@
     started_at = time.monotonic()
     summary = explore(tasks)
     values = summary.as_plain_values(time.monotonic() - started_at)
-    values["recorded"] = [record(played).name for played in summary.broken]
+    values["recorded"] = [record(played).name for played in summary.failing]
     print(json.dumps(values))
-    return 1 if summary.broken else 0
+    return 1 if summary.failing else 0
--- a/benchmarks/control/faults.py
+++ b/benchmarks/control/faults.py
@@ -18,10 +18,10 @@
 from benchmarks.control.operators import Operators
 
 RESYNC_US = 4 * S  # from the restart of a machine until it counts as available
-RNG_SALT = 0x2000000  # separates this random stream from the others
+RNG_SALT = 0x2000000  # separates these random numbers from those of the other components
 SLOW_LINK_BYTES_PER_S = 625_000
 SLOW_DISK_FACTOR = 30  # by which a sync takes longer
-STORM_CHANGES = 150
+STORM_CHANGES = 150  # in a burst, of which every third has a large body
 STORM_GAP_US = 40 * MS  # between two changes
 LARGE_BODY_BYTES = 20_000  # random bytes, in hex, which do not compress to less
 BUSY_US = 4 * S  # duration of changes at short intervals, during the loss of a machine
@@ -143,7 +143,7 @@
         self.fleet.kill(victim.address)
         self.fleet.call_later(duration, lambda: self.fleet.start(victim.address))
 
-    _power = _kill  # both lose a pending save completely, because sqlite's commits are atomic
+    _power = _kill  # the same effect: a pending save is lost completely, because sqlite's commits are atomic
 
     def _wipe(self, victim: Machine, duration: int) -> None:
         self._wiped.add(victim.address)
@@ -154,6 +154,7 @@
         self._wiped.add(self.fleet.replace(victim.address))
 
     def _freeze(self, victim: Machine, duration: int) -> None:
+        """The process is paused."""
         self.fleet.freeze(victim.address, duration)
 
     def _cut(self, victim: Machine, duration: int) -> None:
@@ -163,15 +164,18 @@
     _long_cut = _cut  # lasts long enough for changes on both sides
 
     def _one_way(self, victim: Machine, duration: int) -> None:
+        """All frames that the machine sends are lost; it still receives frames."""
         for other in self.fleet.machines:
             if other != victim.address:
                 self.fleet.partition(victim.address, other, both_ways=False)
         self.fleet.call_later(duration, self.fleet.heal)
 
     def _stall(self, victim: Machine, duration: int) -> None:
+        """Saves that start during this time end only after it."""
         victim.disk.stalled_until = self.fleet.now + duration
 
     def _full(self, victim: Machine, duration: int) -> None:
+        """The disk is full: all saves fail."""
         disk = victim.disk
         disk.full = True
 
@@ -205,7 +209,8 @@
 
     def _stale_answers(self, victim: Machine, duration: int) -> None:
         """A process starts, announces a drain, and restarts before the acknowledgements arrive. They arrive
-        at its next incarnation, which has just announced another drain and is partitioned."""
+        at its next incarnation, which has just announced another drain and is partitioned.
+        """
         fleet = self.fleet
         address = victim.address
 
@@ -273,27 +278,28 @@
         """Some frames arrive seconds later, at whatever incarnation runs then."""
         self.fleet.network.late_fraction = 0.05
 
-        def end() -> None:
+        def stop() -> None:
             self.fleet.network.late_fraction = 0.0
 
-        self.fleet.call_later(duration, end)
+        self.fleet.call_later(duration, stop)
 
     def _lost_answers(self, victim: Machine, duration: int) -> None:
+        """Most answers do not reach the operators, which then resend their changes."""
         self.operators.lost_answer_fraction = 0.7
 
-        def end() -> None:
+        def stop() -> None:
             self.operators.lost_answer_fraction = 0.0
 
-        self.fleet.call_later(duration, end)
+        self.fleet.call_later(duration, stop)
 
     def _doubled_calls(self, victim: Machine, duration: int) -> None:
         """Each change arrives twice, at any two machines, up to seconds apart."""
         self.operators.duplicates_calls = True
 
-        def end() -> None:
+        def stop() -> None:
             self.operators.duplicates_calls = False
 
-        self.fleet.call_later(duration, end)
+        self.fleet.call_later(duration, stop)
 
     def _storm(self, victim: Machine, duration: int) -> None:
         self._send_changes(STORM_CHANGES, LARGE_BODY_BYTES, STORM_GAP_US)
--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -14,16 +14,16 @@
 from benchmarks.control.network import MS, Network, S
 from hazelbend.consensus import state_codec
 from hazelbend.consensus.persistent_state import PersistentState
-from hazelbend.control import engine as ce
+from hazelbend.control import engine as control_engine
 from hazelbend.control import messages as m
-from hazelbend.control import outputs as co
+from hazelbend.control import outputs
 from hazelbend.control.config_state_machine import ChangeResult, StoredConfig
 from hazelbend.control.settings import ControlSettings
 from hazelbend.control.workers import WorkerRecord
 
 HEARTBEAT_US = 1_200 * MS
 DEFAULT_SYNC_US = 1 * MS
-SAVED_DESPITE_ERROR_FRACTION = 0.5  # of the saves whose sync reports an error
+SAVED_DESPITE_ERROR_FRACTION = 0.5  # of the saves that report a sync error, although the state is stored
 
 
 class InvariantViolationError(AssertionError):
@@ -37,15 +37,15 @@
     """The simulated disk of a machine. Saves are atomic and in order."""
 
     persistent: PersistentState | None = None
-    commit_index: int = 0
-    stalled_until: int = 0
+    commit_index: int = 0  # the highest one that was saved
+    stalled_until: int = 0  # no save ends before this time
     full: bool = False
     sync_errors: bool = False  # each save fails, but its state may be stored or not
     sync_us: int = DEFAULT_SYNC_US
     random: random.Random = field(default_factory=lambda: random.Random(0))
 
     def save_fails(self, records: list[object], commit_index: int) -> bool:
-        """Whether the save fails. After a sync error the state may still have been stored."""
+        """Whether this save fails. If it fails by a sync error, this stores the state in some cases."""
         if self.sync_errors and self.random.random() < SAVED_DESPITE_ERROR_FRACTION:
             self.save(records, commit_index)
         return self.full or self.sync_errors
@@ -69,11 +69,11 @@
 
     address: str
     disk: Disk
-    engine: ce.ControlEngine | None = None
+    engine: control_engine.ControlEngine | None = None
     incarnation: int = 0
     frozen_until: int = 0
     saving: bool = False
-    pending_calls: dict[int, Callable[[co.CallOutcome], None]] = field(default_factory=dict)
+    pending_calls: dict[int, Callable[[outputs.CallOutcome], None]] = field(default_factory=dict)
     published_version: int = 0  # configuration version that routers have received
     confirmed_at: int | None = None  # latest time at which that version was confirmed as the newest
     started_at: int = 0
@@ -159,7 +159,7 @@
                 state_codec.apply_record(persistent, record)
         identity = f"{self.random.getrandbits(32):08x}@{address}"
         seed = self.random.getrandbits(32)
-        machine.engine = ce.ControlEngine(
+        machine.engine = control_engine.ControlEngine(
             identity, settings, seed, self.now, lambda: self.now / S + machine.clock_offset, persistent
         )
         if persistent is not None:
@@ -272,7 +272,7 @@
         incarnation: int,
         records: list[object],
         commit_index: int,
-        output: co.DurableOutput,
+        output: outputs.DurableOutput,
     ) -> None:
         engine = machine.engine
         if machine.incarnation != incarnation or engine is None:
@@ -308,7 +308,7 @@
             machine.saving = False
             self._flush(machine)
 
-    def _send_durable(self, machine: Machine, output: co.DurableOutput) -> None:
+    def _send_durable(self, machine: Machine, output: outputs.DurableOutput) -> None:
         for address, body in output.messages:
             self._send(machine.address, address, body)
         for outcome in output.outcomes:
@@ -325,7 +325,7 @@
             for listener in self.on_publish:
                 listener(machine, output.config)
 
-    def _resolve(self, machine: Machine, outcome: co.CallOutcome) -> None:
+    def _resolve(self, machine: Machine, outcome: outputs.CallOutcome) -> None:
         on_result = machine.pending_calls.pop(outcome.request_id, None)
         if on_result is not None:
             on_result(outcome)
@@ -369,8 +369,8 @@
     ) -> None:
         """Send an operator's change to this machine. The result is None if it is unknown."""
 
-        def on_outcome(outcome: co.CallOutcome) -> None:
-            assert isinstance(outcome, co.PutOutcome)
+        def on_outcome(outcome: outputs.CallOutcome) -> None:
+            assert isinstance(outcome, outputs.PutOutcome)
             on_result(outcome.result)
 
         self._call(
@@ -383,8 +383,8 @@
     def read(self, address: str, on_result: Callable[[StoredConfig | None], None]) -> None:
         """Read the configuration at this machine. The result is None if it is unknown."""
 
-        def on_outcome(outcome: co.CallOutcome) -> None:
-            assert isinstance(outcome, co.ReadOutcome)
+        def on_outcome(outcome: outputs.CallOutcome) -> None:
+            assert isinstance(outcome, outputs.ReadOutcome)
             on_result(outcome.config)
 
         self._call(address, lambda engine: engine.read_config(self.now), on_outcome, on_result)
@@ -392,8 +392,8 @@
     def send_heartbeat(self, address: str, record: WorkerRecord, on_result: Callable[[bool], None]) -> None:
         """Send a worker's heartbeat to this machine. The result is whether it was acknowledged."""
 
-        def on_outcome(outcome: co.CallOutcome) -> None:
-            assert isinstance(outcome, co.AnnouncementOutcome)
+        def on_outcome(outcome: outputs.CallOutcome) -> None:
+            assert isinstance(outcome, outputs.AnnouncementOutcome)
             on_result(outcome.acknowledged)
 
         machine = self.machines[address]
@@ -410,8 +410,8 @@
     def _call(
         self,
         address: str,
-        call: Callable[[ce.ControlEngine], int | None],
-        on_outcome: Callable[[co.CallOutcome], None],
+        call: Callable[[control_engine.ControlEngine], int | None],
+        on_outcome: Callable[[outputs.CallOutcome], None],
         on_result: Callable[[None], None],
     ) -> None:
         machine = self.machines[address]
--- a/benchmarks/control/history.py
+++ b/benchmarks/control/history.py
@@ -16,7 +16,7 @@
 LAST_FAULTS_US = 22 * S  # from the last drawn fault, until the effects of all faults have ended
 RECOVERY_US = 12 * S  # from the end of all faults, until the cluster must have recovered
 ROUTERS = 2
-MAX_FAULTS = 1_000  # more than any history draws
+MAX_FAULTS = 1_000  # higher than the number of any drawn fault
 
 
 @dataclass(slots=True, frozen=True)
@@ -152,7 +152,7 @@
 
     Args:
         seed: determines the history.
-        machines: the number of voters.
+        machines: the number of voters; in some histories an observer is added.
         tolerance: the number of machines that may be lost at the same time.
         length: microseconds of simulated time with faults.
         skipped: the numbers of faults that are drawn but not injected.
--- a/benchmarks/control/measure.py
+++ b/benchmarks/control/measure.py
@@ -5,8 +5,7 @@
 Prints one JSON object with:
 
 - the milliseconds from a partition of the leader to its step-down and to a new leader, and from the end of
-the
-  partition until the old leader has caught up;
+  the partition until the old leader has caught up;
 - the milliseconds of puts and of reads at p50 and p99;
 - the bytes per second that each process sends without any load;
 - the bytes of the store on a real disk after 10,000 changes.
@@ -46,15 +45,15 @@
 def _partition_leader(seed: int, machines: int) -> dict[str, int]:
     """Partition the leader for 20 s, with changes on the other side; returns the times in microseconds."""
     fleet = _form_fleet(seed, machines)
-    old = fleet.leader
+    old_leader = fleet.leader
     started_at = fleet.now
-    fleet.network.isolate([old.address], fleet.machines)
+    fleet.network.isolate([old_leader.address], fleet.machines)
     times: dict[str, int] = {}
 
     def has_failed_over() -> bool:
-        if not old.engine.raft.is_leader:
+        if not old_leader.engine.raft.is_leader:
             times.setdefault("step_down", fleet.now - started_at)
-        if fleet.leader is not None and fleet.leader is not old:
+        if fleet.leader is not None and fleet.leader is not old_leader:
             times.setdefault("new_leader", fleet.now - started_at)
         return len(times) == 2
 
@@ -64,13 +63,13 @@
         version += 1
         fleet.put(fleet.leader.address, version - 1, version, b"%d" % version, lambda result: None)
         fleet.run(200 * MS)
-    healed = fleet.now
+    healed_at = fleet.now
     fleet.heal()
     caught_up = fleet.run_until(
-        lambda: old.engine.raft.commit_index == fleet.leader.engine.raft.commit_index, 10 * S
+        lambda: old_leader.engine.raft.commit_index == fleet.leader.engine.raft.commit_index, 10 * S
     )
     assert caught_up
-    times["caught_up"] = fleet.now - healed
+    times["caught_up"] = fleet.now - healed_at
     return times
 
 
--- a/benchmarks/control/model.py
+++ b/benchmarks/control/model.py
@@ -50,18 +50,19 @@
 
 EPOCH, VOTERS, REPLACEMENT = 256, ("a", "b", "c"), "d"
 BODIES = (b'{"version":1,"by":1}', b'{"version":1,"by":2}')
-MAX_MESSAGES = 16  # rounds of messages in one exchange
+MAX_MESSAGE_ROUNDS = 16  # requests with their answers, in one exchange
+OPTION_NAMES = {"campaigns": "stands", "delays": "late"}  # options that differ from their `StepBudget` field
 
 
 class StepBudget(NamedTuple):
-    """How often each kind of step may still happen. The field names are also command line options."""
+    """How often each kind of step may still happen. Each field is set by a command line option."""
 
-    stands: int = 2  # campaigns
+    campaigns: int = 2
     writes: int = 2  # changes that are sent for the first time
     resends: int = 1
     restarts: int = 1
     wipes: int = 1  # disk losses
-    late: int = 1  # messages that are delayed
+    delays: int = 1  # messages that are delayed
 
 
 class ModelState:
@@ -73,11 +74,11 @@
             self._start_node(PersistentState(name, EPOCH, 1, "", 1, 1, VOTERS, _empty_snapshot()))
             for name in VOTERS
         ]
-        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # by change; None: unknown
+        self.outcomes: tuple[ChangeResult | None, ...] = (None, None)  # of each change; None: unknown
         self.sent_count = 0  # number of changes sent
-        self.without_state: frozenset[str] = frozenset()
+        self.without_state: frozenset[str] = frozenset()  # identities whose disk was lost
         self.delayed_message: Message | None = None
-        self.leaders: frozenset[tuple[int, str]] = frozenset()
+        self.leaders: frozenset[tuple[int, str]] = frozenset()  # (term, identity) of all leaders so far
         self.committed: tuple[Entry, ...] = ()  # the longest committed log of any node so far
         self.violation = ""
 
@@ -85,7 +86,7 @@
     def _start_node(persistent: PersistentState) -> RaftNode:
         return RaftNode(persistent, ConfigStateMachine(), TIMING, 1, 0)
 
-    def broken(self) -> str:
+    def failed_check(self) -> str:
         """The check that fails in this state; empty if none does."""
         return self.violation
 
@@ -125,7 +126,7 @@
         """All possible steps: a description and the state after it."""
         for slot, node in enumerate(self.nodes):
             others = [other for other in range(3) if other != slot]
-            if self.budget.stands and node.is_voter and not node.is_leader:
+            if self.budget.campaigns and node.is_voter and not node.is_leader:
                 for reached_slots in _subsets(others):
                     yield from self._elections(slot, reached_slots)
             if self.budget.restarts:
@@ -145,9 +146,9 @@
         name = self.nodes[slot].identity
         names = ",".join(self.nodes[reached].identity for reached in reached_slots)
         for delayed_from in (
-            (None, *reached_slots) if self.budget.late and self.delayed_message is None else (None,)
+            (None, *reached_slots) if self.budget.delays and self.delayed_message is None else (None,)
         ):
-            after = self._copy_state(stands=1)
+            after = self._copy_state(campaigns=1)
             node = after.nodes[slot]
             node._campaign(0, pre_vote=False, is_transfer=True)
             request_by_voter = {message.to: message for message in node.outbox}
@@ -161,7 +162,7 @@
                     if other == delayed_from and isinstance(answer.body, VoteResponse):
                         after.delayed_message, after.budget = (
                             answer,
-                            after.budget._replace(late=after.budget.late - 1),
+                            after.budget._replace(delays=after.budget.delays - 1),
                         )
                     else:
                         node.receive(answer, 0)
@@ -174,7 +175,7 @@
         if replica not in self.nodes[slot].peers and replica != REPLACEMENT:
             return
         for lost in ("nothing", "the answer", "delayed request", "delayed answer"):
-            if "delayed" in lost and (not self.budget.late or self.delayed_message is not None):
+            if "delayed" in lost and (not self.budget.delays or self.delayed_message is not None):
                 continue
             after = self._copy_state()
             if after._exchange(slot, other, lost):
@@ -188,7 +189,7 @@
         if replica.identity not in leader.peers:
             leader.set_learners({replica.identity}, 0)
         leader._send_entries(replica.identity, 0)
-        for _ in range(MAX_MESSAGES):
+        for _ in range(MAX_MESSAGE_ROUNDS):
             requests = self._take_messages(leader, replica.identity)
             if not requests:
                 return True
@@ -206,7 +207,7 @@
         return True
 
     def _delay_message(self, message: Message) -> bool:
-        self.delayed_message, self.budget = message, self.budget._replace(late=self.budget.late - 1)
+        self.delayed_message, self.budget = message, self.budget._replace(delays=self.budget.delays - 1)
         return True
 
     def _operator_calls(self, slot: int) -> Iterator[tuple[str, ModelState]]:
@@ -408,7 +409,7 @@
     copied.peers = {name: Progress(peer.next_index, peer.match_index) for name, peer in node.peers.items()}
     for name, peer in node.peers.items():
         copied.peers[name].last_acked_round = peer.last_acked_round
-    copied.incoming_transfer = IncomingTransfer()  # an exchange that is interrupted starts over
+    copied.incoming_transfer = IncomingTransfer()  # a transfer that was interrupted starts over
     copied.outbox, copied.outcomes, copied.pending_reads = [], [], []
     copied.pending_proposals = dict(node.pending_proposals)
     copied.rounds = node.rounds.copy()
@@ -416,9 +417,9 @@
     return copied
 
 
-def search(budget: StepBudget, most: int) -> dict[str, object]:
-    """Search all states within this budget, at most `most` of them."""
-    return breadth_first.search(ModelState(budget), most)
+def search(budget: StepBudget, max_states: int) -> dict[str, object]:
+    """Search all states within this budget, at most `max_states` of them."""
+    return breadth_first.search(ModelState(budget), max_states)
 
 
 def main() -> int:
@@ -427,12 +428,12 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     for name, default in StepBudget()._asdict().items():
-        parser.add_argument(f"--{name}", type=int, default=default)
+        parser.add_argument(f"--{OPTION_NAMES.get(name, name)}", type=int, default=default)
     parser.add_argument("--most", type=int, default=2_000_000)
     parser.add_argument("--defect", choices=sorted(DEFECTS), default="")
     options = parser.parse_args()
     started_at = time.monotonic()
-    budget = StepBudget(*(getattr(options, name) for name in StepBudget._fields))
+    budget = StepBudget(*(getattr(options, OPTION_NAMES.get(name, name)) for name in StepBudget._fields))
     with planted_defect(options.defect):
         found = search(budget, options.most)
     print(json.dumps(vars(options) | found | {"seconds": round(time.monotonic() - started_at, 1)}))
--- a/benchmarks/control/network.py
+++ b/benchmarks/control/network.py
@@ -22,7 +22,7 @@
         self.bytes = 0
         self._rng = rng
         self._speeds: dict[str, float] = {}  # bytes per second, of machines whose links are slow
-        self._free_at: dict[str, int] = {}
+        self._free_at: dict[str, int] = {}  # when the slow link of a machine has sent all queued frames
         # By receiver (until, arrival): frames that are sent before `until` arrive at `arrival`.
         self._held: dict[str, tuple[int, int]] = {}
 
@@ -90,7 +90,7 @@
         for address in (sender, to):
             speed = self._speeds.get(address)
             if speed is not None:
-                begins = max(self._free_at.get(address, 0), now)
-                self._free_at[address] = begins + round((size + FRAME_OVERHEAD_BYTES) / speed * S)
+                starts_at = max(self._free_at.get(address, 0), now)
+                self._free_at[address] = starts_at + round((size + FRAME_OVERHEAD_BYTES) / speed * S)
                 wait = max(wait, self._free_at[address] - now)
         return wait
--- a/benchmarks/control/observers.py
+++ b/benchmarks/control/observers.py
@@ -17,7 +17,7 @@
 from hazelbend.control.workers import WorkerRecord, WorkerState
 
 RNG_SALT = 0x4000000
-CONFIG_APPLY_US = 2 * S  # after which an acknowledged configuration is current at all routers
+CONFIG_APPLY_US = 2 * S  # after which each router has an acknowledged configuration or counts as outdated
 DRAIN_APPLY_US = 2 * S  # after which no router sends to a worker whose drain was acknowledged
 LEASE_US = 3 * S
 RESUME_GRACE_US = 300 * MS  # tolerated for an order that a pause of its sender or a broken link delayed
@@ -73,7 +73,7 @@
             if now - subscription.confirmed_at > CONFIRMATION_TIMEOUT_US
         ]
         if len(stale) == len(self._subscriptions):
-            stale = stale[1:]  # a stale subscription is better than none
+            stale = stale[1:]  # keeps one: a stale subscription is better than none
         for address, subscription in list(self._subscriptions.items()):
             machine = self.fleet.machines[address]
             ended = machine.engine is None or machine.incarnation != subscription.incarnation
@@ -191,8 +191,8 @@
     ) -> None:
         address = first or rng.choice(sorted(self.fleet.machines))
 
-        def on_result(held: bool) -> None:
-            if held:
+        def on_result(acknowledged: bool) -> None:
+            if acknowledged:
                 self.acknowledged.setdefault(record.instance, self.fleet.now)
 
         self.fleet.send_heartbeat(address, record, on_result)
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -125,7 +125,7 @@
             after.leaders = self.leaders | {(record.persistent.current_term, name)}
         return after
 
-    def broken(self) -> str:
+    def failed_check(self) -> str:
         terms = [term for term, _ in self.leaders]
         if len(terms) != len(set(terms)):
             return f"election: {sorted(self.leaders)}"
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -44,7 +44,7 @@
         self.now, self.bytes_per_s, self.delay = 0, bytes_per_s, delay
         self.isolated: set[str] = set()
         self.max_bytes_by_type: dict[type, int] = {}
-        self.sent_bytes = 0  # bytes
+        self.sent_bytes = 0
         self.message_count = 0
         self.nodes: dict[str, RaftNode] = {}
         self._arrivals: list[tuple[int, int, Message]] = []
@@ -110,7 +110,7 @@
     return cluster.leader
 
 
-# --- bounds on the bytes in flight ---
+# --- failure: messages or uncommitted entries grow without bound, or delay heartbeats ---
 
 
 @pytest.mark.parametrize("size, changes", [(100_000, 300), (4 * 1024 * 1024, 3)])
@@ -163,7 +163,7 @@
     assert sum(proposal_id is not None for proposal_id in proposal_ids) == 3
 
 
-# --- confirmation ---
+# --- failure: a node counts as confirmed without a majority, or a busy leader does not ---
 
 
 def test_confirmed_age_stays_low_with_a_majority_and_grows_on_a_partitioned_node():
@@ -275,7 +275,7 @@
     assert cluster.message_count - before <= 8 * proposals
 
 
-# --- membership changes ---
+# --- failure: the voter list changes although a majority may be lost by that ---
 
 
 def test_voter_list_changes_only_while_a_majority_confirms_the_leader():
@@ -306,7 +306,7 @@
     assert leader.persistent.voters_at(leader.commit_index) == replaced
 
 
-# --- epochs ---
+# --- failure: a node drops acknowledged operations for the epoch of another cluster ---
 
 
 def test_node_with_operations_adopts_a_higher_epoch_only_if_an_operator_started_it():
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -495,7 +495,7 @@
 
 
 def test_model_checks_every_order_of_events_of_three_voters_with_one_replacement():
-    found = search(StepBudget(stands=2, writes=1, resends=0, restarts=0, wipes=1, late=0), 100_000)
+    found = search(StepBudget(campaigns=2, writes=1, resends=0, restarts=0, wipes=1, delays=0), 100_000)
     assert (found["closed"], found["broken"]) == (True, "") and found["states"] > 20_000
 
 
--- a/tests/control/test_control_exploration.py
+++ b/tests/control/test_control_exploration.py
@@ -40,7 +40,7 @@
 def test_failing_history_is_recorded_with_few_faults_and_can_be_replayed(tmp_path):
     task = Task(1, 3, 1, "no_compare")
     played = exploration._play(task)
-    assert isinstance(played, PlayedHistory) and played.broken
+    assert isinstance(played, PlayedHistory) and played.violation
     content = json.loads(record(played, tmp_path).read_text())
     assert (content["seed"], content["machines"], content["tolerance"]) == (1, 3, 1)
     assert len(content["faults"]) == len(content["injected"]) and content["broken"]
--- a/tests/control/test_control_faults.py
+++ b/tests/control/test_control_faults.py
@@ -49,7 +49,7 @@
                 fleet.partition(address, other)
 
 
-# --- row 1: published configurations are confirmed by a majority ---
+# --- failure: a process without a majority publishes an old configuration as the newest ---
 
 
 def test_confirmed_age_grows_on_a_partitioned_process_and_stays_low_on_the_others():
@@ -89,7 +89,7 @@
     assert fleet.now - output.confirmed_at < 500 * MS
 
 
-# --- row 2: acknowledgements carry the incarnation that they are for ---
+# --- failure: a drain counts as held by enough processes, but is not ---
 
 
 def test_ack_for_another_incarnation_is_ignored():
@@ -154,7 +154,7 @@
     assert results == [False, False]
 
 
-# --- row 4: accepted changes are recognized by a bounded number of digests ---
+# --- failure: a resend of an accepted change is rejected, or the kept digests grow without bound ---
 
 
 def body_of(version: int) -> bytes:
@@ -206,7 +206,7 @@
     assert restored.apply(4, encode_config_change(2, 3, body_of(3))) is ChangeResult.ACCEPTED
 
 
-# --- row 5: one process bootstraps ---
+# --- failure: two processes bootstrap a cluster each ---
 
 
 @pytest.mark.parametrize("side", [["10.0.1.1:7000"], ["10.0.1.1:7000", "10.0.4.1:7000"]])
@@ -246,7 +246,7 @@
     assert not started_by_operator(fleet.leader.engine.raft.persistent.epoch)
 
 
-# --- row 6: fencing tokens increase ---
+# --- failure: workers obey an outdated leader, because fencing tokens do not increase ---
 
 
 def test_fencing_tokens_increase_beyond_65535_terms_and_with_a_forced_new_cluster():
@@ -263,8 +263,8 @@
 
 
 def test_leader_that_steps_down_during_the_confirmation_sends_no_order(monkeypatch):
-    """It already knows the term of the next leader then, and must not send an order with the token of that
-    term.
+    """By then it already knows the next leader's term. With the token of that term, its order would count as
+    one of the next leader.
     """
     fleet = formed_fleet(3)
     leader = fleet.leader.engine
@@ -300,7 +300,7 @@
     assert sent == [token]
 
 
-# --- row 7: voters are replaced by membership changes ---
+# --- failure: the replacement of a voter lowers the number of losses that the cluster tolerates ---
 
 
 def tolerable_losses(voters: tuple[str, ...], healthy: set[str]) -> int:
@@ -336,8 +336,8 @@
 
 def test_wiped_voter_is_replaced_in_one_step_and_the_next_disk_loss_is_tolerated():
     """One of three voters is wiped and rejoins under a new identity; the voter list never has four members.
-    Within the 4 s that are allowed for its return, another machine may lose its disk, and a majority is
-    left."""
+    Within the 4 s that the fault injector allows for its return (`RESYNC_US`), another machine may lose its
+    disk, and a majority is left."""
     fleet = formed_fleet(3)
     victim = next(machine for machine in fleet.alive if machine is not fleet.leader)
     fleet.wipe(victim.address)
@@ -378,7 +378,7 @@
         None,
         Timestamp(8, 5 * S),
         Timestamp(9, 900 * MS),
-    ):  # no echo, one of another incarnation, one of an earlier time
+    ):  # no echo, the echo of another incarnation, an echo from before the voter was last known to run
         table.handle_hello(address, hello("old@10.0.2.1:7", echoed=echoed), 2 * S)
         assert not table.has_lost_state("x@10.0.2.1:7")
     table.handle_hello(address, hello("y@10.0.2.1:7", echoed=Timestamp(9, 1_500 * MS)), 2 * S)
@@ -410,7 +410,7 @@
     assert table.voter_candidates(voters, {"x@10.0.2.1:7"}, 1 * S) == ["y@10.0.2.1:7"]
 
 
-# --- synchronization of the worker registries ---
+# --- failure: control processes keep different worker records ---
 
 
 def test_worker_that_one_control_process_has_missed_is_synced_within_two_seconds():
@@ -485,7 +485,7 @@
             fleet.kill(machine.address)
         else:
             fleet.wipe(machine.address)
-    survivor.disk.commit_index = 1  # it was about to save the commit index
+    survivor.disk.commit_index = 1  # the survivor was killed before it saved the higher commit index
     fleet.start(survivor.address)
     engine = survivor.engine
     assert engine.config_state.current.version == 0
