--- a/benchmarks/control/fleet.py
+++ b/benchmarks/control/fleet.py
@@ -23,7 +23,7 @@
 
 HEARTBEAT_US = 1_200 * MS
 DEFAULT_SYNC_US = 1 * MS
-SAVED_DESPITE_ERROR_FRACTION = 0.5  # of the saves that report a sync error, although the state is stored
+SAVED_DESPITE_ERROR_FRACTION = 0.5  # of the saves with a sync error: their state is stored nevertheless
 
 
 class InvariantViolationError(AssertionError):
@@ -38,14 +38,14 @@
 
     persistent: PersistentState | None = None
     commit_index: int = 0  # the highest one that was saved
-    stalled_until: int = 0  # no save ends before this time
+    stalled_until: int = 0  # a save that starts during a stall ends only after this time
     full: bool = False
     sync_errors: bool = False  # each save fails, but its state may be stored or not
     sync_us: int = DEFAULT_SYNC_US
     random: random.Random = field(default_factory=lambda: random.Random(0))
 
     def save_fails(self, records: list[object], commit_index: int) -> bool:
-        """Whether this save fails. If it fails by a sync error, this stores the state in some cases."""
+        """Whether the save fails. On a sync error, this method stores the state in a part of the cases."""
         if self.sync_errors and self.random.random() < SAVED_DESPITE_ERROR_FRACTION:
             self.save(records, commit_index)
         return self.full or self.sync_errors
@@ -102,8 +102,8 @@
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._last_event_number = 0
         self.messages = 0
-        # After an operator has started an epoch, the state of the lost majority is gone: a process may then
-        # have an older version than the one it has published.
+        # After an operator has started an epoch, the state of the lost majority is not available any more: a
+        # process may then have an older version than the one it has published.
         self.operator_started_epoch = False
         for address in self.addresses:
             self.call_later(
--- a/tests/control/test_control_faults.py
+++ b/tests/control/test_control_faults.py
@@ -470,6 +470,9 @@
     assert sync_requests == []
 
 
+# --- failure: a forced new cluster loses an acknowledged configuration ---
+
+
 def test_forced_new_cluster_keeps_a_configuration_that_the_lost_majority_acknowledged():
     """The survivor holds an acknowledged configuration, but does not know that it was committed. The other
     machines lose their disks. After an operator has forced a new cluster on the survivor, the configuration
