--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -1,7 +1,7 @@
-"""Golden texts: what the program shows to people and to other programs, and what it takes settings for.
+"""Golden texts: what the program prints for people and other programs, and how it reads settings.
 
-Each text is made from plain values alone, given by their places, so it does not hang on the name of a class
-or a field in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
+Each text is made from plain values passed by position, so it does not depend on the name of a class or field
+in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
 
     PYTHONPATH=DIRECTORY_OF_COMMIT:. python tests/golden/golden_shown.py
 """
@@ -57,22 +57,22 @@
 from tests.golden import golden_kit as kit
 from tests.support.site_kit import PASSCODE_SHA256, SETTINGS, host_entry
 
-SHOWN = kit.GOLDEN / "shown"
+TEXT_DIR = kit.GOLDEN / "shown"
 
 
-def values_of(thing: Any) -> Any:
-    """Values without the names of classes and fields, for JSON."""
+def plain_values(thing: Any) -> Any:
+    """Convert to JSON types, without the names of classes and fields."""
     if isinstance(thing, Enum):
-        return values_of(thing.value)
+        return plain_values(thing.value)
     if is_dataclass(thing):
-        return [values_of(getattr(thing, each.name)) for each in fields(thing)]
+        return [plain_values(getattr(thing, each.name)) for each in fields(thing)]
     if isinstance(thing, msgspec.Struct):
-        return [values_of(getattr(thing, name)) for name in thing.__struct_fields__]
+        return [plain_values(getattr(thing, name)) for name in thing.__struct_fields__]
     if isinstance(thing, dict):
-        return {str(key): values_of(value) for key, value in thing.items()}
+        return {str(key): plain_values(value) for key, value in thing.items()}
     if isinstance(thing, list | tuple | set | frozenset | deque):
-        found = [values_of(each) for each in thing]
-        return sorted(found, key=str) if isinstance(thing, set | frozenset) else found
+        results = [plain_values(each) for each in thing]
+        return sorted(results, key=str) if isinstance(thing, set | frozenset) else results
     if isinstance(thing, bytes | Path):
         return str(thing)
     if thing is None or isinstance(thing, str | int | float):
@@ -80,11 +80,11 @@
     return "object"
 
 
-def as_lines(value: Any) -> str:
+def as_json_text(value: Any) -> str:
     return json.dumps(value, indent=1) + "\n"
 
 
-# --- what runs ---
+# --- status of a running program ---
 
 
 def histogram(first: int) -> statistics.RatioHistogram:
@@ -98,12 +98,12 @@
         Counter({end: n for n, end in enumerate(AttemptOutcome, 1)}), histogram(2), histogram(5), 70, 80
     )
     refusals = Counter({reason: n for n, reason in enumerate(statistics.Refusal, 1)})
-    found = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
-    return metrics.render(found).decode()
+    results = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
+    return metrics.render(results).decode()
 
 
-def view() -> overview.Overview:
-    """A moment of a program, all of its values different."""
+def sample_overview() -> overview.Overview:
+    """Return the overview of a program with a different value in each field."""
     classes = (overview.ClassFigures("nearby", 31, 32, 33), overview.ClassFigures("reserve", 34, 35, 36))
     names = ("followed", "unknown", "stale", "boxes", "spare", "queries", "failures")
     waiting = (
@@ -141,21 +141,21 @@
 
 
 def snmp_values() -> str:
-    return as_lines(
+    return as_json_text(
         {
             ".".join(map(str, oid)): [type(value).__name__, value.prettyPrint()]
-            for oid, value in sorted(hazelbend_mib.object_values(view()).items())
+            for oid, value in sorted(hazelbend_mib.object_values(sample_overview()).items())
         }
     )
 
 
 def ops_stats() -> str:
     async def ask() -> list[Any]:
-        door = admin_listener.AdminListener(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
-        calls = {path: method for path, (method, _) in door._calls.items()}
-        return [calls, door._calls["/ops/stats"][1]().text]
+        listener = admin_listener.AdminListener(SimpleNamespace(figures=lambda: sample_overview().figures))  # type: ignore[arg-type]
+        calls = {path: method for path, (method, _) in listener._calls.items()}
+        return [calls, listener._calls["/ops/stats"][1]().text]
 
-    return as_lines(asyncio.run(ask()))
+    return as_json_text(asyncio.run(ask()))
 
 
 def console_texts() -> str:
@@ -165,7 +165,7 @@
         list_received=asyncio.Event(), requests={"f1": None}, set_manual_drain=lambda host, _: host == "h1"
     )
     program = SimpleNamespace(
-        overview=view,
+        overview=sample_overview,
         extensions={},
         recent=recent,
         router=router,
@@ -184,14 +184,14 @@
     ]
     lines += ["show log", "show log 1", "show log x", "drain h1", "undrain h1", "drain h9", "shutdown"]
     lines += [f"show {name}" for name in ("names", "fleet", "leases", "waiting")] + ["cancel a b", "dance"]
-    found = []
+    results = []
     for line in lines:
         try:
             text = commands.run(line)
         except console_server.CommandError as error:
             text = f"ERROR {error}"
-        found.append(f"> {line}\n{text}\n")
-    return "\n".join(found)
+        results.append(f"> {line}\n{text}\n")
+    return "\n".join(results)
 
 
 # --- command lines ---
@@ -202,42 +202,44 @@
 
 
 def command_words() -> str:
-    """Commands, their arguments and options; not the help, which is prose."""
-    found: dict[str, Any] = {}
+    """Return all commands with their arguments and options; the help text is prose and left out."""
+    results: dict[str, Any] = {}
 
     def add(command: click.Command, path: tuple[str, ...]) -> None:
-        found[" ".join(("hazelbend", *path))] = [
+        results[" ".join(("hazelbend", *path))] = [
             [each.param_type_name, *each.opts, each.nargs, each.required, default_of(each), each.type.name]
             for each in command.params
         ]
         if isinstance(command, click.Group):
-            for name, sub in sorted(command.commands.items()):
-                add(sub, (*path, name))
+            for name, subcommand in sorted(command.commands.items()):
+                add(subcommand, (*path, name))
 
     add(command_line, ())
-    said = io.StringIO()
-    with contextlib.redirect_stdout(said), contextlib.suppress(SystemExit):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output), contextlib.suppress(SystemExit):
         console_client.main(["--help"])
-    found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", said.getvalue())))
+    results["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", output.getvalue())))
     flags = system_main.FLAGS._flags()
-    found["hazelbend.system"] = {name: values_of(flags[name].default) for name in ("settings", "log_level")}
-    found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
-    found["variables"] = [
+    results["hazelbend.system"] = {
+        name: plain_values(flags[name].default) for name in ("settings", "log_level")
+    }
+    results["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
+    results["variables"] = [
         system_main.SETTINGS_PATH_VARIABLE,
         deploy_files.DEPLOY_VARIABLE,
         config.PASSED_SOCKET,
     ]
-    return as_lines(found)
+    return as_json_text(results)
 
 
-def named_site(**changes: Any) -> dict[str, Any]:
+def site_config(**changes: Any) -> dict[str, Any]:
     known = {"seq": 3, "whole": True, "hosts": [host_entry("h1", "127.0.0.1:8001")]}
     return {"name": "site", "listen": "127.0.0.1:7070", "known": known, "settings": SETTINGS | changes}
 
 
-SITES: dict[str, dict[str, Any]] = {
-    "plain": named_site(),
-    "doubtful": named_site(
+SITE_CONFIGS: dict[str, dict[str, Any]] = {
+    "plain": site_config(),
+    "doubtful": site_config(
         membership_mode="pull",
         weight_kind="exact",
         value_by="second",
@@ -247,7 +249,7 @@
         rules={"start_capacity": 30, "fall_multiple": 0.5},
         lanes=[{"name": "a", "semantics": "odd", "streaming": True, "worth": 0, "objective_us": 9_000_000}],
     ),
-    "full": named_site(
+    "full": site_config(
         fleet_size=4,
         my_zone=1,
         membership_mode="ask",
@@ -277,20 +279,22 @@
 
 
 def check_pages() -> str:
-    found = []
+    results = []
     runner = CliRunner()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        for site, conf in SITES.items():
+        for site, conf in SITE_CONFIGS.items():
             (folder / f"{site}.json").write_text(json.dumps(conf))
-            for more in ([], ["--json"]):
-                said = runner.invoke(
+            for options in ([], ["--json"]):
+                result = runner.invoke(
                     command_line,
-                    ["check", str(folder / f"{site}.json"), *more],
+                    ["check", str(folder / f"{site}.json"), *options],
                     env={deploy_files.DEPLOY_VARIABLE: str(folder)},
                 )
-                found.append(f"$ check {site} {' '.join(more)}\n{said.output}(status {said.exit_code})\n")
-    return "\n".join(found)
+                results.append(
+                    f"$ check {site} {' '.join(options)}\n{result.output}(status {result.exit_code})\n"
+                )
+    return "\n".join(results)
 
 
 # --- settings ---
@@ -427,32 +431,35 @@
 bounds: {drainMs: 2100, graceS: 9, retryRatio: 0.3, retryWindowS: 11, retrySlack: 12, leaseMs: 3100,
          configApplyMs: 2200}
 """
-LEAST_SYSTEM = 'nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\nlisten: {control: "x"}\n'
-LEAST_SYSTEM_GOOD = "nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\n"
+SYSTEM_WITH_BAD_ADDRESS = (
+    'nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\nlisten: {control: "x"}\n'
+)
+MINIMAL_SYSTEM = "nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\n"
 
 
 def site_settings() -> str:
-    found = {}
-    for site, conf in SITES.items():
+    results = {}
+    for site, conf in SITE_CONFIGS.items():
         read = config.from_object(conf)
         load = read.load_fields.read({"outstanding": 1, "backlog": 2, "x0": 3, "recent_ms": 4})
         by_site = read.load_fields.read({"inflight": 5, "queue": 6})
-        found[site] = values_of([read.settings, read.catalogue, load, by_site, read.known, read.listen])
-        found[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
-    return as_lines(found)
+        results[site] = plain_values([read.settings, read.catalogue, load, by_site, read.known, read.listen])
+        results[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
+    return as_json_text(results)
 
 
 def deploy_settings() -> str:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        conf = named_site()
+        conf = site_config()
         none = config.with_deploy_files(config.from_object(conf), folder, conf)
         for file, text in DEPLOY.items():
             (folder / f"{file}.toml").write_text(text)
         read = config.with_deploy_files(config.from_object(conf), folder, conf)
         parts = {"on": read, "off": none}
-        found = {
-            state: {name: values_of(getattr(each, name)) for name in DEPLOY} for state, each in parts.items()
+        results = {
+            state: {name: plain_values(getattr(each, name)) for name in DEPLOY}
+            for state, each in parts.items()
         }
         for file in DEPLOY:
             (folder / f"{file}.toml").write_text(
@@ -461,26 +468,26 @@
             try:
                 config.with_deploy_files(config.from_object(conf), folder, conf)
             except config.ConfigError as error:
-                found.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
+                results.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
             (folder / f"{file}.toml").write_text(DEPLOY[file])
-    return as_lines(found)
+    return as_json_text(results)
 
 
 def system_settings_values() -> str:
-    found = {
-        name: values_of(system_settings.read_settings(text))
-        for name, text in (("full", SYSTEM), ("least", LEAST_SYSTEM_GOOD))
+    results = {
+        name: plain_values(system_settings.read_settings(text))
+        for name, text in (("full", SYSTEM), ("least", MINIMAL_SYSTEM))
     }
-    for name, text in (("bad address", LEAST_SYSTEM), ("empty", "{}"), ("list", "[]")):
+    for name, text in (("bad address", SYSTEM_WITH_BAD_ADDRESS), ("empty", "{}"), ("list", "[]")):
         try:
             system_settings.read_settings(text)
         except system_settings.SettingsError as error:
-            found[name] = str(error)
-    return as_lines(found)
+            results[name] = str(error)
+    return as_json_text(results)
 
 
 def configuration_findings() -> str:
-    """What is said of a configuration: of a right one its version, else the findings."""
+    """Return the version of each valid configuration and the findings of each invalid one."""
     broken = {
         "version": 0,
         "routes": [
@@ -490,13 +497,13 @@
         "services": [{"maxConns": 0, "engine": {"capacity": 0}}, {}],
         "limits": {"maxBodyBytes": 0, "maxHeaderBytes": "x", "headerTimeoutMs": 0, "idleTimeoutMs": 0},
     }
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for name, document in (("full", kit.ROUTES), ("broken", broken), ("none", {}), ("list", [])):
         try:
-            found[name] = configuration.check_configuration(json.dumps(document).encode())
+            results[name] = configuration.check_configuration(json.dumps(document).encode())
         except configuration.InvalidConfigurationError as error:
-            found[name] = list(map(str, error.findings))
-    return as_lines(found)
+            results[name] = list(map(str, error.findings))
+    return as_json_text(results)
 
 
 # --- protocols ---
@@ -529,7 +536,7 @@
         Answer(Verdict.FAILED, b"", 0, True),
         Answer(Verdict.FAILED, b"", 0, False, "why"),
     )
-    found = {
+    results = {
         "destinations": [
             stomp_jobs.JOBS_DESTINATION,
             stomp_jobs.ANSWERS_DESTINATION,
@@ -539,7 +546,7 @@
         ],
         "frame": [stomp.encode(send, version).decode() for version in ("1.1", "1.2")],
         "escaped": stomp.encode(stomp.Frame("MESSAGE", {"a:b": "c\n\\d"}, b"")).decode(),
-        "job": values_of(stomp_jobs.read_job(send, "client", CATALOGUE)),
+        "job": plain_values(stomp_jobs.read_job(send, "client", CATALOGUE)),
         "answers": [stomp_jobs.answer_headers(each) for each in answers],
         "work": [stomp_jobs.work_headers(plain_job(keyed), 4_000_000, CATALOGUE) for keyed in (True, False)],
         "versions": [stomp.choose_version(each) for each in ("1.0,1.1", "1.2,1.1", "1.0")],
@@ -550,8 +557,8 @@
     }
     reader = stomp.FrameReader()
     items = list(reader.feed(b"\n" + stomp.encode(send) + b"DISCONNECT\nreceipt:1\n\n\0"))
-    found["read"] = [values_of(each) for each in items]
-    return as_lines(found)
+    results["read"] = [plain_values(each) for each in items]
+    return as_json_text(results)
 
 
 def http_jobs() -> str:
@@ -567,31 +574,40 @@
         "X-Cost": "77",
     }
     least = {"X-Request-ID": "r1", "X-Tenant-Id": "ege-volt"}
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for name, target, headers in (("full", "/reserve/k?x=1", full), ("least", "/nearby", least)):
-        found[name] = values_of(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
+        results[name] = plain_values(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
     for left_out in full:
         headers = CIMultiDict({key: value for key, value in full.items() if key != left_out})
         try:
-            found[left_out] = values_of(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
+            results[left_out] = plain_values(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
         except http_fields.BadRequestError as error:
-            found[left_out] = f"BAD {error}"
+            results[left_out] = f"BAD {error}"
     terms = waiting_terms.read_terms("a, b;ended", "1764000000000", "250", "1", 1_000)
-    found["terms"] = [values_of(terms), values_of(waiting_terms.read_terms("", "", "", "", 1_000))]
-    found["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
-    return as_lines(found)
+    results["terms"] = [plain_values(terms), plain_values(waiting_terms.read_terms("", "", "", "", 1_000))]
+    results["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
+    return as_json_text(results)
 
 
 def worker_texts() -> str:
-    read = config.from_object(named_site()).load_fields
+    report_fields = config.from_object(site_config()).load_fields
     load = {"inflight": 3, "queue": 2.5, "x0": 1, "other": 9}
     states = ("started", "running", "done", "failed", "returned", "lost", "odd")
     lines = [{"id": "j", "state": state, "share": 0.5, "result": {"a": 1}, "load": load} for state in states]
-    found = [values_of(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
+    reports = [
+        plain_values(worker_lines.read_line(json.dumps(line).encode(), "j", report_fields)) for line in lines
+    ]
     statuses = [
         worker_lines.outcome_of_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
     ]
-    return as_lines([found, statuses, values_of(read.read_text('{"inflight": 4}')), values_of(LoadReport())])
+    return as_json_text(
+        [
+            reports,
+            statuses,
+            plain_values(report_fields.read_text('{"inflight": 4}')),
+            plain_values(LoadReport()),
+        ]
+    )
 
 
 def upgrade_lines() -> str:
@@ -604,7 +620,7 @@
     return "".join(line.decode() for line in lines)
 
 
-WORDS = {  # literals of the program that others read, by how they look
+LITERAL_PATTERNS = {  # string literals of the program that other programs read, by pattern
     "heads": re.compile(r"[A-Z][A-Z0-9]+( [A-Z0-9]+)*"),  # columns of tables, commands and methods
     "fields": re.compile(r"[A-Z][A-Za-z]*(-[A-Z][A-Za-z]+)+"),  # of HTTP
     "paths": re.compile(r"/[a-z][a-z/]*"),
@@ -615,19 +631,19 @@
 
 
 @cache
-def words() -> dict[str, list[str]]:
-    """The literals of the program that look like each kind."""
-    found: dict[str, set[str]] = {kind: set() for kind in WORDS}
+def literals_by_kind() -> dict[str, list[str]]:
+    """Return the string literals of the program that match each pattern."""
+    results: dict[str, set[str]] = {kind: set() for kind in LITERAL_PATTERNS}
     for path in Path(hazelbend.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
-                for kind, pattern in WORDS.items():
+                for kind, pattern in LITERAL_PATTERNS.items():
                     if pattern.fullmatch(node.value):
-                        found[kind].add(node.value)
-    return {kind: sorted(each) for kind, each in found.items()}
+                        results[kind].add(node.value)
+    return {kind: sorted(each) for kind, each in results.items()}
 
 
-TEXTS: dict[str, Callable[[], str]] = {
+TEXT_MAKERS: dict[str, Callable[[], str]] = {
     "metrics.txt": metrics_text,
     "snmp.json": snmp_values,
     "ops_stats.json": ops_stats,
@@ -647,10 +663,10 @@
 
 def write_all() -> None:
     print("written with", hazelbend.__file__)
-    SHOWN.mkdir(parents=True, exist_ok=True)
-    for name, make in TEXTS.items():
-        (SHOWN / name).write_text(make())
-    (kit.GOLDEN / "words.json").write_text(as_lines(words()))
+    TEXT_DIR.mkdir(parents=True, exist_ok=True)
+    for name, make in TEXT_MAKERS.items():
+        (TEXT_DIR / name).write_text(make())
+    (kit.GOLDEN / "words.json").write_text(as_json_text(literals_by_kind()))
 
 
 if __name__ == "__main__":
