--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -15,7 +15,7 @@
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from tests.support.deployment_kit import deployments, play, summary
+from tests.support.deployment_kit import count_by_status, deployments, run_deployment
 
 
 def main() -> int:
@@ -37,7 +37,7 @@
     )
     @given(deployments())
     def one(conf: dict[str, object]) -> None:
-        statuses.update(summary(asyncio.run(play(conf, options.seed, options.jobs))))
+        statuses.update(count_by_status(asyncio.run(run_deployment(conf, options.seed, options.jobs))))
 
     one()
     print(f"{options.examples} deployments in {time.monotonic() - began:.0f} s, the rules kept on all")
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -94,7 +94,7 @@
 async def play(seconds: float, rule: str, folder: Path) -> dict[str, object]:
     """A flood over HTTP, plans over both fronts. Wanted times as the classes have them."""
 
-    from tests.support.site_kit import STOMP, FakeStompClient, site
+    from tests.support.site_kit import STOMP_TOML, FakeStompClient, running_app
 
     lanes: list[dict[str, Any]] = [
         {"name": "station-detail", "deadline_us": 3_000_000, "objective_us": 300_000,
@@ -111,7 +111,7 @@
     drawn = random.Random(7)
     waits: defaultdict[str, list[float]] = defaultdict(list)
     counts: Counter[tuple[object, str]] = Counter()
-    async with site(folder, toys=4, stomp=STOMP, lanes=lanes, tick_us=4_000) as (app, _):
+    async with running_app(folder, server_count=4, stomp=STOMP_TOML, lanes=lanes, tick_us=4_000) as (app, _):
         loop, tasks = asyncio.get_running_loop(), set()
 
         async def post(name: str, job_id: str, body: bytes, more: str = "") -> int:
@@ -156,7 +156,7 @@
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
         async with asyncio.timeout(20):
-            while len(peer.answers()) < sent:
+            while len(peer.statuses_by_request()) < sent:
                 await asyncio.sleep(0.05)
         engine = app.parts["waiting"].gate.engine
         names, longest = [row["name"] for row in lanes], engine.totals.longest_wait_us
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -7,7 +7,7 @@
 
 from hazelbend.console import client
 from hazelbend.dispatcher.console_server import LINE_LIMIT
-from tests.support.site_kit import site, wait_until
+from tests.support.site_kit import running_app, wait_until
 
 
 def on_site(folder, work):
@@ -16,7 +16,7 @@
     (folder / "console.toml").write_text(f'enabled = true\nsocket = "{path}"\n')
 
     async def run():
-        async with site(folder, stomp="") as (app, toys):
+        async with running_app(folder, stomp="") as (app, toys):
 
             async def console(*commands: str) -> int:
                 words = [word for command in commands for word in ("-c", command)]
--- a/tests/decisions/test_estimate.py
+++ b/tests/decisions/test_estimate.py
@@ -118,7 +118,9 @@
     for request in range(30):
         model.arrive(request)
         model.advance(2_000)
-        model.end(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0))
+        model.end_attempt(
+            request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=1.0, queued=0.0, free_slots=3.0)
+        )
         model.advance(2_000_000)
         assert worker.background_load * worker.rate < 2.0, "a report of one job stands for no more"
         assert expected_jobs(worker, model.now, worker.rate) < worker.concurrency
@@ -133,9 +135,9 @@
     for request in range(40):
         model.arrive(request)
         model.advance(100_000)
-        if model.jobs[request].tries[0].worker.worker != 3:
+        if model.jobs[request].attempts[0].worker.worker != 3:
             report = dy.LoadReport(in_flight=8.0, queued=0.0, free_slots=0.0)
-            model.end(request, dy.Outcome.SERVED, load=report)
+            model.end_attempt(request, dy.Outcome.SERVED, load=report)
     workers = model.dispatcher.workers
     usual = [worker.background_load * worker.rate for worker in workers.values()]
     model.dispatcher.load_model.update_rate(workers[3], model.now)
--- a/tests/decisions/test_failure_estimate.py
+++ b/tests/decisions/test_failure_estimate.py
@@ -61,20 +61,20 @@
         for _ in range(round(seconds * 10)):
             number = len(self.jobs)
             self.arrive(number, job_class=classes[number % len(classes)])
-            for job, attempt in self.out():
-                while self.jobs[job].tries[attempt].outcome is None:
+            for job, attempt in self.attempts_in_flight():
+                while self.jobs[job].attempts[attempt].outcome is None:
                     self.advance(5_000)
-                    worker = self.jobs[job].tries[attempt].worker.worker
+                    worker = self.jobs[job].attempts[attempt].worker.worker
                     if len(self.failing) < self.most:
                         self.failing.add(worker)
                     if worker in self.failing:
                         self.errors[classes[job % len(classes)]] += 1
-                        self.end(job, dy.Outcome.ERROR, attempt)
-                        attempt = len(self.jobs[job].tries) - 1
+                        self.end_attempt(job, dy.Outcome.ERROR, attempt)
+                        attempt = len(self.jobs[job].attempts) - 1
                     else:
-                        self.start(job, attempt)
+                        self.start_job(job, attempt)
                         self.advance(RUN)
-                        self.end(job, dy.Outcome.SERVED, attempt)
+                        self.end_attempt(job, dy.Outcome.SERVED, attempt)
 
 
 def test_a_job_that_must_not_run_twice_keeps_off_a_server_that_fails():
@@ -123,7 +123,7 @@
     model.list_workers(*(dy.WorkerEntry(number) for number in (1, 2, 3)))
     model.arrive(0)
     for attempt in range(3):
-        model.end(0, dy.Outcome.ERROR, attempt)
+        model.end_attempt(0, dy.Outcome.ERROR, attempt)
     suspects = [
         each for each in model.dispatcher.workers.values() if each.reliability.failing > PRIOR_FAILING
     ]
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -33,7 +33,7 @@
     for worker in probes:
         held = busy.get(worker, 0)
         load = dy.LoadReport(held, max(held - 4, 0), max(4 - held, 0))
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, load))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, load))
 
 
 def test_workers_that_may_win_are_asked_before_the_pick():
@@ -320,10 +320,10 @@
     model.advance(200_000)
     probes, model.probes = model.probes, []
     for worker in probes:
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 0.0)))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 0.0)))
     worker = model.dispatcher.workers[1]
     assert not worker.reported_at and worker.slots == 0.0
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 5.0)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0.0, 0.0, 5.0)))
     assert worker.reported_at and worker.slots == 5.0, "an idle server has free slots"
 
 
@@ -405,7 +405,7 @@
         probes, model.probes = model.probes, []
         for worker in probes:
             outcome = dy.Outcome.SERVED if answers or worker != where else dy.Outcome.TIMED_OUT
-            model.tell(dy.ProbeEnded(worker, outcome, 1_000))
+            model.handle_event(dy.ProbeEnded(worker, outcome, 1_000))
     return model
 
 
@@ -445,10 +445,10 @@
     worker = model.dispatcher.workers[1]
     since = worker.peer_jobs_at
     model.advance(600_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(0, 0, 4)))
     assert worker.peer_jobs_at == since, "what has come since goes on being reckoned with"
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > since and worker.peer_jobs == 3
     model.advance(5_000_000)
-    model.tell(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
+    model.handle_event(dy.ProbeEnded(1, dy.Outcome.SERVED, 1_000, dy.LoadReport(3, 0, 1)))
     assert worker.peer_jobs_at > model.now - 2_000_000, "an idle server may say the same for long"
--- a/tests/decisions/test_guards.py
+++ b/tests/decisions/test_guards.py
@@ -28,7 +28,7 @@
     model.list_workers(draining, kind=dy.ListKind.DELTA)
     for request in range(8):
         model.arrive(request)
-        model.end(request, dy.Outcome.SERVED)
+        model.end_attempt(request, dy.Outcome.SERVED)
     assert workers_of(model) == [2] * 8
 
 
@@ -51,10 +51,10 @@
         idempotency=dy.Idempotency.KEYED, objective=200_000, late_value_fraction=0.5, dedup_window=2_000_000
     )
     model = two_workers(job)
-    model.arrive(1, patience=8_000_000, key=5)
-    model.start(1)
+    model.arrive(1, client_timeout=8_000_000, key=5)
+    model.start_job(1)
     model.advance(after)
-    model.end(1, dy.Outcome.RESET)
+    model.end_attempt(1, dy.Outcome.RESET)
     model.advance(100_000)
     assert len(model.sends) == attempts
 
@@ -79,9 +79,9 @@
     model = two_workers(hedging_allowed=True, cancel_allowed=True)
     model.arrive(1)
     model.advance(3_000_000)
-    assert len(model.jobs[1].tries) > 1
-    model.end(1, dy.Outcome.SERVED, 1)
-    assert len(model.cancels) == len(model.jobs[1].tries) - 1
+    assert len(model.jobs[1].attempts) > 1
+    model.end_attempt(1, dy.Outcome.SERVED, 1)
+    assert len(model.cancels) == len(model.jobs[1].attempts) - 1
 
 
 def test_a_request_answered_while_it_asks_is_not_sent():
@@ -90,7 +90,7 @@
     model.arrive(1)
     model.leave(1)
     for worker in model.probes:
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, EMPTY))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, EMPTY))
     assert model.sends == []
 
 
@@ -107,7 +107,7 @@
     model = two_workers()
     model.arrive(1)
     first = workers_of(model)[0]
-    model.end(1, dy.Outcome.FULL)
+    model.end_attempt(1, dy.Outcome.FULL)
     for request in range(2, 6):
         model.arrive(request)
     assert workers_of(model) == [first] + [3 - first] * 5
@@ -122,7 +122,7 @@
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     for request in range(6):
         model.arrive(request)
-        model.end(request, dy.Outcome.SERVED, load=EMPTY)
+        model.end_attempt(request, dy.Outcome.SERVED, load=EMPTY)
     assert len(set(workers_of(model))) == 1, "the open connection is used again"
 
 
@@ -150,7 +150,7 @@
     model.arrive(1)
     assert model.probes
     for worker in list(model.probes):
-        model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, loads[worker]))
+        model.handle_event(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, loads[worker]))
     assert [held[worker] for worker in workers_of(model)] == [0]
 
 
@@ -165,6 +165,8 @@
         model.arrive(request)
         asked.append(len(model.probes))
         for worker in list(model.probes):
-            model.tell(dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(request / 9, 0.0, 4.0)))
+            model.handle_event(
+                dy.ProbeEnded(worker, dy.Outcome.SERVED, 1_000, dy.LoadReport(request / 9, 0.0, 4.0))
+            )
     assert asked == [2, 0, 2]
     assert len(model.sends) == 3, "without asking it is sent at once"
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -20,11 +20,11 @@
     for request in range(first, first + 20 * seconds, 2):
         model.arrive(request)
         model.arrive(request + 1)
-        for number, attempt in model.out():
-            if model.jobs[number].tries[attempt].worker.worker != silent:
-                model.start(number, attempt)
+        for number, attempt in model.attempts_in_flight():
+            if model.jobs[number].attempts[attempt].worker.worker != silent:
+                model.start_job(number, attempt)
                 model.advance(50_000)
-                model.end(number, dy.Outcome.SERVED, attempt)
+                model.end_attempt(number, dy.Outcome.SERVED, attempt)
         model.advance(50_000)
     return Counter(worker for at, worker, _ in model.sends if at > model.now - 5_000_000)
 
@@ -33,9 +33,9 @@
     model = two_workers(hedging_allowed=True)
     late = play(model, silent=2, seconds=12)
     assert late[2] <= 3, "trials only, one at a time"
-    stuck = [job for job in model.jobs.values() if job.tries[0].worker.worker == 2]
+    stuck = [job for job in model.jobs.values() if job.attempts[0].worker.worker == 2]
     assert stuck
-    assert all(len(job.tries) > 1 for job in stuck[:-1])
+    assert all(len(job.attempts) > 1 for job in stuck[:-1])
 
 
 def test_a_worker_that_speaks_again_is_trusted_again():
@@ -48,7 +48,7 @@
     model = two_workers()
     model.arrive(1)
     first = model.sends[0][1]
-    model.end(1, dy.Outcome.CONNECT_FAILED)
+    model.end_attempt(1, dy.Outcome.CONNECT_FAILED)
     assert [worker for _, worker, _ in model.sends] == [first, 3 - first]
     for request in range(2, 6):
         model.arrive(request)
@@ -61,7 +61,7 @@
     model.list_workers(dy.WorkerEntry(1))
     for request, each in enumerate(stale):
         model.arrive(request)
-        model.end(request, dy.Outcome.RESET, stale=each)
+        model.end_attempt(request, dy.Outcome.RESET, stale=each)
     before = len(model.sends)
     model.arrive(len(stale))
     return len(model.sends) > before
@@ -93,9 +93,9 @@
         model = Model(dy.Settings(classes=(job_class,), reports_job_starts=True))
         model.list_workers(dy.WorkerEntry(1))
         model.arrive(0)
-        model.start(0)
+        model.start_job(0)
         model.advance(200_000)
-        model.end(0, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=1.0))
+        model.end_attempt(0, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=1.0))
         for request in range(1, 10):
             model.arrive(request)
         assert bool(model.refused) is refused
@@ -106,7 +106,7 @@
     model = Model(dy.Settings(list_is_polled=True))
     model.list_workers(dy.WorkerEntry(1), kind=dy.ListKind.CACHED)
     for _ in range(6):
-        model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
+        model.handle_event(dy.MembershipUpdate(dy.ListKind.FAILED))
         model.advance(4_000_000)
     gaps = [
         after - before for before, after in zip(model.subscriptions, model.subscriptions[1:], strict=False)
@@ -125,7 +125,7 @@
             model.list_workers(dy.WorkerEntry(1))
             continue
         before, asked = model.now, len(model.subscriptions)
-        model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
+        model.handle_event(dy.MembershipUpdate(dy.ListKind.FAILED))
         while len(model.subscriptions) == asked:
             model.advance(10_000)
         waits.append(model.now - before)
@@ -141,7 +141,7 @@
     model.advance(1_000)
     for request in (1, 2, 3):
         model.arrive(request)
-        model.start(request)
+        model.start_job(request)
     model.list_workers(dy.WorkerEntry(2), kind=dy.ListKind.DELTA)
     model.advance(600_000)
     assert [worker for _, worker, request in model.sends if request == 0] == [1, 2]
@@ -158,7 +158,7 @@
     model = Model(settings)
     model.list_workers(dy.WorkerEntry(1), dy.WorkerEntry(2))
     model.arrive(0)
-    model.start(0)
+    model.start_job(0)
     model.advance(1_200_000)
     assert len(model.sends) == 1
     model.advance(800_000)
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_keys.py
@@ -14,10 +14,10 @@
         model.arrive(request, key=key)
         worker = model.sends[-1][1]
         kept = lately.setdefault(worker, [])
-        model.start(request)
+        model.start_job(request)
         model.advance(100_000 + (0 if key in kept else fetch))
         lately[worker] = [*[each for each in kept if each != key], key][-4:]
-        model.end(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=4.0))
+        model.end_attempt(request, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=0.0, free_slots=4.0))
 
 
 def homes(settings: dy.Settings, fetch: int, seed: int) -> dict[int, int]:
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -23,7 +23,7 @@
         load = dy.LoadReport(in_flight=queued + 1.0, queued=queued, free_slots=0.0)
         model.dispatcher.load_model.apply_report(model.dispatcher.workers[1], load, model.now)
         model.arrive(0, job_class=job_class)
-        after = [each.retry_after for each in model.last if isinstance(each, dy.Refuse)]
+        after = [each.retry_after for each in model.last_actions if isinstance(each, dy.Refuse)]
         found.append(after[0] if after else None)
     return found
 
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -9,11 +9,13 @@
     model = Model(dy.Settings(classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE, objective=200_000),)))
     model.list_workers(dy.WorkerEntry(1))
     model.arrive(0)
-    model.start(0)
+    model.start_job(0)
     model.advance(100_000)
-    model.end(0, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=queued + 2, queued=queued, free_slots=0))
+    model.end_attempt(
+        0, dy.Outcome.SERVED, load=dy.LoadReport(in_flight=queued + 2, queued=queued, free_slots=0)
+    )
     model.jobs[1] = type(model.jobs[0])(model.settings.classes[0], model.now + 5_000_000)
-    actions = model.tell(dy.RequestArrived(1, 5_000_000))
+    actions = model.handle_event(dy.RequestArrived(1, 5_000_000))
     [answer] = [action for action in actions if isinstance(action, dy.Refuse)]
     return answer
 
@@ -27,8 +29,8 @@
     model = Model(dy.Settings(max_attempts=1, classes=(dy.JobClass(idempotency=dy.Idempotency.SAFE),)))
     model.list_workers(dy.WorkerEntry(1))
     model.arrive(0)
-    model.jobs[0].tries[0].outcome = dy.Outcome.CONNECT_FAILED
-    actions = model.tell(dy.AttemptEnded(0, 1, 0, dy.Outcome.CONNECT_FAILED))
+    model.jobs[0].attempts[0].outcome = dy.Outcome.CONNECT_FAILED
+    actions = model.handle_event(dy.AttemptEnded(0, 1, 0, dy.Outcome.CONNECT_FAILED))
     [answer] = [action for action in actions if isinstance(action, dy.Refuse)]
     shut_until = model.dispatcher.workers[1].backoff_until
     assert answer.retry_after == shut_until - model.now > 0
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -41,15 +41,15 @@
 
 def play(model: Model, steps: list[tuple]) -> None:
     for step in steps:
-        out = model.out()
+        out = model.attempts_in_flight()
         match step:
             case ("arrive", job_class, patience):
                 model.arrive(len(model.jobs), patience, job_class)
             case ("end", which, outcome, load) if out:
                 request, attempt = out[which % len(out)]
-                model.end(request, outcome, attempt, load)
+                model.end_attempt(request, outcome, attempt, load)
             case ("start", which) if out:
-                model.start(*out[which % len(out)])
+                model.start_job(*out[which % len(out)])
             case ("leave", which) if model.jobs:
                 model.leave(which % len(model.jobs))
             case ("advance", duration):
@@ -58,7 +58,7 @@
                 started_at = model.now if restarted else 0
                 model.list_workers(entry(worker, state, started_at), kind=dy.ListKind.DELTA)
             case ("fail list",):
-                model.tell(dy.MembershipUpdate(dy.ListKind.FAILED))
+                model.handle_event(dy.MembershipUpdate(dy.ListKind.FAILED))
             case ("stray",):
                 # News about what is finished or was never there changes nothing.
                 quiet = [
@@ -70,7 +70,7 @@
                     dy.ProbeEnded(10**9, dy.Outcome.SERVED),
                     dy.StreamStarted(10**9, 1, 0),
                 ]
-                assert all(model.tell(event) == [] for event in quiet)
+                assert all(model.handle_event(event) == [] for event in quiet)
     model.finish()
 
 
@@ -162,11 +162,11 @@
         for at, number, attempt in [row for row in running if row[0] <= model.now]:
             running.remove((at, number, attempt))
             load = dy.LoadReport(in_flight=0, queued=0, free_slots=slots)
-            model.end(number, dy.Outcome.SERVED, attempt, load)
+            model.end_attempt(number, dy.Outcome.SERVED, attempt, load)
         model.arrive(request)
-        for number, attempt in model.out():
-            if model.jobs[number].tries[attempt].sent_at == model.now:
-                model.start(number, attempt)
+        for number, attempt in model.attempts_in_flight():
+            if model.jobs[number].attempts[attempt].sent_at == model.now:
+                model.start_job(number, attempt)
                 running.append((model.now + run, number, attempt))
         model.advance(run // (3 * slots))
     to_cold = [at for at, worker, _ in model.sends if worker == 3]
--- a/tests/dispatcher/test_config.py
+++ b/tests/dispatcher/test_config.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hazelbend.dispatcher import config
-from tests.support.site_kit import DIGEST, ROOT, SETTINGS, STOMP, host_entry
+from tests.support.site_kit import PASSCODE_SHA256, ROOT, SETTINGS, STOMP_TOML, host_entry
 
 CONF = {
     "listen": "127.0.0.1:7070",
@@ -85,13 +85,13 @@
 
 FLEET = 'enabled = true\nid = "f"\nlisten = "127.0.0.1:1"\n'
 OWN_FAULTS = [
-    ("stomp.toml", STOMP.replace("listen", "lisen"), "listen: missing"),
-    ("stomp.toml", STOMP.replace('"ankara-1"', '"izmir-1"'), "box[0].zone: 'izmir-1'"),
-    ("stomp.toml", STOMP.replace('"toros-sarj"', '"x"'), "client[1].tenants: unknown tenant 'x'"),
-    ("stomp.toml", STOMP.replace('"partner"', '"dashboard"'), "client[1].login: "),
-    ("stomp.toml", STOMP.replace(DIGEST, "secret"), "client[0].passcode_sha256: "),
-    ("stomp.toml", STOMP.replace("[[client]]", "keeps = 5\n[[client]]", 1), "keeps: unknown key"),
-    ("stomp.toml", STOMP.replace("[[client]]", "keep_s = 0\n[[client]]", 1), "keep_s: 0 is not from 1"),
+    ("stomp.toml", STOMP_TOML.replace("listen", "lisen"), "listen: missing"),
+    ("stomp.toml", STOMP_TOML.replace('"ankara-1"', '"izmir-1"'), "box[0].zone: 'izmir-1'"),
+    ("stomp.toml", STOMP_TOML.replace('"toros-sarj"', '"x"'), "client[1].tenants: unknown tenant 'x'"),
+    ("stomp.toml", STOMP_TOML.replace('"partner"', '"dashboard"'), "client[1].login: "),
+    ("stomp.toml", STOMP_TOML.replace(PASSCODE_SHA256, "secret"), "client[0].passcode_sha256: "),
+    ("stomp.toml", STOMP_TOML.replace("[[client]]", "keeps = 5\n[[client]]", 1), "keeps: unknown key"),
+    ("stomp.toml", STOMP_TOML.replace("[[client]]", "keep_s = 0\n[[client]]", 1), "keep_s: 0 is not from 1"),
     ("stomp.toml", "enabled = 1", "enabled: not of type bool"),
     ("stomp.toml", "enabled", "stomp.toml: "),
     ("snmp.toml", 'enabled = true\nlisten = "h:1"', "community: missing"),
--- a/tests/dispatcher/test_deployments.py
+++ b/tests/dispatcher/test_deployments.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.deployment_kit import deployments, play, summary
+from tests.support.deployment_kit import count_by_status, deployments, run_deployment
 
 PACKAGE = Path(__file__).parents[2] / "hazelbend"
 EXAMPLES = 25
@@ -21,7 +21,7 @@
     @settings(max_examples=EXAMPLES)
     @given(deployments(), st.integers(0, 1_000))
     def one(conf, seed):
-        statuses.update(summary(asyncio.run(play(conf, seed))))
+        statuses.update(count_by_status(asyncio.run(run_deployment(conf, seed))))
 
     one()
     assert sum(statuses.values()) == 24 * EXAMPLES
--- a/tests/dispatcher/test_drain.py
+++ b/tests/dispatcher/test_drain.py
@@ -11,7 +11,7 @@
 from hazelbend.transport.http import client_connection, http_listener
 from tests.dispatcher.test_program import ask, free_port, run_with_a_toy, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
-from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.support.site_kit import FakeStompClient, running_app, wait_until
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 from tests.transport.test_client_listener import open_keep_alive, request, send_and_receive
 
@@ -34,7 +34,7 @@
 
 def test_a_drain_says_no_serves_what_comes_and_closes_what_is_idle(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             reader, writer = await open_keep_alive(app.client_listener.port)
             idle, _ = await open_keep_alive(app.client_listener.port, "idle")
             long = asyncio.create_task(send_and_receive(app.client_listener.port, request("long", b"2500")))
@@ -65,7 +65,7 @@
     """Guards the rule that at 4 s no connection carries a job of the last 2 s."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             loop = asyncio.get_running_loop()
             app.drain()
             began = loop.time()
@@ -90,7 +90,7 @@
     them for late ones of the drain, for as long as it was not stopped."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.drain()
             await wait_until(lambda: "drain" in app._final_deadlines)
             await wait_until(lambda: "drain" not in app._final_deadlines)
@@ -109,7 +109,7 @@
 
 def test_stop_crosses_start_and_a_reload(tmp_path, hurried):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for _ in range(3):
                 app.drain()
                 assert app.undrain() and app.undrain()
@@ -133,7 +133,7 @@
     monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 0.01)
 
     async def run():
-        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, ops=OPS_ADDRESS) as (app, _):
             idle = await FakeStompClient.connect(app.stomp.port, client_id="idle")
             busy = await FakeStompClient.connect(app.stomp.port, client_id="busy")
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
@@ -142,9 +142,9 @@
             await wait_until(lambda: app.router.requests)
             app.drain()
             await wait_until(lambda: idle.closed)
-            assert "emptied" in idle.of("ERROR")[0].headers["message"] and not busy.closed
+            assert "emptied" in idle.frames_with_command("ERROR")[0].headers["message"] and not busy.closed
             await wait_until(lambda: busy.closed)
-            assert busy.answers() == {"b": ["served"]} and not box.closed
+            assert busy.statuses_by_request() == {"b": ["served"]} and not box.closed
             await asyncio.sleep(drain.WINDOW_END_S)  # what comes at its end is cut short, on this front too
             # Time to say what it wants: on a busy machine that is more than the others were given.
             monkeypatch.setattr("hazelbend.transport.stomp.stomp_session.IDLE_GRACE_S", 2.0)
@@ -152,7 +152,7 @@
             late.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             late.job("l", b"1")
             await wait_until(lambda: late.closed)
-            assert late.answers() == {"l": ["served"]}
+            assert late.statuses_by_request() == {"l": ["served"]}
             app.undrain()
 
     asyncio.run(run())
@@ -163,7 +163,7 @@
     monkeypatch.setattr("hazelbend.dispatcher.shutdown.FIRST_REQUESTS_S", 0.3)
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.conf = replace(app.conf, passed_socket=3)
             _, first = await open_keep_alive(app.client_listener.port, "first")
             _reader, writer = await open_keep_alive(app.client_listener.port)
--- a/tests/dispatcher/test_figures.py
+++ b/tests/dispatcher/test_figures.py
@@ -7,7 +7,7 @@
 from hazelbend.decisions.interface import Outcome
 from hazelbend.dispatcher.console_server import Commands
 from hazelbend.transport.snmp import hazelbend_mib
-from tests.support.site_kit import FakeStompClient, site, wait_until
+from tests.support.site_kit import FakeStompClient, running_app, wait_until
 from tests.transport.test_admin_listener import OPS_ADDRESS, call_ops
 from tests.transport.test_client_listener import request, send_and_receive
 
@@ -26,7 +26,7 @@
 
 def test_each_job_counts_once_in_its_class(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             assert set((await stats(app)).values()) == {0, 1}, "every class is there from the start"
             reserve = closing("f", b"1 fail", more="Idempotency-Key: k\r\n").replace(b"/nearby", b"/reserve")
             for data in (closing("a", b"1"), closing("b", b"1"), reserve):
@@ -55,7 +55,7 @@
 
 def test_a_fault_counts_once_and_a_client_that_left_is_no_longer_outstanding(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             handle = app.router.module.handle
 
             def faulty(event, now):
@@ -82,7 +82,7 @@
 
 def test_both_fronts_count_alike_a_full_mailbox_too(tmp_path):
     async def run():
-        async with site(tmp_path, ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, ops=OPS_ADDRESS) as (app, _):
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             box = await FakeStompClient.connect(app.stomp.port, login="box-1")
@@ -90,13 +90,13 @@
             await wait_until(lambda: len(app.router.table.servers) == 2)
             app.router.set_manual_drain("toy-0", True)
             peer.job("to the box", b"1")
-            await wait_until(lambda: box.of("MESSAGE"))
+            await wait_until(lambda: box.frames_with_command("MESSAGE"))
             found = await stats(app)
             assert (found["forwards"], found["outstanding"]) == (1, 1)
             assert (found["discovered"], found["ejected"]) == (2, 1), "drained by hand: avoided"
             app.stomp.settings.mailbox_limits.waiting = 1
             peer.job("too many", b"1")
-            await wait_until(lambda: peer.answers() == {"too many": ["refused"]})
+            await wait_until(lambda: peer.statuses_by_request() == {"too many": ["refused"]})
             assert (await stats(app))["declined.nearby"] == 1
             assert app.router.counters.received == 2
 
@@ -105,7 +105,7 @@
 
 def test_a_server_that_is_shut_out_is_ejected(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, [toy]):
             await toy.close()
             await send_and_receive(app.client_listener.port, closing("a", b"1", 300))
             found = await stats(app)
@@ -116,7 +116,7 @@
 
 def test_door_console_and_snmp_show_the_same(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for number in range(3):
                 await send_and_receive(app.client_listener.port, closing(f"r{number}", b"1"))
             app.router.set_manual_drain("toy-0", True)
--- a/tests/dispatcher/test_fleet_site.py
+++ b/tests/dispatcher/test_fleet_site.py
@@ -21,7 +21,7 @@
 from hazelbend.leases.fencing import TOKEN_BITS
 from hazelbend.leases.operations import Acquire
 from hazelbend.transport.peer.peer_links import PeerLinks
-from tests.support.site_kit import site
+from tests.support.site_kit import running_app
 
 
 @pytest.fixture
@@ -173,14 +173,14 @@
     """On the console, at the door and by SNMP; and nothing of it where there is no fleet."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             with pytest.raises(CommandError, match="there is no fleet"):
                 Commands(app).run("show fleet")
         port = free_port()
         (tmp_path / "fleet.toml").write_text(
             f'enabled = true\nid = "f"\nlisten = "127.0.0.1:{port}"\n[leases]\nlongest_s = 1.0\n'
         )
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             [part] = app.extensions.values()
             assert "nobody leads" in Commands(app).run("show fleet")
             links = PeerLinks("127.0.0.1")
@@ -244,7 +244,7 @@
             f'url = "http://127.0.0.1:{store.server_address[1]}/f"\n'
             "every_s = 0.1\nttl_s = 2.0\ntimeout_s = 1.0\n"
         )
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             [part] = app.extensions.values()
             task, leases = part.snapshot, part.node.leases
             part.driver.start_new_epoch(False)
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -11,7 +11,15 @@
 from hazelbend.dispatcher import config
 from hazelbend.protocol.discovery import EndpointListCodec
 from tests.dispatcher.test_program import ask, run_with_a_toy, start, wait_for  # noqa: F401
-from tests.support.site_kit import SETTINGS, STOMP, FakeStompClient, ToyServer, host_entry, site, wait_until
+from tests.support.site_kit import (
+    SETTINGS,
+    STOMP_TOML,
+    FakeStompClient,
+    ToyServer,
+    host_entry,
+    running_app,
+    wait_until,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 
@@ -61,7 +69,7 @@
         async with (
             served(old) as first,
             served(new) as second,
-            site(tmp_path, toys=0, discovery=first, membership_mode="ask") as (app, _),
+            running_app(tmp_path, server_count=0, discovery=first, membership_mode="ask") as (app, _),
         ):
             await wait_until(lambda: len(old.asked) == 2)
             running = asyncio.create_task(
@@ -82,7 +90,7 @@
 
 def test_settings_limits_and_names_apply_at_once_and_stomp_stays_connected(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.send("SUBSCRIBE", id="1", destination="/hazelbend/answers", ack="auto")
             lanes = [*SETTINGS["lanes"], {"name": "plan", "deadline_us": 3_000_000, "semantics": "read_like"}]
@@ -102,7 +110,7 @@
                 app.client_listener.port, plan.replace(b"ege-volt", b"new")
             )
             peer.job("s", b"1", job_class="plan", tenant="new")
-            await wait_until(lambda: peer.answers() == {"s": ["served"]})
+            await wait_until(lambda: peer.statuses_by_request() == {"s": ["served"]})
             assert not peer.closed
 
     asyncio.run(run())
@@ -110,10 +118,10 @@
 
 def test_what_cannot_apply_is_said_and_the_rest_applies(tmp_path, caplog):
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             listen, settings = app.conf.listen, app.conf.settings
             lanes = list(reversed(SETTINGS["lanes"]))  # open flows are known by the places of their classes
-            (tmp_path / "stomp.toml").write_text(STOMP.replace("toros-sarj", "ege-volt"))
+            (tmp_path / "stomp.toml").write_text(STOMP_TOML.replace("toros-sarj", "ege-volt"))
             with caplog.at_level(logging.INFO, "hazelbend"):
                 app.apply(changed(app, tmp_path, {"lanes": lanes}, listen="127.0.0.1:1", name="n9"))
             assert app.conf.listen == listen and app.conf.settings is settings and app.conf.name == "n9"
--- a/tests/dispatcher/test_settings_report.py
+++ b/tests/dispatcher/test_settings_report.py
@@ -16,7 +16,7 @@
 from tests.dispatcher.test_config import changed as other
 from tests.dispatcher.test_reload import changed as reloaded
 from tests.support.deployment_kit import deployments
-from tests.support.site_kit import SETTINGS, site
+from tests.support.site_kit import SETTINGS, running_app
 
 LANE = {"name": "a", "semantics": "read_like", "deadline_us": 5_000_000, "objective_us": 1_000_000}
 
@@ -87,7 +87,7 @@
 
 def test_a_start_and_a_reload_tell_in_one_line_what_was_understood(tmp_path, caplog):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             app.apply(reloaded(app, tmp_path, name="n9"))
             app.apply(
                 reloaded(app, tmp_path, settings=SETTINGS | {"fleet_size": 7, "membership_mode": "pull"})
--- a/tests/dispatcher/test_srv_site.py
+++ b/tests/dispatcher/test_srv_site.py
@@ -18,18 +18,25 @@
 from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import ready, run_beside
-from tests.support.pace import pace
 from tests.support.site_kit import (
     ROOT,
     SETTINGS,
-    STOMP,
+    STOMP_TOML,
     FakeStompClient,
     ToyServer,
     host_entry,
-    site,
+    running_app,
     wait_until,
 )
-from tests.support.srv_kit import NAME, boxes_of, nameservers, srv_site, srv_toml, zone
+from tests.support.slowdown import slowdown_factor
+from tests.support.srv_kit import (
+    SRV_NAME,
+    hosts_accepting_work,
+    running_nameservers,
+    running_srv_app,
+    srv_toml,
+    zone_file_text,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 TARGETS = {f"toy-{number}.konya-1.example.org" for number in range(2)}
@@ -128,10 +135,12 @@
         service = Pushed(entry("SERVING"))
         listener = await asyncio.start_server(service.serve, "127.0.0.1", 0)
         discovery = f"127.0.0.1:{listener.sockets[0].getsockname()[1]}"
-        async with nameservers(1, zone(("toy-0", ports[0]), ("toy-1", ports[1], 0, 0))) as [server]:
+        async with running_nameservers(1, zone_file_text(("toy-0", ports[0]), ("toy-1", ports[1], 0, 0))) as [
+            server
+        ]:
             (tmp_path / "srv.toml").write_text(srv_toml([server.address]))
             more = {"discovery": discovery, "membership_mode": "ask"}
-            async with site(tmp_path, toys=0, stomp="", **more) as (app, _):
+            async with running_app(tmp_path, server_count=0, stomp="", **more) as (app, _):
                 await wait_until(lambda: len(app.router.table.servers) == 2)
                 worst, learned = 0.0, []
                 app.router.table.on_accepts_work_changed = lambda each, up: learned.append(
@@ -147,7 +156,7 @@
                         await wait_until(lambda: learned)
                         [(at, gone, up)] = learned
                         assert gone.entry.host == host and not up
-                        assert await boxes_of(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
+                        assert await hosts_accepting_work(app) == {f"toy-1.konya-1.example.org:{ports[1]}"}
                         assert server.zones and host in app.extensions["srv"].merger.tombstones
                         await asyncio.sleep(0.01)
                         worst = max([worst, *(when - at for when, _ in toys[0].targets[had:])])
@@ -156,9 +165,9 @@
                         await wait_until(lambda: learned)
                 assert set(statuses) <= {200, 503} and statuses.count(200) > 500
                 assert worst < 0.3, worst
-                assert {name for name, _ in app.extensions["srv"].resolver.names.endpoints(NAME).items()}, (
-                    "SRV lists it all along"
-                )
+                assert {
+                    name for name, _ in app.extensions["srv"].resolver.names.endpoints(SRV_NAME).items()
+                }, "SRV lists it all along"
         listener.close()
         for each in toys:
             await each.close()
@@ -168,30 +177,30 @@
 
 def test_all_nameservers_fail_for_longer_than_all_lifetimes_and_come_back(tmp_path):
     async def run():
-        async with srv_site(tmp_path, count=3) as (app, _, servers):
+        async with running_srv_app(tmp_path, count=3) as (app, _, servers):
             await wait_until(lambda: len(app.router.table.servers) == 2)
-            boxes = await boxes_of(app)
+            boxes = await hosts_accepting_work(app)
             async with load(app) as statuses:
                 for fault in ("servfail", "silent", "refused"):
                     for each in servers:
                         each.faults = [Fault(fault)]
                     before = time.monotonic()
                     await wait_until(
-                        lambda: app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                        lambda: app.extensions["srv"].resolver.names.by_srv_name[SRV_NAME].failing_since
                     )
                     await wait_until(lambda before=before: time.monotonic() > before + 1.3)
                     assert app.extensions["srv"].status.names()[0].state == "stale"
-                    assert await boxes_of(app) == boxes, fault
+                    assert await hosts_accepting_work(app) == boxes, fault
                 back = asyncio.get_running_loop().time()
                 for each in servers:
                     each.faults = []
                 await wait_until(
-                    lambda: not app.extensions["srv"].resolver.names.by_srv_name[NAME].failing_since
+                    lambda: not app.extensions["srv"].resolver.names.by_srv_name[SRV_NAME].failing_since
                 )
                 await asyncio.sleep(0.5)
                 asked = [query for each in servers for query in each.queries if query.at > back]
                 assert len(asked) <= 12, "no burst: a round for the name and each target, agreed upon"
-            assert set(statuses) == {200} and await boxes_of(app) == boxes
+            assert set(statuses) == {200} and await hosts_accepting_work(app) == boxes
 
     asyncio.run(run())
 
@@ -204,9 +213,9 @@
     lifetimes = f"least_s = {ANSWER_LIFETIME_S}\nmost_s = {ANSWER_LIFETIME_S}"
 
     async def run():
-        async with srv_site(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
+        async with running_srv_app(tmp_path, count=3, lifetimes=lifetimes) as (app, _, servers):
             await wait_until(lambda: len(app.router.table.servers) == 2)
-            boxes = await boxes_of(app)
+            boxes = await hosts_accepting_work(app)
             changes = []
             app.router.table.on_accepts_work_changed = lambda server, up: changes.append(
                 (server.entry.host, up)
@@ -215,7 +224,7 @@
                 for liar in servers:
                     if lie == "old zone":
                         true = dict(liar.zones.by_origin)
-                        liar.serve_zone(zone(("toy-0", port_of(min(boxes))), ("old", 9)))
+                        liar.serve_zone(zone_file_text(("toy-0", port_of(min(boxes))), ("old", 9)))
                     else:
                         liar.faults = [Fault(lie)]
                     asked = len(liar.queries)
@@ -226,7 +235,7 @@
                         liar.zones.by_origin = true
                     # Else its last lie may stand beside the first lie of the next one, and two outvote one.
                     await asyncio.sleep(2 * ANSWER_LIFETIME_S)
-            assert set(statuses) == {200} and not changes and await boxes_of(app) == boxes
+            assert set(statuses) == {200} and not changes and await hosts_accepting_work(app) == boxes
 
     asyncio.run(run())
 
@@ -235,7 +244,7 @@
     """What comes and goes is cold each time, and no client notices."""
 
     async def run():
-        async with srv_site(tmp_path, toys=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=3, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             _toys,
             [server],
@@ -246,7 +255,7 @@
             rows = sorted(ports.items())
             async with load(app) as statuses:
                 for turn in range(6):
-                    server.serve_zone(zone(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
+                    server.serve_zone(zone_file_text(*(rows[:2] if turn % 2 == 0 else rows), ttl=0))
                     want = 2 if turn % 2 == 0 else 3
                     await wait_until(lambda want=want: len(app.router.table.servers) == want)
             assert set(statuses) == {200}
@@ -258,21 +267,25 @@
     """The truncated answer comes over TCP; spare boxes are there, and get nothing."""
 
     async def run():
-        patient = f"start_spread_s = 0.0\ntimeout_s = {pace():.1f}\nrest_s = 0.1\nper_s = 2000"
+        patient = f"start_spread_s = 0.0\ntimeout_s = {slowdown_factor():.1f}\nrest_s = 0.1\nper_s = 2000"
         lifetimes = "least_s = 1.0\nmost_s = 1.0"
-        async with srv_site(tmp_path, toys=3, lifetimes=lifetimes, budgets=patient) as (app, _, [server]):
+        async with running_srv_app(tmp_path, server_count=3, lifetimes=lifetimes, budgets=patient) as (
+            app,
+            _,
+            [server],
+        ):
             await wait_until(lambda: len(app.router.table.servers) == 3)
             rows = sorted(
                 (each.entry.host.partition(".")[0], port_of(each.entry.dial))
                 for each in app.router.table.servers.values()
             )
             many = [(f"b{number}", 9, 10) for number in range(500)]
-            server.serve_zone(zone(*rows, *many))
+            server.serve_zone(zone_file_text(*rows, *many))
             async with load(app) as statuses:
                 await wait_until(lambda: len(app.router.table.servers) == 503)
             assert set(statuses) == {200} and any(each.tcp for each in server.queries)
-            assert len(await boxes_of(app)) == 3, "the five hundred are spare"
-            server.serve_zone(zone(*rows))
+            assert len(await hosts_accepting_work(app)) == 3, "the five hundred are spare"
+            server.serve_zone(zone_file_text(*rows))
             await wait_until(lambda: len(app.router.table.servers) == 3)
 
     asyncio.run(run())
@@ -281,7 +294,7 @@
 def test_a_target_moves_its_address_while_jobs_run_on_it(tmp_path):
     async def run():
         other = ToyServer("moved")
-        async with srv_site(tmp_path, toys=1, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=1, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             [toy],
             [server],
@@ -297,7 +310,7 @@
             await wait_until(lambda: toy.ran or long.done())
             assert toy.ran, f"the job has an answer and never ran: {long.result()!r}"
             assert (await other.listen("127.0.0.2", port)) == f"127.0.0.2:{port}"
-            server.serve_zone(zone(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
+            server.serve_zone(zone_file_text(("toy-0", port), ttl=0).replace("A 127.0.0.1", "A 127.0.0.2"))
             await wait_until(lambda: box.entry.dial == f"127.0.0.2:{port}")
             assert box.entry.started_at > started_at, "another process: cold"
             answer = await send_and_receive(
@@ -315,7 +328,7 @@
     the better one gets work again as soon as it is back, alone only when it has stayed."""
 
     async def run():
-        async with srv_site(tmp_path, toys=2, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
+        async with running_srv_app(tmp_path, server_count=2, lifetimes="least_s = 0.1\nmost_s = 0.1") as (
             app,
             toys,
             [server],
@@ -323,7 +336,7 @@
             await wait_until(lambda: len(app.router.table.servers) == 2)
             first, spare = sorted(app.router.table.servers.values(), key=lambda each: each.entry.host)
             ports = [port_of(each.entry.dial) for each in (first, spare)]
-            both = zone(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
+            both = zone_file_text(("toy-0", ports[0]), ("toy-1", ports[1], 10), ttl=0)
             server.serve_zone(both)
             await wait_until(lambda: not spare.accepts_work)
             async with load(app) as statuses:
@@ -338,9 +351,9 @@
                 await wait_until(lambda: spare.accepts_work)
                 del app.module.workers_in_backoff
                 await wait_until(lambda: not spare.accepts_work)
-                server.serve_zone(zone(("toy-1", ports[1], 10), ttl=0))
+                server.serve_zone(zone_file_text(("toy-1", ports[1], 10), ttl=0))
                 await wait_until(lambda: len(app.router.table.servers) == 1)
-                assert await boxes_of(app) == {spare.entry.host}
+                assert await hosts_accepting_work(app) == {spare.entry.host}
             assert set(statuses) == {200} and len(toys[1].ran) > 0
 
     asyncio.run(run())
@@ -348,7 +361,7 @@
 
 def test_both_fronts_serve_while_refreshes_are_out_and_reloads_and_drains_happen(tmp_path):
     async def run():
-        async with srv_site(tmp_path, stomp=STOMP, ops="127.0.0.1:0") as (app, _toys, [server]):
+        async with running_srv_app(tmp_path, stomp=STOMP_TOML, ops="127.0.0.1:0") as (app, _toys, [server]):
             await wait_until(lambda: len(app.router.table.servers) == 2)
             server.faults = [Fault("silent")]
             await wait_until(lambda: app.extensions["srv"].queries_in_flight)
@@ -356,7 +369,7 @@
             peer.send("SUBSCRIBE", id="a", destination="/hazelbend/answers", ack="auto")
             async with load(app) as statuses:
                 peer.job("over-stomp", b"5")
-                await wait_until(lambda: peer.answers().get("over-stomp") == ["served"])
+                await wait_until(lambda: peer.statuses_by_request().get("over-stomp") == ["served"])
                 # SIGHUP: other names, other bounds, off, on again; a bad file changes nothing.
                 toml = srv_toml([server.address])
                 for text, boxes in (
@@ -387,12 +400,12 @@
 
 def test_the_console_and_the_door_tell_of_names(tmp_path):
     async def run():
-        async with srv_site(tmp_path, listed=1, ops="127.0.0.1:0") as (app, _, [server]):
+        async with running_srv_app(tmp_path, listed_count=1, ops="127.0.0.1:0") as (app, _, [server]):
             await wait_until(lambda: len(app.router.table.servers) == 3)
             commands = Commands(app)
             shown = commands.run("show names")
-            assert NAME in shown and "listed" in shown and " 2 " in shown
-            assert "toy-0.konya-1.example.org" in commands.run(f"show names {NAME}")
+            assert SRV_NAME in shown and "listed" in shown and " 2 " in shown
+            assert "toy-0.konya-1.example.org" in commands.run(f"show names {SRV_NAME}")
             assert "1 followed" in commands.run("show sources") and server.address in commands.run(
                 "show sources"
             )
@@ -411,15 +424,15 @@
         (tmp_path / "disk").mkdir()
         path = tmp_path / "disk" / "names.json"
         snapshot = f'path = "{path}"\nevery_s = 0.05'
-        async with srv_site(tmp_path, snapshot=snapshot) as (app, _, [server]):
+        async with running_srv_app(tmp_path, snapshot=snapshot) as (app, _, [server]):
             await wait_until(lambda: len(app.router.table.servers) == 2 and path.exists())
-            boxes, conf = await boxes_of(app), app.conf
+            boxes, conf = await hosts_accepting_work(app), app.conf
             started = {each.entry.host: each.entry.started_at for each in app.router.table.servers.values()}
             await app.extensions["srv"].close()
             await server.stop()
             second = App(conf)
             await second.start()
-            assert await boxes_of(second) == boxes, "before a single query was answered"
+            assert await hosts_accepting_work(second) == boxes, "before a single query was answered"
             assert started == {
                 each.entry.host: each.entry.started_at for each in second.router.table.servers.values()
             }, "they have not started again"
@@ -430,7 +443,10 @@
             path.write_bytes(path.read_bytes()[:-9])
             third = App(conf)
             await third.start()
-            assert await boxes_of(third) == set() and "torn" in third.extensions["srv"].snapshot_error
+            assert (
+                await hosts_accepting_work(third) == set()
+                and "torn" in third.extensions["srv"].snapshot_error
+            )
             await third.close()
 
     asyncio.run(run())
@@ -459,7 +475,7 @@
     """A toy and a nameserver that names it, as processes of their own."""
     toy, dns = free_port(), free_port()
     start(str(ROOT / "example/toy_server.py"), f"127.0.0.1:{toy}")
-    (tmp_path / "zone").write_text(zone(("toy-0", toy), ttl=1))
+    (tmp_path / "zone").write_text(zone_file_text(("toy-0", toy), ttl=1))
     start("-m", "hazelbend.fakes.nameserver", str(tmp_path / "zone"), "--listen", f"127.0.0.1:{dns}")
     return toy, f"127.0.0.1:{dns}"
 
@@ -507,13 +523,13 @@
     program.send_signal(signal.SIGHUP)
     wait_for(lambda: "names.boxes=1" in ask(door, "GET", "/ops/stats")[2])
     wait_for(lambda: ask(port)[0] == 200)
-    words = [sys.executable, "-m", "hazelbend", "resolve", NAME, "--nameserver", dns]
+    words = [sys.executable, "-m", "hazelbend", "resolve", SRV_NAME, "--nameserver", dns]
     done = subprocess.run(words, capture_output=True, text=True)
     assert done.returncode == 0 and f"toy-0.konya-1.example.org  {toy}" in done.stdout, done.stderr
     done = subprocess.run([*words, "--json"], capture_output=True, text=True)
     [said] = orjson.loads(done.stdout)["nameservers"]
     assert said["records"][0]["addresses"] == ["127.0.0.1"] and said["lifetime"] == 1
-    other = ["_arama._tcp.adana-1.example.org" if each == NAME else each for each in words]
+    other = ["_arama._tcp.adana-1.example.org" if each == SRV_NAME else each for each in words]
     done = subprocess.run(other, capture_output=True, text=True)
     assert done.returncode == 1 and "nothing: NXDOMAIN" in done.stdout
     done = subprocess.run([*words[:-1], "nowhere"], capture_output=True, text=True)
--- a/tests/dispatcher/test_upgrade.py
+++ b/tests/dispatcher/test_upgrade.py
@@ -14,7 +14,7 @@
 from hazelbend.dispatcher.console_server import ConsoleServer
 from hazelbend.transport.http.http_listener import inherited_listener
 from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, host_entry, site
+from tests.support.site_kit import ROOT, SETTINGS, STOMP_TOML, host_entry, running_app
 from tests.transport.test_client_listener import request, send_and_receive
 
 
@@ -44,7 +44,7 @@
     toy, stomp = free_port(), free_port()
     start(str(ROOT / "example/toy_server.py"), f"127.0.0.1:{toy}")
     (tmp_path / "deploy").mkdir()
-    (tmp_path / "deploy/stomp.toml").write_text(STOMP.replace("127.0.0.1:0", f"127.0.0.1:{stomp}"))
+    (tmp_path / "deploy/stomp.toml").write_text(STOMP_TOML.replace("127.0.0.1:0", f"127.0.0.1:{stomp}"))
     (tmp_path / "deploy/console.toml").write_text('enabled = true\nsocket = "console.sock"\n')
     (tmp_path / "deploy/snmp.toml").write_text(
         f'enabled = true\nlisten = "127.0.0.1:{free_port()}"\ncommunity = "reading-room"\n'
@@ -133,7 +133,7 @@
 
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as held:
-            async with site(tmp_path, stomp="") as (app, _):
+            async with running_app(tmp_path, stomp="") as (app, _):
                 listener = app.client_listener
                 if passed:
                     await listener.close()
@@ -157,7 +157,7 @@
 def test_a_console_socket_left_by_a_dead_program_is_replaced_and_a_live_one_stays(tmp_path):
     async def run():
         path = tmp_path / "console.sock"
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             left = socket.socket(socket.AF_UNIX)
             left.bind(str(path))
             left.close()
--- a/tests/dispatcher/test_waiting_site.py
+++ b/tests/dispatcher/test_waiting_site.py
@@ -13,7 +13,15 @@
 from tests.dispatcher.test_program import ask, free_port, start, wait_for  # noqa: F401
 from tests.dispatcher.test_reload import changed
 from tests.dispatcher.test_upgrade import ready, run_beside
-from tests.support.site_kit import ROOT, SETTINGS, STOMP, FakeStompClient, host_entry, site, wait_until
+from tests.support.site_kit import (
+    ROOT,
+    SETTINGS,
+    STOMP_TOML,
+    FakeStompClient,
+    host_entry,
+    running_app,
+    wait_until,
+)
 from tests.transport.test_client_listener import request, send_and_receive
 
 SITE = ROOT / "example/toy_server.py"
@@ -26,7 +34,7 @@
 
 def waiting_site(folder, text=WAITING, **more):
     (folder / "waiting.toml").write_text(text)
-    return site(folder, **more)
+    return running_app(folder, **more)
 
 
 def post(app, job_id, body=b"5", timeout=4_000, **more):
@@ -46,7 +54,7 @@
 
 
 def frames_of(peer, job_id):
-    return [frame for frame in peer.of("MESSAGE") if frame.headers["request-id"] == job_id]
+    return [frame for frame in peer.frames_with_command("MESSAGE") if frame.headers["request-id"] == job_id]
 
 
 def test_children_run_after_their_parents_with_their_results(tmp_path):
@@ -62,7 +70,7 @@
             peer = await stomp_client(app)
             peer.job("c", b"5", after="p", **{"take-results": "1"})
             peer.job("p", b"5")
-            await wait_until(lambda: peer.answers().get("c") == ["served"])
+            await wait_until(lambda: peer.statuses_by_request().get("c") == ["served"])
             assert (
                 app.router.counters.received == 6
                 and not app.extensions["waiting"].gate.pending
@@ -111,7 +119,7 @@
             names = {key.lower().removesuffix("_ms").replace("_", "-"): value for key, value in more.items()}
             peer.job("a", b"5", **names)
             await wait_until(lambda: peer.closed)
-            assert words in peer.of("ERROR")[0].headers["message"]
+            assert words in peer.frames_with_command("ERROR")[0].headers["message"]
             assert not app.extensions["waiting"].gate.pending and not app.router.open_ids
             assert status(await post(app, "a")) == 200, "the id is free, and the front serves on"
 
@@ -129,7 +137,7 @@
 
 def test_a_job_starts_at_its_time(tmp_path):
     async def run():
-        async with waiting_site(tmp_path, toys=4) as (app, toys):
+        async with waiting_site(tmp_path, server_count=4) as (app, toys):
             at = int(time.time() * 1e3) + 400
             jobs = [post(app, f"t{number}", Not_Before=at) for number in range(4)]
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 4)
@@ -158,7 +166,7 @@
             await wait_until(lambda: app.stomp.connections == 0)
             again = await stomp_client(app)
             again.job("p2", b"5")
-            await wait_until(lambda: again.answers().get("s") == ["served"])
+            await wait_until(lambda: again.statuses_by_request().get("s") == ["served"])
 
     asyncio.run(run())
 
@@ -172,10 +180,10 @@
             await wait_until(lambda: len(app.extensions["waiting"].gate.rows()) == 2)
             assert "the end of never" in commands.run("show waiting")
             peer.send("SEND", destination="/hazelbend/cancel", request_id="one")
-            await wait_until(lambda: peer.answers().get("one") == ["refused"])
+            await wait_until(lambda: peer.statuses_by_request().get("one") == ["refused"])
             assert frames_of(peer, "one")[0].headers["reason"] == "cancelled"
             commands.run("cancel dashboard two")
-            await wait_until(lambda: peer.answers().get("two") == ["refused"])
+            await wait_until(lambda: peer.statuses_by_request().get("two") == ["refused"])
             with pytest.raises(CommandError):
                 commands.run("cancel dashboard two")
             assert app.figures().named()["waiting.cancelled"] == 2
@@ -207,7 +215,7 @@
 def test_sighup_changes_bounds_under_a_full_queue_and_turns_it_off(tmp_path):
     async def run():
         text = WAITING + "[admission]\nin_service = 1\naged = 0\nordinary = true\n"
-        async with waiting_site(tmp_path, text, stomp=STOMP) as (app, [toy]):
+        async with waiting_site(tmp_path, text, stomp=STOMP_TOML) as (app, [toy]):
             jobs = [post(app, f"j{number}", b"150") for number in range(4)]
             await wait_until(lambda: toy.holds == 1 and len(app.extensions["waiting"].gate.rows()) == 3)
             (tmp_path / "waiting.toml").write_text(text.replace("in_service = 1", "in_service = 4"))
--- a/tests/dns_discovery/test_dns_discovery.py
+++ b/tests/dns_discovery/test_dns_discovery.py
@@ -24,10 +24,10 @@
 from hazelbend.dns_discovery.quorum import AnswerQuorum
 from hazelbend.dns_discovery.resolver import Resolver
 from hazelbend.dns_discovery.settings import read_settings
-from tests.support.srv_kit import NAME, SECOND, settings
+from tests.support.srv_kit import SECOND_US, SRV_NAME, settings
 
 A, B, C = (EndpointKey(f"{label}.konya-1.example.org", 7101) for label in "abc")
-ROOT = Question(NAME, RecordType.SRV)
+ROOT = Question(SRV_NAME, RecordType.SRV)
 TIMED_OUT = QueryFailure("no answer in time", server_unreachable=True)
 RECORDS = {A: SrvPreference(0, 1), B: SrvPreference(0, 1)}
 
@@ -45,7 +45,7 @@
 class ResolverRun:
     """A resolver on a simulated clock. The nameservers answer by `answer` after `delay` microseconds."""
 
-    def __init__(self, answer, count=1, names=(NAME,), dispatcher="d-1", delay=1_000, **more):
+    def __init__(self, answer, count=1, names=(SRV_NAME,), dispatcher="d-1", delay=1_000, **more):
         self.resolver = Resolver(settings(count, **more), dispatcher)
         self.answer, self.delay, self.now = answer, delay, 10**15
         self.in_flight, self.sent = [], []  # pairs of a time and a query
@@ -53,7 +53,7 @@
 
     def advance(self, seconds):
         """Run the resolver for this much simulated time."""
-        end = self.now + round(seconds * SECOND)
+        end = self.now + round(seconds * SECOND_US)
         while True:
             self.send(self.resolver.take_due_queries(self.now))
             times = [at for at, _ in self.in_flight]
@@ -84,7 +84,7 @@
 
     @property
     def endpoints(self):
-        return set(self.resolver.names.endpoints(NAME))
+        return set(self.resolver.names.endpoints(SRV_NAME))
 
     def count(self, record_type=None):
         """Return the number of queries sent, of this type or of all types."""
@@ -232,14 +232,14 @@
         first_delays.append(run.sent[0][0] - 10**15)
         second_delays.append(run.sent[1][0] - run.sent[0][0])
     assert max(sum(delay // 100_000 == slot for delay in first_delays) for slot in range(10)) <= 20
-    assert max(second_delays) - min(second_delays) > 2 * SECOND
+    assert max(second_delays) - min(second_delays) > 2 * SECOND_US
 
 
 def test_truncated_answer_is_retried_over_tcp_and_then_fails():
     run = ResolverRun(lambda query: srv_answer(RECORDS) if query.over_tcp else TruncatedAnswer()).advance(1)
     assert run.endpoints == {A, B} and [query.over_tcp for _, query in run.sent] == [False, True]
     run = ResolverRun(lambda query: TruncatedAnswer(), budgets={"tries": 1}).advance(0.5)
-    assert run.resolver.names.by_srv_name[NAME].last_error.endswith("truncated over TCP")
+    assert run.resolver.names.by_srv_name[SRV_NAME].last_error.endswith("truncated over TCP")
 
 
 def test_cname_chains_are_followed_up_to_the_maximum():
@@ -249,7 +249,10 @@
     ).advance(1)
     assert run.endpoints == {A, B}
     run = ResolverRun(lambda query: CnameAlias(f"x{query.id}.example"), budgets={"tries": 1}).advance(0.5)
-    assert run.count() == MAX_CNAME_CHAIN + 1 and "aliases" in run.resolver.names.by_srv_name[NAME].last_error
+    assert (
+        run.count() == MAX_CNAME_CHAIN + 1
+        and "aliases" in run.resolver.names.by_srv_name[SRV_NAME].last_error
+    )
 
 
 def test_nameserver_that_rejects_edns_is_queried_without_it():
@@ -269,20 +272,20 @@
     ).advance(10)
     failing.append(True)
     run.advance(600)
-    assert run.endpoints == {A, B} and run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and run.resolver.names.by_srv_name[SRV_NAME].failing_since
     before = run.count()
     run.advance(100)
     assert run.endpoints == set() and run.count() - before < 30, "it backs off between rounds"
     failing.clear()
     run.advance(60)
-    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[SRV_NAME].failing_since
 
 
 def test_next_nameserver_is_queried_and_a_failing_one_backs_off():
     run = ResolverRun(
         lambda query: TIMED_OUT if query.server == 0 else srv_answer(RECORDS, 5), count=3
     ).advance(600)
-    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[NAME].failing_since
+    assert run.endpoints == {A, B} and not run.resolver.names.by_srv_name[SRV_NAME].failing_since
     assert run.resolver.nameservers.health[0].queries < 30
 
 
@@ -324,7 +327,7 @@
         EndpointKey(f"b{number}.konya-1.example.org", 1): SrvPreference(number % 3, 1)
         for number in range(500)
     }
-    conf = [{"name": NAME, "zone": "konya-1", "kind": "big-box", "most_targets": 100}]
+    conf = [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box", "most_targets": 100}]
     shuffled = list(records.items())
     random.Random(1).shuffle(shuffled)
     found = [
@@ -349,7 +352,7 @@
     run.advance(60)
     outage.append(True)
     run.advance(300)
-    in_outage = [at for at, _ in run.sent if at > 10**15 + 100 * SECOND]
+    in_outage = [at for at, _ in run.sent if at > 10**15 + 100 * SECOND_US]
     assert len(in_outage) < 60, "only single trial queries are sent to the nameserver"
     outage.clear()
     outage_end = run.now
@@ -357,7 +360,7 @@
     queries_per_s = [0] * 61
     for at, _ in run.sent:
         if at >= outage_end:
-            queries_per_s[(at - outage_end) // SECOND] += 1
+            queries_per_s[(at - outage_end) // SECOND_US] += 1
     assert max(queries_per_s) <= 111, "the budget of a second, and a burst of a tenth of it"
     assert all(run.resolver.names.endpoints(name) for name in names)
 
@@ -385,9 +388,9 @@
     assert run.endpoints == {A, B} and {query.server for _, query in run.sent} - {0}
     run.resolver.track_only([], run.now)
     assert (
-        run.resolver.names.changed == {NAME}
+        run.resolver.names.changed == {SRV_NAME}
         and not run.resolver.names.by_question
-        and not run.resolver.names.endpoints(NAME)
+        and not run.resolver.names.endpoints(SRV_NAME)
     )
     assert run.advance(500).count() < 10
 
@@ -404,7 +407,7 @@
     snapshot.write_file(tmp_path / "names.json", data)
     for age_s, expected in ((3_600, {A, B}), (86_300, {A, B}), (86_500, set())):
         run = ResolverRun(lambda query: TIMED_OUT)
-        run.now += age_s * SECOND
+        run.now += age_s * SECOND_US
         body = snapshot.read_file(tmp_path / "names.json")
         snapshot.restore(run.resolver, body, run.now)
         assert run.endpoints == expected and body.started == {"x:1": 5}
@@ -458,7 +461,7 @@
     table = {
         "enabled": True,
         "nameserver": [{"address": "127.0.0.1:53"}],
-        "name": [{"name": NAME, "zone": "konya-1", "kind": "big-box"}],
+        "name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box"}],
     }
     return read_settings(table | change, ("konya-1",), ("big-box",))
 
@@ -471,14 +474,15 @@
         ({"nameserver": [{"address": "127.0.0.1:0"}]}, r"nameserver\[0\].address"),
         ({"nameserver": [{"address": "127.0.0.1:53"}] * 2}, r"nameserver\[1\].address: .* twice"),
         ({"nameserver": [{"port": 1}]}, r"nameserver\[0\]: Object"),
-        ({"name": [{"name": NAME, "zone": "izmir", "kind": "big-box"}]}, r"name\[0\].zone: 'izmir'"),
-        ({"name": [{"name": NAME, "zone": "konya-1", "kind": "x"}]}, r"name\[0\].kind: 'x'"),
+        ({"name": [{"name": SRV_NAME, "zone": "izmir", "kind": "big-box"}]}, r"name\[0\].zone: 'izmir'"),
+        ({"name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "x"}]}, r"name\[0\].kind: 'x'"),
         ({"name": [{"name": "konya.example.org", "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
         ({"name": [{"name": "_a." + "x" * 64, "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
         ({"name": [{"name": "_a..b", "zone": "konya-1", "kind": "big-box"}]}, r"name\[0\].name"),
-        ({"name": [{"name": n, "zone": "konya-1", "kind": "big-box"} for n in (NAME, NAME.upper() + ".")]},
+        ({"name": [{"name": n, "zone": "konya-1", "kind": "big-box"}
+                   for n in (SRV_NAME, SRV_NAME.upper() + ".")]},
          r"name\[1\].name: .* twice"),
-        ({"name": [{"name": NAME, "zone": "konya-1", "kind": "big-box", "weight_scale": 0}]},
+        ({"name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box", "weight_scale": 0}]},
          r"name\[0\].weight_scale"),
         ({"lifetimes": {"least_s": 10, "most_s": 5}}, "lifetimes.least_s"),
         ({"lifetimes": {"least_s": "x"}}, "lifetimes.least_s: Expected"),
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -55,7 +55,7 @@
 from hazelbend.transport.http import admin_listener
 from hazelbend.transport.snmp import hazelbend_mib
 from tests.golden import golden_kit as kit
-from tests.support.site_kit import DIGEST, SETTINGS, host_entry
+from tests.support.site_kit import PASSCODE_SHA256, SETTINGS, host_entry
 
 SHOWN = kit.GOLDEN / "shown"
 
@@ -309,11 +309,11 @@
 keep_s = 16
 [[client]]
 login = "c"
-passcode_sha256 = "{DIGEST}"
+passcode_sha256 = "{PASSCODE_SHA256}"
 tenants = ["ege-volt"]
 [[box]]
 login = "b"
-passcode_sha256 = "{DIGEST}"
+passcode_sha256 = "{PASSCODE_SHA256}"
 zone = "konya-1"
 kind = "small-box"
 cell = 3
--- a/tests/protocol/test_dns_wire.py
+++ b/tests/protocol/test_dns_wire.py
@@ -18,10 +18,10 @@
     TruncatedAnswer,
 )
 from hazelbend.protocol.dns import MismatchError, decode_answer, encode_query
-from tests.support.parser_kit import SEEDS, garbage
-from tests.support.srv_kit import NAME
+from tests.support.parser_kit import SEEDS, malformed_bytes
+from tests.support.srv_kit import SRV_NAME
 
-QUESTION = Question(NAME, RecordType.SRV)
+QUESTION = Question(SRV_NAME, RecordType.SRV)
 
 
 def encode_answer(*records, query_id=7, case_bits=0, additional=(), flags="QR AA", question=QUESTION):
@@ -40,7 +40,7 @@
     return decode_answer(data, 7, queried_name, question, over_tcp=over_tcp)
 
 
-SRV = (f"{NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
+SRV = (f"{SRV_NAME}.", 30, "SRV", "0 1 7101 a.konya-1.example.org.", "5 2 7102 b.else.example.")
 
 
 def test_additional_addresses_are_accepted_only_in_bailiwick():
@@ -52,19 +52,19 @@
 
 
 def test_ttl_is_the_lowest_along_a_cname_chain():
-    records = [(f"{NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
+    records = [(f"{SRV_NAME}.", 10, "CNAME", "x.example."), ("x.example.", 30, "SRV", "0 1 7101 a.example.")]
     assert decode(*encode_answer(*records)).ttl_s == 10
 
 
 def test_cname_loops_and_long_cname_chains_are_failures():
-    loop = [("x.example.", 30, "CNAME", f"{NAME}."), (f"{NAME}.", 30, "CNAME", "x.example.")]
+    loop = [("x.example.", 30, "CNAME", f"{SRV_NAME}."), (f"{SRV_NAME}.", 30, "CNAME", "x.example.")]
     assert "loop" in decode(*encode_answer(*loop)).reason
     chain = [(f"n{number}.", 30, "CNAME", f"n{number + 1}.") for number in range(20)]
-    assert "over the bound" in decode(*encode_answer((f"{NAME}.", 30, "CNAME", "n0."), *chain)).reason
+    assert "over the bound" in decode(*encode_answer((f"{SRV_NAME}.", 30, "CNAME", "n0."), *chain)).reason
 
 
 def test_srv_record_with_the_root_as_target_is_a_negative_answer():
-    assert isinstance(decode(*encode_answer((f"{NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
+    assert isinstance(decode(*encode_answer((f"{SRV_NAME}.", 30, "SRV", "0 0 0 ."))), NegativeAnswer)
 
 
 def test_answer_must_repeat_the_mixed_case_of_the_query():
@@ -73,7 +73,7 @@
         decode(data, queried_name), PositiveAnswer
     )
     try:
-        decode(data, dns.name.from_text(NAME))
+        decode(data, dns.name.from_text(SRV_NAME))
     except MismatchError as error:
         assert "case" in str(error)
     else:
@@ -81,7 +81,7 @@
 
 
 def test_query_is_not_accepted_as_an_answer():
-    data, queried_name = encode_query(NAME, RecordType.SRV, 7, 0, edns=True)
+    data, queried_name = encode_query(SRV_NAME, RecordType.SRV, 7, 0, edns=True)
     try:
         decode(data, queried_name)
     except MismatchError:
@@ -100,8 +100,8 @@
 @given(SEEDS, st.booleans())
 def test_garbage_gives_a_result_or_a_mismatch(seed, over_tcp):
     data, queried_name = encode_answer(SRV, additional=[("a.konya-1.example.org.", 60, "A", "127.0.0.1")])
-    check_result_or_mismatch(garbage(data, seed), queried_name, over_tcp)
-    check_result_or_mismatch(data[:4] + garbage(data[4:], seed), queried_name, over_tcp)
+    check_result_or_mismatch(malformed_bytes(data, seed), queried_name, over_tcp)
+    check_result_or_mismatch(data[:4] + malformed_bytes(data[4:], seed), queried_name, over_tcp)
 
 
 @given(st.integers(0, 400), st.integers(0, 400), st.integers(0, 255))
--- a/tests/protocol/test_parsers.py
+++ b/tests/protocol/test_parsers.py
@@ -16,7 +16,7 @@
 from hazelbend.protocol.http_fields import BadRequestError, Catalogue, RequestClass, read_job
 from hazelbend.protocol.worker_lines import LoadReportFields, read_line
 from hazelbend.routing.ports import AttemptResult, ProgressReport
-from tests.support.parser_kit import SEEDS, garbage, pieces, survives
+from tests.support.parser_kit import SEEDS, assert_raises_only, malformed_bytes, random_chunks
 from tests.support.site_kit import SETTINGS, host_entry
 
 FIELDS = LoadReportFields({"inflight": "in_flight", "queue": "queued", "x0": "free_slots"})
@@ -112,7 +112,7 @@
 
     @given(SEEDS)
     def parse_garbage(seed):
-        survives(parse, garbage(valid, seed), *getattr(errors, "__args__", (errors,)))
+        assert_raises_only(parse, malformed_bytes(valid, seed), *getattr(errors, "__args__", (errors,)))
 
     parse_garbage()
 
@@ -130,7 +130,7 @@
     reader = stomp.FrameReader()
     reader.version = version
     data = b"\n".join(stomp.encode(frame, version) for frame in frames) + b"\r\n"
-    items = [item for piece in pieces(data, seed) for item in reader.feed(piece)]
+    items = [item for piece in random_chunks(data, seed) for item in reader.feed(piece)]
     assert sum(isinstance(item, stomp.HeartBeat) for item in items) == len(frames)
     decoded_frames = [item for item in items if isinstance(item, stomp.Frame)]
     for frame, decoded in zip(frames, decoded_frames, strict=True):
--- a/tests/routing/test_first_byte.py
+++ b/tests/routing/test_first_byte.py
@@ -18,8 +18,8 @@
 )
 from hazelbend.routing.ports import Verdict
 from tests.routing.test_router import ENTRY, ID, JOB, ScriptedModule, send
-from tests.support.crossing_kit import HeldConnects, ScriptedBackend, core, turns
 from tests.support.model import Model
+from tests.support.race_kit import BlockedConnects, ScriptedBackend, router_with_backend, yield_to_event_loop
 from tests.support.site_kit import wait_until
 
 LONG = replace(JOB, timeout_us=20_000_000)
@@ -35,13 +35,13 @@
     async def run():
         decision_module = module or ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(decision_module, ENTRY, backend) as site:
-            with HeldConnects(backend.port).held() as connects:
+        async with router_with_backend(decision_module, ENTRY, backend) as site:
+            with BlockedConnects(backend.port).installed() as connects:
                 request = site.router.accept(job)
                 await wait_until(lambda: connects.waiting)
                 await change(site, request)
-                await turns()
-                connects.let_go()
+                await yield_to_event_loop()
+                connects.release()
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
             again = site.router.accept(replace(LONG, id="again"))
@@ -53,15 +53,15 @@
 
 
 async def drain(site, request):
-    site.tell(replace(site.entry, state=WorkerState.DRAINING))
+    site.update_list(replace(site.entry, state=WorkerState.DRAINING))
 
 
 async def remove(site, request):
-    site.tell(whole=True)
+    site.update_list(is_complete=True)
 
 
 async def move(site, request):
-    site.tell(replace(site.entry, dial="127.0.0.1:1"))
+    site.update_list(replace(site.entry, dial="127.0.0.1:1"))
 
 
 async def drain_manually(site, request):
@@ -119,9 +119,9 @@
     async def run():
         module = ScriptedModule()
         backend = ScriptedBackend()
-        async with core(module, ENTRY, backend) as site:
+        async with router_with_backend(module, ENTRY, backend) as site:
             request = site.router.accept(LONG)
-            await turns()
+            await yield_to_event_loop()
             request.inbox.put_nowait(decisions.Send(request.number, ID))
             request.leave()
             async with asyncio.timeout(10):
@@ -154,8 +154,8 @@
     async def run():
         module = ScriptedModule(RequestArrived=send, AttemptEnded=refuse)
         backend = ScriptedBackend()
-        async with core(module, ENTRY, backend) as site:
-            with HeldConnects(backend.port).held():
+        async with router_with_backend(module, ENTRY, backend) as site:
+            with BlockedConnects(backend.port).installed():
                 request = site.router.accept(replace(JOB, timeout_us=100_000))
                 async with asyncio.timeout(10):
                     await site.router.wait_idle()
@@ -182,7 +182,7 @@
     model = model_with_two_workers(Settings(classes=(JobClass(),)))
     model.arrive(1)
     [job] = model.jobs.values()
-    worker = job.tries[0].worker.worker
+    worker = job.attempts[0].worker.worker
     assert model.dispatcher.may_still_send(1, 0, model.now + 1_000)
     model.list_workers(WorkerEntry(worker, started_at=model.now), kind=decisions.ListKind.DELTA)
     assert not model.dispatcher.may_still_send(1, 0, model.now), "the worker's process is a new one, and cold"
@@ -197,8 +197,8 @@
     model = model_with_two_workers(Settings(classes=(job,)))
     model.arrive(1)
     first = model.now
-    model.end(1, Outcome.RESET)
-    assert len(model.jobs[1].tries) == 2, (
+    model.end_attempt(1, Outcome.RESET)
+    assert len(model.jobs[1].attempts) == 2, (
         "a window shorter than the usual pause of a worker still allows a retry"
     )
     assert model.dispatcher.may_still_send(1, 1, first + window // 2)
@@ -211,7 +211,7 @@
     )
     model.arrive(1)
     request = model.dispatcher.requests[1]
-    model.end(1, Outcome.NOT_SENT)
+    model.end_attempt(1, Outcome.NOT_SENT)
     request.attempts[0].outcome = None
     assert not model.dispatcher.may_still_send(1, 1, model.now), "the first attempt is in flight"
 
--- a/tests/support/crash_disk.py
+++ b/tests/support/crash_disk.py
@@ -62,14 +62,17 @@
 
 
 class RecordingOs(ModuleType):
-    """`os`, as far as the stores use it. `fails_at`: the number of the call that the disk refuses."""
+    """`os`, as far as the stores use it.
+
+    `failing_call_index` is the index in `calls` of the call that raises EIO; -1 for none.
+    """
 
     def __init__(self, root: Path) -> None:
         super().__init__("os")
         self.root = root
         self.tree = Folder()
         self.calls: list[str] = []
-        self.fails_at = -1
+        self.failing_call_index = -1
         self._open: dict[int, Content | Folder] = {}
 
     def __getattr__(self, name: str):
@@ -79,7 +82,7 @@
 
     def _called(self, name: str) -> None:
         self.calls.append(name)
-        if len(self.calls) - 1 == self.fails_at:
+        if len(self.calls) - 1 == self.failing_call_index:
             raise OSError(errno.EIO, f"{name}: the disk refuses")
 
     def mkdir(self, path) -> None:
--- a/tests/support/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -1,8 +1,9 @@
 """Deployments that a site's settings may describe, and a site on loopback that plays one of them.
 
-`deployments()` draws settings over every switch that the protocol names. `play()` starts the program in
-this process against servers and a list of its own, sends it a short mix of jobs and holds what came of it to
-the rules; test_deployments.py plays a few dozen, benchmarks/deployments.py as many as there is time for.
+`deployments()` draws settings that vary every switch of the protocol. `run_deployment()` starts the program
+in this process against servers and an endpoint list of its own, sends it a short mix of jobs and checks the
+outcome against the rules. test_deployments.py runs a few dozen of them, benchmarks/deployments.py as many as
+it is told to.
 """
 
 from __future__ import annotations
@@ -211,7 +212,7 @@
         yield app, seen, listing
 
 
-async def play(conf: dict[str, Any], seed: int, jobs: int = JOBS) -> Played:
+async def run_deployment(conf: dict[str, Any], seed: int, jobs: int = JOBS) -> Played:
     """A mix of jobs, most at once; half way one server drains, by the list or by hand."""
     chance = random.Random(seed)
     async with site(conf) as (app, seen, listing):
@@ -311,5 +312,5 @@
                 assert after.began >= before.ended - LATE / 4, f"{job}: two attempts out at once: {tries}"
 
 
-def summary(played: Played) -> Counter[int]:
+def count_by_status(played: Played) -> Counter[int]:
     return Counter(status for statuses in played.answers.values() for status in statuses)
--- a/tests/support/model.py
+++ b/tests/support/model.py
@@ -26,12 +26,12 @@
 class Job:
     job_class: dy.JobClass
     deadline: int
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[Try] = field(default_factory=list)
     closed_at: int | None = None
 
     @property
     def first_that_may_have_run(self) -> Try | None:
-        return next((each for each in self.tries if each.may_have_run), None)
+        return next((each for each in self.attempts if each.may_have_run), None)
 
 
 class Model:
@@ -51,12 +51,12 @@
         self.cancels: list[tuple[int, int]] = []
         self.probes: list[int] = []
         self.subscriptions: list[int] = []
-        self.last: list[dy.Action] = []  # what the last event led to
+        self.last_actions: list[dy.Action] = []  # what the last event led to
 
     # --- events ---
 
-    def tell(self, event: dy.Event) -> list[dy.Action]:
-        actions = self.last = self.dispatcher.handle(event, self.now)
+    def handle_event(self, event: dy.Event) -> list[dy.Action]:
+        actions = self.last_actions = self.dispatcher.handle(event, self.now)
         for action in actions:
             self._check(action)
         return actions
@@ -71,17 +71,17 @@
                 self.stopped_at.pop(entry.worker, None)
             else:
                 self.stopped_at.setdefault(entry.worker, self.now)
-        self.tell(dy.MembershipUpdate(kind, entries))
+        self.handle_event(dy.MembershipUpdate(kind, entries))
 
-    def arrive(self, request: int, patience: int = 5_000_000, job_class: int = 0, **more: int) -> None:
-        self.jobs[request] = Job(self.settings.classes[job_class], self.now + patience)
-        self.tell(dy.RequestArrived(request, patience, job_class, **more))
+    def arrive(self, request: int, client_timeout: int = 5_000_000, job_class: int = 0, **more: int) -> None:
+        self.jobs[request] = Job(self.settings.classes[job_class], self.now + client_timeout)
+        self.handle_event(dy.RequestArrived(request, client_timeout, job_class, **more))
 
-    def start(self, request: int, attempt: int = 0) -> None:
-        worker = self.jobs[request].tries[attempt].worker.worker
-        self.tell(dy.JobStarted(request, worker, attempt))
+    def start_job(self, request: int, attempt: int = 0) -> None:
+        worker = self.jobs[request].attempts[attempt].worker.worker
+        self.handle_event(dy.JobStarted(request, worker, attempt))
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: dy.Outcome,
@@ -90,19 +90,19 @@
         stale: bool = False,
     ) -> None:
         job = self.jobs[request]
-        each = job.tries[attempt]
+        each = job.attempts[attempt]
         each.outcome = outcome
         if outcome is dy.Outcome.SERVED and job.closed_at is None:
             job.closed_at = self.now
         closed = job.closed_at is not None
         elapsed = self.now - each.sent_at
         worker = each.worker.worker
-        self.tell(dy.AttemptEnded(request, worker, attempt, outcome, closed, elapsed, load, stale))
+        self.handle_event(dy.AttemptEnded(request, worker, attempt, outcome, closed, elapsed, load, stale))
 
     def leave(self, request: int) -> None:
         if self.jobs[request].closed_at is None:
             self.jobs[request].closed_at = self.now
-        self.tell(dy.ClientGone(request))
+        self.handle_event(dy.ClientGone(request))
 
     def advance(self, duration: int) -> None:
         """Let time pass: timers ring, and attempts still out at a client's deadline time out."""
@@ -111,7 +111,7 @@
             due = [
                 (job.deadline, request, number)
                 for request, job in self.jobs.items()
-                for number, each in enumerate(job.tries)
+                for number, each in enumerate(job.attempts)
                 if each.outcome is None and job.deadline <= until
             ]
             first = min(due, default=None)
@@ -119,17 +119,17 @@
             if ring <= min(until, first[0] if first else until):
                 at, token = heapq.heappop(self.timers)
                 self.now = max(self.now, at)
-                self.tell(dy.TimerFired(token))
+                self.handle_event(dy.TimerFired(token))
             elif first is not None:
                 self.now = max(self.now, first[0])
-                self.end(first[1], dy.Outcome.TIMED_OUT, first[2])
+                self.end_attempt(first[1], dy.Outcome.TIMED_OUT, first[2])
             else:
                 break
-            self.check_overdue()
+            self.check_deadlines()
         self.now = until
-        self.check_overdue()
+        self.check_deadlines()
 
-    def check_overdue(self) -> None:
+    def check_deadlines(self) -> None:
         for request, job in self.jobs.items():
             ended = self.now if job.closed_at is None else job.closed_at
             assert ended <= job.deadline + SLACK, f"request {request} had no answer in time"
@@ -140,12 +140,12 @@
         self.advance(max(last + SLACK + 1 - self.now, 1))
         assert all(job.closed_at is not None for job in self.jobs.values())
 
-    def out(self) -> list[tuple[int, int]]:
+    def attempts_in_flight(self) -> list[tuple[int, int]]:
         """The attempts still out."""
         return [
             (request, number)
             for request, job in self.jobs.items()
-            for number, each in enumerate(job.tries)
+            for number, each in enumerate(job.attempts)
             if each.outcome is None
         ]
 
@@ -167,7 +167,7 @@
                 self.failed.append(request)
             case dy.Cancel(request=request, attempt=attempt):
                 assert self.settings.cancel_allowed
-                assert attempt < len(self.jobs[request].tries)
+                assert attempt < len(self.jobs[request].attempts)
                 self.cancels.append((request, attempt))
             case dy.StartTimer(delay=delay, token=token):
                 assert delay >= 0
@@ -190,9 +190,9 @@
         assert job.closed_at is None, "nothing is sent for a request that has its answer"
         stopped = self.stopped_at.get(action.worker)
         assert stopped is None or self.now == stopped, "the worker drains or is gone"
-        assert len(job.tries) < self.settings.max_attempts
+        assert len(job.attempts) < self.settings.max_attempts
         if not self.settings.hedging_allowed:
-            assert all(each.outcome is not None for each in job.tries)
+            assert all(each.outcome is not None for each in job.attempts)
         first, job_class = job.first_that_may_have_run, job.job_class
         if first is not None:
             assert job_class.idempotency is not dy.Idempotency.UNSAFE, "unsafe, and it may have run"
@@ -202,5 +202,5 @@
                     assert entry.zone == first.worker.zone
                 elif job_class.dedup_scope is dy.DedupScope.CELL:
                     assert entry.cell == first.worker.cell
-        job.tries.append(Try(entry, self.now))
+        job.attempts.append(Try(entry, self.now))
         self.sends.append((self.now, action.worker, action.request))
--- a/tests/support/crossing_kit.py
+++ b/tests/support/race_kit.py
@@ -1,7 +1,7 @@
-"""Peers that hold a step until the test lets it go, on real sockets: a crossing is made here, not awaited.
+"""Peers on real sockets that block at a step until the test releases it, so that a race is deterministic.
 
-`HeldConnects` keeps connections from coming up; `ScriptedBackend` does with each request what the test says,
-and keeps what came; `turns` lets the event loop go round.
+`BlockedConnects` delays new connections; `ScriptedBackend` handles each request as the test says and records
+it; `yield_to_event_loop` runs some iterations of the event loop.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from hazelbend.routing.table import BackendTable
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
 
-OK = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+OK_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -29,19 +29,19 @@
 def done(job_id: str, result: str = "r") -> bytes:
     """A whole answer to this job."""
     return (
-        OK
+        OK_HEAD
         + chunk(b'{"id":"%b","state":"done","result":"%b"}\n' % (job_id.encode(), result.encode()))
         + b"0\r\n\r\n"
     )
 
 
-async def turns(count: int = 20) -> None:
+async def yield_to_event_loop(count: int = 20) -> None:
     """So many rounds of the event loop."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-class HeldConnects:
+class BlockedConnects:
     """New connections to a port wait, before their first packet, until they are let go."""
 
     def __init__(self, port: int) -> None:
@@ -49,11 +49,11 @@
         self.waiting = 0
         self._go = asyncio.Event()
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         self._go.set()
 
     @contextmanager
-    def held(self):
+    def installed(self):
         loop = asyncio.get_running_loop()
         connect = loop.sock_connect
 
@@ -135,13 +135,13 @@
     backend: ScriptedBackend
     entry: Endpoint
 
-    def tell(self, *entries: Endpoint, whole: bool = False) -> None:
+    def update_list(self, *entries: Endpoint, is_complete: bool = False) -> None:
         """A list or a change of it."""
-        self.router.apply_list(EndpointList(entries, is_complete=whole))
+        self.router.apply_list(EndpointList(entries, is_complete=is_complete))
 
 
 @asynccontextmanager
-async def core(
+async def router_with_backend(
     decider: DecisionModule, entry: Endpoint, backend: ScriptedBackend, connect_timeout: float = 10.0
 ) -> AsyncIterator[Core]:
     """The core with a connection pool before this backend, whose entry gets its port."""
--- a/tests/support/site_kit.py
+++ b/tests/support/site_kit.py
@@ -50,21 +50,21 @@
     "rules": {"fall_us": 50_000, "warm_after_us": 50_000, "start_capacity": 0.9, "fall_multiple": 100.0},
     "tick_us": 4_000,
 }
-SECRET = "secret"
-DIGEST = sha256(SECRET.encode()).hexdigest()
-STOMP = f"""
+PASSCODE = "secret"
+PASSCODE_SHA256 = sha256(PASSCODE.encode()).hexdigest()
+STOMP_TOML = f"""
 enabled = true
 listen = "127.0.0.1:0"
 [[client]]
 login = "dashboard"
-passcode_sha256 = "{DIGEST}"
+passcode_sha256 = "{PASSCODE_SHA256}"
 [[client]]
 login = "partner"
-passcode_sha256 = "{DIGEST}"
+passcode_sha256 = "{PASSCODE_SHA256}"
 tenants = ["toros-sarj"]
 [[box]]
 login = "box-1"
-passcode_sha256 = "{DIGEST}"
+passcode_sha256 = "{PASSCODE_SHA256}"
 zone = "ankara-1"
 kind = "big-box"
 """
@@ -75,11 +75,16 @@
 
 
 @asynccontextmanager
-async def site(
-    folder: Path, toys: int = 1, stomp: str = STOMP, discovery: str = "", ops: str = "", **settings: Any
+async def running_app(
+    folder: Path,
+    server_count: int = 1,
+    stomp: str = STOMP_TOML,
+    discovery: str = "",
+    ops: str = "",
+    **settings: Any,
 ) -> AsyncIterator[tuple[App, list[ToyServer]]]:
     """The program with so many toy servers; closed at once afterwards."""
-    servers = [ToyServer(f"toy-{number}") for number in range(toys)]
+    servers = [ToyServer(f"toy-{number}") for number in range(server_count)]
     hosts = [host_entry(each.name, await each.listen()) for each in servers]
     if stomp:
         (folder / "stomp.toml").write_text(stomp)
@@ -147,7 +152,7 @@
     async def connect(cls, port: int, login: str = "dashboard", **headers: str) -> FakeStompClient:
         peer = cls(*await asyncio.open_connection("127.0.0.1", port))
         peer.task = asyncio.create_task(peer._listen())
-        hello = {"accept-version": "1.1,1.2", "host": "hazelbend", "login": login, "passcode": SECRET}
+        hello = {"accept-version": "1.1,1.2", "host": "hazelbend", "login": login, "passcode": PASSCODE}
         peer.send("CONNECT", **hello | {name.replace("_", "-"): value for name, value in headers.items()})
         await wait_until(lambda: peer.frames or peer.closed)
         return peer
@@ -160,17 +165,17 @@
         named = {"class": job_class, "tenant": "ege-volt", "request-id": request_id} | headers
         self.send("SEND", body, destination="/hazelbend/jobs", **named)
 
-    def of(self, command: str) -> list[FakeStompFrame]:
+    def frames_with_command(self, command: str) -> list[FakeStompFrame]:
         return [frame for frame in self.frames if frame.command == command]
 
-    def answers(self) -> dict[str, list[str]]:
+    def statuses_by_request(self) -> dict[str, list[str]]:
         """The statuses that came for each request."""
         found: dict[str, list[str]] = {}
-        for frame in self.of("MESSAGE"):
+        for frame in self.frames_with_command("MESSAGE"):
             found.setdefault(frame.headers["request-id"], []).append(frame.headers["status"])
         return found
 
-    async def drop(self) -> None:
+    async def abort_connection(self) -> None:
         """The connection is lost, without a word."""
         self.writer.transport.abort()
         await wait_until(lambda: self.closed)
--- a/tests/support/pace.py
+++ b/tests/support/slowdown.py
@@ -6,7 +6,7 @@
 LOOKS = 3
 
 
-def pace() -> float:
+def slowdown_factor() -> float:
     """Wall time over CPU time of some work, the worst of a few looks; 1.0 where nothing else runs."""
     worst = 1.0
     for _ in range(LOOKS):
--- a/tests/support/srv_kit.py
+++ b/tests/support/srv_kit.py
@@ -11,14 +11,16 @@
 from hazelbend.dispatcher.app import App
 from hazelbend.dns_discovery.settings import SrvSettings, read_settings
 from hazelbend.fakes.nameserver import FakeNameserver
-from tests.support.site_kit import ToyServer, site
+from tests.support.site_kit import ToyServer, running_app
 
-NAME = "_arama._tcp.konya-1.example.org"
-SECOND = 1_000_000
+SRV_NAME = "_arama._tcp.konya-1.example.org"
+SECOND_US = 1_000_000
 SOA = "@ 5 IN SOA ns host 1 3600 600 86400 5\n@ 300 IN NS ns\nns 300 IN A 127.0.0.1\n"
 
 
-def zone(*boxes: tuple[str, int] | tuple[str, int, int] | tuple[str, int, int, int], ttl: int = 5) -> str:
+def zone_file_text(
+    *boxes: tuple[str, int] | tuple[str, int, int] | tuple[str, int, int, int], ttl: int = 5
+) -> str:
     """A zone of (target's first label, port, priority, weight)."""
     text = SOA
     for label, port, *rank in boxes:
@@ -32,13 +34,13 @@
 def settings(count: int = 1, **more: Any) -> SrvSettings:
     table = {
         "nameserver": [{"address": f"127.0.0.1:{5300 + number}"} for number in range(count)],
-        "name": [{"name": NAME, "zone": "konya-1", "kind": "big-box"}],
+        "name": [{"name": SRV_NAME, "zone": "konya-1", "kind": "big-box"}],
     }
     more["budgets"] = {"start_spread_s": 0.0} | more.get("budgets", {})
     return read_settings(table | more, ("konya-1",), ("big-box",))
 
 
-def srv_toml(addresses: list[str], names: tuple[str, ...] = (NAME,), **more: str) -> str:
+def srv_toml(addresses: list[str], names: tuple[str, ...] = (SRV_NAME,), **more: str) -> str:
     text = "enabled = true\n"
     for address in addresses:
         text += f'[[nameserver]]\naddress = "{address}"\n'
@@ -55,7 +57,7 @@
 
 
 @asynccontextmanager
-async def nameservers(count: int, text: str) -> AsyncIterator[list[FakeNameserver]]:
+async def running_nameservers(count: int, text: str) -> AsyncIterator[list[FakeNameserver]]:
     servers = [FakeNameserver() for _ in range(count)]
     for each in servers:
         each.serve_zone(text)
@@ -68,17 +70,23 @@
 
 
 @asynccontextmanager
-async def srv_site(
-    folder: Path, toys: int = 2, count: int = 1, stomp: str = "", listed: int = 0, ttl: int = 1, **more: Any
+async def running_srv_app(
+    folder: Path,
+    server_count: int = 2,
+    count: int = 1,
+    stomp: str = "",
+    listed_count: int = 0,
+    ttl: int = 1,
+    **more: Any,
 ) -> AsyncIterator[tuple[App, list[ToyServer], list[FakeNameserver]]]:
     """Toys that SRV names (`toy-0`, ... of NAME), further ones that the box list names, and nameservers."""
     toml = {key: more.pop(key) for key in ("lifetimes", "budgets", "pools", "snapshot") if key in more}
-    boxes = [ToyServer(f"toy-{number}") for number in range(toys)]
+    boxes = [ToyServer(f"toy-{number}") for number in range(server_count)]
     ports = [int((await each.listen()).rpartition(":")[2]) for each in boxes]
     rows = [(each.name, port) for each, port in zip(boxes, ports, strict=True)]
-    async with nameservers(count, zone(*rows, ttl=ttl)) as servers:
+    async with running_nameservers(count, zone_file_text(*rows, ttl=ttl)) as servers:
         (folder / "srv.toml").write_text(srv_toml([each.address for each in servers], **toml))
-        async with site(folder, toys=listed, stomp=stomp, **more) as (app, _):
+        async with running_app(folder, server_count=listed_count, stomp=stomp, **more) as (app, _):
             try:
                 yield app, boxes, servers
             finally:
@@ -86,6 +94,6 @@
                     await each.close()
 
 
-async def boxes_of(app: App) -> set[str]:
+async def hosts_accepting_work(app: App) -> set[str]:
     await asyncio.sleep(0)
     return {each.entry.host for each in app.router.table.servers.values() if each.accepts_work}
--- a/tests/transport/test_admin_listener.py
+++ b/tests/transport/test_admin_listener.py
@@ -7,8 +7,8 @@
 from hazelbend.dispatcher import config
 from hazelbend.transport.http import admin_listener
 from tests.dispatcher.test_reload import changed
-from tests.support.parser_kit import garbage, pieces
-from tests.support.site_kit import site, wait_until
+from tests.support.parser_kit import malformed_bytes, random_chunks
+from tests.support.site_kit import running_app, wait_until
 from tests.transport.test_client_listener import request, send_and_receive
 
 OPS_ADDRESS = "127.0.0.1:0"
@@ -38,7 +38,7 @@
     }
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             for (method, path), status in calls.items():
                 assert (await call_ops(app, path, method))[0] == status, (method, path)
             for malformed in (b"\x16\x03\x01\r\n\r\n", call("/ops/readiness").replace(b"HTTP", b"HTCPCP")):
@@ -52,7 +52,7 @@
 
 def test_admin_endpoint_is_disabled_without_its_setting(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             assert app.admin.listener is None and app.conf.ops is None
 
     asyncio.run(run())
@@ -60,7 +60,7 @@
 
 def test_invalid_address_is_reported(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             with pytest.raises(config.ConfigError, match="ops: 'here' is no address:port"):
                 changed(app, tmp_path, ops="here")
 
@@ -71,7 +71,7 @@
     """Guards the operators' access and the few file descriptors that are reserved for it."""
 
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             writers = []
             for number in range(4 * admin_listener.CONNECTION_LIMIT):
                 _, writer = await asyncio.open_connection("127.0.0.1", app.admin.listener.port)
@@ -89,7 +89,7 @@
 
 def test_client_connection_limit_does_not_block_operators(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             app.client_listener.connection_limit = 1
             running = [
                 asyncio.create_task(send_and_receive(app.client_listener.port, request(f"r{n}", b"300")))
@@ -105,12 +105,14 @@
 
 def test_fragmented_calls_are_answered_and_garbage_does_no_harm(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             good = call("/ops/readiness")
             for seed in range(25):
-                chunks = [chunk for chunk in pieces(good, seed) if chunk]
+                chunks = [chunk for chunk in random_chunks(good, seed) if chunk]
                 assert b" 200 " in await send_and_receive(app.admin.listener.port, *chunks)
-                answer = await send_and_receive(app.admin.listener.port, garbage(good, seed), end=True)
+                answer = await send_and_receive(
+                    app.admin.listener.port, malformed_bytes(good, seed), end=True
+                )
                 assert not answer or answer.startswith(b"HTTP/1.")
             assert app.accepts_clients
 
@@ -119,7 +121,7 @@
 
 def test_admin_listener_moves_at_a_reload_or_keeps_its_address(tmp_path, caplog):
     async def run():
-        async with site(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
+        async with running_app(tmp_path, stomp="", ops=OPS_ADDRESS) as (app, _):
             first = app.admin.listener
             app.apply(changed(app, tmp_path, ops=f"127.0.0.1:{app.client_listener.port}"))
             await wait_until(lambda: "the door stays where it was" in caplog.text)
--- a/tests/transport/test_backend_client.py
+++ b/tests/transport/test_backend_client.py
@@ -12,7 +12,7 @@
 from hazelbend.protocol.worker_lines import LoadReportFields
 from hazelbend.routing.ports import AttemptWritten, Job, ProgressReport
 from hazelbend.transport.http.backend_client import ConnectionPool, PoolSettings
-from tests.support.crossing_kit import OK, ScriptedBackend, chunk
+from tests.support.race_kit import OK_HEAD, ScriptedBackend, chunk
 from tests.support.site_kit import wait_until
 
 JOB = Job("9b", 0, 0, 1_000_000, target="/nearby/%31?q=%20+&x=", body=b"a\0b", idempotency_key="k")
@@ -90,12 +90,12 @@
     b'HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nX-Server-Load: {"inflight":7}\r\nContent-Length: 0\r\n\r\n'
 )
 CASES = {
-    "done": (OK + chunk(STARTED) + chunk(DONE) + b"0\r\n\r\n", Outcome.SERVED),
-    "two lines in one chunk": (OK + chunk(STARTED + DONE) + b"0\r\n\r\n", Outcome.SERVED),
-    "a line over two chunks": (OK + chunk(DONE[:9]) + chunk(DONE[9:]) + b"0\r\n\r\n", Outcome.SERVED),
-    "failed": (OK + chunk(b'{"id":"9b","state":"failed"}\n') + b"0\r\n\r\n", Outcome.ERROR),
-    "returned": (OK + chunk(b'{"id":"9b","state":"returned"}\n') + b"0\r\n\r\n", Outcome.FULL),
-    "lost": (OK + chunk(b'{"id":"9b","state":"lost"}\n') + b"0\r\n\r\n", Outcome.RESET),
+    "done": (OK_HEAD + chunk(STARTED) + chunk(DONE) + b"0\r\n\r\n", Outcome.SERVED),
+    "two lines in one chunk": (OK_HEAD + chunk(STARTED + DONE) + b"0\r\n\r\n", Outcome.SERVED),
+    "a line over two chunks": (OK_HEAD + chunk(DONE[:9]) + chunk(DONE[9:]) + b"0\r\n\r\n", Outcome.SERVED),
+    "failed": (OK_HEAD + chunk(b'{"id":"9b","state":"failed"}\n') + b"0\r\n\r\n", Outcome.ERROR),
+    "returned": (OK_HEAD + chunk(b'{"id":"9b","state":"returned"}\n') + b"0\r\n\r\n", Outcome.FULL),
+    "lost": (OK_HEAD + chunk(b'{"id":"9b","state":"lost"}\n') + b"0\r\n\r\n", Outcome.RESET),
     "500": (b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
     "503, not processed": (NOT_PROCESSED, Outcome.FULL),
     "503 that may have run": (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
@@ -104,13 +104,13 @@
         Outcome.ERROR,
     ),
     "closed at once": (b"", Outcome.RESET),
-    "closed after the start": (OK + chunk(STARTED), Outcome.RESET),
-    "closed within a line": (OK + chunk(DONE[:-1]), Outcome.RESET),
-    "ended before the last line": (OK + chunk(STARTED) + b"0\r\n\r\n", Outcome.RESET),
+    "closed after the start": (OK_HEAD + chunk(STARTED), Outcome.RESET),
+    "closed within a line": (OK_HEAD + chunk(DONE[:-1]), Outcome.RESET),
+    "ended before the last line": (OK_HEAD + chunk(STARTED) + b"0\r\n\r\n", Outcome.RESET),
     "not HTTP": (b"SSH-2.0\r\n\r\n", Outcome.RESET),
-    "not JSON": (OK + chunk(b"hello\n"), Outcome.ERROR),
-    "another's job": (OK + chunk(DONE.replace(b"9b", b"9c")), Outcome.ERROR),
-    "an endless line": (OK + chunk(b"x" * 600_000), Outcome.ERROR),
+    "not JSON": (OK_HEAD + chunk(b"hello\n"), Outcome.ERROR),
+    "another's job": (OK_HEAD + chunk(DONE.replace(b"9b", b"9c")), Outcome.ERROR),
+    "an endless line": (OK_HEAD + chunk(b"x" * 600_000), Outcome.ERROR),
 }
 
 
@@ -194,7 +194,7 @@
 
         async def serve(reader, writer):
             await reader.readuntil(b"a\0b")
-            writer.write(OK + chunk(STARTED))
+            writer.write(OK_HEAD + chunk(STARTED))
             await reader.read()
             closed.set()
 
--- a/tests/transport/test_client_listener.py
+++ b/tests/transport/test_client_listener.py
@@ -7,8 +7,8 @@
 import pytest
 
 from hazelbend.transport.http import client_connection, client_listener, http_listener
-from tests.support.parser_kit import garbage, pieces
-from tests.support.site_kit import site, wait_until
+from tests.support.parser_kit import malformed_bytes, random_chunks
+from tests.support.site_kit import running_app, wait_until
 
 HEAD = (
     "POST /nearby/17 HTTP/1.1\r\nHost: x\r\nX-Request-ID: {}\r\nX-Tenant-Id: ege-volt\r\nX-Timeout-Ms: {}\r\n"
@@ -82,7 +82,7 @@
 
 def test_invalid_request_gets_its_error_status_and_serving_continues(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             for name, (data, status) in INVALID_REQUESTS.items():
                 answer = await send_and_receive(app.client_listener.port, data)
                 assert answer[:13] in (b"HTTP/1.1 %d " % status, b"HTTP/1.0 %d " % status), (name, answer)
@@ -101,7 +101,7 @@
 
 def test_connection_is_usable_after_an_invalid_request(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"ege-volt", b"nobody")
             answer = await send_and_receive(
                 app.client_listener.port, bad + request(more="Connection: close\r\n")
@@ -113,7 +113,7 @@
 
 def test_expect_100_continue_gets_a_continue_response(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             answer = await send_and_receive(
                 app.client_listener.port, request(more="Expect: 100-continue\r\nConnection: close\r\n")
             )
@@ -126,7 +126,7 @@
     """Guards the limit on sockets: idle client connections must not use up the descriptors for backends."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             app.client_listener.connection_limit = 1
             running = asyncio.create_task(send_and_receive(app.client_listener.port, request("run", b"300")))
             await wait_until(lambda: app.router.requests)
@@ -139,12 +139,12 @@
 
 def test_fragmented_requests_are_served_and_garbage_does_no_harm(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             good = request(more="Connection: close\r\n")
             for seed in range(25):
-                chunks = [chunk for chunk in pieces(good, seed) if chunk]
+                chunks = [chunk for chunk in random_chunks(good, seed) if chunk]
                 assert b" 200 " in await send_and_receive(app.client_listener.port, *chunks)
-                wrong = garbage(good, seed)
+                wrong = malformed_bytes(good, seed)
                 if random.Random(seed).random() < 0.5:
                     wrong = b"\0" + wrong
                 answer = await send_and_receive(app.client_listener.port, wrong, end=True)
@@ -158,7 +158,7 @@
     """Guards against backends that continue work whose client has disconnected: wasted work is charged."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request(body=b"hang"))
             await wait_until(lambda: toy.ran)
@@ -176,7 +176,7 @@
 )
 def test_each_job_outcome_maps_to_its_status(tmp_path, body, status):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             data = request(body=body, timeout=400, more="Connection: close\r\n")
             answer = await send_and_receive(app.client_listener.port, data)
             assert answer.startswith(b"HTTP/1.1 %d " % status)
@@ -191,7 +191,7 @@
 
 def test_job_that_may_have_run_fails_where_a_retry_is_unsafe(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             data = request(body=b"hang", timeout=400, more="Connection: close\r\nIdempotency-Key: k\r\n")
             assert (
                 await send_and_receive(app.client_listener.port, data.replace(b"/nearby", b"/reserve"))
@@ -206,7 +206,7 @@
     """Guards against connections that stay open but are not read: requests sent on them would be lost."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             idle, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request())
             assert (await idle.read(65_536)).startswith(b"HTTP/1.1 200 ")
@@ -232,7 +232,7 @@
     kernel, closing reset the connection, and the request, which counts as accepted, was lost."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             idle = [await asyncio.open_connection("127.0.0.1", app.client_listener.port) for _ in range(8)]
             for number, (reader, writer) in enumerate(idle):
                 writer.write(request(f"first{number}"))
@@ -253,7 +253,7 @@
     """Guards the open job: backends identify a job by its id and would confuse the two."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             running = asyncio.create_task(
                 send_and_receive(app.client_listener.port, request(body=b"200", more="Connection: close\r\n"))
             )
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize("name", SLOW)
 def test_silent_or_slow_client_times_out(tmp_path, short_timeouts, name):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             assert app.client_listener.request_timeout_s == 0.2
             data, status = SLOW[name]
             answer = await send_and_receive(app.client_listener.port, data)
@@ -303,7 +303,7 @@
 
 def test_keep_alive_connection_may_idle_but_a_slow_request_times_out(tmp_path, short_timeouts):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             for job in ("a", "b"):
                 writer.write(request(job, b"400"))  # the job takes longer than the request timeout
@@ -320,7 +320,7 @@
     """Guards active clients: silent connections once used up all descriptors."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             app.client_listener.connection_limit = 4
             used = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             used[1].write(request("kept"))
@@ -351,7 +351,7 @@
     """Guards the other clients: one connection used to get responses as fast as the program could write."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             bad = request().replace(b"/nearby/", b"/bogus/")
             loop = asyncio.get_running_loop()
             started_at = loop.time()
@@ -366,7 +366,7 @@
 
 def test_error_in_one_deadline_check_does_not_stop_the_sweep(tmp_path, short_timeouts, monkeypatch):
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             enforce_deadline, faults = client_connection.ClientConnection.enforce_deadline, []
 
             def faulty(connection, now):
--- a/tests/transport/test_closing.py
+++ b/tests/transport/test_closing.py
@@ -9,8 +9,8 @@
 
 from hazelbend.dispatcher import shutdown
 from hazelbend.transport.http import client_connection, half_close, http_listener
-from tests.support.crossing_kit import turns
-from tests.support.site_kit import SETTINGS, site, wait_until
+from tests.support.race_kit import yield_to_event_loop
+from tests.support.site_kit import SETTINGS, running_app, wait_until
 from tests.transport.test_client_listener import open_keep_alive, request
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which closing sends a reset
@@ -33,7 +33,7 @@
     that its request was not accepted."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await open_keep_alive(app.client_listener.port)
             monkeypatch.setattr(client_connection.ClientConnection, "has_unread", False)
             write_to_kernel(writer, request("crossing"))
@@ -59,7 +59,7 @@
     """Guards an error response: it was lost when closing with unread bytes reset the connection."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             head = request(body=b"").replace(b"Length: 0", b"Length: 3000000")
             writer.write(head + b"x" * 3_000_000)
@@ -72,7 +72,7 @@
 
 def test_closing_response_arrives_despite_pipelined_requests(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("a", b"100"))
             await wait_until(lambda: toy.ran)
@@ -90,7 +90,7 @@
     monkeypatch.setattr(half_close, "LINGER_S", 0.05)
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             reader, writer = await open_keep_alive(app.client_listener.port)
             app.client_listener.stop_accepting()
             assert await read_to_end(reader) == b""
@@ -106,7 +106,7 @@
     monkeypatch.setattr(http_listener, "MAX_LINGERING", 2)
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             clients = [await open_keep_alive(app.client_listener.port, f"k{number}") for number in range(5)]
             for connection in list(app.client_listener._open):
                 connection.force_close()
@@ -128,7 +128,7 @@
     limits = SETTINGS["limits"] | {"connect_timeout_us": 10_000_000}
 
     async def run():
-        async with site(tmp_path, stomp="", limits=limits) as (app, _):
+        async with running_app(tmp_path, stomp="", limits=limits) as (app, _):
             port, waiting = app.client_listener.port, []
             for number in range(40):
                 peer = socket.create_connection(("127.0.0.1", port))
@@ -150,11 +150,11 @@
     """Guards a first request in transit: a close without a response would lose it."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             await wait_until(lambda: app.client_listener.connections == 1)
             app.client_listener.stop_accepting()
-            await turns()
+            await yield_to_event_loop()
             writer.write(request("late"))
             assert (await read_to_end(reader)).endswith(b"did late")
             writer.close()
@@ -170,7 +170,7 @@
     monkeypatch.setattr(shutdown, "LAST_JOBS_S", 3.5)
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             data = request("part", b"50")
             writer.write(data[:-1])
@@ -179,7 +179,7 @@
             )
             leaving = asyncio.create_task(app.leave())
             await wait_until(lambda: not app.client_listener._is_serving)
-            await turns()
+            await yield_to_event_loop()
             assert not leaving.done()
             writer.write(data[-1:])
             assert (await read_to_end(reader)).endswith(b"did part")
@@ -215,7 +215,7 @@
     disconnect behind them was not detected, and each of them was executed in turn."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             _, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("first", b"hang") + b"".join(request(f"b{n}") for n in range(pipelined)))
             await wait_until(lambda: toy.ran and app.client_listener._open)
@@ -233,7 +233,7 @@
     """Guards memory: the input that a client may pipeline is bounded."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             many = b"".join(request(f"b{number}") for number in range(4_000))
             assert len(many) > half_close.READ_AHEAD_BYTES
@@ -247,7 +247,7 @@
 
 def test_pipelined_requests_are_answered_in_order(tmp_path):
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             names = [f"b{number}" for number in range(100)]
             writer.write(b"".join(request(name) for name in names))
@@ -263,7 +263,7 @@
     """Guards the deadline: a request pipelined behind another one got its full timeout again."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(request("long", b"400") + request("short", timeout=200))
             await reader.readuntil(b"did long")
@@ -279,7 +279,7 @@
     removed from the queue, and the next request on the connection was refused as late."""
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, [toy]):
+        async with running_app(tmp_path, stomp="") as (app, [toy]):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.client_listener.port)
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             await reader.readuntil(b"ok\n")
@@ -305,7 +305,7 @@
     monkeypatch.setattr(http_listener, "MAX_EXCESS", 2)
 
     async def run():
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             app.client_listener.connection_limit = 3
             hanging = []
             for number in range(9):
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -8,8 +8,8 @@
 from hazelbend.decisions import discovery_retry
 from hazelbend.protocol.discovery import EndpointListCodec
 from hazelbend.transport.http import discovery_watch
-from tests.support.crossing_kit import turns
-from tests.support.site_kit import host_entry, site, wait_until
+from tests.support.race_kit import yield_to_event_loop
+from tests.support.site_kit import host_entry, running_app, wait_until
 
 
 def list_response(seq: int, is_complete: bool, *names: str) -> bytes:
@@ -283,7 +283,7 @@
         body.set_result((200, list_response(7, True, "old").partition(b"\r\n\r\n")[2]))
         watch.change_address(None, EndpointListCodec((), ()))
         await wait_until(lambda: updates)
-        await turns()
+        await yield_to_event_loop()
         assert [update.seq for update in updates] == [0], "the update of a site without discovery"
         await watch.close()
 
@@ -306,7 +306,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with site(tmp_path, stomp="", discovery=address, membership_mode="push") as (app, _):
+        async with running_app(tmp_path, stomp="", discovery=address, membership_mode="push") as (app, _):
             [backend] = app.router.table.servers.values()
             assert not backend.accepts_work, "before the first client can connect"
             assert app.conf.settings_report.effective["list"] == "pushed on a watch"
--- a/tests/transport/test_dns_client.py
+++ b/tests/transport/test_dns_client.py
@@ -18,13 +18,13 @@
 from hazelbend.dns_discovery.resolver import Query
 from hazelbend.fakes.dns_faults import Fault, FaultKind
 from hazelbend.transport.dns.dns_client import DnsClient
-from tests.support.srv_kit import NAME, nameservers, zone
+from tests.support.srv_kit import SRV_NAME, running_nameservers, zone_file_text
 
 ENDPOINTS = {
     EndpointKey("b1.konya-1.example.org", 7101): SrvPreference(0, 1),
     EndpointKey("b2.konya-1.example.org", 7102): SrvPreference(1, 5),
 }
-ZONE = zone(("b1", 7101), ("b2", 7102, 1, 5))
+ZONE = zone_file_text(("b1", 7101), ("b2", 7102, 1, 5))
 EXPECTED = {
     "truncated": TruncatedAnswer,
     "truncated-always": TruncatedAnswer,
@@ -63,12 +63,12 @@
 
 
 def query_of(query_id, over_tcp=False):
-    return Query(query_id, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=over_tcp, edns=True)
+    return Query(query_id, 0, Question(SRV_NAME, RecordType.SRV), SRV_NAME, over_tcp=over_tcp, edns=True)
 
 
-def query_once(fault, tcp=False, name=NAME, kind=RecordType.SRV, timeout=20.0):
+def query_once(fault, tcp=False, name=SRV_NAME, kind=RecordType.SRV, timeout=20.0):
     async def run():
-        async with nameservers(1, ZONE) as [server]:
+        async with running_nameservers(1, ZONE) as [server]:
             if fault:
                 server.faults = [Fault(fault, delay_s=60.0)]
             host, _, port = server.address.rpartition(":")
@@ -127,11 +127,13 @@
     """Guards against forged answers (RFC 5452): the client waits for the true answer and returns it."""
 
     async def run():
-        async with nameservers(1, ZONE) as [server]:
+        async with running_nameservers(1, ZONE) as [server]:
             server.faults = [Fault("slow", delay_s=0.2)]
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
             query_task = asyncio.create_task(
-                client.query(Query(1, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True))
+                client.query(
+                    Query(1, 0, Question(SRV_NAME, RecordType.SRV), SRV_NAME, over_tcp=False, edns=True)
+                )
             )
             while not server.queries:
                 await asyncio.sleep(0.005)
@@ -145,11 +147,11 @@
 
 def test_ids_ports_and_case_are_random_for_each_query():
     async def run():
-        async with nameservers(1, ZONE) as [server]:
+        async with running_nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
             for number in range(20):
                 await client.query(
-                    Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=False, edns=True)
+                    Query(number, 0, Question(SRV_NAME, RecordType.SRV), SRV_NAME, over_tcp=False, edns=True)
                 )
             return server.queries
 
@@ -159,10 +161,10 @@
 
 def test_tcp_connection_is_shared_by_several_queries():
     async def run():
-        async with nameservers(1, ZONE) as [server]:
+        async with running_nameservers(1, ZONE) as [server]:
             client = DnsClient((("127.0.0.1", int(server.address.rpartition(":")[2])),), 3.0)
             tcp_queries = [
-                Query(number, 0, Question(NAME, RecordType.SRV), NAME, over_tcp=True, edns=True)
+                Query(number, 0, Question(SRV_NAME, RecordType.SRV), SRV_NAME, over_tcp=True, edns=True)
                 for number in range(50)
             ]
             results = await asyncio.gather(*map(client.query, tcp_queries))
@@ -177,12 +179,13 @@
 
 def test_refused_connection_fails_at_once():
     async def run():
-        async with nameservers(1, ZONE) as [server]:
+        async with running_nameservers(1, ZONE) as [server]:
             port = int(server.address.rpartition(":")[2])
         client = DnsClient((("127.0.0.1", port),), 5.0)
-        question = Question(NAME, RecordType.SRV)
+        question = Question(SRV_NAME, RecordType.SRV)
         return [
-            await client.query(Query(1, 0, question, NAME, over_tcp=tcp, edns=True)) for tcp in (False, True)
+            await client.query(Query(1, 0, question, SRV_NAME, over_tcp=tcp, edns=True))
+            for tcp in (False, True)
         ]
 
     for result in asyncio.run(run()):
--- a/tests/transport/test_handover.py
+++ b/tests/transport/test_handover.py
@@ -23,8 +23,8 @@
 )
 from hazelbend.transport.peer import handover
 from hazelbend.transport.peer.handover import Handover
-from tests.support.parser_kit import SEEDS, garbage, survives
-from tests.support.site_kit import FakeStompClient, host_entry, site, wait_until
+from tests.support.parser_kit import SEEDS, assert_raises_only, malformed_bytes
+from tests.support.site_kit import FakeStompClient, host_entry, running_app, wait_until
 from tests.transport.test_client_listener import request, send_and_receive
 
 ENTRIES = (
@@ -132,7 +132,7 @@
     state_bytes, new = orjson.dumps(export_state(dispatcher_with_history(), 4_200_000)), new_dispatcher()
     before = export_state(new, 4_200_000)
     try:
-        learned_state = orjson.loads(garbage(state_bytes, seed))
+        learned_state = orjson.loads(malformed_bytes(state_bytes, seed))
         import_state(new, learned_state if isinstance(learned_state, dict) else {}, 4_200_000)
     except ValueError:
         assert export_state(new, 4_200_000) == before
@@ -149,8 +149,12 @@
 
 @given(SEEDS)
 def test_any_line_is_decoded_or_rejected(seed):
-    survives(lambda line: decode_state(line, CODEC), garbage(encode_state(STATE, CODEC), seed), ValueError)
-    survives(decode_update, garbage(encode_update(JobIdUpdate("9b", True)), seed), ValueError)
+    assert_raises_only(
+        lambda line: decode_state(line, CODEC), malformed_bytes(encode_state(STATE, CODEC), seed), ValueError
+    )
+    assert_raises_only(
+        decode_update, malformed_bytes(encode_update(JobIdUpdate("9b", True)), seed), ValueError
+    )
 
 
 def test_state_and_updates_survive_a_round_trip():
@@ -266,7 +270,7 @@
 
 def test_job_id_open_in_the_other_process_is_rejected(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             full_limit = app.client_listener.connection_limit
             local = Handover(tmp_path / "next", app, lambda: app.conf.reader)
             app.router.is_open_elsewhere, app.router.on_open_ids_changed = (
@@ -298,7 +302,9 @@
             peer = await FakeStompClient.connect(app.stomp.port)
             peer.job("s", b"1")
             await wait_until(lambda: peer.closed)
-            assert "open in another process" in peer.of("ERROR")[0].headers["message"], "over STOMP as well"
+            assert "open in another process" in peer.frames_with_command("ERROR")[0].headers["message"], (
+                "over STOMP as well"
+            )
             remote.broadcast_update("b", False)
             await wait_until(lambda: not local.is_open_elsewhere("b"))
             assert b" 200 " in await send_and_receive(app.client_listener.port, again)
--- a/tests/transport/test_snmp.py
+++ b/tests/transport/test_snmp.py
@@ -27,7 +27,7 @@
 from pysnmp.smi.compiler import add_mib_compiler
 
 from hazelbend.transport.snmp import hazelbend_mib
-from tests.support.site_kit import ROOT, site, wait_until
+from tests.support.site_kit import ROOT, running_app, wait_until
 
 COMMUNITY = "reading-room"
 
@@ -61,7 +61,7 @@
     enable(folder)
 
     async def run():
-        async with site(folder, toys=2, stomp="") as (app, _):
+        async with running_app(folder, server_count=2, stomp="") as (app, _):
             await check(app)
 
     asyncio.run(run())
@@ -179,7 +179,7 @@
     async def run():
         notifications, receiver, port = await listen()
         enable(tmp_path, f'"127.0.0.1:{port}"')
-        async with site(tmp_path, stomp="") as (app, _):
+        async with running_app(tmp_path, stomp="") as (app, _):
             app.router.set_manual_drain("toy-0", True)
             await wait_until(lambda: len(notifications) == 1)
             app.router.set_manual_drain("toy-0", False)
--- a/tests/transport/test_stomp_listener.py
+++ b/tests/transport/test_stomp_listener.py
@@ -8,13 +8,13 @@
 import stomp
 
 from hazelbend.transport.stomp import stomp_session
-from tests.support.parser_kit import garbage, pieces
+from tests.support.parser_kit import malformed_bytes, random_chunks
 from tests.support.site_kit import (
-    SECRET,
-    STOMP,
+    PASSCODE,
+    STOMP_TOML,
     FakeStompClient,
     FakeStompWorker,
-    site,
+    running_app,
     wait_until,
     write_frame,
 )
@@ -51,7 +51,7 @@
 @asynccontextmanager
 async def worker_and_client(folder):
     """Run a site whose only backend is a STOMP worker, with one connected client."""
-    async with site(folder, toys=0) as (app, _):
+    async with running_app(folder, server_count=0) as (app, _):
         worker = await FakeStompWorker.connect(app.stomp.port, "box-1")
         worker.send("SUBSCRIBE", **WORK)
         await wait_until(lambda: app.stomp_workers.connected == 1)
@@ -67,7 +67,7 @@
     """Clients and backends use both protocols; final answers are counted against accepted requests."""
 
     async def run():
-        async with site(tmp_path, toys=1) as (app, [toy]):
+        async with running_app(tmp_path, server_count=1) as (app, [toy]):
             port = app.stomp.port
             worker = await FakeStompWorker.connect(port, "box-1")
             worker.send("SUBSCRIBE", **WORK)
@@ -76,7 +76,7 @@
             leaving = await connect_client(port, "partner")
             leaving.job("gone", b"500", "reserve", tenant="toros-sarj")
             await wait_until(lambda: worker.ran or toy.ran)
-            await leaving.drop()  # its job continues to run
+            await leaving.abort_connection()  # its job continues to run
             bodies = [b"20", b"20 fail", b"20 lose", b"return", b"5 reset", b"hang"]
             plan = [(b, c) for b in bodies for c in ("nearby", "reserve") * 2]
             posts = []
@@ -93,19 +93,19 @@
                 )
                 await wait_until(lambda: app.router.counters.received == 2 * len(posts) + 1)
             statuses = await asyncio.gather(*posts)
-            await wait_until(lambda: len(peer.answers()) == len(plan))
+            await wait_until(lambda: len(peer.statuses_by_request()) == len(plan))
             await wait_until(lambda: not app.router.requests)
             reconnected = await connect_client(port, "partner")
-            await wait_until(lambda: reconnected.answers())
+            await wait_until(lambda: reconnected.statuses_by_request())
             peer.send("DISCONNECT", receipt="last")
             await wait_until(lambda: peer.closed)
 
-            answers = {**peer.answers(), **reconnected.answers()}
+            answers = {**peer.statuses_by_request(), **reconnected.statuses_by_request()}
             assert all(len(job_statuses) == 1 for job_statuses in answers.values()), answers
             assert len(answers) + len(statuses) == app.router.counters.received
             assert sum(app.router.counters.verdicts.values()) == app.router.counters.received
-            assert len(peer.of("RECEIPT")) == len(plan) + 1
-            assert answers["gone"] == ["served"] and leaving.answers() == {}
+            assert len(peer.frames_with_command("RECEIPT")) == len(plan) + 1
+            assert answers["gone"] == ["served"] and leaving.statuses_by_request() == {}
             served = statuses.count(200) + sum(
                 job_statuses == ["served"] for job_statuses in answers.values()
             )
@@ -129,24 +129,24 @@
 
 def test_answer_is_redelivered_with_its_message_id_until_acknowledged(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             first = await connect_client(app.stomp.port, ack="client-individual")
             first.job("one", b"1")
-            await wait_until(lambda: first.answers())
-            sent = first.of("MESSAGE")[0]
-            await first.drop()
+            await wait_until(lambda: first.statuses_by_request())
+            sent = first.frames_with_command("MESSAGE")[0]
+            await first.abort_connection()
             second = await connect_client(app.stomp.port, ack="client-individual")
-            await wait_until(lambda: second.answers())
-            again = second.of("MESSAGE")[0]
+            await wait_until(lambda: second.statuses_by_request())
+            again = second.frames_with_command("MESSAGE")[0]
             assert again.headers["message-id"] == sent.headers["message-id"]
             assert again.body == sent.body
             second.send("ACK", id=again.headers["ack"], receipt="acked")
-            await wait_until(lambda: second.of("RECEIPT"))
-            await second.drop()
+            await wait_until(lambda: second.frames_with_command("RECEIPT"))
+            await second.abort_connection()
             third = await connect_client(app.stomp.port, ack="client-individual")
             third.job("one", b"1", receipt="sent")  # the id is known: it attaches and is not run again
-            await wait_until(lambda: third.answers())
-            assert third.of("MESSAGE")[0].body == sent.body
+            await wait_until(lambda: third.statuses_by_request())
+            assert third.frames_with_command("MESSAGE")[0].body == sent.body
             assert len(toy.ran) == app.router.counters.received == 1
 
     asyncio.run(run())
@@ -156,29 +156,29 @@
     """Guards against deleting an empty mailbox whose connected client then sends its first job."""
 
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             quiet = await FakeStompClient.connect(app.stomp.port)
             await connect_client(app.stomp.port, client_id="another")
             quiet.job("one", b"1", receipt="taken")
-            await wait_until(lambda: quiet.of("RECEIPT"))
-            await quiet.drop()
+            await wait_until(lambda: quiet.frames_with_command("RECEIPT"))
+            await quiet.abort_connection()
             reconnected = await connect_client(app.stomp.port)
-            await wait_until(lambda: reconnected.answers())
-            assert reconnected.answers() == {"one": ["served"]}
+            await wait_until(lambda: reconnected.statuses_by_request())
+            assert reconnected.statuses_by_request() == {"one": ["served"]}
 
     asyncio.run(run())
 
 
 def test_repeated_send_attaches_to_the_running_job(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             peer = await connect_client(app.stomp.port)
             for _ in range(3):
                 peer.job("one", b"100", "reserve", key="k")
-            await wait_until(lambda: peer.answers())
+            await wait_until(lambda: peer.statuses_by_request())
             peer.send("DISCONNECT", receipt="end")
             await wait_until(lambda: peer.closed)
-            assert peer.answers() == {"one": ["served"]}
+            assert peer.statuses_by_request() == {"one": ["served"]}
             assert len(toy.ran) == 1
 
     asyncio.run(run())
@@ -186,14 +186,14 @@
 
 def test_deadline_is_answered_before_the_client_times_out(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             peer = await connect_client(app.stomp.port)
             peer.job("late", b"hang", "reserve", deadline="300")
             await wait_until(lambda: app.router.requests)
             accepted = list(app.router.requests.values())
-            await wait_until(lambda: peer.answers())
-            assert peer.answers() == {"late": ["failed"]}
-            assert peer.of("MESSAGE")[0].headers["reason"] == "deadline"
+            await wait_until(lambda: peer.statuses_by_request())
+            assert peer.statuses_by_request() == {"late": ["failed"]}
+            assert peer.frames_with_command("MESSAGE")[0].headers["reason"] == "deadline"
             [open_request] = accepted
             assert open_request.job.timeout_us < 300_000, (
                 "part of the client's timeout is reserved for the response"
@@ -209,9 +209,9 @@
             assert server.entry.started_at > app.router.started_at, "a worker that connects is in slow start"
             peer.job("one", b"hang", "reserve")
             await wait_until(lambda: worker.ran)
-            await worker.drop()
-            await wait_until(lambda: peer.answers())
-            assert peer.answers() == {"one": ["failed"]}, "it may have run, so it is not refused"
+            await worker.abort_connection()
+            await wait_until(lambda: peer.statuses_by_request())
+            assert peer.statuses_by_request() == {"one": ["failed"]}, "it may have run, so it is not refused"
             assert not app.router.table.servers
 
     asyncio.run(run())
@@ -225,8 +225,8 @@
             worker.send("UNSUBSCRIBE", id="w")
             await wait_until(lambda: not next(iter(app.router.table.servers.values())).accepts_work)
             peer.job("second", b"20", deadline="300")
-            await wait_until(lambda: len(peer.answers()) == 2)
-            assert peer.answers() == {"first": ["served"], "second": ["refused"]}
+            await wait_until(lambda: len(peer.statuses_by_request()) == 2)
+            assert peer.statuses_by_request() == {"first": ["served"], "second": ["refused"]}
             assert len(worker.ran) == 1
 
     asyncio.run(run())
@@ -242,11 +242,11 @@
             second = await FakeStompWorker.connect(app.stomp.port, "box-1")
             second.send("SUBSCRIBE", **WORK)
             await wait_until(lambda: worker.closed)
-            assert "taken its place" in worker.of("ERROR")[0].headers["message"]
+            assert "taken its place" in worker.frames_with_command("ERROR")[0].headers["message"]
             peer.job("two", b"1")
-            await wait_until(lambda: len(peer.answers()) == 2)
+            await wait_until(lambda: len(peer.statuses_by_request()) == 2)
             # The first job was reset; its retry may use a backend of the same zone, and it did.
-            assert peer.answers() == {"one": ["failed"], "two": ["served"]}
+            assert peer.statuses_by_request() == {"one": ["failed"], "two": ["served"]}
             assert worker.ran[0] in second.ran and len(second.ran) == 2
             assert app.stomp_workers.connected == 1
 
@@ -255,14 +255,14 @@
 
 def test_garbage_on_the_socket_does_no_harm(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             hello = write_frame(
-                "CONNECT", {"accept-version": "1.2", "login": "dashboard", "passcode": SECRET}
+                "CONNECT", {"accept-version": "1.2", "login": "dashboard", "passcode": PASSCODE}
             )
             subscribe = write_frame("SUBSCRIBE", ANSWERS)
             for seed in range(40):
                 reader, writer = await asyncio.open_connection("127.0.0.1", app.stomp.port)
-                for chunk in pieces(hello + garbage(subscribe * 2, seed), seed):
+                for chunk in random_chunks(hello + malformed_bytes(subscribe * 2, seed), seed):
                     writer.write(chunk)
                 writer.write_eof()
                 answer = await asyncio.wait_for(reader.read(), 10)
@@ -302,14 +302,14 @@
 
 def test_unsupported_frame_gets_an_error_and_a_close(tmp_path):
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             for message, (command, headers) in rejected_frames().items():
                 peer = await connect_client(app.stomp.port)
                 peer.send(command, receipt="r", **headers)
                 await wait_until(lambda peer=peer: peer.closed)
-                [error] = peer.of("ERROR")
+                [error] = peer.frames_with_command("ERROR")
                 assert message in error.headers["message"]
-                assert not peer.of("RECEIPT")
+                assert not peer.frames_with_command("RECEIPT")
             unauthenticated = await FakeStompClient.connect(app.stomp.port, "dashboard", passcode="guess")
             await wait_until(lambda: unauthenticated.closed)
             assert [frame.command for frame in unauthenticated.frames] == ["ERROR"]
@@ -318,7 +318,7 @@
             other = await connect_client(app.stomp.port, "partner")
             other.job("1", tenant="ege-volt")
             await wait_until(lambda: other.closed)
-            assert "may not send for that tenant" in other.of("ERROR")[0].headers["message"]
+            assert "may not send for that tenant" in other.frames_with_command("ERROR")[0].headers["message"]
             assert app.router.counters.received == 0
 
     asyncio.run(run())
@@ -327,16 +327,18 @@
 def test_full_mailbox_refuses_jobs_and_silent_client_is_disconnected(tmp_path):
     async def run():
         settings = "waiting = 1\nheart_beat_in_ms = 50\n"
-        async with site(tmp_path, stomp=STOMP.replace("[[client]]", settings + "[[client]]", 1)) as (app, _):
+        async with running_app(
+            tmp_path, stomp=STOMP_TOML.replace("[[client]]", settings + "[[client]]", 1)
+        ) as (app, _):
             peer = await connect_client(app.stomp.port)
             peer.job("one", b"100")
             peer.job("two", b"100")
-            await wait_until(lambda: len(peer.answers()) == 2)
-            assert peer.answers() == {"one": ["served"], "two": ["refused"]}
-            assert float(peer.of("MESSAGE")[0].headers["retry-after"]) > 0
+            await wait_until(lambda: len(peer.statuses_by_request()) == 2)
+            assert peer.statuses_by_request() == {"one": ["served"], "two": ["refused"]}
+            assert float(peer.frames_with_command("MESSAGE")[0].headers["retry-after"]) > 0
             silent = await connect_client(app.stomp.port, heart_beat="50,50")
             await wait_until(lambda: silent.closed)
-            assert "nothing came in time" in silent.of("ERROR")[0].headers["message"]
+            assert "nothing came in time" in silent.frames_with_command("ERROR")[0].headers["message"]
 
     asyncio.run(run())
 
@@ -345,35 +347,35 @@
     """Guards memory: a client may use many identities, each with its own mailbox."""
 
     async def run():
-        text = STOMP.replace("[[client]]", "total_bytes = 65536\n[[client]]", 1)
-        async with site(tmp_path, stomp=text) as (app, _):
+        text = STOMP_TOML.replace("[[client]]", "total_bytes = 65536\n[[client]]", 1)
+        async with running_app(tmp_path, stomp=text) as (app, _):
             first, second = (
                 await connect_client(app.stomp.port),
                 await connect_client(app.stomp.port, client_id="b"),
             )
             first.job("one", b"1 ".ljust(60_000))
-            await wait_until(lambda: first.answers())  # the bytes of its job are released
+            await wait_until(lambda: first.statuses_by_request())  # the bytes of its job are released
             second.job("two", b"hang ".ljust(65_500), deadline="1000")
             await wait_until(lambda: app.router.requests)
             first.job("three", b"1 ".ljust(100))
-            await wait_until(lambda: len(first.answers()) == 2 and second.answers())
-            assert first.answers() == {"one": ["served"], "three": ["refused"]}
+            await wait_until(lambda: len(first.statuses_by_request()) == 2 and second.statuses_by_request())
+            assert first.statuses_by_request() == {"one": ["served"], "three": ["refused"]}
             first.job("four", b"1 ".ljust(60_000))
-            await wait_until(lambda: len(first.answers()) == 3)
-            assert first.answers()["four"] == ["served"]
+            await wait_until(lambda: len(first.statuses_by_request()) == 3)
+            assert first.statuses_by_request()["four"] == ["served"]
 
     asyncio.run(run())
 
 
 def test_client_that_does_not_read_is_disconnected(tmp_path):
     async def run():
-        text = STOMP.replace("[[client]]", "write_limit = 65536\n[[client]]", 1)
-        async with site(tmp_path, stomp=text) as (app, _):
+        text = STOMP_TOML.replace("[[client]]", "write_limit = 65536\n[[client]]", 1)
+        async with running_app(tmp_path, stomp=text) as (app, _):
             _reader, writer = await asyncio.open_connection("127.0.0.1", app.stomp.port, limit=1_024)
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             writer.transport.pause_reading()
-            hello = {"accept-version": "1.2", "login": "dashboard", "passcode": SECRET}
+            hello = {"accept-version": "1.2", "login": "dashboard", "passcode": PASSCODE}
             writer.write(
                 write_frame("CONNECT", hello) + write_frame("SUBSCRIBE", ANSWERS | {"ack": "client"})
             )
@@ -402,14 +404,14 @@
     def send_job(port, kind, number):
         listener, connection = RecordingListener(), kind([("127.0.0.1", port)], heartbeats=(1_000, 1_000))
         connection.set_listener("", listener)
-        connection.connect("dashboard", SECRET, wait=True, headers={"client-id": str(number)})
+        connection.connect("dashboard", PASSCODE, wait=True, headers={"client-id": str(number)})
         connection.subscribe("/hazelbend/answers", id="1", ack="client-individual")
         headers = {"class": "reserve", "tenant": "ege-volt", "request-id": "a:b\\c", "key": "üsküdar"}
         connection.send("/hazelbend/jobs", "1", headers=headers, receipt="taken")
         return listener, connection
 
     async def run():
-        async with site(tmp_path) as (app, [toy]):
+        async with running_app(tmp_path) as (app, [toy]):
             for number, kind in enumerate((stomp.Connection11, stomp.Connection12)):
                 listener, connection = await asyncio.to_thread(send_job, app.stomp.port, kind, number)
                 await wait_until(lambda listener=listener: listener.messages)
@@ -434,13 +436,17 @@
     """Guards the connection limit: silent connections once used up all of it for 10 s."""
 
     async def run():
-        text = STOMP.replace("[[client]]", "connections = 3\n[[client]]", 1)
-        async with site(tmp_path, stomp=text) as (app, _):
+        text = STOMP_TOML.replace("[[client]]", "connections = 3\n[[client]]", 1)
+        async with running_app(tmp_path, stomp=text) as (app, _):
             authenticated = await FakeStompClient.connect(app.stomp.port)
             silent = [await asyncio.open_connection("127.0.0.1", app.stomp.port) for _ in range(8)]
             await wait_until(lambda: app.stomp.connections == 3)
             peer = await FakeStompClient.connect(app.stomp.port, "partner")
-            assert peer.of("CONNECTED") and not authenticated.closed and app.stomp.connections <= 3
+            assert (
+                peer.frames_with_command("CONNECTED")
+                and not authenticated.closed
+                and app.stomp.connections <= 3
+            )
             assert b"others wait" in await asyncio.wait_for(silent[0][0].read(), 10)
             for _, writer in silent:
                 writer.close()
@@ -453,7 +459,7 @@
     monkeypatch.setattr(stomp_session, "CONNECT_TIMEOUT_S", 0.05)
 
     async def run():
-        async with site(tmp_path) as (app, _):
+        async with running_app(tmp_path) as (app, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", app.stomp.port)
             writer.write(b"CONNECT\nlogin:dash")
             assert b"no CONNECT came in time" in await asyncio.wait_for(reader.read(), 10)
--- a/tests/transport/test_storage_power_loss.py
+++ b/tests/transport/test_storage_power_loss.py
@@ -109,7 +109,7 @@
     store = FleetStore(disk.root / "data" / "fleet")
     store.open("@10.0.0.1:7")
     store.replace(encoded_state(1))
-    disk.fails_at = len(disk.calls) + step
+    disk.failing_call_index = len(disk.calls) + step
     calls = len(disk.calls)
     try:
         store.append(encoded_frame(2))
@@ -130,7 +130,7 @@
     store.replace(encoded_state(1))
     store._rewrite_above = 10
     assert store.append(encoded_frame(2))
-    disk.fails_at = len(disk.calls) + 1  # the first write of the new file
+    disk.failing_call_index = len(disk.calls) + 1  # the first write of the new file
     with pytest.raises(StateNotRewrittenError):
         store.replace(encoded_state(2))
     assert not (disk.root / "data" / "fleet" / fleet_store.NEW_STATE_FILE).exists()
