--- a/tests/golden/golden_kit.py
+++ b/tests/golden/golden_kit.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Form:
+class Codec:
     """`read` gives a value of the program's own types, or raises msgspec.DecodeError."""
 
     read: Callable[[bytes], Any]
@@ -61,91 +61,94 @@
     decode: Callable[[bytes], Any] = msgspec.msgpack.decode  # to plain values
 
 
-def msgpack_form(kind: Any) -> Form:
-    return Form(msgspec.msgpack.Decoder(kind).decode, msgspec.msgpack.Encoder().encode)
+def msgpack_codec(kind: Any) -> Codec:
+    return Codec(msgspec.msgpack.Decoder(kind).decode, msgspec.msgpack.Encoder().encode)
 
 
-def json_form(read: Callable[[bytes], Any], write: Callable[[Any], bytes] = msgspec.json.encode) -> Form:
-    return Form(read, write, msgspec.json.encode, msgspec.json.decode)
+def json_codec(read: Callable[[bytes], Any], write: Callable[[Any], bytes] = msgspec.json.encode) -> Codec:
+    return Codec(read, write, msgspec.json.encode, msgspec.json.decode)
 
 
-def quota_machine(content: bytes) -> ledger.QuotaLedger:
+def restore_quota_ledger(content: bytes) -> ledger.QuotaLedger:
     machine = ledger.QuotaLedger(QuotaParameters())
     machine.restore(content)
     return machine
 
 
-def srv_snapshot(content: bytes) -> snapshot.Snapshot:
+def decode_srv_snapshot(content: bytes) -> snapshot.Snapshot:
     """Of a whole file, or of its body alone, as in the state that an upgrade hands over."""
     value = msgspec.json.decode(content)
     return snapshot.decode(content) if "digest" in value else snapshot.from_object(value)
 
 
 # It gives numbers to names that it meets, so what one has read the same one writes.
-LISTS = EndpointListCodec(("east", "west"), ("small", "large"))
+ENDPOINT_LIST_CODEC = EndpointListCodec(("east", "west"), ("small", "large"))
 
 
-def lease_machine(content: bytes) -> lease_table.LeaseTable:
+def restore_lease_table(content: bytes) -> lease_table.LeaseTable:
     machine = lease_table.LeaseTable(lease_table.LeaseLimits())
     machine.restore(content)
     return machine
 
 
-def configuration_machine(content: bytes) -> config_state_machine.ConfigStateMachine:
+def restore_config_machine(content: bytes) -> config_state_machine.ConfigStateMachine:
     machine = config_state_machine.ConfigStateMachine()
     machine.restore(content)
     return machine
 
 
 # The only place where these tests name types of the program.
-FORMS = {
-    "control_message": Form(messages.decode, messages.encode),
-    "soft_state": Form(messages.decode_soft_state, messages.encode_soft_state),
-    "log_body": msgpack_form(log_messages.Body),
-    "packet_body": msgpack_form(gossip_messages.PacketBody),
-    "log_transfer": Form(log_messages.decode_transfer, log_messages.encode_transfer),
-    "fleet_tell": msgpack_form(tuple[tuple[gossip_messages.Packet, ...], tuple[log_messages.Message, ...]]),
-    "fleet_reply": msgpack_form(lease_node.Reply),
-    "fleet_view": msgpack_form(views.FleetView),
-    "lease_operation": Form(
+CODECS = {
+    "control_message": Codec(messages.decode, messages.encode),
+    "soft_state": Codec(messages.decode_soft_state, messages.encode_soft_state),
+    "log_body": msgpack_codec(log_messages.Body),
+    "packet_body": msgpack_codec(gossip_messages.PacketBody),
+    "log_transfer": Codec(log_messages.decode_transfer, log_messages.encode_transfer),
+    "fleet_tell": msgpack_codec(tuple[tuple[gossip_messages.Packet, ...], tuple[log_messages.Message, ...]]),
+    "fleet_reply": msgpack_codec(lease_node.Reply),
+    "fleet_view": msgpack_codec(views.FleetView),
+    "lease_operation": Codec(
         msgspec.msgpack.Decoder(lease_operations.Operation).decode, lease_operations.encode
     ),
-    "lease_answer": msgpack_form(lease_operations.LeaseResponse),
-    "lease_snapshot": Form(lease_machine, lambda machine: machine.snapshot()),
-    "memory_part": msgpack_form(state_codec.HardState | state_codec.LogEntries | state_codec.Snapshot),
-    "log_entry": msgpack_form(log_messages.Entry),
-    "configuration_entry": msgpack_form(
+    "lease_answer": msgpack_codec(lease_operations.LeaseResponse),
+    "lease_snapshot": Codec(restore_lease_table, lambda machine: machine.snapshot()),
+    "memory_part": msgpack_codec(state_codec.HardState | state_codec.LogEntries | state_codec.Snapshot),
+    "log_entry": msgpack_codec(log_messages.Entry),
+    "configuration_entry": msgpack_codec(
         config_state_machine.ConfigChange | config_state_machine.ForceNewCluster
     ),
-    "configuration_snapshot": Form(configuration_machine, lambda machine: machine.snapshot()),
-    "quota_operation": Form(
+    "configuration_snapshot": Codec(restore_config_machine, lambda machine: machine.snapshot()),
+    "quota_operation": Codec(
         msgspec.msgpack.Decoder(quota_operations.Operation).decode, quota_operations.encode
     ),
-    "quota_answer": msgpack_form(quota_operations.QuotaResponse),
-    "quota_snapshot": Form(quota_machine, lambda machine: machine.snapshot()),
-    "srv_snapshot": json_form(srv_snapshot, snapshot.encode),
-    "handover_state": json_form(
-        lambda line: handover.decode_state(line, LISTS), lambda state: handover.encode_state(state, LISTS)
+    "quota_answer": msgpack_codec(quota_operations.QuotaResponse),
+    "quota_snapshot": Codec(restore_quota_ledger, lambda machine: machine.snapshot()),
+    "srv_snapshot": json_codec(decode_srv_snapshot, snapshot.encode),
+    "handover_state": json_codec(
+        lambda line: handover.decode_state(line, ENDPOINT_LIST_CODEC),
+        lambda state: handover.encode_state(state, ENDPOINT_LIST_CODEC),
     ),
-    "handover_news": json_form(handover.decode_update, handover.encode_update),
-    "endpoint_list": json_form(LISTS.decode, lambda found: msgspec.json.encode(LISTS.to_object(found))),
-    "heartbeat": json_form(
+    "handover_news": json_codec(handover.decode_update, handover.encode_update),
+    "endpoint_list": json_codec(
+        ENDPOINT_LIST_CODEC.decode, lambda found: msgspec.json.encode(ENDPOINT_LIST_CODEC.to_object(found))
+    ),
+    "heartbeat": json_codec(
         lambda body: control_calls.parse_heartbeat("w-1", body), lambda record: msgspec.json.encode(record)
     ),
-    "worker_order": json_form(msgspec.json.Decoder(worker_orders.WorkerOrder).decode),
-    "prefill_result": json_form(msgspec.json.Decoder(prefill.PrefillResult).decode),
-    "fleet_snapshot": json_form(msgspec.json.Decoder(fleet_snapshot.Snapshot).decode),
-    "routes": json_form(msgspec.json.Decoder(routes.Configuration).decode),
+    "worker_order": json_codec(msgspec.json.Decoder(worker_orders.WorkerOrder).decode),
+    "prefill_result": json_codec(msgspec.json.Decoder(prefill.PrefillResult).decode),
+    "fleet_snapshot": json_codec(msgspec.json.Decoder(fleet_snapshot.Snapshot).decode),
+    "routes": json_codec(msgspec.json.Decoder(routes.Configuration).decode),
 }
 
 # Their values are state machines: they show what they hold by `snapshot`.
-MACHINES = ("lease_snapshot", "configuration_snapshot", "quota_snapshot")
+STATE_MACHINES = ("lease_snapshot", "configuration_snapshot", "quota_snapshot")
 # What is read is not what is written: a heartbeat becomes a record, a configuration is never written.
-ONE_WAY = ("heartbeat", "routes")
+READ_ONLY = ("heartbeat", "routes")
 # Their values in Python have other names than what is written.
-RENAMED = ("srv_snapshot", "handover_state", "handover_news", "endpoint_list")
+WITH_OTHER_FIELD_NAMES = ("srv_snapshot", "handover_state", "handover_news", "endpoint_list")
 # Of several kinds each, told apart by the key `type`.
-TAGGED_FORMS = {
+TAGGED_UNIONS = {
     "control_message": messages.Body,
     "log_body": log_messages.Body,
     "packet_body": gossip_messages.PacketBody,
@@ -156,9 +159,9 @@
 }
 
 
-def tags_of(form: str) -> list[str]:
+def type_tags(codec_name: str) -> list[str]:
     """What the key `type` may be."""
-    return [kind.__struct_config__.tag for kind in get_args(TAGGED_FORMS[form])]
+    return [kind.__struct_config__.tag for kind in get_args(TAGGED_UNIONS[codec_name])]
 
 
 def epoch_numbers() -> list[int]:
@@ -186,7 +189,7 @@
     "models": ["m-small", "m-large"],
     "cold_left_ms": 2500,
 }
-LEAST_WORKER = {
+MINIMAL_WORKER = {
     "instance": "w-2",
     "service": "chat",
     "address": "127.0.0.1:8002",
@@ -194,7 +197,7 @@
     "state": 0,
     "seq": 0,
 }
-GONE_WORKER = LEAST_WORKER | {"instance": "w-3", "address": "127.0.0.1:8003", "state": 2, "seq": 9}
+GONE_WORKER = MINIMAL_WORKER | {"instance": "w-3", "address": "127.0.0.1:8003", "state": 2, "seq": 9}
 ENTRY = [3, None, b"\x82operation"]
 VOTERS_ENTRY = [4, [N1, N2, N3], b""]
 APPEND = {
@@ -271,7 +274,7 @@
 LOADS = {"w-1": [3, 4096], "w-2": [1], "w-3": []}
 CACHED = [["w-1", "p1", 512], ["w-2", "p2", 64]]
 OUTCOMES = [["w-1", "a", 5, 1, 2], ["w-2", "b"]]
-WORKER_NEWS = {"type": "WorkerNews", "number": 4, "records": [WORKER, LEAST_WORKER, GONE_WORKER]}
+WORKER_NEWS = {"type": "WorkerNews", "number": 4, "records": [WORKER, MINIMAL_WORKER, GONE_WORKER]}
 
 FLEET_VIEW = {
     "fleet": "blue",
@@ -448,7 +451,7 @@
         "LoadNews, least": {"type": "LoadNews", "loads": {}},
     },
     "soft_state": {
-        "full": {"workers": [WORKER, LEAST_WORKER, GONE_WORKER], "cached": CACHED, "routers": 4},
+        "full": {"workers": [WORKER, MINIMAL_WORKER, GONE_WORKER], "cached": CACHED, "routers": 4},
         "least": {"workers": [], "cached": []},
     },
     "log_body": LOG_BODIES,
@@ -632,7 +635,7 @@
 }
 
 # A voter's life as frames of its file, by samples of `memory_part`: each takes effect after the ones before.
-MEMORY_HISTORY: list[dict[str, Any]] = [
+VOTER_HISTORY: list[dict[str, Any]] = [
     {"type": "Promise", "identity": N1, "epoch": 256, "term": 1, "vote": N1},
     {"type": "Base", "index": 0, "term": 0, "voters": [], "state": b""},
     {"type": "Entries", "first": 1, "entries": [[1, [N1], b""], [1, None, b"first"], [1, None, b"lost"]]},
@@ -646,25 +649,25 @@
 TORN_BYTES = 9  # that the last frame lacks in the torn file
 
 
-def written(form: str, plain: Any) -> bytes:
+def re_encode(codec_name: str, plain: Any) -> bytes:
     """What the program writes after it has read this."""
-    reader_writer = FORMS[form]
-    return reader_writer.write(reader_writer.read(reader_writer.encode(plain)))
+    codec = CODECS[codec_name]
+    return codec.write(codec.read(codec.encode(plain)))
 
 
-def as_text(plain: Any) -> Any:
+def json_compatible(plain: Any) -> Any:
     """For a JSON file: bytes in base 64, by the one key `base64`."""
     if isinstance(plain, bytes):
         return {"base64": base64.b64encode(plain).decode()}
     if isinstance(plain, dict):
-        return {str(key): as_text(value) for key, value in plain.items()}
+        return {str(key): json_compatible(value) for key, value in plain.items()}
     if isinstance(plain, list | tuple):
-        return [as_text(value) for value in plain]
+        return [json_compatible(value) for value in plain]
     return plain
 
 
-def history_file() -> bytes:
-    parts = [FORMS["memory_part"].read(msgspec.msgpack.encode(part)) for part in MEMORY_HISTORY]
+def encoded_history() -> bytes:
+    parts = [CODECS["memory_part"].read(msgspec.msgpack.encode(part)) for part in VOTER_HISTORY]
     return state_codec.MAGIC + b"".join(map(state_codec.encode_frame, parts))
 
 
@@ -676,7 +679,7 @@
     return json.loads((GOLDEN / f"{name}.json").read_text())
 
 
-def store_rows(folder: Path) -> dict[str, Any]:
+def database_rows(folder: Path) -> dict[str, Any]:
     """Schema and content of a control process's database."""
     connection = sqlite3.connect(folder / "control.db")
     try:
@@ -694,38 +697,38 @@
 def write_all() -> None:
     print("written with", hazelbend.__file__)
     GOLDEN.mkdir(parents=True, exist_ok=True)
-    for form, samples in SAMPLES.items():
+    for codec_name, samples in SAMPLES.items():
         found = {}
         for name, plain in samples.items():
-            content = written(form, plain)
+            content = re_encode(codec_name, plain)
             found[name] = {
-                "read": FORMS[form].encode(plain).hex(),
+                "read": CODECS[codec_name].encode(plain).hex(),
                 "written": content.hex(),
-                "plain": as_text(FORMS[form].decode(content)),
+                "plain": json_compatible(CODECS[codec_name].decode(content)),
             }
-        save_json(form, found)
+        save_json(codec_name, found)
 
-    history = history_file()
+    history = encoded_history()
     (GOLDEN / "memory").write_bytes(history)
     (GOLDEN / "memory.torn").write_bytes(history[:-TORN_BYTES])
     (GOLDEN / "memory.whole").write_bytes(state_codec.encode_state(state_codec.decode_state(history)[0]))
 
     async def store(folder: Path) -> None:
         control_store = ControlStore(folder)
-        for part in MEMORY_HISTORY:
-            await control_store.save([FORMS["memory_part"].read(msgspec.msgpack.encode(part))], 4)
+        for part in VOTER_HISTORY:
+            await control_store.save([CODECS["memory_part"].read(msgspec.msgpack.encode(part))], 4)
         await control_store.close()
 
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         asyncio.run(store(folder))
         shutil.copy(folder / "control.db", GOLDEN / "control.db")
-        save_json("control_db", as_text(store_rows(folder)))
+        save_json("control_db", json_compatible(database_rows(folder)))
 
-    write_soft_state(GOLDEN / "soft_state.file", written("soft_state", SAMPLES["soft_state"]["full"]))
+    write_soft_state(GOLDEN / "soft_state.file", re_encode("soft_state", SAMPLES["soft_state"]["full"]))
 
     registry = workers.WorkerRegistry(1_000_000)
-    for record in FORMS["control_message"].read(msgspec.msgpack.encode(WORKER_NEWS)).records:
+    for record in CODECS["control_message"].read(msgspec.msgpack.encode(WORKER_NEWS)).records:
         registry.merge(record, 5_000_000)
     entry = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, b'{"version": 7}'))
     entry.pop("body")
@@ -734,7 +737,7 @@
         {
             "worker_digest": registry.digest,
             "change_digest": config_state_machine.digest_of(6, b'{"version": 7}').hex(),
-            "change_entry": as_text(entry),
+            "change_entry": json_compatible(entry),
             "cache_head": messages.CacheUpdate.from_prefixes({}).body[:2].hex(),
             "epochs": epoch_numbers(),
         },
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -31,8 +31,7 @@
 from hazelbend.control.load_table import CachedPrefix, Load
 from hazelbend.control.phase_planner import PhasePlanner
 from hazelbend.control.workers import WorkerRecord, WorkerState
-from hazelbend.decisions import interface as face
-from hazelbend.decisions import learned_state
+from hazelbend.decisions import interface, learned_state
 from hazelbend.decisions.dispatcher import Dispatcher
 from hazelbend.gossip.messages import Packet
 from hazelbend.job_queue import terms
@@ -47,12 +46,12 @@
 from hazelbend.quotas import operations as quota_operations
 from hazelbend.system.control_status import control_status
 from tests.golden import golden_kit as kit
-from tests.golden.golden_shown import values_of
+from tests.golden.golden_shown import plain_values
 
-RUNS = kit.GOLDEN / "runs.json"
+RUNS_FILE = kit.GOLDEN / "runs.json"
 MS, S = 1_000, 1_000_000
 CHECKPOINTS = 8
-DIGITS = 9  # of a number with a point: libraries of mathematics differ beyond
+SIGNIFICANT_DIGITS = 9  # of a number with a point: libraries of mathematics differ beyond
 
 
 class Trace:
@@ -62,8 +61,8 @@
         self.steps: list[str] = []
         self._digest = blake2b(digest_size=8)
 
-    def add(self, *said: Any) -> None:
-        text = json.dumps([shown(each) for each in said]).encode()
+    def add(self, *values: Any) -> None:
+        text = json.dumps([to_json_value(each) for each in values]).encode()
         self._digest.update(text)
         self.steps.append(self._digest.hexdigest())
 
@@ -73,13 +72,13 @@
         return {"steps": count, "checkpoints": {str(place + 1): self.steps[place] for place in places}}
 
 
-def shown(value: Any) -> Any:
+def to_json_value(value: Any) -> Any:
     if isinstance(value, bytes):
         return value.hex()
-    return rounded(values_of(value))
+    return floats_to_text(plain_values(value))
 
 
-def next_draws(*owners: Any) -> list[float]:
+def next_random_values(*owners: Any) -> list[float]:
     """What the generators of these would draw next: it tells whether each draw was made."""
     found = []
     for owner in owners:
@@ -92,13 +91,13 @@
     return found
 
 
-def rounded(value: Any) -> Any:
+def floats_to_text(value: Any) -> Any:
     if isinstance(value, float):
-        return f"{value:.{DIGITS}g}"
+        return f"{value:.{SIGNIFICANT_DIGITS}g}"
     if isinstance(value, list):
-        return [rounded(each) for each in value]
+        return [floats_to_text(each) for each in value]
     if isinstance(value, dict):
-        return {key: rounded(each) for key, each in value.items()}
+        return {key: floats_to_text(each) for key, each in value.items()}
     return value
 
 
@@ -113,14 +112,22 @@
 
     messages.encode = recorded
     try:
-        played = history.play(5, length=10 * S)
+        recorded_history = history.play(5, length=10 * S)
     finally:
         messages.encode = encode
-    trace.add([played.changes, played.reads, played.drains, played.orders, played.messages])
+    trace.add(
+        [
+            recorded_history.changes,
+            recorded_history.reads,
+            recorded_history.drains,
+            recorded_history.orders,
+            recorded_history.messages,
+        ]
+    )
     return trace
 
 
-def control_answers() -> list[Any]:
+def control_status_pages() -> list[Any]:
     """What `GET /status` of each control process tells, some seconds after the start; one is cut off."""
     fleet = control_fleet.Fleet(3, machines=4, observers=1)
     fleet.run(8 * S)
@@ -148,30 +155,30 @@
 def quota_run() -> Trace:
     """Dispatchers that draw units from a book, which loses and gets requests late."""
     trace = Trace()
-    world = quota_sim.QuotaSimulation(4, quota_sim.fault_scenario(3, ""))
-    do = world.ledger.execute
+    simulation = quota_sim.QuotaSimulation(4, quota_sim.fault_scenario(3, ""))
+    execute = simulation.ledger.execute
 
     def recorded(operation: Any) -> Any:
-        answer = do(operation)
+        answer = execute(operation)
         trace.add(quota_operations.encode(operation), answer)
         return answer
 
-    world.ledger.execute = recorded  # type: ignore[method-assign]
-    world.run(20 * S)
-    trace.add(world.ledger.snapshot())
+    simulation.ledger.execute = recorded  # type: ignore[method-assign]
+    simulation.run(20 * S)
+    trace.add(simulation.ledger.snapshot())
     return trace
 
 
 def fleet_run() -> Trace:
     """Four members that share leases on a network that loses; leaders hand over and stop, one leaves."""
-    trace, chance, now = Trace(), random.Random(8), 0
+    trace, rng, now = Trace(), random.Random(8), 0
     addresses = [f"127.0.0.{n}:9100" for n in range(1, 5)]
     limits = lease_table.LeaseLimits(min_ttl_us=200 * MS, max_ttl_us=2 * S)
     settings_ = LeaseNodeSettings("blue", tuple(addresses[:2]), 3, limits)
     fleets = {address: LeaseNode(f"n{n}@{address}", settings_, n, 0) for n, address in enumerate(addresses)}
-    on_the_way: list[tuple[int, int, str, bytes, bool]] = []
+    in_flight: list[tuple[int, int, str, bytes, bool]] = []
     packets = msgspec.msgpack.Decoder(Packet)
-    log_messages = kit.FORMS["fleet_tell"]
+    log_messages = kit.CODECS["fleet_tell"]
     encode = msgspec.msgpack.encode
     number = 0
 
@@ -184,10 +191,10 @@
         for to, item in out:
             content = encode(item)
             trace.add(to, content)
-            if chance.random() > 0.03:
+            if rng.random() > 0.03:
                 number += 1
-                at = now + chance.randrange(1 * MS, 40 * MS)
-                heapq.heappush(on_the_way, (at, number, to, content, isinstance(item, Packet)))
+                at = now + rng.randrange(1 * MS, 40 * MS)
+                heapq.heappush(in_flight, (at, number, to, content, isinstance(item, Packet)))
 
     tokens: dict[str, int] = {}
     for step in range(3_000):
@@ -203,8 +210,8 @@
             last = next(address for address in fleets if address not in leading)
             fleets[last].leave(now)
             flush(last)
-        while on_the_way and on_the_way[0][0] <= now:
-            _, _, to, content, is_packet = heapq.heappop(on_the_way)
+        while in_flight and in_flight[0][0] <= now:
+            _, _, to, content, is_packet = heapq.heappop(in_flight)
             if to in fleets:
                 item = (
                     packets.decode(content)
@@ -214,10 +221,10 @@
                 fleets[to].receive(item, now)
                 flush(to)
         if step % 29 == 7:  # less often than heartbeats, which wait for the next message
-            address = chance.choice(leading or sorted(fleets))
-            name = f"lease-{chance.randrange(3)}"
-            holder = f"h{chance.randrange(4)}"
-            operation = chance.choice(
+            address = rng.choice(leading or sorted(fleets))
+            name = f"lease-{rng.randrange(3)}"
+            holder = f"h{rng.randrange(4)}"
+            operation = rng.choice(
                 [
                     lease_operations.Acquire(name, holder, step // 400, 1_500 * MS, 900 * MS),
                     lease_operations.Acquire(name, holder, step // 400, 1_800 * MS),
@@ -236,17 +243,19 @@
                 tokens[name] = max(tokens.get(name, 0), lease.token)
     for fleet in fleets.values():
         trace.add(encode(fleet.view(now)), state_codec.encode_state(fleet.raft.persistent))
-        trace.add(next_draws(fleet.members, fleet.raft))
+        trace.add(next_random_values(fleet.members, fleet.raft))
     return trace
 
 
-def settings(**more: Any) -> face.Settings:
+def settings(**more: Any) -> interface.Settings:
     classes = (
-        face.JobClass(200 * MS, 1.0, 1.0, 0.5, face.Idempotency.SAFE),
-        face.JobClass(400 * MS, 0.0, 3.0, 0.0, face.Idempotency.KEYED, face.DedupScope.ZONE, 2 * S),
-        face.JobClass(300 * MS, 0.0, 2.0, 0.2, face.Idempotency.UNSAFE, machine_kind=1),
+        interface.JobClass(200 * MS, 1.0, 1.0, 0.5, interface.Idempotency.SAFE),
+        interface.JobClass(
+            400 * MS, 0.0, 3.0, 0.0, interface.Idempotency.KEYED, interface.DedupScope.ZONE, 2 * S
+        ),
+        interface.JobClass(300 * MS, 0.0, 2.0, 0.2, interface.Idempotency.UNSAFE, machine_kind=1),
     )
-    return face.Settings(
+    return interface.Settings(
         fleet_size=2, classes=classes, collapse_window=500 * MS, warmup_duration=4 * S, **more
     )
 
@@ -259,62 +268,66 @@
 }
 
 
-def dispatcher_run(conf: face.Settings) -> Trace:
+def dispatcher_run(conf: interface.Settings) -> Trace:
     """One dispatcher before ten workers; some are cold, slow, or fail. Workers run four jobs at once."""
-    trace, chance, now, number = Trace(), random.Random(3), 1 * S, 0
+    trace, rng, now, number = Trace(), random.Random(3), 1 * S, 0
     dispatcher = Dispatcher(conf, 7)
-    later: list[tuple[int, int, Any]] = []
+    scheduled: list[tuple[int, int, Any]] = []
     busy = dict.fromkeys(range(1, 11), 0)
     attempts: dict[int, int] = {}
 
     def at(delay: int, event: Any) -> None:
         nonlocal number
         number += 1
-        heapq.heappush(later, (now + max(delay, 0), number, event))
+        heapq.heappush(scheduled, (now + max(delay, 0), number, event))
 
-    def load(worker: int) -> face.LoadReport:
+    def load(worker: int) -> interface.LoadReport:
         held = busy[worker]
-        return face.LoadReport(float(held), float(max(held - 4, 0)), float(max(4 - held, 0)))
+        return interface.LoadReport(float(held), float(max(held - 4, 0)), float(max(4 - held, 0)))
 
     def sent(send: Any) -> None:
         attempt = attempts.get(send.request, 0)
         attempts[send.request] = attempt + 1
         busy[send.worker] += 1
-        drawn, run = chance.random(), chance.randrange(40 * MS, 200 * MS) * (1 + busy[send.worker] // 4)
-        outcome = face.Outcome.SERVED
+        drawn, run = rng.random(), rng.randrange(40 * MS, 200 * MS) * (1 + busy[send.worker] // 4)
+        outcome = interface.Outcome.SERVED
         if drawn < 0.1 and send.worker % 3 == 0:
-            outcome = chance.choice([face.Outcome.ERROR, face.Outcome.RESET, face.Outcome.CONNECT_FAILED])
+            outcome = rng.choice(
+                [interface.Outcome.ERROR, interface.Outcome.RESET, interface.Outcome.CONNECT_FAILED]
+            )
         elif busy[send.worker] > 9:
-            outcome, run = face.Outcome.FULL, 5 * MS
+            outcome, run = interface.Outcome.FULL, 5 * MS
         elif drawn > 0.97:
             run += 1 * S
         if send.timeout and run > send.timeout:
-            outcome, run = face.Outcome.TIMED_OUT, send.timeout
-        at(run // 3, face.JobStarted(send.request, send.worker, attempt))
-        at(run // 2, face.JobProgress(send.request, send.worker, attempt, 0.5))
+            outcome, run = interface.Outcome.TIMED_OUT, send.timeout
+        at(run // 3, interface.JobStarted(send.request, send.worker, attempt))
+        at(run // 2, interface.JobProgress(send.request, send.worker, attempt, 0.5))
         at(run, ("end", send.request, send.worker, attempt, outcome, run))
 
     def handle(event: Any) -> None:
         actions = dispatcher.handle(event, now)
         trace.add(now, actions)
         for action in actions:
-            if isinstance(action, face.Send):
+            if isinstance(action, interface.Send):
                 sent(action)
-            elif isinstance(action, face.StartTimer):
-                at(action.delay, face.TimerFired(action.token))
-            elif isinstance(action, face.Probe):
+            elif isinstance(action, interface.StartTimer):
+                at(action.delay, interface.TimerFired(action.token))
+            elif isinstance(action, interface.Probe):
                 at(3 * MS, ("probe", action.worker))
-            elif isinstance(action, face.Subscribe):
+            elif isinstance(action, interface.Subscribe):
                 at(20 * MS, ("list",))
 
-    def entries() -> tuple[face.WorkerEntry, ...]:
+    def entries() -> tuple[interface.WorkerEntry, ...]:
         return tuple(
-            face.WorkerEntry(
+            interface.WorkerEntry(
                 worker,
                 worker % 2,
                 worker % 3 // 2,
                 worker % 4,
-                face.WorkerState.DRAINING if now > 6 * S and worker == 4 else face.WorkerState.READY,
+                interface.WorkerState.DRAINING
+                if now > 6 * S and worker == 4
+                else interface.WorkerState.READY,
                 1.0 + worker % 2,
                 2 * S if worker > 8 else 0,
             )
@@ -323,70 +336,72 @@
 
     at(0, ("list",))
     for request in range(500):
-        arrival = face.RequestArrived(
-            request, chance.randrange(300 * MS, 3 * S), request % 3, request % 2, 1.0, 50 * MS, request % 7
+        arrival = interface.RequestArrived(
+            request, rng.randrange(300 * MS, 3 * S), request % 3, request % 2, 1.0, 50 * MS, request % 7
         )
-        at(request * 20 * MS + chance.randrange(20 * MS), arrival)
+        at(request * 20 * MS + rng.randrange(20 * MS), arrival)
     at(3 * S, ("down", 5))
-    at(5 * S, face.ClientGone(200))
-    while later and now < 14 * S:
-        now, _, event = heapq.heappop(later)
+    at(5 * S, interface.ClientGone(200))
+    while scheduled and now < 14 * S:
+        now, _, event = heapq.heappop(scheduled)
         match event:
             case ("list",):
-                handle(face.MembershipUpdate(face.ListKind.FULL, entries()))
+                handle(interface.MembershipUpdate(interface.ListKind.FULL, entries()))
             case ("down", worker):
                 busy.pop(worker)
-                handle(face.MembershipUpdate(face.ListKind.FULL, entries()))
+                handle(interface.MembershipUpdate(interface.ListKind.FULL, entries()))
                 busy[worker] = 0
             case ("probe", worker):
-                handle(face.ProbeEnded(worker, face.Outcome.SERVED, 3 * MS, load(worker)))
+                handle(interface.ProbeEnded(worker, interface.Outcome.SERVED, 3 * MS, load(worker)))
             case ("end", request, worker, attempt, outcome, run):
                 busy[worker] -= 1
-                said = load(worker) if conf.reports_inline else None
-                handle(face.AttemptEnded(request, worker, attempt, outcome, False, run, said))
+                report = load(worker) if conf.reports_inline else None
+                handle(interface.AttemptEnded(request, worker, attempt, outcome, False, run, report))
             case _:
                 handle(event)
     trace.add(learned_state.export_state(dispatcher, now), sorted(dispatcher.workers_in_backoff(now)))
-    trace.add(next_draws(dispatcher))
+    trace.add(next_random_values(dispatcher))
     return trace
 
 
-def learnt() -> dict[str, Any]:
+def learned_state_after_import() -> dict[str, Any]:
     """What an upgrade passes on of the decisions: by the names that stand on the wire."""
     dispatcher = Dispatcher(DISPATCHERS["inline"], 7)
-    entries = tuple(face.WorkerEntry(n, started_at=2 * S if n == 3 else 0) for n in range(1, 4))
-    dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 1 * S)
+    entries = tuple(interface.WorkerEntry(n, started_at=2 * S if n == 3 else 0) for n in range(1, 4))
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 1 * S)
     now = 1 * S
     for request in range(60):
         now += 50 * MS
-        for action in dispatcher.handle(face.RequestArrived(request, 5 * S, request % 2, key=request), now):
-            if isinstance(action, face.Send):
-                outcome = face.Outcome.SERVED if action.worker != 2 else face.Outcome.CONNECT_FAILED
-                load = face.LoadReport(float(action.worker), 1.0, 2.0)
-                end = face.AttemptEnded(request, action.worker, 0, outcome, False, 40 * MS, load)
+        for action in dispatcher.handle(
+            interface.RequestArrived(request, 5 * S, request % 2, key=request), now
+        ):
+            if isinstance(action, interface.Send):
+                outcome = interface.Outcome.SERVED if action.worker != 2 else interface.Outcome.CONNECT_FAILED
+                load = interface.LoadReport(float(action.worker), 1.0, 2.0)
+                end = interface.AttemptEnded(request, action.worker, 0, outcome, False, 40 * MS, load)
                 dispatcher.handle(end, now + 40 * MS)
     known: dict[str, Any] = json.loads(json.dumps(learned_state.export_state(dispatcher, now)))
     fresh = Dispatcher(DISPATCHERS["inline"], 7)
-    fresh.handle(face.MembershipUpdate(face.ListKind.FULL, entries), now)
+    fresh.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), now)
     learned_state.import_state(fresh, known, now)
     passed_on = json.loads(json.dumps(learned_state.export_state(fresh, now)))
-    return {"passed": digits(known), "passed on": digits(passed_on)}
+    return {"passed": round_floats(known), "passed on": round_floats(passed_on)}
 
 
-def digits(value: Any) -> Any:
+def round_floats(value: Any) -> Any:
     """Rounded, and numbers still."""
     if isinstance(value, float):
-        return float(f"{value:.{DIGITS}g}")
+        return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
     if isinstance(value, list):
-        return [digits(each) for each in value]
+        return [round_floats(each) for each in value]
     if isinstance(value, dict):
-        return {key: digits(each) for key, each in value.items()}
+        return {key: round_floats(each) for key, each in value.items()}
     return value
 
 
 def placement_run() -> Trace:
     """A router before workers with phases, and others without; reads, runs, failures, and others' loads."""
-    trace, chance, now = Trace(), random.Random(6), 0
+    trace, rng, now = Trace(), random.Random(6), 0
     placement = PlacementEngine("a", 11)
     body = json.dumps(kit.ROUTES | {"services": [{"name": "plain"}, {"name": "chat", "engine": ENGINE}]})
     placement.services = decode_route_table(body.encode()).services
@@ -405,10 +420,10 @@
         return [found.worker.record.instance, found.prefill_tokens, found.cost, found.expected_delay]
 
     for step in range(1_500):
-        now += chance.randrange(1 * MS, 8 * MS)
+        now += rng.randrange(1 * MS, 8 * MS)
         while out and out[0][0] <= now:
             _, _, stage, send, prompt = heapq.heappop(out)
-            failed = chance.random() < 0.08
+            failed = rng.random() < 0.08
             placement.record_answer(send, now)
             if stage == "read":
                 placement.observe_prefill(send, now)
@@ -438,12 +453,12 @@
                 send = placement.begin_attempt(pair.decode, prompt, now, takes_slot=True)
                 heapq.heappush(out, (now + 90 * MS + step % 5 * 20 * MS, step, "event", send, prompt))
         if step % 20 == 19:
-            loads = {f"w{n}": Load(chance.randrange(6), chance.randrange(3_000)) for n in range(8)}
+            loads = {f"w{n}": Load(rng.randrange(6), rng.randrange(3_000)) for n in range(8)}
             placement.apply_load_report(loads, (CachedPrefix("w0", "p1", 200),), now)
             placement.update_heartbeat_ages({"w7": step * MS}, 1 * S)
             trace.add(placement.own_loads(now), placement.take_outcomes(), placement.newly_cached)
             placement.newly_cached = []
-    trace.add(next_draws(placement.selector))
+    trace.add(next_random_values(placement.selector))
     return trace
 
 
@@ -452,7 +467,7 @@
 
 def phases_run() -> Trace:
     """Who of a service's workers reads prompts, and who makes tokens, as loads change."""
-    trace, chance, planner = Trace(), random.Random(2), PhasePlanner()
+    trace, rng, planner = Trace(), random.Random(2), PhasePlanner()
     phases = {f"w{n}": ("prefill", "decode")[n % 2] for n in range(8)}
     for step in range(400):
         records = [
@@ -461,13 +476,12 @@
         ]
         heavy = step // 100 % 2
         loads = {
-            name: Load(chance.randrange(1, 12) * heavy, chance.randrange(9_000) * (1 - heavy))
-            for name in phases
+            name: Load(rng.randrange(1, 12) * heavy, rng.randrange(9_000) * (1 - heavy)) for name in phases
         }
         orders = planner.plan(records, loads, step * 200 * MS)
         trace.add(orders, planner.switching)
         for order in orders:
-            if chance.random() < 0.8:
+            if rng.random() < 0.8:
                 phases[order.instance] = order.phase
             else:
                 planner.discard_order(order)
@@ -476,7 +490,7 @@
 
 def waiting_run() -> Trace:
     """Jobs that wait on each other, on a clock and on admission."""
-    trace, chance, now, wall = Trace(), random.Random(9), 0, 10**15
+    trace, rng, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
         in_service=5,
         by_class=((1, 2),),
@@ -488,29 +502,31 @@
     engine = JobQueueEngine(bounds)
     running: list[Any] = []
     for step in range(1_500):
-        passed = chance.randrange(1, 20 * MS)
+        passed = rng.randrange(1, 20 * MS)
         now, wall = now + passed, wall + passed
-        drawn = chance.random()
+        drawn = rng.random()
         effects: list[Any] = []
         if drawn < 0.5:
             after = [
-                terms.Dependency(str(chance.randrange(max(step - 30, 0), step + 3)), chance.choice(EDGES))
+                terms.Dependency(
+                    str(rng.randrange(max(step - 30, 0), step + 3)), rng.choice(DEPENDENCY_CONDITIONS)
+                )
             ]
-            at = wall + chance.randrange(300 * MS) if drawn < 0.1 else None
+            at = wall + rng.randrange(300 * MS) if drawn < 0.1 else None
             wish = terms.JobTerms(tuple(after if drawn < 0.25 else ()), at, 0, drawn < 0.2)
             request = terms.JobRequest(
-                ("c", str(step)), step % 3, step % 2, now + chance.randrange(1 * S), 10, wish, 200 * MS, 0.5
+                ("c", str(step)), step % 3, step % 2, now + rng.randrange(1 * S), 10, wish, 200 * MS, 0.5
             )
             try:
                 effects = engine.submit(request, now, wall)
             except terms.TermsError as error:
                 trace.add(str(error))
         elif drawn < 0.8 and running:
-            key = running.pop(chance.randrange(len(running)))
-            end = chance.choice([terms.JobOutcome.SERVED, terms.JobOutcome.SERVED, terms.JobOutcome.FAILED])
+            key = running.pop(rng.randrange(len(running)))
+            end = rng.choice([terms.JobOutcome.SERVED, terms.JobOutcome.SERVED, terms.JobOutcome.FAILED])
             effects = engine.ended(key, end, b"result", now)
         elif drawn < 0.85:
-            effects = engine.cancel(("c", str(chance.randrange(step + 1))), terms.JobOutcome.CANCELLED, now)
+            effects = engine.cancel(("c", str(rng.randrange(step + 1))), terms.JobOutcome.CANCELLED, now)
         else:
             effects = engine.tick(now, wall)
         trace.add(effects, engine.next_at(now, wall), engine.waiting)
@@ -519,8 +535,8 @@
     return trace
 
 
-EDGES = tuple(terms.DependencyCondition)
-ALL: dict[str, Callable[[], Trace]] = {
+DEPENDENCY_CONDITIONS = tuple(terms.DependencyCondition)
+RUNS_BY_NAME: dict[str, Callable[[], Trace]] = {
     "control": control_run,
     "quotas": quota_run,
     "fleet": fleet_run,
@@ -535,14 +551,14 @@
 
 
 def run_all() -> dict[str, Any]:
-    found: dict[str, Any] = {name: run().result() for name, run in ALL.items()}
-    return found | {"learnt": learnt(), "control status": control_answers()}
+    found: dict[str, Any] = {name: run().result() for name, run in RUNS_BY_NAME.items()}
+    return found | {"learnt": learned_state_after_import(), "control status": control_status_pages()}
 
 
 if __name__ == "__main__":
     found = json.dumps(run_all(), indent=1) + "\n"
     if "--write" in sys.argv:
         print("written with", Path(hazelbend.__file__).parent)
-        RUNS.write_text(found)
+        RUNS_FILE.write_text(found)
     else:
         print(found, end="")
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -57,21 +57,21 @@
 from tests.golden import golden_kit as kit
 from tests.support.site_kit import PASSCODE_SHA256, SETTINGS, host_entry
 
-SHOWN = kit.GOLDEN / "shown"
+TEXT_DIR = kit.GOLDEN / "shown"
 
 
-def values_of(thing: Any) -> Any:
+def plain_values(thing: Any) -> Any:
     """Values without the names of classes and fields, for JSON."""
     if isinstance(thing, Enum):
-        return values_of(thing.value)
+        return plain_values(thing.value)
     if is_dataclass(thing):
-        return [values_of(getattr(thing, each.name)) for each in fields(thing)]
+        return [plain_values(getattr(thing, each.name)) for each in fields(thing)]
     if isinstance(thing, msgspec.Struct):
-        return [values_of(getattr(thing, name)) for name in thing.__struct_fields__]
+        return [plain_values(getattr(thing, name)) for name in thing.__struct_fields__]
     if isinstance(thing, dict):
-        return {str(key): values_of(value) for key, value in thing.items()}
+        return {str(key): plain_values(value) for key, value in thing.items()}
     if isinstance(thing, list | tuple | set | frozenset | deque):
-        found = [values_of(each) for each in thing]
+        found = [plain_values(each) for each in thing]
         return sorted(found, key=str) if isinstance(thing, set | frozenset) else found
     if isinstance(thing, bytes | Path):
         return str(thing)
@@ -80,7 +80,7 @@
     return "object"
 
 
-def as_lines(value: Any) -> str:
+def as_json_text(value: Any) -> str:
     return json.dumps(value, indent=1) + "\n"
 
 
@@ -102,7 +102,7 @@
     return metrics.render(found).decode()
 
 
-def view() -> overview.Overview:
+def sample_overview() -> overview.Overview:
     """A moment of a program, all of its values different."""
     classes = (overview.ClassFigures("nearby", 31, 32, 33), overview.ClassFigures("reserve", 34, 35, 36))
     names = ("followed", "unknown", "stale", "boxes", "spare", "queries", "failures")
@@ -141,21 +141,21 @@
 
 
 def snmp_values() -> str:
-    return as_lines(
+    return as_json_text(
         {
             ".".join(map(str, oid)): [type(value).__name__, value.prettyPrint()]
-            for oid, value in sorted(hazelbend_mib.object_values(view()).items())
+            for oid, value in sorted(hazelbend_mib.object_values(sample_overview()).items())
         }
     )
 
 
 def ops_stats() -> str:
     async def ask() -> list[Any]:
-        door = admin_listener.AdminListener(SimpleNamespace(figures=lambda: view().figures))  # type: ignore[arg-type]
-        calls = {path: method for path, (method, _) in door._calls.items()}
-        return [calls, door._calls["/ops/stats"][1]().text]
+        listener = admin_listener.AdminListener(SimpleNamespace(figures=lambda: sample_overview().figures))  # type: ignore[arg-type]
+        calls = {path: method for path, (method, _) in listener._calls.items()}
+        return [calls, listener._calls["/ops/stats"][1]().text]
 
-    return as_lines(asyncio.run(ask()))
+    return as_json_text(asyncio.run(ask()))
 
 
 def console_texts() -> str:
@@ -165,7 +165,7 @@
         list_received=asyncio.Event(), requests={"f1": None}, set_manual_drain=lambda host, _: host == "h1"
     )
     program = SimpleNamespace(
-        overview=view,
+        overview=sample_overview,
         extensions={},
         recent=recent,
         router=router,
@@ -220,24 +220,26 @@
         console_client.main(["--help"])
     found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", said.getvalue())))
     flags = system_main.FLAGS._flags()
-    found["hazelbend.system"] = {name: values_of(flags[name].default) for name in ("settings", "log_level")}
+    found["hazelbend.system"] = {
+        name: plain_values(flags[name].default) for name in ("settings", "log_level")
+    }
     found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
     found["variables"] = [
         system_main.SETTINGS_PATH_VARIABLE,
         deploy_files.DEPLOY_VARIABLE,
         config.PASSED_SOCKET,
     ]
-    return as_lines(found)
+    return as_json_text(found)
 
 
-def named_site(**changes: Any) -> dict[str, Any]:
+def site_config(**changes: Any) -> dict[str, Any]:
     known = {"seq": 3, "whole": True, "hosts": [host_entry("h1", "127.0.0.1:8001")]}
     return {"name": "site", "listen": "127.0.0.1:7070", "known": known, "settings": SETTINGS | changes}
 
 
-SITES: dict[str, dict[str, Any]] = {
-    "plain": named_site(),
-    "doubtful": named_site(
+SITE_CONFIGS: dict[str, dict[str, Any]] = {
+    "plain": site_config(),
+    "doubtful": site_config(
         membership_mode="pull",
         weight_kind="exact",
         value_by="second",
@@ -247,7 +249,7 @@
         rules={"start_capacity": 30, "fall_multiple": 0.5},
         lanes=[{"name": "a", "semantics": "odd", "streaming": True, "worth": 0, "objective_us": 9_000_000}],
     ),
-    "full": named_site(
+    "full": site_config(
         fleet_size=4,
         my_zone=1,
         membership_mode="ask",
@@ -281,7 +283,7 @@
     runner = CliRunner()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        for site, conf in SITES.items():
+        for site, conf in SITE_CONFIGS.items():
             (folder / f"{site}.json").write_text(json.dumps(conf))
             for more in ([], ["--json"]):
                 said = runner.invoke(
@@ -427,32 +429,35 @@
 bounds: {drainMs: 2100, graceS: 9, retryRatio: 0.3, retryWindowS: 11, retrySlack: 12, leaseMs: 3100,
          configApplyMs: 2200}
 """
-LEAST_SYSTEM = 'nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\nlisten: {control: "x"}\n'
-LEAST_SYSTEM_GOOD = "nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\n"
+SYSTEM_WITH_BAD_ADDRESS = (
+    'nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\nlisten: {control: "x"}\n'
+)
+MINIMAL_SYSTEM = "nodeName: n1\nip: 127.0.0.1\nzone: a\nportRange: [9000, 9010]\n"
 
 
 def site_settings() -> str:
     found = {}
-    for site, conf in SITES.items():
+    for site, conf in SITE_CONFIGS.items():
         read = config.from_object(conf)
         load = read.load_fields.read({"outstanding": 1, "backlog": 2, "x0": 3, "recent_ms": 4})
         by_site = read.load_fields.read({"inflight": 5, "queue": 6})
-        found[site] = values_of([read.settings, read.catalogue, load, by_site, read.known, read.listen])
+        found[site] = plain_values([read.settings, read.catalogue, load, by_site, read.known, read.listen])
         found[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
-    return as_lines(found)
+    return as_json_text(found)
 
 
 def deploy_settings() -> str:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        conf = named_site()
+        conf = site_config()
         none = config.with_deploy_files(config.from_object(conf), folder, conf)
         for file, text in DEPLOY.items():
             (folder / f"{file}.toml").write_text(text)
         read = config.with_deploy_files(config.from_object(conf), folder, conf)
         parts = {"on": read, "off": none}
         found = {
-            state: {name: values_of(getattr(each, name)) for name in DEPLOY} for state, each in parts.items()
+            state: {name: plain_values(getattr(each, name)) for name in DEPLOY}
+            for state, each in parts.items()
         }
         for file in DEPLOY:
             (folder / f"{file}.toml").write_text(
@@ -463,20 +468,20 @@
             except config.ConfigError as error:
                 found.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
             (folder / f"{file}.toml").write_text(DEPLOY[file])
-    return as_lines(found)
+    return as_json_text(found)
 
 
 def system_settings_values() -> str:
     found = {
-        name: values_of(system_settings.read_settings(text))
-        for name, text in (("full", SYSTEM), ("least", LEAST_SYSTEM_GOOD))
+        name: plain_values(system_settings.read_settings(text))
+        for name, text in (("full", SYSTEM), ("least", MINIMAL_SYSTEM))
     }
-    for name, text in (("bad address", LEAST_SYSTEM), ("empty", "{}"), ("list", "[]")):
+    for name, text in (("bad address", SYSTEM_WITH_BAD_ADDRESS), ("empty", "{}"), ("list", "[]")):
         try:
             system_settings.read_settings(text)
         except system_settings.SettingsError as error:
             found[name] = str(error)
-    return as_lines(found)
+    return as_json_text(found)
 
 
 def configuration_findings() -> str:
@@ -496,7 +501,7 @@
             found[name] = configuration.check_configuration(json.dumps(document).encode())
         except configuration.InvalidConfigurationError as error:
             found[name] = list(map(str, error.findings))
-    return as_lines(found)
+    return as_json_text(found)
 
 
 # --- protocols ---
@@ -539,7 +544,7 @@
         ],
         "frame": [stomp.encode(send, version).decode() for version in ("1.1", "1.2")],
         "escaped": stomp.encode(stomp.Frame("MESSAGE", {"a:b": "c\n\\d"}, b"")).decode(),
-        "job": values_of(stomp_jobs.read_job(send, "client", CATALOGUE)),
+        "job": plain_values(stomp_jobs.read_job(send, "client", CATALOGUE)),
         "answers": [stomp_jobs.answer_headers(each) for each in answers],
         "work": [stomp_jobs.work_headers(plain_job(keyed), 4_000_000, CATALOGUE) for keyed in (True, False)],
         "versions": [stomp.choose_version(each) for each in ("1.0,1.1", "1.2,1.1", "1.0")],
@@ -550,8 +555,8 @@
     }
     reader = stomp.FrameReader()
     items = list(reader.feed(b"\n" + stomp.encode(send) + b"DISCONNECT\nreceipt:1\n\n\0"))
-    found["read"] = [values_of(each) for each in items]
-    return as_lines(found)
+    found["read"] = [plain_values(each) for each in items]
+    return as_json_text(found)
 
 
 def http_jobs() -> str:
@@ -569,29 +574,31 @@
     least = {"X-Request-ID": "r1", "X-Tenant-Id": "ege-volt"}
     found: dict[str, Any] = {}
     for name, target, headers in (("full", "/reserve/k?x=1", full), ("least", "/nearby", least)):
-        found[name] = values_of(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
+        found[name] = plain_values(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
     for left_out in full:
         headers = CIMultiDict({key: value for key, value in full.items() if key != left_out})
         try:
-            found[left_out] = values_of(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
+            found[left_out] = plain_values(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
         except http_fields.BadRequestError as error:
             found[left_out] = f"BAD {error}"
     terms = waiting_terms.read_terms("a, b;ended", "1764000000000", "250", "1", 1_000)
-    found["terms"] = [values_of(terms), values_of(waiting_terms.read_terms("", "", "", "", 1_000))]
+    found["terms"] = [plain_values(terms), plain_values(waiting_terms.read_terms("", "", "", "", 1_000))]
     found["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
-    return as_lines(found)
+    return as_json_text(found)
 
 
 def worker_texts() -> str:
-    read = config.from_object(named_site()).load_fields
+    read = config.from_object(site_config()).load_fields
     load = {"inflight": 3, "queue": 2.5, "x0": 1, "other": 9}
     states = ("started", "running", "done", "failed", "returned", "lost", "odd")
     lines = [{"id": "j", "state": state, "share": 0.5, "result": {"a": 1}, "load": load} for state in states]
-    found = [values_of(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
+    found = [plain_values(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
     statuses = [
         worker_lines.outcome_of_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
     ]
-    return as_lines([found, statuses, values_of(read.read_text('{"inflight": 4}')), values_of(LoadReport())])
+    return as_json_text(
+        [found, statuses, plain_values(read.read_text('{"inflight": 4}')), plain_values(LoadReport())]
+    )
 
 
 def upgrade_lines() -> str:
@@ -604,7 +611,7 @@
     return "".join(line.decode() for line in lines)
 
 
-WORDS = {  # literals of the program that others read, by how they look
+LITERAL_PATTERNS = {  # literals of the program that others read, by how they look
     "heads": re.compile(r"[A-Z][A-Z0-9]+( [A-Z0-9]+)*"),  # columns of tables, commands and methods
     "fields": re.compile(r"[A-Z][A-Za-z]*(-[A-Z][A-Za-z]+)+"),  # of HTTP
     "paths": re.compile(r"/[a-z][a-z/]*"),
@@ -615,19 +622,19 @@
 
 
 @cache
-def words() -> dict[str, list[str]]:
+def literals_by_kind() -> dict[str, list[str]]:
     """The literals of the program that look like each kind."""
-    found: dict[str, set[str]] = {kind: set() for kind in WORDS}
+    found: dict[str, set[str]] = {kind: set() for kind in LITERAL_PATTERNS}
     for path in Path(hazelbend.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
-                for kind, pattern in WORDS.items():
+                for kind, pattern in LITERAL_PATTERNS.items():
                     if pattern.fullmatch(node.value):
                         found[kind].add(node.value)
     return {kind: sorted(each) for kind, each in found.items()}
 
 
-TEXTS: dict[str, Callable[[], str]] = {
+TEXT_MAKERS: dict[str, Callable[[], str]] = {
     "metrics.txt": metrics_text,
     "snmp.json": snmp_values,
     "ops_stats.json": ops_stats,
@@ -647,10 +654,10 @@
 
 def write_all() -> None:
     print("written with", hazelbend.__file__)
-    SHOWN.mkdir(parents=True, exist_ok=True)
-    for name, make in TEXTS.items():
-        (SHOWN / name).write_text(make())
-    (kit.GOLDEN / "words.json").write_text(as_lines(words()))
+    TEXT_DIR.mkdir(parents=True, exist_ok=True)
+    for name, make in TEXT_MAKERS.items():
+        (TEXT_DIR / name).write_text(make())
+    (kit.GOLDEN / "words.json").write_text(as_json_text(literals_by_kind()))
 
 
 if __name__ == "__main__":
--- a/tests/golden/test_golden_data.py
+++ b/tests/golden/test_golden_data.py
@@ -25,7 +25,7 @@
 from hazelbend.transport.storage import control_store, fleet_store, soft_state_file
 from tests.golden import golden_kit as kit
 
-SAMPLES = [(form, name) for form in kit.FORMS for name in kit.load_json(form)]
+SAMPLES = [(codec_name, name) for codec_name in kit.CODECS for name in kit.load_json(codec_name)]
 
 
 def bytes_of(name: str) -> bytes:
@@ -33,46 +33,48 @@
 
 
 def history_parts() -> list[Any]:
-    read = kit.FORMS["memory_part"].read
-    return [read(msgspec.msgpack.encode(part)) for part in kit.MEMORY_HISTORY]
+    read = kit.CODECS["memory_part"].read
+    return [read(msgspec.msgpack.encode(part)) for part in kit.VOTER_HISTORY]
 
 
-@pytest.mark.parametrize(("form", "name"), SAMPLES)
-def test_a_sample_is_read_and_written_as_the_same_bytes(form: str, name: str) -> None:
-    sample = kit.load_json(form)[name]
-    codec = kit.FORMS[form]
+@pytest.mark.parametrize(("codec_name", "name"), SAMPLES)
+def test_a_sample_is_read_and_written_as_the_same_bytes(codec_name: str, name: str) -> None:
+    sample = kit.load_json(codec_name)[name]
+    codec = kit.CODECS[codec_name]
     content = bytes.fromhex(sample["written"])
     assert codec.write(codec.read(bytes.fromhex(sample["read"]))).hex() == sample["written"]
-    assert kit.as_text(codec.decode(content)) == sample["plain"]
-    if form not in kit.ONE_WAY:
+    assert kit.json_compatible(codec.decode(content)) == sample["plain"]
+    if codec_name not in kit.READ_ONLY:
         assert codec.write(codec.read(content)).hex() == sample["written"]
 
 
-@pytest.mark.parametrize(("form", "name"), [each for each in SAMPLES if each[0] not in kit.RENAMED])
-def test_what_was_read_has_the_names_of_the_wire(form: str, name: str) -> None:
-    sample = kit.load_json(form)[name]
-    found = kit.FORMS[form].read(bytes.fromhex(sample["read"]))
-    if form in kit.MACHINES:
+@pytest.mark.parametrize(
+    ("codec_name", "name"), [each for each in SAMPLES if each[0] not in kit.WITH_OTHER_FIELD_NAMES]
+)
+def test_what_was_read_has_the_names_of_the_wire(codec_name: str, name: str) -> None:
+    sample = kit.load_json(codec_name)[name]
+    found = kit.CODECS[codec_name].read(bytes.fromhex(sample["read"]))
+    if codec_name in kit.STATE_MACHINES:
         found = msgspec.msgpack.decode(found.snapshot())
-    assert kit.as_text(msgspec.to_builtins(found, builtin_types=(bytes,))) == sample["plain"]
+    assert kit.json_compatible(msgspec.to_builtins(found, builtin_types=(bytes,))) == sample["plain"]
 
 
 def test_all_samples_stand_in_the_files() -> None:
-    assert {form: sorted(samples) for form, samples in kit.SAMPLES.items()} == {
-        form: sorted(kit.load_json(form)) for form in kit.FORMS
+    assert {codec_name: sorted(samples) for codec_name, samples in kit.SAMPLES.items()} == {
+        codec_name: sorted(kit.load_json(codec_name)) for codec_name in kit.CODECS
     }
 
 
 def test_each_kind_of_message_has_a_sample() -> None:
-    for form in kit.TAGGED_FORMS:
-        tags = {sample["plain"]["type"] for sample in kit.load_json(form).values()}
-        assert tags == set(kit.tags_of(form)), form
+    for codec_name in kit.TAGGED_UNIONS:
+        tags = {sample["plain"]["type"] for sample in kit.load_json(codec_name).values()}
+        assert tags == set(kit.type_tags(codec_name)), codec_name
 
 
 def test_a_message_of_an_unknown_kind_is_refused() -> None:
-    for form in kit.TAGGED_FORMS:
+    for codec_name in kit.TAGGED_UNIONS:
         with pytest.raises(msgspec.DecodeError):
-            kit.FORMS[form].read(msgspec.msgpack.encode({"type": "Unheard"}))
+            kit.CODECS[codec_name].read(msgspec.msgpack.encode({"type": "Unheard"}))
 
 
 # --- a voter's file ---
@@ -156,7 +158,7 @@
 
     asyncio.run(write())
     assert [each.name for each in tmp_path.iterdir()] == ["control.db"]
-    assert kit.as_text(kit.store_rows(tmp_path)) == kit.load_json("control_db")
+    assert kit.json_compatible(kit.database_rows(tmp_path)) == kit.load_json("control_db")
 
 
 def test_a_damaged_control_database_is_set_aside(tmp_path: Path) -> None:
@@ -231,7 +233,7 @@
 
 
 def test_the_digest_of_known_workers_is_the_same() -> None:
-    news = kit.FORMS["control_message"].read(
+    news = kit.CODECS["control_message"].read(
         bytes.fromhex(kit.load_json("control_message")["WorkerNews"]["written"])
     )
     registry = workers.WorkerRegistry(1_000_000)
@@ -248,7 +250,7 @@
 def test_a_change_is_compressed_as_before() -> None:
     entry = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, b'{"version": 7}'))
     assert zlib.decompress(entry.pop("body")) == b'{"version": 7}'
-    assert kit.as_text(entry) == kit.load_json("numbers")["change_entry"]
+    assert kit.json_compatible(entry) == kit.load_json("numbers")["change_entry"]
     long = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, kit.LONG_TEXT))["body"]
     assert long == zlib.compress(kit.LONG_TEXT, 1)
 
--- a/tests/golden/test_golden_runs.py
+++ b/tests/golden/test_golden_runs.py
@@ -14,13 +14,12 @@
 
 import pytest
 
-from hazelbend.decisions import interface as face
-from hazelbend.decisions import learned_state
+from hazelbend.decisions import interface, learned_state
 from hazelbend.decisions.dispatcher import Dispatcher
 from tests.golden import golden_runs
 from tests.support.site_kit import ROOT
 
-GOLDEN = json.loads(golden_runs.RUNS.read_text())
+GOLDEN = json.loads(golden_runs.RUNS_FILE.read_text())
 
 
 @pytest.fixture(scope="module")
@@ -38,7 +37,7 @@
     return dict(json.loads(done.stdout))
 
 
-@pytest.mark.parametrize("name", [*golden_runs.ALL, "learnt", "control status"])
+@pytest.mark.parametrize("name", [*golden_runs.RUNS_BY_NAME, "learnt", "control status"])
 def test_a_run_goes_as_before(name: str, found: dict[str, Any]) -> None:
     assert found[name] == GOLDEN[name]
 
@@ -52,11 +51,13 @@
     known = GOLDEN["learnt"]["passed"]
     dispatcher = Dispatcher(golden_runs.DISPATCHERS["inline"], 7)
     entries = tuple(
-        face.WorkerEntry(each["worker"], started_at=each["started_at"]) for each in known["workers"]
+        interface.WorkerEntry(each["worker"], started_at=each["started_at"]) for each in known["workers"]
     )
-    dispatcher.handle(face.MembershipUpdate(face.ListKind.FULL, entries), 4_000_000)
+    dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 4_000_000)
     learned_state.import_state(dispatcher, known, 4_000_000)
-    recalled = golden_runs.digits(json.loads(json.dumps(learned_state.export_state(dispatcher, 4_000_000))))
+    recalled = golden_runs.round_floats(
+        json.loads(json.dumps(learned_state.export_state(dispatcher, 4_000_000)))
+    )
     assert recalled["means"] == known["means"] and recalled["usuals"] == known["usuals"]
     assert [sorted(each) for each in recalled["workers"]] == [sorted(each) for each in known["workers"]]
     assert sorted(recalled) == sorted(known)
--- a/tests/support/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -1,9 +1,9 @@
-"""Deployments that a site's settings may describe, and a site on loopback that plays one of them.
+"""Deployments as settings may describe them, and a runner that plays one of them on loopback.
 
 `deployments()` draws settings that vary every switch of the protocol. `run_deployment()` starts the program
 in this process against servers and an endpoint list of its own, sends it a short mix of jobs and checks the
 outcome against the rules. test_deployments.py runs a few dozen of them, benchmarks/deployments.py as many as
-it is told to.
+its --examples option says.
 """
 
 from __future__ import annotations
@@ -24,15 +24,18 @@
 
 from hazelbend.dispatcher import config
 from hazelbend.dispatcher.app import App
-from tests.support.site_kit import ToyServer, host_entry, running, wait_until
+from tests.support.site_kit import ToyServer, host_entry, started_app, wait_until
 
-JOBS = 24
-SHORT, LONG = 200, 1_200  # milliseconds that clients wait: for what hangs, for anything else
-LATE = 2.0  # seconds past that at which a test on a busy machine calls an answer late
-SOUND, FAULTY = ("1", "5", "20", "60"), ("1 fail", "flaky", "return", "1 lose", "1 reset", "hang")
+DEFAULT_JOB_COUNT = 24
+HANGING_JOB_TIMEOUT_MS, JOB_TIMEOUT_MS = 200, 1_200
+LATENESS_TOLERANCE_S = 2.0  # beyond its timeout, before an answer counts as late on a busy machine
+SUCCESSFUL_SCRIPTS, FAULTY_SCRIPTS = (
+    ("1", "5", "20", "60"),
+    ("1 fail", "flaky", "return", "1 lose", "1 reset", "hang"),
+)
 
 
-# --- what is drawn ---
+# --- settings ---
 
 
 def _subset(names: tuple[str, ...]) -> st.SearchStrategy[list[str]]:
@@ -41,7 +44,7 @@
 
 @st.composite
 def deployments(draw: Any) -> dict[str, Any]:
-    """Settings as the platform's configuration has them."""
+    """Draw settings in the form of the platform's configuration."""
     zones, kinds, classes = draw(st.integers(1, 4)), draw(st.integers(1, 3)), draw(st.integers(1, 8))
     any_of = st.sampled_from
     lanes = [
@@ -101,26 +104,26 @@
     }  # fmt: skip
 
 
-# --- stand-ins ---
+# --- fake backends and discovery ---
 
 
 @dataclass
-class Seen:
-    """One attempt, as its server saw it."""
+class AttemptRecord:
+    """One attempt, as recorded by its server; times in seconds of the event loop's clock."""
 
     job: str
     server: str
-    began: float
+    started_at: float
     outcome: str
-    ended: float = float("inf")
+    ended_at: float = float("inf")
 
 
-class Server(ToyServer):
-    """A toy server that keeps a record of attempts; a `flaky` job fails at the first server that it meets."""
+class RecordingServer(ToyServer):
+    """A toy server that records its attempts; a `flaky` job fails on its first attempt and succeeds later."""
 
-    def __init__(self, name: str, seen: list[Seen], conf: dict[str, Any]) -> None:
+    def __init__(self, name: str, attempts: list[AttemptRecord], conf: dict[str, Any]) -> None:
         super().__init__(name)
-        self.seen, self._conf = seen, conf
+        self.attempts, self._conf = attempts, conf
 
     def load(self) -> dict[str, Any]:
         words = {"outstanding": "inflight", "backlog": "queue"}
@@ -135,26 +138,26 @@
             return await super()._serve(request) if allowed else web.Response(status=404)
         words = (await request.read()).decode().split()
         loop, job = asyncio.get_running_loop(), request.headers["X-Request-ID"]
-        flaky = "flaky" in words and all(other.job != job for other in self.seen)
+        flaky = "flaky" in words and all(other.job != job for other in self.attempts)
         outcome = (
             "returned" if "return" in words else "failed" if "fail" in words or flaky
             else "lost" if {"lose", "reset"} & {*words} else "done"
         )  # fmt: skip
-        each = Seen(job, self.name, loop.time(), outcome)
-        self.seen.append(each)
+        each = AttemptRecord(job, self.name, loop.time(), outcome)
+        self.attempts.append(each)
         try:
             return web.Response(status=500) if flaky else await super()._serve(request)
         finally:
-            each.ended = loop.time()
+            each.ended_at = loop.time()
 
 
 @dataclass
-class List:
-    """Discovery: the whole list, and watches on its changes."""
+class FakeDiscovery:
+    """A discovery service: serves the complete list, and long polls for its changes."""
 
     hosts: list[dict[str, Any]]
     seq: int = 1
-    asked: int = 0
+    request_count: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def listen(self) -> str:
@@ -168,7 +171,7 @@
         self.changed.set()
 
     async def _serve(self, request: web.BaseRequest) -> web.Response:
-        self.asked += 1
+        self.request_count += 1
         query = parse_qs(urlsplit(request.raw_path).query)
         if "from" in query and int(query["from"][0]) >= self.seq:
             with suppress(TimeoutError):
@@ -180,137 +183,149 @@
         await self._server.shutdown(0.1)
 
 
-# --- play ---
+# --- one run ---
 
 
 @dataclass
-class Played:
+class DeploymentRun:
     app: App
-    seen: list[Seen]
+    attempts: list[AttemptRecord]
     answers: dict[str, list[int]]  # statuses by job
     bodies: dict[str, bytes]
-    sent: dict[str, tuple[int, str]]  # a job's class and words
+    sent: dict[str, tuple[int, str]]  # index of the job's class, and its script
     late: list[str]
 
 
 @asynccontextmanager
-async def site(conf: dict[str, Any]) -> AsyncIterator[tuple[App, list[Seen], List]]:
-    seen: list[Seen] = []
+async def running_deployment(
+    conf: dict[str, Any],
+) -> AsyncIterator[tuple[App, list[AttemptRecord], FakeDiscovery]]:
+    attempts: list[AttemptRecord] = []
     zones, kinds = conf["azs"], conf["machine_types"]
-    servers = [Server(f"s-{number}", seen, conf) for number in range(5)]
+    servers = [RecordingServer(f"s-{number}", attempts, conf) for number in range(5)]
     hosts = [
         host_entry(each.name, await each.listen(), zone=zones[n % len(zones)])
         | {"class": kinds[-1 - n % len(kinds)], "block": n % 2}
         for n, each in enumerate(servers)
     ]
-    listing = List(hosts)
+    discovery = FakeDiscovery(hosts)
     whole = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": await listing.listen(), "seed": "5",
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": await discovery.listen(), "seed": "5",
         "known": {"seq": 0, "whole": True, "hosts": [dict(each) for each in hosts]}, "settings": conf,
     }  # fmt: skip
-    async with running(App(config.from_object(whole)), listing, *servers) as app:
-        yield app, seen, listing
+    async with started_app(App(config.from_object(whole)), discovery, *servers) as app:
+        yield app, attempts, discovery
 
 
-async def run_deployment(conf: dict[str, Any], seed: int, jobs: int = JOBS) -> Played:
-    """A mix of jobs, most at once; half way one server drains, by the list or by hand."""
-    chance = random.Random(seed)
-    async with site(conf) as (app, seen, listing):
-        played = Played(app, seen, defaultdict(list), {}, {}, [])
+async def run_deployment(conf: dict[str, Any], seed: int, jobs: int = DEFAULT_JOB_COUNT) -> DeploymentRun:
+    """Send a mix of jobs, half of them at once; between the halves one server drains, by list or by hand."""
+    rng = random.Random(seed)
+    async with running_deployment(conf) as (app, attempts, discovery):
+        run = DeploymentRun(app, attempts, defaultdict(list), {}, {}, [])
         for part in (0, 1):
-            calls = [_send(played, conf, chance, number) for number in range(part, jobs, 2)]
+            calls = [_send(run, conf, rng, number) for number in range(part, jobs, 2)]
             await asyncio.gather(*calls)
             if part == 0:
-                await _drain(app, conf, listing)
-                told_at = asyncio.get_running_loop().time()
+                await _drain(app, conf, discovery)
+                drained_at = asyncio.get_running_loop().time()
         grace = conf["rules"]["drain_grace_us"] / 1e6
-        late = [each for each in seen if each.server == "s-0" and each.began > told_at + grace + LATE / 4]
-        assert not late, f"sent to a server that drains: {late}"
+        late = [
+            each
+            for each in attempts
+            if each.server == "s-0" and each.started_at > drained_at + grace + LATENESS_TOLERANCE_S / 4
+        ]
+        assert not late, f"sent to a draining server: {late}"
         await asyncio.wait_for(app.router.wait_idle(), 15)
-    check(played, conf)
-    return played
+    check_rules(run, conf)
+    return run
 
 
-async def _drain(app: App, conf: dict[str, Any], listing: List) -> None:
+async def _drain(app: App, conf: dict[str, Any], discovery: FakeDiscovery) -> None:
     server = app.router.table.by_host("s-0")
     assert server is not None
-    # A list that is pushed comes on a watch too: what discovery has counts as told, whether or not one is
-    # open.
-    await wait_until(lambda: listing.asked > 1)
-    listing.drain("s-0")
+    # A pushed list arrives on a long poll too: the dispatcher counts as informed once discovery has the
+    # change, whether or not a poll is open at that moment.
+    await wait_until(lambda: discovery.request_count > 1)
+    discovery.drain("s-0")
     await wait_until(lambda: not server.accepts_work)
     if conf["membership_mode"] == "push":
-        assert app.router.set_manual_drain("s-0", True), "and by hand besides"
+        assert app.router.set_manual_drain("s-0", True), "the server is drained by hand as well"
 
 
-async def _send(played: Played, conf: dict[str, Any], chance: random.Random, number: int) -> None:
+async def _send(run: DeploymentRun, conf: dict[str, Any], rng: random.Random, number: int) -> None:
     index, words = (
-        chance.randrange(len(conf["lanes"])),
-        chance.choice(FAULTY if chance.random() < 0.4 else SOUND),
+        rng.randrange(len(conf["lanes"])),
+        rng.choice(FAULTY_SCRIPTS if rng.random() < 0.4 else SUCCESSFUL_SCRIPTS),
     )
     job, lane = f"job-{number}", conf["lanes"][index]
-    wait, pause = SHORT if words == "hang" else LONG, chance.random() / 5
-    played.sent[job] = index, words
-    head = [f"POST /{lane['name']}/{chance.randrange(4)} HTTP/1.1", "Host: x", f"X-Request-ID: {job}"]
+    wait, pause = HANGING_JOB_TIMEOUT_MS if words == "hang" else JOB_TIMEOUT_MS, rng.random() / 5
+    run.sent[job] = index, words
+    head = [f"POST /{lane['name']}/{rng.randrange(4)} HTTP/1.1", "Host: x", f"X-Request-ID: {job}"]
     head += [f"X-Timeout-Ms: {wait}", "Connection: close", f"Content-Length: {len(words)}"]
     if lane["semantics"] == "idempotency_key":
         head.append(f"Idempotency-Key: {job}")
     if conf["orgs"]:
-        head.append(f"X-Tenant-Id: {chance.choice(conf['orgs'])['name']}")
+        head.append(f"X-Tenant-Id: {rng.choice(conf['orgs'])['name']}")
     await asyncio.sleep(pause)
     loop = asyncio.get_running_loop()
-    reader, writer = await asyncio.open_connection("127.0.0.1", played.app.client_listener.port)
-    began = loop.time()
+    reader, writer = await asyncio.open_connection("127.0.0.1", run.app.client_listener.port)
+    started_at = loop.time()
     writer.write("\r\n".join([*head, "", words]).encode())
     async with asyncio.timeout(wait / 1e3 + 10):
         answer = await reader.read()
     writer.close()
-    if loop.time() - began > wait / 1e3 + LATE:
-        played.late.append(job)
-    # A second final answer would stand behind the first on the same connection.
-    played.answers[job] += [int(part[:3]) for part in answer.decode().split("HTTP/1.1 ")[1:]]
-    played.bodies[job] = answer.partition(b"\r\n\r\n")[2]
+    if loop.time() - started_at > wait / 1e3 + LATENESS_TOLERANCE_S:
+        run.late.append(job)
+    # A second final answer would follow the first on the same connection.
+    run.answers[job] += [int(part[:3]) for part in answer.decode().split("HTTP/1.1 ")[1:]]
+    run.bodies[job] = answer.partition(b"\r\n\r\n")[2]
 
 
 # --- the rules ---
 
 
-def check(played: Played, conf: dict[str, Any]) -> None:
-    """One final answer, in time, true; repeats as the class allows; attempts bounded."""
-    assert not played.late
-    attempts = defaultdict(list)
-    for each in played.seen:
-        attempts[each.job].append(each)
-    hosts = {each.entry.host: each.entry for each in played.app.router.table.servers.values()}
-    for job, (index, words) in played.sent.items():
-        lane, tries = conf["lanes"][index], attempts[job]
-        assert len(played.answers[job]) == 1, f"{job} got {played.answers[job]}"
-        status = played.answers[job][0]
+def check_rules(run: DeploymentRun, conf: dict[str, Any]) -> None:
+    """Check each job: one final answer, in time and correct; retries only as its class allows."""
+    assert not run.late
+    attempts_by_job = defaultdict(list)
+    for each in run.attempts:
+        attempts_by_job[each.job].append(each)
+    hosts = {each.entry.host: each.entry for each in run.app.router.table.servers.values()}
+    for job, (index, words) in run.sent.items():
+        lane, job_attempts = conf["lanes"][index], attempts_by_job[job]
+        assert len(run.answers[job]) == 1, f"{job} got {run.answers[job]}"
+        status = run.answers[job][0]
         if status == 200:
-            made = [each.server for each in tries if each.outcome == "done"]
-            assert any(played.bodies[job] == f"{name} did {job}".encode() for name in made), (
-                f"{job}: invented"
+            made = [each.server for each in job_attempts if each.outcome == "done"]
+            assert any(run.bodies[job] == f"{name} did {job}".encode() for name in made), (
+                f"{job}: result of no server that ran it"
             )
         else:
             assert words != "1" or status in (429, 503, 504, 502, 500), f"{job}: {status}"
-        assert len(tries) <= conf["limits"]["max_attempts"], f"{job}: {tries}"
-        ran = [each for each in tries if each.outcome != "returned"]
-        again = [each for each in tries if ran and each.began > ran[0].began]
+        assert len(job_attempts) <= conf["limits"]["max_attempts"], f"{job}: {job_attempts}"
+        ran = [each for each in job_attempts if each.outcome != "returned"]
+        again = [each for each in job_attempts if ran and each.started_at > ran[0].started_at]
         if lane["semantics"] == "non_idempotent":
-            assert not again, f"{job} may have run: {tries}"
+            assert not again, f"{job} sent again, but it may have run: {job_attempts}"
         if lane["semantics"] == "idempotency_key":
             part = {"all": lambda _: 0, "zone": lambda e: e.zone, "cell": lambda e: e.cell}[lane["group"]]
-            assert len({part(hosts[each.server]) for each in [*ran[:1], *again]}) <= 1, f"{job}: {tries}"
+            assert len({part(hosts[each.server]) for each in [*ran[:1], *again]}) <= 1, (
+                f"{job}: {job_attempts}"
+            )
             for each in again:
-                assert each.began - ran[0].began < lane["repeat_window_us"] / 1e6, f"{job}: {tries}"
+                assert each.started_at - ran[0].started_at < lane["repeat_window_us"] / 1e6, (
+                    f"{job}: {job_attempts}"
+                )
             refused = status in (429, 503)
-            assert not (refused and ran and lane["group"] != "all"), f"{job} may have run, and is refused"
+            assert not (refused and ran and lane["group"] != "all"), f"{job} refused, but it may have run"
         if lane["semantics"] == "non_idempotent" and ran:
-            assert status not in (429, 503), f"{job} may have run, and is refused"
+            assert status not in (429, 503), f"{job} refused, but it may have run"
         if not conf["limits"]["may_duplicate"]:
-            for before, after in itertools.pairwise(tries):
-                assert after.began >= before.ended - LATE / 4, f"{job}: two attempts out at once: {tries}"
+            for before, after in itertools.pairwise(job_attempts):
+                assert after.started_at >= before.ended_at - LATENESS_TOLERANCE_S / 4, (
+                    f"{job}: two attempts in flight at once: {job_attempts}"
+                )
 
 
-def count_by_status(played: Played) -> Counter[int]:
-    return Counter(status for statuses in played.answers.values() for status in statuses)
+def count_by_status(run: DeploymentRun) -> Counter[int]:
+    return Counter(status for statuses in run.answers.values() for status in statuses)
--- a/tests/support/race_kit.py
+++ b/tests/support/race_kit.py
@@ -26,8 +26,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def done(job_id: str, result: str = "r") -> bytes:
-    """A whole answer to this job."""
+def done_response(job_id: str, result: str = "r") -> bytes:
+    """Return a complete response to this job."""
     return (
         OK_HEAD
         + chunk(b'{"id":"%b","state":"done","result":"%b"}\n' % (job_id.encode(), result.encode()))
@@ -35,35 +35,35 @@
     )
 
 
-async def yield_to_event_loop(count: int = 20) -> None:
-    """So many rounds of the event loop."""
-    for _ in range(count):
+async def yield_to_event_loop(iterations: int = 20) -> None:
+    """Let the event loop run this many iterations."""
+    for _ in range(iterations):
         await asyncio.sleep(0)
 
 
 class BlockedConnects:
-    """New connections to a port wait, before their first packet, until they are let go."""
+    """Blocks new connections to a port, before their first packet, until `release`."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.waiting = 0
-        self._go = asyncio.Event()
+        self._released = asyncio.Event()
 
     def release(self) -> None:
-        self._go.set()
+        self._released.set()
 
     @contextmanager
     def installed(self):
         loop = asyncio.get_running_loop()
         connect = loop.sock_connect
 
-        async def held_connect(sock, address):
+        async def blocked_connect(sock, address):
             if address[1] == self.port:
                 self.waiting += 1
-                await self._go.wait()
+                await self._released.wait()
             return await connect(sock, address)
 
-        loop.sock_connect = held_connect
+        loop.sock_connect = blocked_connect
         try:
             yield self
         finally:
@@ -71,8 +71,8 @@
 
 
 @dataclass
-class Heard:
-    """One request as it came."""
+class ReceivedRequest:
+    """One request as received: the raw head and body."""
 
     head: bytes
     body: bytes
@@ -85,17 +85,17 @@
         raise KeyError(name)
 
 
-Answer = Callable[[asyncio.StreamWriter, Heard], Awaitable[None]]
+Responder = Callable[[asyncio.StreamWriter, ReceivedRequest], Awaitable[None]]
 
 
 @dataclass
 class ScriptedBackend:
-    """Answers each request by `answer`; without one it answers at once that it is done."""
+    """Handles each request by `respond`; without it, answers at once that the job is done."""
 
-    answer: Answer | None = None
-    requests: list[Heard] = field(default_factory=list)
+    respond: Responder | None = None
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
-    closed: int = 0  # connections that the other side has closed
+    closed: int = 0  # connections that the client has closed
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
     _server: asyncio.Server | None = None
@@ -117,41 +117,41 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 size = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0] or 0)
-                heard = Heard(head, await reader.readexactly(size))
-                self.requests.append(heard)
-                if self.answer is not None:
-                    await self.answer(writer, heard)
+                received = ReceivedRequest(head, await reader.readexactly(size))
+                self.requests.append(received)
+                if self.respond is not None:
+                    await self.respond(writer, received)
                 else:
-                    writer.write(done(heard.field("X-Request-ID")))
+                    writer.write(done_response(received.field("X-Request-ID")))
         except (asyncio.IncompleteReadError, OSError):
             self.closed += 1
 
 
 @dataclass
-class Core:
-    """A router whose one backend is scripted, on a real socket."""
+class RouterWithBackend:
+    """A router with one scripted backend on a real socket."""
 
     router: Router
     backend: ScriptedBackend
     entry: Endpoint
 
     def update_list(self, *entries: Endpoint, is_complete: bool = False) -> None:
-        """A list or a change of it."""
+        """Apply an endpoint list: a complete one, or a delta."""
         self.router.apply_list(EndpointList(entries, is_complete=is_complete))
 
 
 @asynccontextmanager
 async def router_with_backend(
-    decider: DecisionModule, entry: Endpoint, backend: ScriptedBackend, connect_timeout: float = 10.0
-) -> AsyncIterator[Core]:
-    """The core with a connection pool before this backend, whose entry gets its port."""
+    decision_module: DecisionModule, entry: Endpoint, backend: ScriptedBackend, connect_timeout: float = 10.0
+) -> AsyncIterator[RouterWithBackend]:
+    """Run a router with a connection pool in front of this backend; `entry` gets the backend's port."""
     await backend.listen()
     pool = ConnectionPool(PoolSettings(connect_timeout, 60.0, 8, LoadReportFields({})))
-    router = Router(decider, Clock(), BackendTable(lambda each: pool.client(each.dial)))
+    router = Router(decision_module, Clock(), BackendTable(lambda each: pool.client(each.dial)))
     listed = replace(entry, dial=f"127.0.0.1:{backend.port}")
     router.start(EndpointList((listed,), is_complete=True))
     try:
-        yield Core(router, backend, listed)
+        yield RouterWithBackend(router, backend, listed)
     finally:
         router.close()
         backend.close()
--- a/tests/support/site_kit.py
+++ b/tests/support/site_kit.py
@@ -1,7 +1,7 @@
-"""A small site on loopback for tests: the program in-process, toy servers, and fake STOMP peers.
+"""A small deployment on loopback for tests: the program in-process, toy servers and fake STOMP peers.
 
-The fakes are written from the public STOMP specification, apart from hazelbend's own codec, so that the
-two cannot share a mistake; test_stomp_listener.py holds their frames against stomp.py.
+The fakes are written from the public STOMP specification, independently of hazelbend's own codec, so that the
+two cannot share a mistake; test_stomp_listener.py compares their frames with stomp.py's.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     "membership_mode": "push",
     "orgs": [{"name": "ege-volt"}, {"name": "toros-sarj"}],
     "report": {"columns": ["outstanding", "backlog", "x0", "x1"], "via": "inline"},
-    # A box that connects is cold: windows short enough for a test, long enough for a budget.
+    # A worker starts cold when it connects: short enough for a test, long enough for a retry budget.
     "rules": {"fall_us": 50_000, "warm_after_us": 50_000, "start_capacity": 0.9, "fall_multiple": 100.0},
     "tick_us": 4_000,
 }
@@ -83,7 +83,7 @@
     ops: str = "",
     **settings: Any,
 ) -> AsyncIterator[tuple[App, list[ToyServer]]]:
-    """The program with so many toy servers; closed at once afterwards."""
+    """Run the program with `server_count` toy servers; close it without a drain afterwards."""
     servers = [ToyServer(f"toy-{number}") for number in range(server_count)]
     hosts = [host_entry(each.name, await each.listen()) for each in servers]
     if stomp:
@@ -97,13 +97,13 @@
         "settings": SETTINGS | settings,
     }
     whole = config.with_deploy_files(config.from_object(conf), folder, conf)
-    async with running(App(whole), *servers) as app:
+    async with started_app(App(whole), *servers) as app:
         yield app, servers
 
 
 @asynccontextmanager
-async def running(app: App, *fakes: Any) -> AsyncIterator[App]:
-    """The program, started; closed at once afterwards, and then the fakes of the rest of its site."""
+async def started_app(app: App, *fakes: Any) -> AsyncIterator[App]:
+    """Start the program; close it without a drain afterwards, and then the fakes that it talks to."""
     await app.start()
     try:
         yield app
@@ -113,10 +113,10 @@
             await each.close()
 
 
-async def wait_until(truth: Any, seconds: float = 60.0) -> None:
-    """Wait for what must become true; the limit is only there to end a test that has failed."""
+async def wait_until(condition: Any, seconds: float = 60.0) -> None:
+    """Wait until the condition holds; the limit only ends a test that has failed."""
     async with asyncio.timeout(seconds):
-        while not truth():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
@@ -140,7 +140,7 @@
 
 @dataclass
 class FakeStompClient:
-    """A STOMP peer: a client, or what a worker is built on."""
+    """A STOMP client; also the base class of the fake worker."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -169,14 +169,14 @@
         return [frame for frame in self.frames if frame.command == command]
 
     def statuses_by_request(self) -> dict[str, list[str]]:
-        """The statuses that came for each request."""
+        """Return the statuses received for each request, in order."""
         found: dict[str, list[str]] = {}
         for frame in self.frames_with_command("MESSAGE"):
             found.setdefault(frame.headers["request-id"], []).append(frame.headers["status"])
         return found
 
     async def abort_connection(self) -> None:
-        """The connection is lost, without a word."""
+        """Abort the connection without a DISCONNECT frame."""
         self.writer.transport.abort()
         await wait_until(lambda: self.closed)
 
@@ -197,22 +197,22 @@
                 else:
                     body = (await self.reader.readuntil(b"\x00"))[:-1]
                 self.frames.append(FakeStompFrame(line.decode().strip(), headers, body))
-                self.arrived(self.frames[-1])
+                self.on_frame(self.frames[-1])
         except (OSError, asyncio.IncompleteReadError):
             pass
         self.closed = True
 
-    def arrived(self, frame: FakeStompFrame) -> None: ...
+    def on_frame(self, frame: FakeStompFrame) -> None: ...
 
 
 @dataclass
 class FakeStompWorker(FakeStompClient):
-    """A partner's worker: it does with each job what the job's body says, as the toy server does."""
+    """A worker over STOMP: handles each job as the words in its body say, like the toy server."""
 
     ran: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
 
-    def arrived(self, frame: FakeStompFrame) -> None:
+    def on_frame(self, frame: FakeStompFrame) -> None:
         if frame.command != "MESSAGE":
             return
         if frame.headers["type"] == "cancel":
@@ -220,20 +220,20 @@
             return
         words, job_id = frame.body.decode().split(), frame.headers["request-id"]
 
-        def say(**fields: object) -> None:
+        def send_update(**fields: object) -> None:
             line = orjson.dumps({"id": job_id, "from": "box", **fields})
-            news = {"message-id": frame.headers["message-id"]}
-            self.send("SEND", line, destination="/hazelbend/news", **news)
+            reference = {"message-id": frame.headers["message-id"]}
+            self.send("SEND", line, destination="/hazelbend/news", **reference)
 
         if "return" in words:
-            say(state="returned")
+            send_update(state="returned")
             return
         self.ran.append(job_id)
-        say(state="started")
+        send_update(state="started")
         if "hang" not in words:
             end = "failed" if "fail" in words else "lost" if {"lose", "reset"} & {*words} else "done"
             load = {"inflight": 0, "queue": 0, "x0": 4}
             seconds = next((int(word) for word in words if word.isdecimal()), 20) / 1e3
             asyncio.get_running_loop().call_later(
-                seconds, lambda: say(state=end, result=f"box did {job_id}", load=load)
+                seconds, lambda: send_update(state=end, result=f"box did {job_id}", load=load)
             )
--- a/tests/support/slowdown.py
+++ b/tests/support/slowdown.py
@@ -1,18 +1,18 @@
-"""How much slower than by itself this machine runs things just now: room for tests that go by a clock."""
+"""Measures how much load on this machine slows a process down, for tests with wall-clock timeouts."""
 
 import time
 
-SPIN = 0.02  # seconds of CPU that one look takes
-LOOKS = 3
+CPU_S_PER_SAMPLE = 0.02
+SAMPLES = 3
 
 
 def slowdown_factor() -> float:
-    """Wall time over CPU time of some work, the worst of a few looks; 1.0 where nothing else runs."""
+    """Return wall time over CPU time of a busy loop, the largest of a few samples; 1.0 on an idle machine."""
     worst = 1.0
-    for _ in range(LOOKS):
+    for _ in range(SAMPLES):
         wall, cpu = time.monotonic(), time.thread_time()
-        while time.thread_time() - cpu < SPIN:
+        while time.thread_time() - cpu < CPU_S_PER_SAMPLE:
             sum(range(500))
-        worst = max(worst, (time.monotonic() - wall) / SPIN)
+        worst = max(worst, (time.monotonic() - wall) / CPU_S_PER_SAMPLE)
         time.sleep(0)
     return worst
--- a/tests/support/socket_kit.py
+++ b/tests/support/socket_kit.py
@@ -1,4 +1,4 @@
-"""For tests on real sockets: raw exchanges, and waiting for what another task does."""
+"""Helpers for tests on real sockets: raw requests, and waiting for a condition."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 
 HOST = "127.0.0.1"
-TIMEOUT_S = 5.0  # for what is awaited, also on a busy machine
+TIMEOUT_S = 5.0  # long enough on a busy machine too
 POLL_PERIOD_S = 0.005
 
 
 async def eventually(condition: Callable[[], bool]) -> None:
-    """Wait until this holds."""
+    """Wait until the condition holds; raise TimeoutError after TIMEOUT_S."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_PERIOD_S)
 
 
 async def exchange(port: int, request: bytes, until: bytes = b"") -> bytes:
-    """Send these bytes; what is received until a complete response, the end of the connection, or `until`."""
+    """Send these bytes; return what arrives up to a complete response, the connection's end or `until`."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request)
     received = b""
--- a/tests/support/srv_kit.py
+++ b/tests/support/srv_kit.py
@@ -1,4 +1,4 @@
-"""Zones, settings and complete sites with SRV names, on loopback, for tests."""
+"""Zone files, settings and complete deployments with SRV names, on loopback, for tests."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 def zone_file_text(
     *boxes: tuple[str, int] | tuple[str, int, int] | tuple[str, int, int, int], ttl: int = 5
 ) -> str:
-    """A zone of (target's first label, port, priority, weight)."""
+    """Return a zone file with an SRV record for each (target's first label, port, priority, weight)."""
     text = SOA
-    for label, port, *rank in boxes:
-        priority, weight = (*rank, *(0, 1)[len(rank) :])
+    for label, port, *priority_and_weight in boxes:
+        priority, weight = (*priority_and_weight, *(0, 1)[len(priority_and_weight) :])
         text += f"_arama._tcp.konya-1 {ttl} IN SRV {priority} {weight} {port} {label}.konya-1\n"
     for label in dict.fromkeys(each[0] for each in boxes):
         text += f"{label}.konya-1 {ttl} IN A 127.0.0.1\n"
@@ -79,7 +79,8 @@
     ttl: int = 1,
     **more: Any,
 ) -> AsyncIterator[tuple[App, list[ToyServer], list[FakeNameserver]]]:
-    """Toys that SRV names (`toy-0`, ... of NAME), further ones that the box list names, and nameservers."""
+    """Run the program with toy servers found by SRV (`toy-0`, ... of SRV_NAME), `listed_count` more from the
+    endpoint list, and `count` nameservers."""
     toml = {key: more.pop(key) for key in ("lifetimes", "budgets", "pools", "snapshot") if key in more}
     boxes = [ToyServer(f"toy-{number}") for number in range(server_count)]
     ports = [int((await each.listen()).rpartition(":")[2]) for each in boxes]
