--- a/features/environment.py
+++ b/features/environment.py
@@ -1,1 +1,1 @@
-"""Nothing is set up beside what each story says."""
+"""Environment of behave: no hooks, each scenario sets up its own fleet."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""How the suite runs: in several processes, and with the same Hypothesis examples every time.
+"""Configuration of the test suite: parallel processes, and the same Hypothesis examples in every run.
 
-The whole suite is spread over processes by pytest-xdist; a run of single files or tests stays in one process.
-`-n 0` or `-n 4` on the command line overrides both.
+pytest-xdist distributes the whole suite over several processes; a run of single files or tests stays in one
+process. `-n 0` or `-n 4` on the command line overrides both.
 """
 
 import os
@@ -11,8 +11,8 @@
 
 MAX_PROCESSES = 6
 
-# Modules that only compute, on a simulated clock or none: their tests may run anywhere, in any order.
-COMPUTING = {
+# Modules without I/O, on a simulated clock or none: their tests may run in any process and in any order.
+SIMULATED = {
     "test_cold_fleet",
     "test_control",
     "test_control_faults",
@@ -31,8 +31,8 @@
     "test_waiting",
 }
 
-# Modules that start real processes, or whose verdict goes by the wall clock or the cost of a request: they
-# run one after another in one process, so that none of them is load on another.
+# Modules that start real processes, or whose assertions depend on the wall clock or the cost of a request:
+# they run one after another in one process, so that they do not slow each other down.
 TIMED = {
     "test_client_listener",
     "test_closing",
@@ -54,13 +54,13 @@
     deadline=None,
     max_examples=40,
     database=None,
-    phases=(Phase.explicit, Phase.generate),  # shrinking has no bound on its time
+    phases=(Phase.explicit, Phase.generate),  # no shrinking: its time is unbounded
 )
 settings.load_profile("steady")
 
 
 def pytest_xdist_auto_num_workers(config: pytest.Config) -> int:
-    """The number of processes for `-n auto`: several for the whole suite, none beside this one otherwise."""
+    """Return the number of worker processes for `-n auto`: several for the whole suite, none otherwise."""
     if config.args_source is not pytest.Config.ArgsSource.TESTPATHS:
         return 0
     return min(MAX_PROCESSES, len(os.sched_getaffinity(0)))
@@ -68,10 +68,10 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Tests of one group run in one process, in their order. A module in neither set is its own group."""
+    """Assign tests to groups; each group runs in one process, in order. Other modules are their own group."""
     for item in items:
         module = item.path.stem
         if module in TIMED:
             item.add_marker(pytest.mark.xdist_group("timed"))
-        elif module not in COMPUTING:
+        elif module not in SIMULATED:
             item.add_marker(pytest.mark.xdist_group(module))
--- a/tests/golden/golden_kit.py
+++ b/tests/golden/golden_kit.py
@@ -1,14 +1,14 @@
-"""Golden data: bytes that the program put on the wire and on the disk at commit a71086c.
+"""Golden data: bytes that the program wrote to the wire and to disk at commit a71086c.
 
-A form is a kind of message or stored content with its reader and its writer. Its samples are given as plain
-values, with the names that stand on the wire, so no sample hangs on the name of a class or a field in Python.
-What the program writes after reading a sample is the golden data. To write the files again, with the code of
-the directory that PYTHONPATH names:
+Each kind of message or stored content has a codec and samples. The samples are plain values with the field
+names of the wire format, so they do not depend on the name of a class or field in Python. The golden data is
+what the program encodes after decoding a sample. To write the files again, with the code of the directory in
+PYTHONPATH:
 
     PYTHONPATH=DIRECTORY_OF_COMMIT python tests/golden/golden_kit.py
 
-The files in `tests/data/golden` stay as they are: other processes of a fleet and files on disks hold the same
-bytes. A form may get more samples; a sample that is there does not change.
+The files in `tests/data/golden` must not change: other processes of a fleet and files on disk hold the same
+bytes. Samples may be added; an existing sample does not change.
 """
 
 from __future__ import annotations
@@ -53,11 +53,16 @@
 
 @dataclass(frozen=True)
 class Codec:
-    """`read` gives a value of the program's own types, or raises msgspec.DecodeError."""
+    """How one kind of content is decoded and encoded.
+
+    `read` and `write` are the program's own decoder and encoder; `read` raises msgspec.DecodeError. `encode`
+    and `decode` convert between plain values (dicts, lists, bytes) and the wire format, without the program's
+    types.
+    """
 
     read: Callable[[bytes], Any]
     write: Callable[[Any], bytes]
-    encode: Callable[[Any], bytes] = msgspec.msgpack.encode  # plain values
+    encode: Callable[[Any], bytes] = msgspec.msgpack.encode  # from plain values
     decode: Callable[[bytes], Any] = msgspec.msgpack.decode  # to plain values
 
 
@@ -76,12 +81,12 @@
 
 
 def decode_srv_snapshot(content: bytes) -> snapshot.Snapshot:
-    """Of a whole file, or of its body alone, as in the state that an upgrade hands over."""
+    """Decode a whole snapshot file, or its body alone as in the handover state of an upgrade."""
     value = msgspec.json.decode(content)
     return snapshot.decode(content) if "digest" in value else snapshot.from_object(value)
 
 
-# It gives numbers to names that it meets, so what one has read the same one writes.
+# The codec numbers unknown names as it decodes them, so a list must be encoded by the codec that decoded it.
 ENDPOINT_LIST_CODEC = EndpointListCodec(("east", "west"), ("small", "large"))
 
 
@@ -97,7 +102,7 @@
     return machine
 
 
-# The only place where these tests name types of the program.
+# The only place where the golden data tests name types of the program. Keys are file names in data/golden.
 CODECS = {
     "control_message": Codec(messages.decode, messages.encode),
     "soft_state": Codec(messages.decode_soft_state, messages.encode_soft_state),
@@ -141,13 +146,13 @@
     "routes": json_codec(msgspec.json.Decoder(routes.Configuration).decode),
 }
 
-# Their values are state machines: they show what they hold by `snapshot`.
+# These decode to state machines, whose content is read by `snapshot`.
 STATE_MACHINES = ("lease_snapshot", "configuration_snapshot", "quota_snapshot")
-# What is read is not what is written: a heartbeat becomes a record, a configuration is never written.
+# These do not encode to what was decoded: a heartbeat becomes a record, a configuration is never written.
 READ_ONLY = ("heartbeat", "routes")
-# Their values in Python have other names than what is written.
+# These decode to Python types whose field names differ from the wire format.
 WITH_OTHER_FIELD_NAMES = ("srv_snapshot", "handover_state", "handover_news", "endpoint_list")
-# Of several kinds each, told apart by the key `type`.
+# Unions of several message types, distinguished by the key `type`.
 TAGGED_UNIONS = {
     "control_message": messages.Body,
     "log_body": log_messages.Body,
@@ -160,12 +165,12 @@
 
 
 def type_tags(codec_name: str) -> list[str]:
-    """What the key `type` may be."""
+    """Return the values that the key `type` may have."""
     return [kind.__struct_config__.tag for kind in get_args(TAGGED_UNIONS[codec_name])]
 
 
 def epoch_numbers() -> list[int]:
-    """Of founders at some times, with and without a known epoch."""
+    """Return the next epoch for founders at two times, with and without a known previous epoch."""
     return [
         persistent_state.next_epoch(known, unix_s, identity, by_operator)
         for known in (0, 456_789_012_345)
@@ -382,7 +387,7 @@
     },
 }
 
-# By form and sample: plain values as they stand on the wire. What is left out gets its default.
+# By codec and sample name: plain values as on the wire. Keys that are left out get their defaults.
 SAMPLES: dict[str, dict[str, Any]] = {
     "control_message": {
         "Hello": {
@@ -634,7 +639,7 @@
     },
 }
 
-# A voter's life as frames of its file, by samples of `memory_part`: each takes effect after the ones before.
+# The history of a voter as frames of its file, each a sample of `memory_part`, in the order of their effect.
 VOTER_HISTORY: list[dict[str, Any]] = [
     {"type": "Promise", "identity": N1, "epoch": 256, "term": 1, "vote": N1},
     {"type": "Base", "index": 0, "term": 0, "voters": [], "state": b""},
@@ -646,17 +651,17 @@
     {"type": "Entries", "first": 5, "entries": [[3, None, b""], [3, None, b"third"]]},
     {"type": "Promise", "identity": N1, "epoch": 256, "term": 3, "vote": N1},
 ]
-TORN_BYTES = 9  # that the last frame lacks in the torn file
+TORN_BYTES = 9  # missing from the last frame in the torn file
 
 
 def re_encode(codec_name: str, plain: Any) -> bytes:
-    """What the program writes after it has read this."""
+    """Return what the program encodes after decoding this sample."""
     codec = CODECS[codec_name]
     return codec.write(codec.read(codec.encode(plain)))
 
 
 def json_compatible(plain: Any) -> Any:
-    """For a JSON file: bytes in base 64, by the one key `base64`."""
+    """Convert to JSON types: bytes become an object with the single key `base64`."""
     if isinstance(plain, bytes):
         return {"base64": base64.b64encode(plain).decode()}
     if isinstance(plain, dict):
@@ -680,7 +685,7 @@
 
 
 def database_rows(folder: Path) -> dict[str, Any]:
-    """Schema and content of a control process's database."""
+    """Return the schema and rows of a control process's database."""
     connection = sqlite3.connect(folder / "control.db")
     try:
         return {
--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -1,10 +1,10 @@
-"""Golden runs: what the engines decide, from fixed seeds and fixed events, as digests.
+"""Golden runs: digests of what the engines decide for fixed seeds and fixed events.
 
-A run gives the engines events and takes in what they answer: encoded messages, or values without the names of
-classes and fields. A rename changes no digest; another order of draws, another timer or another field does.
-`checkpoints` tell after how many steps a run went another way. The file was written by the program of commit
-a71086c, but for `control` and `fleet`, which were written anew when each broadcast of a leader became a round
-(their messages name the round):
+A run passes events to the engines and hashes their output: encoded messages, or values without the names of
+classes and fields. A rename changes no digest; another order of random draws, another timer or another field
+does. `checkpoints` hold the digest after some steps, to find where a run diverges. The file was written by
+the program of commit a71086c, except `control` and `fleet`, which were written again when each broadcast of a
+leader became a round (their messages name the round):
 
     PYTHONPATH=DIRECTORY_OF_COMMIT:tests PYTHONHASHSEED=0 python tests/golden/golden_runs.py --write
 """
@@ -51,11 +51,11 @@
 RUNS_FILE = kit.GOLDEN / "runs.json"
 MS, S = 1_000, 1_000_000
 CHECKPOINTS = 8
-SIGNIFICANT_DIGITS = 9  # of a number with a point: libraries of mathematics differ beyond
+SIGNIFICANT_DIGITS = 9  # of floats: math libraries differ beyond this precision
 
 
 class Trace:
-    """Takes in what a run says."""
+    """Hashes the output of a run step by step."""
 
     def __init__(self) -> None:
         self.steps: list[str] = []
@@ -79,7 +79,7 @@
 
 
 def next_random_values(*owners: Any) -> list[float]:
-    """What the generators of these would draw next: it tells whether each draw was made."""
+    """Return the next values of these objects' random generators; they differ if a draw was left out."""
     found = []
     for owner in owners:
         for value in vars(owner).values():
@@ -102,7 +102,7 @@
 
 
 def control_run() -> Trace:
-    """Control processes under faults: all messages, by benchmarks.control."""
+    """Trace all messages of control processes under faults, in the simulation of benchmarks.control."""
     trace, encode = Trace(), messages.encode
 
     def recorded(body: Any) -> bytes:
@@ -128,7 +128,7 @@
 
 
 def control_status_pages() -> list[Any]:
-    """What `GET /status` of each control process tells, some seconds after the start; one is cut off."""
+    """Return `GET /status` of all control processes some seconds after the start; one is partitioned."""
     fleet = control_fleet.Fleet(3, machines=4, observers=1)
     fleet.run(8 * S)
     first = fleet.addresses[0]
@@ -153,7 +153,7 @@
 
 
 def quota_run() -> Trace:
-    """Dispatchers that draw units from a book, which loses and gets requests late."""
+    """Trace dispatchers that draw units from a quota ledger; requests to it are lost or delayed."""
     trace = Trace()
     simulation = quota_sim.QuotaSimulation(4, quota_sim.fault_scenario(3, ""))
     execute = simulation.ledger.execute
@@ -170,7 +170,10 @@
 
 
 def fleet_run() -> Trace:
-    """Four members that share leases on a network that loses; leaders hand over and stop, one leaves."""
+    """Trace four members that share leases on a lossy network.
+
+    A leader transfers its leadership, a leader stops, and a member leaves.
+    """
     trace, rng, now = Trace(), random.Random(8), 0
     addresses = [f"127.0.0.{n}:9100" for n in range(1, 5)]
     limits = lease_table.LeaseLimits(min_ttl_us=200 * MS, max_ttl_us=2 * S)
@@ -220,7 +223,7 @@
                 )
                 fleets[to].receive(item, now)
                 flush(to)
-        if step % 29 == 7:  # less often than heartbeats, which wait for the next message
+        if step % 29 == 7:  # less often than heartbeats, which are sent with the next message
             address = rng.choice(leading or sorted(fleets))
             name = f"lease-{rng.randrange(3)}"
             holder = f"h{rng.randrange(4)}"
@@ -269,7 +272,7 @@
 
 
 def dispatcher_run(conf: interface.Settings) -> Trace:
-    """One dispatcher before ten workers; some are cold, slow, or fail. Workers run four jobs at once."""
+    """Trace one dispatcher with ten workers of four slots; some workers are cold, slow or failing."""
     trace, rng, now, number = Trace(), random.Random(3), 1 * S, 0
     dispatcher = Dispatcher(conf, 7)
     scheduled: list[tuple[int, int, Any]] = []
@@ -365,7 +368,7 @@
 
 
 def learned_state_after_import() -> dict[str, Any]:
-    """What an upgrade passes on of the decisions: by the names that stand on the wire."""
+    """Return the learned state that an upgrade hands over, and the same after an import and a new export."""
     dispatcher = Dispatcher(DISPATCHERS["inline"], 7)
     entries = tuple(interface.WorkerEntry(n, started_at=2 * S if n == 3 else 0) for n in range(1, 4))
     dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 1 * S)
@@ -389,7 +392,7 @@
 
 
 def round_floats(value: Any) -> Any:
-    """Rounded, and numbers still."""
+    """Round all floats, kept as numbers."""
     if isinstance(value, float):
         return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
     if isinstance(value, list):
@@ -400,7 +403,10 @@
 
 
 def placement_run() -> Trace:
-    """A router before workers with phases, and others without; reads, runs, failures, and others' loads."""
+    """Trace a router with workers of two phases and workers without.
+
+    It covers prefills, decodes, plain requests, failures, and the load reports of other routers.
+    """
     trace, rng, now = Trace(), random.Random(6), 0
     placement = PlacementEngine("a", 11)
     body = json.dumps(kit.ROUTES | {"services": [{"name": "plain"}, {"name": "chat", "engine": ENGINE}]})
@@ -466,7 +472,7 @@
 
 
 def phases_run() -> Trace:
-    """Who of a service's workers reads prompts, and who makes tokens, as loads change."""
+    """Trace which workers of a service get the prefill and which the decode phase as loads change."""
     trace, rng, planner = Trace(), random.Random(2), PhasePlanner()
     phases = {f"w{n}": ("prefill", "decode")[n % 2] for n in range(8)}
     for step in range(400):
@@ -489,7 +495,7 @@
 
 
 def waiting_run() -> Trace:
-    """Jobs that wait on each other, on a clock and on admission."""
+    """Trace jobs that wait for other jobs, for a start time and for admission."""
     trace, rng, now, wall = Trace(), random.Random(9), 0, 10**15
     bounds = terms.Bounds(
         in_service=5,
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -1,7 +1,7 @@
-"""Golden texts: what the program shows to people and to other programs, and what it takes settings for.
+"""Golden texts: what the program prints for people and other programs, and how it reads settings.
 
-Each text is made from plain values alone, given by their places, so it does not hang on the name of a class
-or a field in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
+Each text is made from plain values passed by position, so it does not depend on the name of a class or field
+in Python. The files in `tests/data/golden/shown` were written by the program of commit a71086c:
 
     PYTHONPATH=DIRECTORY_OF_COMMIT:. python tests/golden/golden_shown.py
 """
@@ -61,7 +61,7 @@
 
 
 def plain_values(thing: Any) -> Any:
-    """Values without the names of classes and fields, for JSON."""
+    """Convert to JSON types, without the names of classes and fields."""
     if isinstance(thing, Enum):
         return plain_values(thing.value)
     if is_dataclass(thing):
@@ -84,7 +84,7 @@
     return json.dumps(value, indent=1) + "\n"
 
 
-# --- what runs ---
+# --- status of a running program ---
 
 
 def histogram(first: int) -> statistics.RatioHistogram:
@@ -103,7 +103,7 @@
 
 
 def sample_overview() -> overview.Overview:
-    """A moment of a program, all of its values different."""
+    """Return the overview of a program with a different value in each field."""
     classes = (overview.ClassFigures("nearby", 31, 32, 33), overview.ClassFigures("reserve", 34, 35, 36))
     names = ("followed", "unknown", "stale", "boxes", "spare", "queries", "failures")
     waiting = (
@@ -202,7 +202,7 @@
 
 
 def command_words() -> str:
-    """Commands, their arguments and options; not the help, which is prose."""
+    """Return all commands with their arguments and options; the help text is prose and left out."""
     found: dict[str, Any] = {}
 
     def add(command: click.Command, path: tuple[str, ...]) -> None:
@@ -485,7 +485,7 @@
 
 
 def configuration_findings() -> str:
-    """What is said of a configuration: of a right one its version, else the findings."""
+    """Return the version of each valid configuration and the findings of each invalid one."""
     broken = {
         "version": 0,
         "routes": [
@@ -611,7 +611,7 @@
     return "".join(line.decode() for line in lines)
 
 
-LITERAL_PATTERNS = {  # literals of the program that others read, by how they look
+LITERAL_PATTERNS = {  # string literals of the program that other programs read, by pattern
     "heads": re.compile(r"[A-Z][A-Z0-9]+( [A-Z0-9]+)*"),  # columns of tables, commands and methods
     "fields": re.compile(r"[A-Z][A-Za-z]*(-[A-Z][A-Za-z]+)+"),  # of HTTP
     "paths": re.compile(r"/[a-z][a-z/]*"),
@@ -623,7 +623,7 @@
 
 @cache
 def literals_by_kind() -> dict[str, list[str]]:
-    """The literals of the program that look like each kind."""
+    """Return the string literals of the program that match each pattern."""
     found: dict[str, set[str]] = {kind: set() for kind in LITERAL_PATTERNS}
     for path in Path(hazelbend.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/golden/test_golden_data.py
+++ b/tests/golden/test_golden_data.py
@@ -1,8 +1,8 @@
-"""The program reads what it has put on the wire and on the disk before, and writes the same bytes.
+"""The program decodes what earlier versions wrote to the wire and to disk, and encodes the same bytes.
 
-golden_kit.py says what the samples are and how the files in `data/golden` were made. A test here fails where
-a name on the wire changes: an older process of the same fleet, or a file of the version before, would not be
-understood. The remedy is in the program, not in the files.
+golden_kit.py describes the samples and how the files in `data/golden` were made. A test here fails when a
+name of the wire format changes: messages of an older process of the same fleet, or files of an earlier
+version, could not be decoded. Mend the program then; the files must not change.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 SAMPLES = [(codec_name, name) for codec_name in kit.CODECS for name in kit.load_json(codec_name)]
 
 
-def bytes_of(name: str) -> bytes:
+def golden_bytes(name: str) -> bytes:
     return (kit.GOLDEN / name).read_bytes()
 
 
-def history_parts() -> list[Any]:
+def decoded_voter_history() -> list[Any]:
     read = kit.CODECS["memory_part"].read
     return [read(msgspec.msgpack.encode(part)) for part in kit.VOTER_HISTORY]
 
 
 @pytest.mark.parametrize(("codec_name", "name"), SAMPLES)
-def test_a_sample_is_read_and_written_as_the_same_bytes(codec_name: str, name: str) -> None:
+def test_decoded_sample_is_encoded_to_the_same_bytes(codec_name: str, name: str) -> None:
     sample = kit.load_json(codec_name)[name]
     codec = kit.CODECS[codec_name]
     content = bytes.fromhex(sample["written"])
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(
     ("codec_name", "name"), [each for each in SAMPLES if each[0] not in kit.WITH_OTHER_FIELD_NAMES]
 )
-def test_what_was_read_has_the_names_of_the_wire(codec_name: str, name: str) -> None:
+def test_decoded_sample_has_the_field_names_of_the_wire_format(codec_name: str, name: str) -> None:
     sample = kit.load_json(codec_name)[name]
     found = kit.CODECS[codec_name].read(bytes.fromhex(sample["read"]))
     if codec_name in kit.STATE_MACHINES:
@@ -59,62 +59,64 @@
     assert kit.json_compatible(msgspec.to_builtins(found, builtin_types=(bytes,))) == sample["plain"]
 
 
-def test_all_samples_stand_in_the_files() -> None:
+def test_golden_files_hold_exactly_the_samples() -> None:
     assert {codec_name: sorted(samples) for codec_name, samples in kit.SAMPLES.items()} == {
         codec_name: sorted(kit.load_json(codec_name)) for codec_name in kit.CODECS
     }
 
 
-def test_each_kind_of_message_has_a_sample() -> None:
+def test_each_message_type_has_a_sample() -> None:
     for codec_name in kit.TAGGED_UNIONS:
         tags = {sample["plain"]["type"] for sample in kit.load_json(codec_name).values()}
         assert tags == set(kit.type_tags(codec_name)), codec_name
 
 
-def test_a_message_of_an_unknown_kind_is_refused() -> None:
+def test_message_of_unknown_type_is_rejected() -> None:
     for codec_name in kit.TAGGED_UNIONS:
         with pytest.raises(msgspec.DecodeError):
             kit.CODECS[codec_name].read(msgspec.msgpack.encode({"type": "Unheard"}))
 
 
-# --- a voter's file ---
+# --- the state file of a voter ---
 
 
-def test_a_memory_file_is_read_and_written_whole() -> None:
-    content = bytes_of("memory")
-    memory, good = state_codec.decode_state(content)
-    assert good == len(content)
-    assert state_codec.encode_state(memory) == bytes_of("memory.whole")
-    again, _ = state_codec.decode_state(bytes_of("memory.whole"))
-    assert state_codec.encode_state(again) == bytes_of("memory.whole")
+def test_voter_file_is_decoded_and_encoded_as_a_whole() -> None:
+    content = golden_bytes("memory")
+    state, intact = state_codec.decode_state(content)
+    assert intact == len(content)
+    assert state_codec.encode_state(state) == golden_bytes("memory.whole")
+    again, _ = state_codec.decode_state(golden_bytes("memory.whole"))
+    assert state_codec.encode_state(again) == golden_bytes("memory.whole")
 
 
-def test_frames_of_a_memory_file_are_the_same_bytes() -> None:
-    frames = state_codec.MAGIC + b"".join(map(state_codec.encode_frame, history_parts()))
-    assert frames == bytes_of("memory")
+def test_frames_of_voter_file_are_the_same_bytes() -> None:
+    frames = state_codec.MAGIC + b"".join(map(state_codec.encode_frame, decoded_voter_history()))
+    assert frames == golden_bytes("memory")
 
 
-def test_the_torn_end_of_a_memory_file_is_cut_off(tmp_path: Path) -> None:
-    last = len(state_codec.encode_frame(history_parts()[-1]))
-    good = bytes_of("memory")[:-last]
+def test_torn_last_frame_of_voter_file_is_truncated(tmp_path: Path) -> None:
+    last = len(state_codec.encode_frame(decoded_voter_history()[-1]))
+    intact = golden_bytes("memory")[:-last]
     shutil.copy(kit.GOLDEN / "memory.torn", tmp_path / "memory")
     store = fleet_store.FleetStore(tmp_path)
     try:
-        memory = store.open("@127.0.0.1:9100")
-        assert memory is not None
-        assert state_codec.encode_state(memory) == state_codec.encode_state(state_codec.decode_state(good)[0])
-        assert (tmp_path / "memory").read_bytes() == good
-        store.append(state_codec.encode_frame(history_parts()[-1]))
-        assert (tmp_path / "memory").read_bytes() == bytes_of("memory")
-        store.replace(bytes_of("memory.whole"))
-        assert (tmp_path / "memory").read_bytes() == bytes_of("memory.whole")
+        state = store.open("@127.0.0.1:9100")
+        assert state is not None
+        assert state_codec.encode_state(state) == state_codec.encode_state(
+            state_codec.decode_state(intact)[0]
+        )
+        assert (tmp_path / "memory").read_bytes() == intact
+        store.append(state_codec.encode_frame(decoded_voter_history()[-1]))
+        assert (tmp_path / "memory").read_bytes() == golden_bytes("memory")
+        store.replace(golden_bytes("memory.whole"))
+        assert (tmp_path / "memory").read_bytes() == golden_bytes("memory.whole")
     finally:
         store.close()
     assert sorted(each.name for each in tmp_path.iterdir()) == ["lock", "memory"]
 
 
-def test_a_damaged_memory_file_is_set_aside(tmp_path: Path) -> None:
-    content = bytearray(bytes_of("memory"))
+def test_corrupt_voter_file_is_renamed_and_reported(tmp_path: Path) -> None:
+    content = bytearray(golden_bytes("memory"))
     content[len(state_codec.MAGIC) + state_codec.HEADER_BYTES] ^= 1
     (tmp_path / "memory").write_bytes(content)
     store = fleet_store.FleetStore(tmp_path)
@@ -126,10 +128,10 @@
     assert sorted(each.name for each in tmp_path.iterdir()) == ["lock", "memory.damaged"]
 
 
-# --- a control process's files ---
+# --- the files of a control process ---
 
 
-def test_a_stored_control_database_is_read(tmp_path: Path) -> None:
+def test_stored_control_database_is_loaded(tmp_path: Path) -> None:
     shutil.copy(kit.GOLDEN / "control.db", tmp_path / "control.db")
 
     async def read() -> tuple[bytes, int]:
@@ -137,21 +139,21 @@
         try:
             found = await store.open("127.0.0.1:9100")
             assert found is not None
-            memory, commit = found
-            return state_codec.encode_state(memory), commit
+            state, commit = found
+            return state_codec.encode_state(state), commit
         finally:
             await store.close()
 
     content, commit = asyncio.run(read())
-    assert content == bytes_of("memory.whole")
+    assert content == golden_bytes("memory.whole")
     assert commit == 4
 
 
-def test_a_control_database_is_written_with_the_same_rows(tmp_path: Path) -> None:
+def test_control_database_is_written_with_the_same_rows(tmp_path: Path) -> None:
     async def write() -> None:
         store = control_store.ControlStore(tmp_path)
         try:
-            for part in history_parts():
+            for part in decoded_voter_history():
                 await store.save([part], 4)
         finally:
             await store.close()
@@ -161,7 +163,7 @@
     assert kit.json_compatible(kit.database_rows(tmp_path)) == kit.load_json("control_db")
 
 
-def test_a_damaged_control_database_is_set_aside(tmp_path: Path) -> None:
+def test_corrupt_control_database_is_renamed(tmp_path: Path) -> None:
     shutil.copy(kit.GOLDEN / "control.db", tmp_path / "control.db")
     with sqlite3.connect(tmp_path / "control.db") as connection:
         connection.execute("UPDATE part SET content = ? WHERE kind = 'promise'", (b"\x80",))
@@ -178,21 +180,21 @@
     assert sorted(each.name for each in tmp_path.iterdir()) == ["control.damaged", "control.db"]
 
 
-def test_a_soft_state_file_is_read_and_written(tmp_path: Path) -> None:
+def test_soft_state_file_is_read_and_written_unchanged(tmp_path: Path) -> None:
     content = soft_state_file.read_soft_state(kit.GOLDEN / "soft_state.file")
     assert content is not None
     assert content.hex() == kit.load_json("soft_state")["full"]["written"]
     path = tmp_path / "soft_state"
     soft_state_file.write_soft_state(path, content)
-    assert path.read_bytes() == bytes_of("soft_state.file")
+    assert path.read_bytes() == golden_bytes("soft_state.file")
     assert [each.name for each in tmp_path.iterdir()] == ["soft_state"]
 
 
 # --- frames over TCP ---
 
 
-class Wire(asyncio.Transport):
-    """Keeps what is written."""
+class RecordingTransport(asyncio.Transport):
+    """Records the bytes written to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -208,46 +210,48 @@
         return 0
 
 
-def test_frames_have_a_length_of_four_bytes_before_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tcp_frames_have_a_four_byte_length_prefix(monkeypatch: pytest.MonkeyPatch) -> None:
     frames: list[bytes] = []
-    wire = Wire()
+    transport = RecordingTransport()
 
-    async def talk() -> None:
+    async def send_and_receive() -> None:
         connection = frame_link.FrameConnection(
             lambda _, frame: frames.append(frame), lambda _: None, lambda _: None
         )
-        with socket.socket() as plain:
-            monkeypatch.setattr(wire, "get_extra_info", {"peername": ("127.0.0.1", 1), "socket": plain}.get)
-            connection.connection_made(wire)
+        with socket.socket() as unused_socket:
+            monkeypatch.setattr(
+                transport, "get_extra_info", {"peername": ("127.0.0.1", 1), "socket": unused_socket}.get
+            )
+            connection.connection_made(transport)
         for content in (b"one", b"", b"x" * 70_000):
             assert connection.send(content)
-        for at in range(0, len(wire.content), 1000):
-            connection.data_received(wire.content[at : at + 1000])
+        for at in range(0, len(transport.content), 1000):
+            connection.data_received(transport.content[at : at + 1000])
 
-    asyncio.run(talk())
-    assert wire.content == b"\0\0\0\3one" + b"\0\0\0\0" + b"\0\1\x11\x70" + b"x" * 70_000
+    asyncio.run(send_and_receive())
+    assert transport.content == b"\0\0\0\3one" + b"\0\0\0\0" + b"\0\1\x11\x70" + b"x" * 70_000
     assert frames == [b"one", b"", b"x" * 70_000]
 
 
-# --- numbers that are drawn from encoded content ---
+# --- digests and numbers computed from encoded content ---
 
 
-def test_the_digest_of_known_workers_is_the_same() -> None:
-    news = kit.CODECS["control_message"].read(
+def test_digest_of_tracked_workers_is_unchanged() -> None:
+    update = kit.CODECS["control_message"].read(
         bytes.fromhex(kit.load_json("control_message")["WorkerNews"]["written"])
     )
     registry = workers.WorkerRegistry(1_000_000)
-    for record in news.records:
+    for record in update.records:
         registry.merge(record, 5_000_000)
     assert registry.digest == kit.load_json("numbers")["worker_digest"]
 
 
-def test_the_digest_of_a_change_is_the_same() -> None:
+def test_digest_of_configuration_change_is_unchanged() -> None:
     digest = config_state_machine.digest_of(6, b'{"version": 7}')
     assert digest.hex() == kit.load_json("numbers")["change_digest"]
 
 
-def test_a_change_is_compressed_as_before() -> None:
+def test_configuration_change_is_compressed_as_before() -> None:
     entry = msgspec.msgpack.decode(config_state_machine.encode_config_change(6, 7, b'{"version": 7}'))
     assert zlib.decompress(entry.pop("body")) == b'{"version": 7}'
     assert kit.json_compatible(entry) == kit.load_json("numbers")["change_entry"]
@@ -255,18 +259,18 @@
     assert long == zlib.compress(kit.LONG_TEXT, 1)
 
 
-def test_cached_parts_are_compressed_as_before() -> None:
-    parts = {"w-1": {"p1": 512, "p2": 64}, "w-2": {"p2": 64}}
-    news = messages.CacheUpdate.from_prefixes(parts)
-    assert msgspec.msgpack.decode(zlib.decompress(news.body)) == parts
-    assert news.body == zlib.compress(msgspec.msgpack.encode(parts), 1)
-    assert news.body[:2].hex() == kit.load_json("numbers")["cache_head"]
-    assert [msgspec.to_builtins(part) for part in news.cached_prefixes()] == [
+def test_cached_prefixes_are_compressed_as_before() -> None:
+    prefixes = {"w-1": {"p1": 512, "p2": 64}, "w-2": {"p2": 64}}
+    update = messages.CacheUpdate.from_prefixes(prefixes)
+    assert msgspec.msgpack.decode(zlib.decompress(update.body)) == prefixes
+    assert update.body == zlib.compress(msgspec.msgpack.encode(prefixes), 1)
+    assert update.body[:2].hex() == kit.load_json("numbers")["cache_head"]
+    assert [msgspec.to_builtins(part) for part in update.cached_prefixes()] == [
         ["w-1", "p1", 512],
         ["w-1", "p2", 64],
         ["w-2", "p2", 64],
     ]
 
 
-def test_epochs_and_tokens_are_numbered_as_before() -> None:
+def test_epochs_are_numbered_as_before() -> None:
     assert kit.epoch_numbers() == kit.load_json("numbers")["epochs"]
--- a/tests/golden/test_golden_runs.py
+++ b/tests/golden/test_golden_runs.py
@@ -1,7 +1,7 @@
-"""The engines decide as before: digests of runs from fixed seeds, and what an upgrade passes on.
+"""The engines decide as before: digests of runs with fixed seeds, and the learned state of an upgrade.
 
-golden_runs.py says what the runs are. The first checkpoint that differs tells after how many steps a run went
-another way. A change of what the program does, which is meant, needs new digests; a rename needs none.
+golden_runs.py describes the runs. The first checkpoint that differs shows where a run
+diverged. An intended change of behaviour needs new digests; a rename needs none.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 
 
 @pytest.fixture(scope="module")
-def found() -> dict[str, Any]:
-    """In a process of its own, where sets of texts have the same order each time."""
+def results() -> dict[str, Any]:
+    """Execute all runs in a process with a fixed hash seed, which fixes the order of sets of strings."""
     path = os.pathsep.join(map(str, (ROOT, ROOT / "tests")))
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, ROOT / "tests" / "golden" / "golden_runs.py"],
         env=os.environ | {"PYTHONHASHSEED": "0", "PYTHONPATH": path},
         capture_output=True,
         check=False,
         text=True,
     )
-    assert done.returncode == 0, done.stderr
-    return dict(json.loads(done.stdout))
+    assert process.returncode == 0, process.stderr
+    return dict(json.loads(process.stdout))
 
 
 @pytest.mark.parametrize("name", [*golden_runs.RUNS_BY_NAME, "learnt", "control status"])
-def test_a_run_goes_as_before(name: str, found: dict[str, Any]) -> None:
-    assert found[name] == GOLDEN[name]
+def test_run_has_the_golden_digests(name: str, results: dict[str, Any]) -> None:
+    assert results[name] == GOLDEN[name]
 
 
-def test_each_golden_run_is_made(found: dict[str, Any]) -> None:
-    assert sorted(found) == sorted(GOLDEN)
+def test_each_golden_run_is_executed(results: dict[str, Any]) -> None:
+    assert sorted(results) == sorted(GOLDEN)
 
 
-def test_what_the_process_before_has_learnt_is_read() -> None:
-    """Its text as an older program passes it on, into a dispatcher that knows the same workers."""
+def test_learned_state_of_older_program_is_imported() -> None:
+    """Imports the state as an older program exported it, into a dispatcher with the same workers."""
     known = GOLDEN["learnt"]["passed"]
     dispatcher = Dispatcher(golden_runs.DISPATCHERS["inline"], 7)
     entries = tuple(
@@ -55,9 +55,9 @@
     )
     dispatcher.handle(interface.MembershipUpdate(interface.ListKind.FULL, entries), 4_000_000)
     learned_state.import_state(dispatcher, known, 4_000_000)
-    recalled = golden_runs.round_floats(
+    exported = golden_runs.round_floats(
         json.loads(json.dumps(learned_state.export_state(dispatcher, 4_000_000)))
     )
-    assert recalled["means"] == known["means"] and recalled["usuals"] == known["usuals"]
-    assert [sorted(each) for each in recalled["workers"]] == [sorted(each) for each in known["workers"]]
-    assert sorted(recalled) == sorted(known)
+    assert exported["means"] == known["means"] and exported["usuals"] == known["usuals"]
+    assert [sorted(each) for each in exported["workers"]] == [sorted(each) for each in known["workers"]]
+    assert sorted(exported) == sorted(known)
--- a/tests/repository/test_layers.py
+++ b/tests/repository/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers import one way: each only what stands below it. The core knows no wire."""
+"""Import rules: a layer imports only the layers below it, and the core layers import no I/O modules."""
 
 import ast
 import subprocess
@@ -8,7 +8,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parents[2] / "hazelbend"
-ALLOWED = {
+ALLOWED_IMPORTS = {
     "decisions": set(),
     "routing": {"decisions"},
     "schema": set(),
@@ -51,12 +51,12 @@
     "fakes": set(),
     "cli": {"dns_discovery", "consensus", "leases", "protocol", "transport", "dispatcher", "fakes"},
 }
-WIRES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
-TEXT = {"orjson"}  # of the operators' configuration, which is the control layer's to check
+IO_MODULES = {"aiohttp", "yarl", "socket", "pysnmp", "prompt_toolkit", "json", "struct", "uvicorn", "sqlite3"}
+CONFIG_TEXT_MODULES = {"orjson"}  # the control layer parses and checks the operators' JSON configuration
 
 
 def imports(path: Path) -> set[str]:
-    """The modules that a file names in its imports."""
+    """Return the modules that a file imports."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -67,13 +67,13 @@
     return found
 
 
-@pytest.mark.parametrize("layer", ALLOWED)
-def test_a_layer_imports_only_what_is_below(layer):
+@pytest.mark.parametrize("layer", ALLOWED_IMPORTS)
+def test_layer_imports_only_allowed_layers(layer):
     files = list((PACKAGE / layer).rglob("*.py"))
     assert files
     for path in files:
-        own = {name.split(".")[1] for name in imports(path) if name.startswith("hazelbend.")}
-        assert own <= ALLOWED[layer] | {layer}, path
+        imported_layers = {name.split(".")[1] for name in imports(path) if name.startswith("hazelbend.")}
+        assert imported_layers <= ALLOWED_IMPORTS[layer] | {layer}, path
 
 
 @pytest.mark.parametrize(
@@ -91,24 +91,26 @@
         "forwarding",
     ],
 )
-def test_the_core_imports_no_wire(layer):
+def test_core_layers_import_no_io_modules(layer):
     for path in (PACKAGE / layer).rglob("*.py"):
-        barred = WIRES if layer == "control" else WIRES | TEXT
-        assert not {name.split(".")[0] for name in imports(path)} & barred, path
+        forbidden = IO_MODULES if layer == "control" else IO_MODULES | CONFIG_TEXT_MODULES
+        assert not {name.split(".")[0] for name in imports(path)} & forbidden, path
 
 
-def test_every_part_of_the_package_is_a_known_layer():
-    assert {path.relative_to(PACKAGE).parts[0] for path in PACKAGE.rglob("*/*.py")} == set(ALLOWED)
+def test_each_subpackage_is_a_known_layer():
+    assert {path.relative_to(PACKAGE).parts[0] for path in PACKAGE.rglob("*/*.py")} == set(ALLOWED_IMPORTS)
 
 
-def test_what_is_not_enabled_is_not_imported():
-    """The platform pays neither memory nor start-up time for what its `run` does not use."""
+def test_disabled_features_are_not_imported():
+    """Guards the memory and start-up time of `run`: the modules of features that are off are not loaded."""
     code = "import sys, hazelbend.dispatcher.app; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, cwd=PACKAGE.parent)
-    loaded = done.stdout.decode().split()
+    process = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, check=True, cwd=PACKAGE.parent
+    )
+    loaded = process.stdout.decode().split()
     unused = {"pysnmp", "prompt_toolkit", "dns", "msgspec", "immutables", "click", "uvicorn", "marshmallow"}
     assert not unused & set(loaded)
-    off = (
+    disabled_prefixes = (
         "hazelbend.schema",
         "hazelbend.dns_discovery",
         "hazelbend.endpoints",
@@ -119,7 +121,7 @@
         "hazelbend.forwarding",
         "hazelbend.system",
     )
-    off += (
+    disabled_prefixes += (
         "hazelbend.consensus",
         "hazelbend.gossip",
         "hazelbend.leases",
@@ -130,13 +132,17 @@
         "hazelbend.dispatcher.srv_",
         "hazelbend.dispatcher.fleet",
     )
-    assert not [each for each in loaded if each.startswith(off)]
+    assert not [each for each in loaded if each.startswith(disabled_prefixes)]
 
 
-def test_extensions_know_nothing_of_app_and_it_knows_none_by_name():
-    """Guards against the circle that was there: App made each extension, and each extension held App."""
-    kinds = {"hazelbend.dispatcher.sources", "hazelbend.dispatcher.waiting", "hazelbend.dispatcher.fleet"}
+def test_app_and_extensions_do_not_import_each_other():
+    """Guards against a dependency cycle: App once created each extension, and each extension held App."""
+    extension_modules = {
+        "hazelbend.dispatcher.sources",
+        "hazelbend.dispatcher.waiting",
+        "hazelbend.dispatcher.fleet",
+    }
     for path in (PACKAGE / "dispatcher").glob("*.py"):
-        named = imports(path)
-        assert "hazelbend.dispatcher.app" not in named, path
-        assert path.stem != "app" or not named & kinds, "one place names them: extensions.py"
+        imported = imports(path)
+        assert "hazelbend.dispatcher.app" not in imported, path
+        assert path.stem != "app" or not imported & extension_modules, "only extensions.py imports them"
--- a/tests/repository/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example works as printed."""
+"""The embedding example in README.md runs as printed."""
 
 import re
 from pathlib import Path
