--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -211,14 +211,14 @@
             for each in command.params
         ]
         if isinstance(command, click.Group):
-            for name, sub in sorted(command.commands.items()):
-                add(sub, (*path, name))
+            for name, subcommand in sorted(command.commands.items()):
+                add(subcommand, (*path, name))
 
     add(command_line, ())
-    said = io.StringIO()
-    with contextlib.redirect_stdout(said), contextlib.suppress(SystemExit):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output), contextlib.suppress(SystemExit):
         console_client.main(["--help"])
-    found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", said.getvalue())))
+    found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", output.getvalue())))
     flags = system_main.FLAGS._flags()
     found["hazelbend.system"] = {
         name: plain_values(flags[name].default) for name in ("settings", "log_level")
@@ -285,13 +285,15 @@
         folder = Path(name)
         for site, conf in SITE_CONFIGS.items():
             (folder / f"{site}.json").write_text(json.dumps(conf))
-            for more in ([], ["--json"]):
-                said = runner.invoke(
+            for options in ([], ["--json"]):
+                result = runner.invoke(
                     command_line,
-                    ["check", str(folder / f"{site}.json"), *more],
+                    ["check", str(folder / f"{site}.json"), *options],
                     env={deploy_files.DEPLOY_VARIABLE: str(folder)},
                 )
-                found.append(f"$ check {site} {' '.join(more)}\n{said.output}(status {said.exit_code})\n")
+                found.append(
+                    f"$ check {site} {' '.join(options)}\n{result.output}(status {result.exit_code})\n"
+                )
     return "\n".join(found)
 
 
@@ -588,16 +590,23 @@
 
 
 def worker_texts() -> str:
-    read = config.from_object(site_config()).load_fields
+    report_fields = config.from_object(site_config()).load_fields
     load = {"inflight": 3, "queue": 2.5, "x0": 1, "other": 9}
     states = ("started", "running", "done", "failed", "returned", "lost", "odd")
     lines = [{"id": "j", "state": state, "share": 0.5, "result": {"a": 1}, "load": load} for state in states]
-    found = [plain_values(worker_lines.read_line(json.dumps(line).encode(), "j", read)) for line in lines]
+    reports = [
+        plain_values(worker_lines.read_line(json.dumps(line).encode(), "j", report_fields)) for line in lines
+    ]
     statuses = [
         worker_lines.outcome_of_status(status, not_run).value for status in (503, 500) for not_run in (0, 1)
     ]
     return as_json_text(
-        [found, statuses, plain_values(read.read_text('{"inflight": 4}')), plain_values(LoadReport())]
+        [
+            reports,
+            statuses,
+            plain_values(report_fields.read_text('{"inflight": 4}')),
+            plain_values(LoadReport()),
+        ]
     )
 
 
--- a/tests/golden/test_golden_runs.py
+++ b/tests/golden/test_golden_runs.py
@@ -1,7 +1,7 @@
 """The engines decide as before: digests of runs with fixed seeds, and the learned state of an upgrade.
 
-golden_runs.py describes the runs. The first checkpoint that differs shows where a run
-diverged. An intended change of behaviour needs new digests; a rename needs none.
+golden_runs.py describes the runs. The first checkpoint that differs shows where a run diverged. An intended
+change of behaviour needs new digests; a rename needs none.
 """
 
 from __future__ import annotations
--- a/tests/support/deployment_kit.py
+++ b/tests/support/deployment_kit.py
@@ -126,29 +126,30 @@
         self.attempts, self._conf = attempts, conf
 
     def load(self) -> dict[str, Any]:
-        words = {"outstanding": "inflight", "backlog": "queue"}
+        load_names = {"outstanding": "inflight", "backlog": "queue"}
         values = super().load() | {"utilization": 0.5, "recent_ms": 20}
         return {
-            words.get(name, name): values[words.get(name, name)] for name in self._conf["report"]["columns"]
+            load_names.get(name, name): values[load_names.get(name, name)]
+            for name in self._conf["report"]["columns"]
         }
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.method != "POST":
             allowed = self._conf["limits"]["probes"]
             return await super()._serve(request) if allowed else web.Response(status=404)
-        words = (await request.read()).decode().split()
+        script = (await request.read()).decode().split()
         loop, job = asyncio.get_running_loop(), request.headers["X-Request-ID"]
-        flaky = "flaky" in words and all(other.job != job for other in self.attempts)
+        flaky = "flaky" in script and all(other.job != job for other in self.attempts)
         outcome = (
-            "returned" if "return" in words else "failed" if "fail" in words or flaky
-            else "lost" if {"lose", "reset"} & {*words} else "done"
+            "returned" if "return" in script else "failed" if "fail" in script or flaky
+            else "lost" if {"lose", "reset"} & {*script} else "done"
         )  # fmt: skip
-        each = AttemptRecord(job, self.name, loop.time(), outcome)
-        self.attempts.append(each)
+        attempt = AttemptRecord(job, self.name, loop.time(), outcome)
+        self.attempts.append(attempt)
         try:
             return web.Response(status=500) if flaky else await super()._serve(request)
         finally:
-            each.ended_at = loop.time()
+            attempt.ended_at = loop.time()
 
 
 @dataclass
@@ -230,9 +231,9 @@
                 drained_at = asyncio.get_running_loop().time()
         grace = conf["rules"]["drain_grace_us"] / 1e6
         late = [
-            each
-            for each in attempts
-            if each.server == "s-0" and each.started_at > drained_at + grace + LATENESS_TOLERANCE_S / 4
+            attempt
+            for attempt in attempts
+            if attempt.server == "s-0" and attempt.started_at > drained_at + grace + LATENESS_TOLERANCE_S / 4
         ]
         assert not late, f"sent to a draining server: {late}"
         await asyncio.wait_for(app.router.wait_idle(), 15)
@@ -253,24 +254,24 @@
 
 
 async def _send(run: DeploymentRun, conf: dict[str, Any], rng: random.Random, number: int) -> None:
-    index, words = (
+    index, script = (
         rng.randrange(len(conf["lanes"])),
         rng.choice(FAULTY_SCRIPTS if rng.random() < 0.4 else SUCCESSFUL_SCRIPTS),
     )
     job, lane = f"job-{number}", conf["lanes"][index]
-    wait, pause = HANGING_JOB_TIMEOUT_MS if words == "hang" else JOB_TIMEOUT_MS, rng.random() / 5
-    run.sent[job] = index, words
-    head = [f"POST /{lane['name']}/{rng.randrange(4)} HTTP/1.1", "Host: x", f"X-Request-ID: {job}"]
-    head += [f"X-Timeout-Ms: {wait}", "Connection: close", f"Content-Length: {len(words)}"]
+    wait, pause = HANGING_JOB_TIMEOUT_MS if script == "hang" else JOB_TIMEOUT_MS, rng.random() / 5
+    run.sent[job] = index, script
+    headers = [f"POST /{lane['name']}/{rng.randrange(4)} HTTP/1.1", "Host: x", f"X-Request-ID: {job}"]
+    headers += [f"X-Timeout-Ms: {wait}", "Connection: close", f"Content-Length: {len(script)}"]
     if lane["semantics"] == "idempotency_key":
-        head.append(f"Idempotency-Key: {job}")
+        headers.append(f"Idempotency-Key: {job}")
     if conf["orgs"]:
-        head.append(f"X-Tenant-Id: {rng.choice(conf['orgs'])['name']}")
+        headers.append(f"X-Tenant-Id: {rng.choice(conf['orgs'])['name']}")
     await asyncio.sleep(pause)
     loop = asyncio.get_running_loop()
     reader, writer = await asyncio.open_connection("127.0.0.1", run.app.client_listener.port)
     started_at = loop.time()
-    writer.write("\r\n".join([*head, "", words]).encode())
+    writer.write("\r\n".join([*headers, "", script]).encode())
     async with asyncio.timeout(wait / 1e3 + 10):
         answer = await reader.read()
     writer.close()
@@ -288,32 +289,36 @@
     """Check each job: one final answer, in time and correct; retries only as its class allows."""
     assert not run.late
     attempts_by_job = defaultdict(list)
-    for each in run.attempts:
-        attempts_by_job[each.job].append(each)
-    hosts = {each.entry.host: each.entry for each in run.app.router.table.servers.values()}
-    for job, (index, words) in run.sent.items():
+    for attempt in run.attempts:
+        attempts_by_job[attempt.job].append(attempt)
+    hosts = {server.entry.host: server.entry for server in run.app.router.table.servers.values()}
+    for job, (index, script) in run.sent.items():
         lane, job_attempts = conf["lanes"][index], attempts_by_job[job]
         assert len(run.answers[job]) == 1, f"{job} got {run.answers[job]}"
         status = run.answers[job][0]
         if status == 200:
-            made = [each.server for each in job_attempts if each.outcome == "done"]
-            assert any(run.bodies[job] == f"{name} did {job}".encode() for name in made), (
+            successful_servers = [attempt.server for attempt in job_attempts if attempt.outcome == "done"]
+            assert any(run.bodies[job] == f"{server} did {job}".encode() for server in successful_servers), (
                 f"{job}: result of no server that ran it"
             )
         else:
-            assert words != "1" or status in (429, 503, 504, 502, 500), f"{job}: {status}"
+            assert script != "1" or status in (429, 503, 504, 502, 500), f"{job}: {status}"
         assert len(job_attempts) <= conf["limits"]["max_attempts"], f"{job}: {job_attempts}"
-        ran = [each for each in job_attempts if each.outcome != "returned"]
-        again = [each for each in job_attempts if ran and each.started_at > ran[0].started_at]
+        ran = [attempt for attempt in job_attempts if attempt.outcome != "returned"]
+        retries = [attempt for attempt in job_attempts if ran and attempt.started_at > ran[0].started_at]
         if lane["semantics"] == "non_idempotent":
-            assert not again, f"{job} sent again, but it may have run: {job_attempts}"
+            assert not retries, f"{job} sent again, but it may have run: {job_attempts}"
         if lane["semantics"] == "idempotency_key":
-            part = {"all": lambda _: 0, "zone": lambda e: e.zone, "cell": lambda e: e.cell}[lane["group"]]
-            assert len({part(hosts[each.server]) for each in [*ran[:1], *again]}) <= 1, (
+            dedup_domain = {
+                "all": lambda _: 0,
+                "zone": lambda entry: entry.zone,
+                "cell": lambda entry: entry.cell,
+            }[lane["group"]]
+            assert len({dedup_domain(hosts[attempt.server]) for attempt in [*ran[:1], *retries]}) <= 1, (
                 f"{job}: {job_attempts}"
             )
-            for each in again:
-                assert each.started_at - ran[0].started_at < lane["repeat_window_us"] / 1e6, (
+            for attempt in retries:
+                assert attempt.started_at - ran[0].started_at < lane["repeat_window_us"] / 1e6, (
                     f"{job}: {job_attempts}"
                 )
             refused = status in (429, 503)
--- a/tests/support/model.py
+++ b/tests/support/model.py
@@ -31,7 +31,7 @@
 
     @property
     def first_possibly_run(self) -> Attempt | None:
-        return next((each for each in self.attempts if each.may_have_run), None)
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 class Model:
@@ -75,9 +75,11 @@
                 self.unavailable_since.setdefault(entry.worker, self.now)
         self.handle_event(interface.MembershipUpdate(kind, entries))
 
-    def arrive(self, request: int, client_timeout: int = 5_000_000, job_class: int = 0, **more: int) -> None:
+    def arrive(
+        self, request: int, client_timeout: int = 5_000_000, job_class: int = 0, **fields: int
+    ) -> None:
         self.jobs[request] = Job(self.settings.classes[job_class], self.now + client_timeout)
-        self.handle_event(interface.RequestArrived(request, client_timeout, job_class, **more))
+        self.handle_event(interface.RequestArrived(request, client_timeout, job_class, **fields))
 
     def start_job(self, request: int, attempt: int = 0) -> None:
         worker = self.jobs[request].attempts[attempt].worker.worker
@@ -92,13 +94,13 @@
         stale: bool = False,
     ) -> None:
         job = self.jobs[request]
-        each = job.attempts[attempt]
-        each.outcome = outcome
+        record = job.attempts[attempt]
+        record.outcome = outcome
         if outcome is interface.Outcome.SERVED and job.closed_at is None:
             job.closed_at = self.now
         closed = job.closed_at is not None
-        elapsed = self.now - each.sent_at
-        worker = each.worker.worker
+        elapsed = self.now - record.sent_at
+        worker = record.worker.worker
         self.handle_event(
             interface.AttemptEnded(request, worker, attempt, outcome, closed, elapsed, load, stale)
         )
@@ -115,8 +117,8 @@
             due = [
                 (job.deadline, request, number)
                 for request, job in self.jobs.items()
-                for number, each in enumerate(job.attempts)
-                if each.outcome is None and job.deadline <= until
+                for number, attempt in enumerate(job.attempts)
+                if attempt.outcome is None and job.deadline <= until
             ]
             first = min(due, default=None)
             next_timer_at = self.timers[0][0] if self.timers else until + 1
@@ -151,8 +153,8 @@
         return [
             (request, number)
             for request, job in self.jobs.items()
-            for number, each in enumerate(job.attempts)
-            if each.outcome is None
+            for number, attempt in enumerate(job.attempts)
+            if attempt.outcome is None
         ]
 
     # --- checks ---
@@ -198,7 +200,7 @@
         assert unavailable_at is None or self.now == unavailable_at, "sent to a worker that drains or is gone"
         assert len(job.attempts) < self.settings.max_attempts
         if not self.settings.hedging_allowed:
-            assert all(each.outcome is not None for each in job.attempts)
+            assert all(attempt.outcome is not None for attempt in job.attempts)
         first, job_class = job.first_possibly_run, job.job_class
         if first is not None:
             assert job_class.idempotency is not interface.Idempotency.UNSAFE, (
--- a/tests/support/site_kit.py
+++ b/tests/support/site_kit.py
@@ -85,7 +85,7 @@
 ) -> AsyncIterator[tuple[App, list[ToyServer]]]:
     """Run the program with `server_count` toy servers; close it without a drain afterwards."""
     servers = [ToyServer(f"toy-{number}") for number in range(server_count)]
-    hosts = [host_entry(each.name, await each.listen()) for each in servers]
+    hosts = [host_entry(server.name, await server.listen()) for server in servers]
     if stomp:
         (folder / "stomp.toml").write_text(stomp)
     conf = {
@@ -96,8 +96,8 @@
         "known": {"seq": 1, "whole": True, "hosts": hosts},
         "settings": SETTINGS | settings,
     }
-    whole = config.with_deploy_files(config.from_object(conf), folder, conf)
-    async with started_app(App(whole), *servers) as app:
+    configuration = config.with_deploy_files(config.from_object(conf), folder, conf)
+    async with started_app(App(configuration), *servers) as app:
         yield app, servers
 
 
@@ -109,8 +109,8 @@
         yield app
     finally:
         await app.close()
-        for each in fakes:
-            await each.close()
+        for fake in fakes:
+            await fake.close()
 
 
 async def wait_until(condition: Any, seconds: float = 60.0) -> None:
@@ -150,12 +150,19 @@
 
     @classmethod
     async def connect(cls, port: int, login: str = "dashboard", **headers: str) -> FakeStompClient:
-        peer = cls(*await asyncio.open_connection("127.0.0.1", port))
-        peer.task = asyncio.create_task(peer._listen())
-        hello = {"accept-version": "1.1,1.2", "host": "hazelbend", "login": login, "passcode": PASSCODE}
-        peer.send("CONNECT", **hello | {name.replace("_", "-"): value for name, value in headers.items()})
-        await wait_until(lambda: peer.frames or peer.closed)
-        return peer
+        client = cls(*await asyncio.open_connection("127.0.0.1", port))
+        client.task = asyncio.create_task(client._listen())
+        connect_headers = {
+            "accept-version": "1.1,1.2",
+            "host": "hazelbend",
+            "login": login,
+            "passcode": PASSCODE,
+        }
+        client.send(
+            "CONNECT", **connect_headers | {name.replace("_", "-"): value for name, value in headers.items()}
+        )
+        await wait_until(lambda: client.frames or client.closed)
+        return client
 
     def send(self, command: str, body: bytes = b"", **headers: str) -> None:
         named = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -170,10 +177,10 @@
 
     def statuses_by_request(self) -> dict[str, list[str]]:
         """Return the statuses received for each request, in order."""
-        found: dict[str, list[str]] = {}
+        statuses: dict[str, list[str]] = {}
         for frame in self.frames_with_command("MESSAGE"):
-            found.setdefault(frame.headers["request-id"], []).append(frame.headers["status"])
-        return found
+            statuses.setdefault(frame.headers["request-id"], []).append(frame.headers["status"])
+        return statuses
 
     async def abort_connection(self) -> None:
         """Abort the connection without a DISCONNECT frame."""
