--- a/tests/golden/golden_runs.py
+++ b/tests/golden/golden_runs.py
@@ -80,15 +80,15 @@
 
 def next_random_values(*owners: Any) -> list[float]:
     """Return the next values of these objects' random generators; they differ if a draw was left out."""
-    found = []
+    next_values = []
     for owner in owners:
         for value in vars(owner).values():
             if isinstance(value, random.Random):
                 copy = random.Random()
                 copy.setstate(value.getstate())
-                found.append(copy.random())
-    assert found
-    return found
+                next_values.append(copy.random())
+    assert next_values
+    return next_values
 
 
 def floats_to_text(value: Any) -> Any:
@@ -141,10 +141,10 @@
     assert leader is not None
     fleet.put(leader.address, 0, 7, b'{"version": 7}', lambda result: None)
     fleet.run(2 * S)
-    away = next(each for each in fleet.addresses if each != leader.address)
+    partitioned = next(each for each in fleet.addresses if each != leader.address)
     for other in fleet.addresses:
-        if other != away:
-            fleet.partition(away, other)
+        if other != partitioned:
+            fleet.partition(partitioned, other)
     fleet.run(3 * S)
     return [
         json.loads(msgspec.json.encode(control_status(each.engine, each.published_version, fleet.now)))
@@ -276,7 +276,7 @@
     trace, rng, now, number = Trace(), random.Random(3), 1 * S, 0
     dispatcher = Dispatcher(conf, 7)
     scheduled: list[tuple[int, int, Any]] = []
-    busy = dict.fromkeys(range(1, 11), 0)
+    running_jobs = dict.fromkeys(range(1, 11), 0)
     attempts: dict[int, int] = {}
 
     def at(delay: int, event: Any) -> None:
@@ -285,20 +285,20 @@
         heapq.heappush(scheduled, (now + max(delay, 0), number, event))
 
     def load(worker: int) -> interface.LoadReport:
-        held = busy[worker]
+        held = running_jobs[worker]
         return interface.LoadReport(float(held), float(max(held - 4, 0)), float(max(4 - held, 0)))
 
     def sent(send: Any) -> None:
         attempt = attempts.get(send.request, 0)
         attempts[send.request] = attempt + 1
-        busy[send.worker] += 1
-        drawn, run = rng.random(), rng.randrange(40 * MS, 200 * MS) * (1 + busy[send.worker] // 4)
+        running_jobs[send.worker] += 1
+        drawn, run = rng.random(), rng.randrange(40 * MS, 200 * MS) * (1 + running_jobs[send.worker] // 4)
         outcome = interface.Outcome.SERVED
         if drawn < 0.1 and send.worker % 3 == 0:
             outcome = rng.choice(
                 [interface.Outcome.ERROR, interface.Outcome.RESET, interface.Outcome.CONNECT_FAILED]
             )
-        elif busy[send.worker] > 9:
+        elif running_jobs[send.worker] > 9:
             outcome, run = interface.Outcome.FULL, 5 * MS
         elif drawn > 0.97:
             run += 1 * S
@@ -334,7 +334,7 @@
                 1.0 + worker % 2,
                 2 * S if worker > 8 else 0,
             )
-            for worker in busy
+            for worker in running_jobs
         )
 
     at(0, ("list",))
@@ -351,13 +351,13 @@
             case ("list",):
                 handle(interface.MembershipUpdate(interface.ListKind.FULL, entries()))
             case ("down", worker):
-                busy.pop(worker)
+                running_jobs.pop(worker)
                 handle(interface.MembershipUpdate(interface.ListKind.FULL, entries()))
-                busy[worker] = 0
+                running_jobs[worker] = 0
             case ("probe", worker):
                 handle(interface.ProbeEnded(worker, interface.Outcome.SERVED, 3 * MS, load(worker)))
             case ("end", request, worker, attempt, outcome, run):
-                busy[worker] -= 1
+                running_jobs[worker] -= 1
                 report = load(worker) if conf.reports_inline else None
                 handle(interface.AttemptEnded(request, worker, attempt, outcome, False, run, report))
             case _:
@@ -420,10 +420,10 @@
         placement.merge(record)
     out: list[tuple[int, int, str, Any, Any]] = []
 
-    def choice(found: Any) -> list[Any] | None:
-        if found is None:
+    def choice_values(choice: Any) -> list[Any] | None:
+        if choice is None:
             return None
-        return [found.worker.record.instance, found.prefill_tokens, found.cost, found.expected_delay]
+        return [choice.worker.record.instance, choice.prefill_tokens, choice.cost, choice.expected_delay]
 
     for step in range(1_500):
         now += rng.randrange(1 * MS, 8 * MS)
@@ -445,13 +445,15 @@
         tried = {f"w{step % 8}"} if step % 10 == 0 else set()
         if step % 3 == 0:
             chosen = placement.selector.choose("plain", now, tried, failure_costs)
-            trace.add(choice(chosen))
+            trace.add(choice_values(chosen))
             if chosen is not None:
                 send = placement.begin_attempt(chosen, prompt, now, takes_slot=True)
                 heapq.heappush(out, (now + 30 * MS + step % 7 * 9 * MS, step, "run", send, prompt))
         else:
             pair = placement.selector.choose_pair("chat", prompt, now, tried, failure_costs)
-            trace.add(None if pair is None else [choice(pair.prefill), choice(pair.decode), pair.cost])
+            trace.add(
+                None if pair is None else [choice_values(pair.prefill), choice_values(pair.decode), pair.cost]
+            )
             if pair is not None and pair.prefill is not None:
                 send = placement.begin_attempt(pair.prefill, prompt, now, takes_slot=False)
                 heapq.heappush(out, (now + 40 * MS + prompt.tokens * 20, step, "read", send, prompt))
@@ -557,14 +559,14 @@
 
 
 def run_all() -> dict[str, Any]:
-    found: dict[str, Any] = {name: run().result() for name, run in RUNS_BY_NAME.items()}
-    return found | {"learnt": learned_state_after_import(), "control status": control_status_pages()}
+    results: dict[str, Any] = {name: run().result() for name, run in RUNS_BY_NAME.items()}
+    return results | {"learnt": learned_state_after_import(), "control status": control_status_pages()}
 
 
 if __name__ == "__main__":
-    found = json.dumps(run_all(), indent=1) + "\n"
+    results = json.dumps(run_all(), indent=1) + "\n"
     if "--write" in sys.argv:
         print("written with", Path(hazelbend.__file__).parent)
-        RUNS_FILE.write_text(found)
+        RUNS_FILE.write_text(results)
     else:
-        print(found, end="")
+        print(results, end="")
--- a/tests/golden/golden_shown.py
+++ b/tests/golden/golden_shown.py
@@ -71,8 +71,8 @@
     if isinstance(thing, dict):
         return {str(key): plain_values(value) for key, value in thing.items()}
     if isinstance(thing, list | tuple | set | frozenset | deque):
-        found = [plain_values(each) for each in thing]
-        return sorted(found, key=str) if isinstance(thing, set | frozenset) else found
+        results = [plain_values(each) for each in thing]
+        return sorted(results, key=str) if isinstance(thing, set | frozenset) else results
     if isinstance(thing, bytes | Path):
         return str(thing)
     if thing is None or isinstance(thing, str | int | float):
@@ -98,8 +98,8 @@
         Counter({end: n for n, end in enumerate(AttemptOutcome, 1)}), histogram(2), histogram(5), 70, 80
     )
     refusals = Counter({reason: n for n, reason in enumerate(statistics.Refusal, 1)})
-    found = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
-    return metrics.render(found).decode()
+    results = statistics.Statistics({"w-1": worker, "w-2": statistics.WorkerStatistics()}, refusals, 9)
+    return metrics.render(results).decode()
 
 
 def sample_overview() -> overview.Overview:
@@ -184,14 +184,14 @@
     ]
     lines += ["show log", "show log 1", "show log x", "drain h1", "undrain h1", "drain h9", "shutdown"]
     lines += [f"show {name}" for name in ("names", "fleet", "leases", "waiting")] + ["cancel a b", "dance"]
-    found = []
+    results = []
     for line in lines:
         try:
             text = commands.run(line)
         except console_server.CommandError as error:
             text = f"ERROR {error}"
-        found.append(f"> {line}\n{text}\n")
-    return "\n".join(found)
+        results.append(f"> {line}\n{text}\n")
+    return "\n".join(results)
 
 
 # --- command lines ---
@@ -203,10 +203,10 @@
 
 def command_words() -> str:
     """Return all commands with their arguments and options; the help text is prose and left out."""
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
 
     def add(command: click.Command, path: tuple[str, ...]) -> None:
-        found[" ".join(("hazelbend", *path))] = [
+        results[" ".join(("hazelbend", *path))] = [
             [each.param_type_name, *each.opts, each.nargs, each.required, default_of(each), each.type.name]
             for each in command.params
         ]
@@ -218,18 +218,18 @@
     output = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.suppress(SystemExit):
         console_client.main(["--help"])
-    found["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", output.getvalue())))
+    results["hazelbend.console"] = sorted(set(re.findall(r"(?<=[ \[])--?[a-z]+", output.getvalue())))
     flags = system_main.FLAGS._flags()
-    found["hazelbend.system"] = {
+    results["hazelbend.system"] = {
         name: plain_values(flags[name].default) for name in ("settings", "log_level")
     }
-    found["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
-    found["variables"] = [
+    results["hazelbend.system usage"] = [line.split("  ")[1:2] for line in system_main.USAGE.splitlines()]
+    results["variables"] = [
         system_main.SETTINGS_PATH_VARIABLE,
         deploy_files.DEPLOY_VARIABLE,
         config.PASSED_SOCKET,
     ]
-    return as_json_text(found)
+    return as_json_text(results)
 
 
 def site_config(**changes: Any) -> dict[str, Any]:
@@ -279,7 +279,7 @@
 
 
 def check_pages() -> str:
-    found = []
+    results = []
     runner = CliRunner()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -291,10 +291,10 @@
                     ["check", str(folder / f"{site}.json"), *options],
                     env={deploy_files.DEPLOY_VARIABLE: str(folder)},
                 )
-                found.append(
+                results.append(
                     f"$ check {site} {' '.join(options)}\n{result.output}(status {result.exit_code})\n"
                 )
-    return "\n".join(found)
+    return "\n".join(results)
 
 
 # --- settings ---
@@ -438,14 +438,14 @@
 
 
 def site_settings() -> str:
-    found = {}
+    results = {}
     for site, conf in SITE_CONFIGS.items():
         read = config.from_object(conf)
         load = read.load_fields.read({"outstanding": 1, "backlog": 2, "x0": 3, "recent_ms": 4})
         by_site = read.load_fields.read({"inflight": 5, "queue": 6})
-        found[site] = plain_values([read.settings, read.catalogue, load, by_site, read.known, read.listen])
-        found[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
-    return as_json_text(found)
+        results[site] = plain_values([read.settings, read.catalogue, load, by_site, read.known, read.listen])
+        results[site] += [read.sockets, read.connect_timeout, read.keepalive, read.seed]
+    return as_json_text(results)
 
 
 def deploy_settings() -> str:
@@ -457,7 +457,7 @@
             (folder / f"{file}.toml").write_text(text)
         read = config.with_deploy_files(config.from_object(conf), folder, conf)
         parts = {"on": read, "off": none}
-        found = {
+        results = {
             state: {name: plain_values(getattr(each, name)) for name in DEPLOY}
             for state, each in parts.items()
         }
@@ -468,13 +468,13 @@
             try:
                 config.with_deploy_files(config.from_object(conf), folder, conf)
             except config.ConfigError as error:
-                found.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
+                results.setdefault("faults", {})[file] = str(error).partition(f"{folder}/")[2]
             (folder / f"{file}.toml").write_text(DEPLOY[file])
-    return as_json_text(found)
+    return as_json_text(results)
 
 
 def system_settings_values() -> str:
-    found = {
+    results = {
         name: plain_values(system_settings.read_settings(text))
         for name, text in (("full", SYSTEM), ("least", MINIMAL_SYSTEM))
     }
@@ -482,8 +482,8 @@
         try:
             system_settings.read_settings(text)
         except system_settings.SettingsError as error:
-            found[name] = str(error)
-    return as_json_text(found)
+            results[name] = str(error)
+    return as_json_text(results)
 
 
 def configuration_findings() -> str:
@@ -497,13 +497,13 @@
         "services": [{"maxConns": 0, "engine": {"capacity": 0}}, {}],
         "limits": {"maxBodyBytes": 0, "maxHeaderBytes": "x", "headerTimeoutMs": 0, "idleTimeoutMs": 0},
     }
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for name, document in (("full", kit.ROUTES), ("broken", broken), ("none", {}), ("list", [])):
         try:
-            found[name] = configuration.check_configuration(json.dumps(document).encode())
+            results[name] = configuration.check_configuration(json.dumps(document).encode())
         except configuration.InvalidConfigurationError as error:
-            found[name] = list(map(str, error.findings))
-    return as_json_text(found)
+            results[name] = list(map(str, error.findings))
+    return as_json_text(results)
 
 
 # --- protocols ---
@@ -536,7 +536,7 @@
         Answer(Verdict.FAILED, b"", 0, True),
         Answer(Verdict.FAILED, b"", 0, False, "why"),
     )
-    found = {
+    results = {
         "destinations": [
             stomp_jobs.JOBS_DESTINATION,
             stomp_jobs.ANSWERS_DESTINATION,
@@ -557,8 +557,8 @@
     }
     reader = stomp.FrameReader()
     items = list(reader.feed(b"\n" + stomp.encode(send) + b"DISCONNECT\nreceipt:1\n\n\0"))
-    found["read"] = [plain_values(each) for each in items]
-    return as_json_text(found)
+    results["read"] = [plain_values(each) for each in items]
+    return as_json_text(results)
 
 
 def http_jobs() -> str:
@@ -574,19 +574,19 @@
         "X-Cost": "77",
     }
     least = {"X-Request-ID": "r1", "X-Tenant-Id": "ege-volt"}
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for name, target, headers in (("full", "/reserve/k?x=1", full), ("least", "/nearby", least)):
-        found[name] = plain_values(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
+        results[name] = plain_values(http_fields.read_job(target, CIMultiDict(headers), b"body", CATALOGUE))
     for left_out in full:
         headers = CIMultiDict({key: value for key, value in full.items() if key != left_out})
         try:
-            found[left_out] = plain_values(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
+            results[left_out] = plain_values(http_fields.read_job("/reserve/k", headers, b"", CATALOGUE))
         except http_fields.BadRequestError as error:
-            found[left_out] = f"BAD {error}"
+            results[left_out] = f"BAD {error}"
     terms = waiting_terms.read_terms("a, b;ended", "1764000000000", "250", "1", 1_000)
-    found["terms"] = [plain_values(terms), plain_values(waiting_terms.read_terms("", "", "", "", 1_000))]
-    found["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
-    return as_json_text(found)
+    results["terms"] = [plain_values(terms), plain_values(waiting_terms.read_terms("", "", "", "", 1_000))]
+    results["results"] = gate.with_results(b"body", (("a", b"one"), ("b", b"\xff"))).decode()
+    return as_json_text(results)
 
 
 def worker_texts() -> str:
@@ -633,14 +633,14 @@
 @cache
 def literals_by_kind() -> dict[str, list[str]]:
     """Return the string literals of the program that match each pattern."""
-    found: dict[str, set[str]] = {kind: set() for kind in LITERAL_PATTERNS}
+    results: dict[str, set[str]] = {kind: set() for kind in LITERAL_PATTERNS}
     for path in Path(hazelbend.__file__).parent.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
                 for kind, pattern in LITERAL_PATTERNS.items():
                     if pattern.fullmatch(node.value):
-                        found[kind].add(node.value)
-    return {kind: sorted(each) for kind, each in found.items()}
+                        results[kind].add(node.value)
+    return {kind: sorted(each) for kind, each in results.items()}
 
 
 TEXT_MAKERS: dict[str, Callable[[], str]] = {
