--- a/benchmarks/breadth_first.py
+++ b/benchmarks/breadth_first.py
@@ -1,4 +1,4 @@
-"""A search of all states that can be reached, breadth first, so that the steps to a fault are the fewest."""
+"""Breadth-first search of all reachable states, which finds the fewest steps to a violation."""
 
 from __future__ import annotations
 
@@ -7,36 +7,39 @@
 
 
 class Model(Protocol):
-    """One state, and what may follow."""
+    """One state and its successors."""
 
     def key(self) -> Hashable:
-        """Two states with the same key go on alike."""
+        """Identifies the state: two states with the same key have the same successors."""
 
     def next(self) -> Iterator[tuple[str, Self]]:
-        """All that may happen, with a name."""
+        """Yields each possible step: its description and the state after it."""
 
     def failed_check(self) -> str:
-        """The check that fails here, or nothing."""
+        """The invariant that this state violates, or an empty text."""
 
 
-def search(first: Model, most: int) -> dict[str, object]:
-    """Until a check fails, no state is new, or there are `most` of them. `closed`: no state is left."""
-    steps: dict[Hashable, tuple[Hashable | None, str]] = {first.key(): (None, "")}
-    layer, depth = [first], 0
-    while layer and len(steps) < most:
+def search(initial: Model, max_states: int) -> dict[str, object]:
+    """Search until an invariant is violated, no new state is left, or `max_states` states were found.
+
+    `closed` in the result: no new state is left.
+    """
+    steps: dict[Hashable, tuple[Hashable | None, str]] = {initial.key(): (None, "")}
+    layer, depth = [initial], 0
+    while layer and len(steps) < max_states:
         depth += 1
-        below = []
-        for world in layer:
-            here = world.key()
-            for told, after in world.next():
-                if why := after.failed_check():
-                    path = [*_path(steps, here), told]
-                    return {"states": len(steps), "depth": depth, "broken": why, "steps": path}
+        next_layer = []
+        for state in layer:
+            key_here = state.key()
+            for description, after in state.next():
+                if violation := after.failed_check():
+                    path = [*_path(steps, key_here), description]
+                    return {"states": len(steps), "depth": depth, "broken": violation, "steps": path}
                 key = after.key()
                 if key not in steps:
-                    steps[key] = (here, told)
-                    below.append(after)
-        layer = below
+                    steps[key] = (key_here, description)
+                    next_layer.append(after)
+        layer = next_layer
     return {"states": len(steps), "depth": depth, "closed": not layer, "broken": ""}
 
 
@@ -44,6 +47,6 @@
     path: list[str] = []
     at: Hashable | None = key
     while at is not None:
-        at, told = steps[at]
-        path.append(told)
+        at, description = steps[at]
+        path.append(description)
     return path[-2::-1]
--- a/benchmarks/counts_per_job.py
+++ b/benchmarks/counts_per_job.py
@@ -1,21 +1,21 @@
-"""What one job costs the dispatcher in counts, beside a bare pass-through in the same run.
+"""Counts what one job costs the dispatcher, compared with a bare pass-through in the same run.
 
     python -m benchmarks.counts_per_job --jobs 500
     python -m benchmarks.counts_per_job --jobs 200 --check benchmarks/counts.json
 
-Counts, not times, so that a busy machine gives the same figures: per job, the socket calls that reach the
-kernel (`recv`, `send` and their kin), the waits of the event loop on its selector, and the bytes that the
-socket calls moved, counted in the process itself by wrapping the socket class and the selector before the
-program is loaded (the kernel's `/proc/PID/io` does not count socket calls). CPU per job is printed beside
-them and is not checked. Jobs go one after another on one kept-alive connection to one toy server that
-answers after 1 ms, after a warm-up that fills the pools.
+Counts are used because, unlike times, they are the same on a busy machine. Per job: the socket calls that
+reach the kernel (`recv`, `send` and similar), the waits of the event loop on its selector, and the bytes that
+the socket calls transferred. The process counts them itself: the socket class and the selector are wrapped
+before the program is loaded (the kernel's `/proc/PID/io` does not count socket calls). CPU time per job is
+printed as well and is not checked. Jobs are sent one after another on one keep-alive connection; one toy
+server responds after 1 ms. A warm-up fills the pools first.
 
-The bare pass-through is aiohttp's low-level server handing each request to aiohttp's client and its answer
-back: what any dispatcher on these libraries pays, and the floor that issue 13 measures against.
+The bare pass-through is aiohttp's low-level server, which forwards each request by aiohttp's client and
+returns the response: the minimum cost of any dispatcher on these libraries, and the baseline of issue 13.
 
-`--check FILE` compares with the ceilings in FILE and exits 1 when a count goes above its ceiling; the
-ceilings are a tenth above the highest of three runs when the file was written, so that a change that adds
-a system call or a copy to every job fails.
+`--check FILE` compares the counts with the ceilings in FILE and exits with status 1 if a count exceeds its
+ceiling. The ceilings are 10% above the highest of three runs at the time the file was written, so that a
+change that adds a system call or a copy to every job fails.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from benchmarks.loopback_ports import free_port
 
 COUNTS = ("socket_calls", "waits", "bytes")
-COUNTED = """
+COUNTING_SCRIPT = """
 import os, runpy, selectors, signal, socket, sys
 counts = {"socket_calls": 0, "waits": 0, "bytes": 0}
 
@@ -66,11 +66,11 @@
 selectors.EpollSelector.select = waited
 out = sys.argv.pop(1)
 
-def tell(number, frame):
+def write_counts(number, frame):
     with open(out, "w") as file:
         file.write(repr(counts))
 
-signal.signal(signal.SIGUSR1, tell)
+signal.signal(signal.SIGUSR1, write_counts)
 if sys.argv[1:2] == ["-m"]:
     sys.argv[:] = [sys.argv[0]]
     runpy.run_module("hazelbend", run_name="__main__", alter_sys=True)
@@ -78,7 +78,7 @@
     code = sys.argv.pop(1)
     exec(compile(code, "bare", "exec"), {"__name__": "__main__"})
 """
-BARE = """
+PASS_THROUGH_SCRIPT = """
 import sys
 import aiohttp
 from aiohttp import web
@@ -103,14 +103,18 @@
 """
 
 
-def counts_of(pid: int, out: Path) -> dict[str, int]:
-    """What the process has counted so far: it writes them to OUT on SIGUSR1."""
+def read_counts(pid: int, out: Path) -> dict[str, int]:
+    """The current counts of the process, which writes them to `out` on SIGUSR1.
+
+    Raises:
+        RuntimeError: the process did not write them within 10 s.
+    """
     out.unlink(missing_ok=True)
     os.kill(pid, signal.SIGUSR1)
     end = time.monotonic() + 10
     while not out.exists() or not out.read_text():
         if time.monotonic() > end:
-            raise RuntimeError("the counts did not come")
+            raise RuntimeError(f"process {pid} did not write its counts within 10 s")
         time.sleep(0.01)
     return dict(ast.literal_eval(out.read_text()))
 
@@ -127,10 +131,10 @@
             time.sleep(0.05)
         else:
             return
-    raise RuntimeError(f"nothing answers on port {port}")
+    raise RuntimeError(f"no server responds on port {port}")
 
 
-def jobs_in_a_row(port: int, count: int, tag: str) -> None:
+def run_jobs_sequentially(port: int, count: int, tag: str) -> None:
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     for number in range(count):
         headers = {"X-Request-ID": f"{tag}-{number}", "X-Tenant-Id": "partner", "X-Timeout-Ms": "5000"}
@@ -138,29 +142,29 @@
         answer = connection.getresponse()
         answer.read()
         if answer.status != 200:
-            raise RuntimeError(f"job {tag}-{number} ended {answer.status}")
+            raise RuntimeError(f"job {tag}-{number} ended with status {answer.status}")
     connection.close()
 
 
 def per_job(pid: int, port: int, jobs: int, out: Path) -> dict[str, float]:
     tag = out.name
-    jobs_in_a_row(port, 50, f"{tag}-warm")
-    before, cpu = counts_of(pid, out), cpu_seconds(pid)
-    jobs_in_a_row(port, jobs, tag)
-    after, used = counts_of(pid, out), cpu_seconds(pid) - cpu
+    run_jobs_sequentially(port, 50, f"{tag}-warm")
+    before, cpu = read_counts(pid, out), cpu_seconds(pid)
+    run_jobs_sequentially(port, jobs, tag)
+    after, used = read_counts(pid, out), cpu_seconds(pid) - cpu
     row: dict[str, float] = {name: (after[name] - before[name]) / jobs for name in COUNTS}
     return row | {"cpu_ms": round(1e3 * used / jobs, 3)}
 
 
 def measure(jobs: int) -> dict[str, dict[str, float]]:
-    """Both, in this run, before the same toy server."""
+    """Counts of the dispatcher and of the bare pass-through, both in front of the same toy server."""
     started: list[subprocess.Popen[bytes]] = []
-    quiet = subprocess.DEVNULL
+    devnull = subprocess.DEVNULL
     try:
         with tempfile.TemporaryDirectory() as folder:
             toy = f"127.0.0.1:{free_port()}"
             started.append(
-                subprocess.Popen([sys.executable, str(ROOT / "example/toy_server.py"), toy], stdout=quiet)
+                subprocess.Popen([sys.executable, str(ROOT / "example/toy_server.py"), toy], stdout=devnull)
             )
             port = free_port()
             Path(folder, "config.json").write_text(json.dumps(configuration(port, [toy])))
@@ -169,24 +173,32 @@
                 "PYTHONPATH": str(ROOT),
             }
             environment.pop("HAZELBEND_DEPLOY", None)
-            counting = [sys.executable, "-c", COUNTED]
-            mine, theirs = Path(folder, "dispatcher"), Path(folder, "bare")
-            program = subprocess.Popen([*counting, str(mine), "-m"], env=environment, stderr=quiet)
+            counting = [sys.executable, "-c", COUNTING_SCRIPT]
+            dispatcher_out, pass_through_out = Path(folder, "dispatcher"), Path(folder, "bare")
+            program = subprocess.Popen(
+                [*counting, str(dispatcher_out), "-m"], env=environment, stderr=devnull
+            )
             started.append(program)
             bare_port = free_port()
-            words = [*counting, str(theirs), BARE, f"127.0.0.1:{bare_port}", toy]
-            bare = subprocess.Popen(words, stderr=quiet)
+            pass_through_command = [
+                *counting,
+                str(pass_through_out),
+                PASS_THROUGH_SCRIPT,
+                f"127.0.0.1:{bare_port}",
+                toy,
+            ]
+            bare = subprocess.Popen(pass_through_command, stderr=devnull)
             started.append(bare)
-            for needed in (int(toy.rpartition(":")[2]), port, bare_port):
-                wait_until_up(needed)
+            for required_port in (int(toy.rpartition(":")[2]), port, bare_port):
+                wait_until_up(required_port)
             return {
-                "dispatcher": per_job(program.pid, port, jobs, mine),
-                "bare": per_job(bare.pid, bare_port, jobs, theirs),
+                "dispatcher": per_job(program.pid, port, jobs, dispatcher_out),
+                "bare": per_job(bare.pid, bare_port, jobs, pass_through_out),
             }
     finally:
-        for each in started:
-            each.kill()
-            each.wait()
+        for process in started:
+            process.kill()
+            process.wait()
 
 
 def over_ceilings(measured: dict[str, float], ceilings: dict[str, float]) -> list[str]:
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -1,8 +1,8 @@
-"""Starts the program with a clock that runs fast or slow, or with a planted mistake: for the rig alone.
+"""Starts the program with a clock that runs fast or slow, or with a planted defect, for fleet_rig.py.
 
-    python -m benchmarks.fleet_launcher RATE DEFECT [words of a command]
+    python -m benchmarks.fleet_launcher RATE DEFECT [COMMAND ...]
 
-The clock that only goes up is changed, in the dispatcher and in `lease run`, as a machine's own would be.
+`time.monotonic_ns` is scaled, in the dispatcher and in `lease run`, as if the clock of the machine drifted.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 DEFECTS = ("time from the answer", "no wait by a new leader", "token reset in a new epoch")
 
 
-def change(rate: float, defect: str) -> None:
-    began, real = time.monotonic_ns(), time.monotonic_ns
+def patch_program(rate: float, defect: str) -> None:
+    """Scale the monotonic clock by `rate`, and plant the defect if one is named."""
+    started_at, real_monotonic_ns = time.monotonic_ns(), time.monotonic_ns
 
-    def paced() -> int:
-        return began + round((real() - began) * rate)
+    def scaled_monotonic_ns() -> int:
+        return started_at + round((real_monotonic_ns() - started_at) * rate)
 
-    time.monotonic_ns = paced
+    time.monotonic_ns = scaled_monotonic_ns
     if defect == "time from the answer":
         from benchmarks.fleet_defects import CountsTtlFromResponse
         from hazelbend.cli import lease_run
@@ -35,20 +36,20 @@
         from benchmarks.fleet_defects import skip_expiry_wait
         from hazelbend.leases.lease_node import LeaseNode
 
-        lead = LeaseNode._lead
+        original_lead = LeaseNode._lead
 
-        def hasty(self: LeaseNode, now: int) -> None:
+        def lead_without_wait(self: LeaseNode, now: int) -> None:
             skip_expiry_wait(self.expiry_watcher, self.raft.persistent.current_term)
-            lead(self, now)
+            original_lead(self, now)
 
-        LeaseNode._lead = hasty  # type: ignore[method-assign]
+        LeaseNode._lead = lead_without_wait  # type: ignore[method-assign]
 
 
 def main() -> None:
-    cast(dict[str, Any], sys.modules)["ssl"] = None  # as in `hazelbend.__main__`; never where it is imported
+    cast(dict[str, Any], sys.modules)["ssl"] = None  # as in `hazelbend.__main__`; must not happen on import
     rate, defect = float(sys.argv[1]), sys.argv[2]
     sys.argv[1:3] = []
-    change(rate, defect)
+    patch_program(rate, defect)
     if len(sys.argv) > 1:
         from hazelbend.cli.main import main as command
 
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -1,16 +1,17 @@
-"""Every order of events of a small fleet: the record's engine unchanged, three voters of one epoch.
+"""Explores all orders of events in a small fleet: the unmodified Raft code with three voters in one epoch.
 
     python -m benchmarks.fleet_search --stands 2 --puts 1 --restarts 1 --changes 0 [--defect NAME]
 
-From the first state all of these are tried wherever they are possible, and every state is seen once: a voter
-stands for election (as if told to, so that no clock is asked); a message that was ever sent is delivered,
-whether it was before or not, or never (so all losses, repeats and orders are among the runs); the leader adds
-an entry, or drops a voter; a voter dies and starts again with its memory. After each step: one leader in a
-term; what two have committed is the same; a leader holds all that is committed.
+From the initial state every possible step is tried, and every state is visited once. Steps: a voter starts
+an election (by a TimeoutNow message, so that no clock is involved); a message that was sent at any time is
+delivered, whether or not it was delivered before, so that the runs include all losses, duplicates and orders;
+the leader proposes an entry or removes a voter; a voter crashes and restarts with its persistent state.
+Checked after each step: a term has at most one leader; committed entries of two voters are equal; the leader
+of the newest term holds all committed entries.
 
-The bounds are on how often each may happen in a run. The last line is one JSON object with the number of
-states, and `closed` if there are no more; the exit status is 1 if an invariant breaks, with the fewest steps
-that lead there.
+The options bound how often each kind of step may occur in a run. The last line is one JSON object with the
+number of states, and `closed` if no state is left to visit. If an invariant is violated, the exit status is 1
+and the object has the fewest steps that lead there.
 """
 
 from __future__ import annotations
@@ -37,92 +38,112 @@
     "entries of earlier terms are counted",
     "two voter changes at once",
 )
-KINDS = {DEFECTS[2]: CommitsEarlierTermEntries, DEFECTS[3]: AllowsConcurrentVoterChanges}
-OP = encode(OpenEpoch())
+NODE_CLASSES = {DEFECTS[2]: CommitsEarlierTermEntries, DEFECTS[3]: AllowsConcurrentVoterChanges}
+OPERATION = encode(OpenEpoch())
 
 
 class RemainingSteps(NamedTuple):
-    """How often each may still happen."""
+    """How often each kind of step may still occur."""
 
-    stands: int
-    puts: int
+    elections: int
+    proposals: int
     restarts: int
-    changes: int
+    voter_changes: int
 
 
-class World:
-    """One state, and what may still happen from it."""
+class ClusterState:
+    """One state of the cluster, its messages and the remaining steps; implements `breadth_first.Model`."""
 
-    def __init__(self, defect: str, left: RemainingSteps) -> None:
-        self.defect, self.left = defect, left
-        self.sent: frozenset[Message] = frozenset()
-        self.records = {
-            name: self._make(
+    def __init__(self, defect: str, remaining: RemainingSteps) -> None:
+        self.defect, self.remaining = defect, remaining
+        self.sent_messages: frozenset[Message] = frozenset()
+        self.nodes = {
+            name: self._make_node(
                 PersistentState(name, 1, 1, "", 1, 1, VOTERS, LeaseTable(LeaseLimits()).snapshot())
             )
             for name in VOTERS
         }
         self.leaders: frozenset[tuple[int, str]] = frozenset()
 
-    def _make(self, memory: PersistentState) -> RaftNode:
-        return KINDS.get(self.defect, RaftNode)(memory, LeaseTable(LeaseLimits()), RaftConfig(), 1, 0)
+    def _make_node(self, persistent_state: PersistentState) -> RaftNode:
+        return NODE_CLASSES.get(self.defect, RaftNode)(
+            persistent_state, LeaseTable(LeaseLimits()), RaftConfig(), 1, 0
+        )
 
     def key(self) -> tuple[object, ...]:
-        return (self.left, self.sent, tuple(self._record_key(each) for each in self.records.values()))
+        return (
+            self.remaining,
+            self.sent_messages,
+            tuple(self._node_key(node) for node in self.nodes.values()),
+        )
 
     @staticmethod
-    def _record_key(record: RaftNode) -> tuple[object, ...]:
-        memory = record.persistent
-        peers = tuple((name, peer.next_index, peer.match_index) for name, peer in record.peers.items())
-        state = (record.role, record.commit_index, frozenset(record.votes), peers)
-        return (memory.current_term, memory.voted_for, tuple(memory.entries), *state)
-
-    def next(self) -> Iterator[tuple[str, World]]:
-        left = self.left
-        for name, record in self.records.items():
-            if left.stands and not record.is_leader:
-                yield f"{name} stands", self._step(name, left._replace(stands=left.stands - 1), "stand")
-            if left.puts and record.is_leader:
-                yield f"{name} adds an entry", self._step(name, left._replace(puts=left.puts - 1), "put")
-            if left.restarts:
-                after = left._replace(restarts=left.restarts - 1)
-                yield f"{name} starts again", self._step(name, after, "restart")
-            if left.changes and record.is_leader:
-                after = left._replace(changes=left.changes - 1)
-                for other in record.voters:
-                    yield f"{name} drops the voter {other}", self._step(name, after, f"drop {other}")
-        for message in self.sent:
-            told = (
-                f"{message.to} hears {type(message.body).__name__} of {message.sender}, term {message.term}"
+    def _node_key(node: RaftNode) -> tuple[object, ...]:
+        persistent_state = node.persistent
+        peers = tuple((name, peer.next_index, peer.match_index) for name, peer in node.peers.items())
+        state = (node.role, node.commit_index, frozenset(node.votes), peers)
+        return (
+            persistent_state.current_term,
+            persistent_state.voted_for,
+            tuple(persistent_state.entries),
+            *state,
+        )
+
+    def next(self) -> Iterator[tuple[str, ClusterState]]:
+        remaining = self.remaining
+        for name, node in self.nodes.items():
+            if remaining.elections and not node.is_leader:
+                yield (
+                    f"{name} starts an election",
+                    self._step(name, remaining._replace(elections=remaining.elections - 1), "elect"),
+                )
+            if remaining.proposals and node.is_leader:
+                yield (
+                    f"{name} proposes an entry",
+                    self._step(name, remaining._replace(proposals=remaining.proposals - 1), "propose"),
+                )
+            if remaining.restarts:
+                after = remaining._replace(restarts=remaining.restarts - 1)
+                yield f"{name} restarts", self._step(name, after, "restart")
+            if remaining.voter_changes and node.is_leader:
+                after = remaining._replace(voter_changes=remaining.voter_changes - 1)
+                for other in node.voters:
+                    yield f"{name} removes the voter {other}", self._step(name, after, f"drop {other}")
+        for message in self.sent_messages:
+            description = (
+                f"{message.to} receives {type(message.body).__name__}"
+                f" from {message.sender}, term {message.term}"
             )
-            yield told, self._step(message.to, self.left, message)
+            yield description, self._step(message.to, self.remaining, message)
 
-    def _step(self, name: str, left: RemainingSteps, what: str | Message) -> World:
+    def _step(self, name: str, remaining: RemainingSteps, action: str | Message) -> ClusterState:
         after = copy.copy(self)
-        after.left = left
-        record = _copy(self.records[name])
-        if what == "restart":
-            memory = record.persistent
+        after.remaining = remaining
+        node = _copy(self.nodes[name])
+        if action == "restart":
+            persistent_state = node.persistent
             if self.defect == "vote forgotten":
-                memory.voted_for = ""
+                persistent_state.voted_for = ""
             elif self.defect == "memory forgotten":
-                memory = PersistentState(name, 1, 1, "", 1, 1, VOTERS, memory.snapshot_state)
-            record = self._make(memory)
-        elif what == "stand":
-            record.receive(Message("", name, 1, record.persistent.current_term, TimeoutNow()), 0)
-        elif what == "put":
-            record.propose(OP, 0)
-        elif isinstance(what, str):
-            record.change_voters(tuple(each for each in record.voters if each != what[-1]), 0)
+                persistent_state = PersistentState(
+                    name, 1, 1, "", 1, 1, VOTERS, persistent_state.snapshot_state
+                )
+            node = self._make_node(persistent_state)
+        elif action == "elect":
+            node.receive(Message("", name, 1, node.persistent.current_term, TimeoutNow()), 0)
+        elif action == "propose":
+            node.propose(OPERATION, 0)
+        elif isinstance(action, str):
+            node.change_voters(tuple(voter for voter in node.voters if voter != action[-1]), 0)
         else:
-            record.receive(what, 0)
-        after.sent = self.sent | frozenset(record.outbox)
-        record.outbox.clear()
-        record.outcomes.clear()
-        record.pending_proposals.clear()
-        after.records = self.records | {name: record}
-        if record.role is Role.LEADER:
-            after.leaders = self.leaders | {(record.persistent.current_term, name)}
+            node.receive(action, 0)
+        after.sent_messages = self.sent_messages | frozenset(node.outbox)
+        node.outbox.clear()
+        node.outcomes.clear()
+        node.pending_proposals.clear()
+        after.nodes = self.nodes | {name: node}
+        if node.role is Role.LEADER:
+            after.leaders = self.leaders | {(node.persistent.current_term, name)}
         return after
 
     def failed_check(self) -> str:
@@ -130,36 +151,36 @@
         if len(terms) != len(set(terms)):
             return f"election: {sorted(self.leaders)}"
         known: dict[int, Entry] = {}
-        for name, record in self.records.items():
-            first = record.persistent.last_included_index + 1
-            entries = dict(enumerate(record.persistent.entries, first))
-            for index in range(first, record.commit_index + 1):
+        for name, node in self.nodes.items():
+            first = node.persistent.last_included_index + 1
+            entries = dict(enumerate(node.persistent.entries, first))
+            for index in range(first, node.commit_index + 1):
                 if known.setdefault(index, entries[index]) != entries[index]:
-                    return f"machine: {name} holds another entry at {index}"
-        newest = max(record.persistent.current_term for record in self.records.values())
-        for name, record in self.records.items():
-            if record.is_leader and record.persistent.current_term == newest:
+                    return f"log: {name} holds another entry at {index}"
+        newest = max(node.persistent.current_term for node in self.nodes.values())
+        for name, node in self.nodes.items():
+            if node.is_leader and node.persistent.current_term == newest:
                 for index, entry in known.items():
-                    if record.persistent.term_at(index) != entry.term:
-                        return f"completeness: {name} leads without what is committed at {index}"
+                    if node.persistent.term_at(index) != entry.term:
+                        return f"completeness: {name} leads without the committed entry {index}"
         return ""
 
 
-def _copy(record: RaftNode) -> RaftNode:
-    made = copy.copy(record)
-    made.persistent = copy.copy(record.persistent)
-    made.persistent.entries = list(record.persistent.entries)
-    made.state_machine = copy.deepcopy(record.state_machine)
-    made.votes, made.peers = set(record.votes), {name: copy.copy(peer) for name, peer in record.peers.items()}
-    made.outbox, made.outcomes, made.pending_reads, made.pending_proposals = [], [], [], {}
-    made.rounds = record.rounds.copy()
-    made._catch_up_target = copy.copy(record._catch_up_target)
-    return made
+def _copy(node: RaftNode) -> RaftNode:
+    clone = copy.copy(node)
+    clone.persistent = copy.copy(node.persistent)
+    clone.persistent.entries = list(node.persistent.entries)
+    clone.state_machine = copy.deepcopy(node.state_machine)
+    clone.votes, clone.peers = set(node.votes), {name: copy.copy(peer) for name, peer in node.peers.items()}
+    clone.outbox, clone.outcomes, clone.pending_reads, clone.pending_proposals = [], [], [], {}
+    clone.rounds = node.rounds.copy()
+    clone._catch_up_target = copy.copy(node._catch_up_target)
+    return clone
 
 
-def search(defect: str, left: RemainingSteps, most: int) -> dict[str, object]:
-    """All states within these bounds."""
-    return breadth_first.search(World(defect, left), most)
+def search(defect: str, remaining: RemainingSteps, max_states: int) -> dict[str, object]:
+    """Explore all states within these bounds, at most about `max_states`."""
+    return breadth_first.search(ClusterState(defect, remaining), max_states)
 
 
 def main() -> int:
--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -1,12 +1,12 @@
-"""Quotas on virtual time: dispatchers that admit at the same time, from one ledger, with faults between them.
+"""Simulates quotas on virtual time: dispatchers admit jobs concurrently from one ledger, under faults.
 
-    python -m benchmarks.quota_sim --schedules 200    random faults; every count that must be 0 is checked
-    python -m benchmarks.quota_sim --defect NAME      until the planted mistake is found
-    python -m benchmarks.quota_sim --compare          beside a fixed split, asking for each job, and gossip
+    python -m benchmarks.quota_sim --schedules 200    random faults; stops at the first violated invariant
+    python -m benchmarks.quota_sim --defect NAME      runs until the planted defect is found
+    python -m benchmarks.quota_sim --compare          compares a fixed split, a central counter and gossip
 
-Checked after every event: the invariants of quotas/invariants.py, and, by the servers' own count, that no
-account has more jobs in service than its limit. The ledger stands for the replicated log, which other tests
-check: responses are late, lost, repeated and out of order, and the leader changes.
+Checked after every event: the invariants of quotas/invariants.py, and that no account has more jobs in
+service than its limit, as the servers count them. The ledger represents the replicated log, which other tests
+check: responses are delayed, lost, duplicated and reordered, and the leader changes.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from hazelbend.quotas.operations import Account, OpenEpoch, QuotaResponse, Reclaim, ReturnUnits, SetAccounts
 from hazelbend.quotas.timing import QuotaParameters
 
-SECOND_US = 1_000_000  # microseconds
-HANGING_JOBS = 0.2  # of all, where there are faults: they run for the longest time
-LONG = QuotaParameters()
+SECOND_US = 1_000_000
+HANGING_JOB_SHARE = 0.2  # of all jobs, with faults: they run for the maximum job time
+DEFAULT_PARAMETERS = QuotaParameters()
 ACCOUNTS = (
     Account("all", 10),
     Account("a", 8, 4, "all"),
     Account("b", 6, 3, "all"),
     Account("c", 3, 0, "all"),
 )
-# So short that many allocations end in a schedule of 20 s.
+# Short enough that many allocations expire in a schedule of 20 s.
 SHORT_TTL_PARAMETERS = QuotaParameters(allocation_ttl_us=1 * SECOND_US, max_job_time_us=2 * SECOND_US)
 DEFECTS = (
     "a holder goes on after its time",
@@ -53,22 +53,22 @@
 
 
 def busiest_machine(account: str, now: int) -> int:
-    """Where most of an account's jobs arrive in this second, modulo the number of machines."""
+    """The machine where most jobs of an account arrive in this second, modulo the number of machines."""
     return zlib.crc32(f"{account} {now // SECOND_US}".encode())
 
 
 @dataclass(slots=True)
 class Machine:
-    """One dispatcher, its clock, and whether it runs."""
+    """One dispatcher: its clock, its allocation clients, and whether it runs."""
 
     identity: str
-    rate: float = 1.0  # of its clock
+    rate: float = 1.0  # of its clock, relative to virtual time
     clients: dict[str, AllocationClient] = field(default_factory=dict)
     stopped_until: int = 0
-    cut_until: int = 0
+    partitioned_until: int = 0
     dead: bool = False
-    next_pump_at: int = NEVER
-    # Permits and accounts of jobs that ended while it was stopped.
+    next_advance_at: int = NEVER
+    # Permits and accounts of jobs that ended while the machine was stopped.
     pending_releases: list[tuple[Permit, str]] = field(default_factory=list)
 
     def clock(self, now: int) -> int:
@@ -77,12 +77,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """`load`: jobs that want to be in service at once, as a multiple of the limits. `loss`: of messages, if
-    there are faults."""
+    """Parameters of one simulation.
+
+    `load` is the offered load as a multiple of the limits; `loss` is the share of messages that are lost if
+    there are faults.
+    """
 
     machines: int = 3
     accounts: tuple[Account, ...] = ACCOUNTS
-    parameters: QuotaParameters = LONG
+    parameters: QuotaParameters = DEFAULT_PARAMETERS
     load: float = 1.5
     faults: bool = True
     defect: str = ""
@@ -102,11 +105,11 @@
         self.leaves = [account for account in scenario.accounts if account.parent]
         self.now = 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.number = 0  # of events and machines
+        self.sequence = 0  # of events and machines
         self.ledger = QuotaLedger(self.parameters)
         self.watcher = AllocationExpiryWatcher(self.parameters)
         self.ledger.begin(1)
-        self.ledger.execute(OpenEpoch())  # nothing was allocated before
+        self.ledger.execute(OpenEpoch())  # no allocation is outstanding
         self.ledger.execute(SetAccounts(scenario.accounts))
         self.watcher.observe(self.ledger, 0)
         self.machines = [self._machine(number) for number in range(scenario.machines)]
@@ -119,9 +122,9 @@
         self.demand = {account.name: 1.0 for account in self.leaves}  # factor of the load
 
     def _machine(self, number: int) -> Machine:
-        self.number += 1
+        self.sequence += 1
         drift = self.parameters.max_clock_drift if self.scenario.faults else 0.0
-        machine = Machine(f"m{number}#{self.number}", self.random.uniform(1 - drift, 1 + drift))
+        machine = Machine(f"m{number}#{self.sequence}", self.random.uniform(1 - drift, 1 + drift))
         for account in self.leaves:
             clock = machine.clock(self.now)
             client = AllocationClient(account.name, machine.identity, self.parameters, clock)
@@ -130,21 +133,22 @@
 
     # --- time ---
 
-    def at(self, time: int, act: Callable[[], None]) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (time, self.number, act))
+    def schedule(self, time: int, callback: Callable[[], None]) -> None:
+        """Run `callback` at this virtual time."""
+        self.sequence += 1
+        heapq.heappush(self.events, (time, self.sequence, callback))
 
     def run(self, until: int) -> None:
         for account in self.leaves:
-            self.at(0, partial(self.job_arrives, account.name))
+            self.schedule(0, partial(self.job_arrives, account.name))
         for index in range(len(self.machines)):
-            self.at(0, partial(self.pump, index))
-        self.at(0, self.lead)
+            self.schedule(0, partial(self.advance, index))
+        self.schedule(0, self.run_leader)
         if self.scenario.faults:
-            self.at(self.random.randrange(2 * SECOND_US), self.fault)
+            self.schedule(self.random.randrange(2 * SECOND_US), self.inject_fault)
         while self.events and self.events[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.events)
-            act()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
             self.check()
 
     def check(self) -> None:
@@ -166,18 +170,20 @@
         if running > limit:
             at = f"{self.now / SECOND_US:.3f} s"
             raise BrokenInvariantError(
-                f"overshoot: {running} of {name} are in service at {at}, {limit} may be"
+                f"overshoot: {running} jobs of {name} are in service at {at}, the limit is {limit}"
             )
 
     # --- jobs ---
 
     def _next_arrival(self, account: str) -> int:
-        """A job has arrived, and the next will: the index of its machine."""
+        """Count an arrival and schedule the next one; the index of the machine where the job arrives."""
         rate = (
             self.scenario.load * self._limit(account) / self.scenario.mean_service_us * self.demand[account]
         )
-        self.at(self.now + max(round(self.random.expovariate(rate)), 1), lambda: self.job_arrives(account))
-        # Demand moves: for a second at a time most of an account's jobs arrive at one machine.
+        self.schedule(
+            self.now + max(round(self.random.expovariate(rate)), 1), lambda: self.job_arrives(account)
+        )
+        # Demand moves: in each second most jobs of an account arrive at one machine.
         busiest = busiest_machine(account, self.now) % len(self.machines)
         self.counts["jobs"] += 1
         return busiest if self.random.random() < 0.7 else self.random.randrange(len(self.machines))
@@ -197,16 +203,16 @@
         permit = client.admit(clock)
         if permit is None:
             self.counts["refused"] += 1
-            self.pump(index)
+            self.advance(index)
             return
         self.counts["admitted"] += 1
         self._count_busy_time()
         self.running[account] += 1
         longest = self.parameters.max_job_time_us
         service_us = min(round(self.random.expovariate(1 / self.scenario.mean_service_us)), longest)
-        if self.scenario.faults and self.random.random() < HANGING_JOBS:
-            service_us = longest  # a server that hangs
-        self.at(self.now + service_us, lambda: self.job_ends(index, machine, account, permit))
+        if self.scenario.faults and self.random.random() < HANGING_JOB_SHARE:
+            service_us = longest  # the server hangs
+        self.schedule(self.now + service_us, lambda: self.job_ends(index, machine, account, permit))
 
     def job_ends(self, index: int, machine: Machine, account: str, permit: Permit) -> None:
         self._count_busy_time()
@@ -217,23 +223,24 @@
             machine.pending_releases.append((permit, account))
             return
         self._release(machine, account, permit)
-        self.pump(index)
+        self.advance(index)
 
     def _release(self, machine: Machine, account: str, permit: Permit) -> None:
         client = machine.clients[account]
         client.release(permit, machine.clock(self.now))
-        twice = self.defect == "a unit given back twice" and self.random.random() < 0.1
-        if twice and permit.token == client.token:
+        returned_twice = self.defect == "a unit given back twice" and self.random.random() < 0.1
+        if returned_twice and permit.token == client.token:
             client.used = max(client.used - 1, 0)
 
     def _count_busy_time(self) -> None:
-        span = self.now - self.busy_at
-        self.busy_us += span * sum(self.running.values())
+        elapsed_us = self.now - self.busy_at
+        self.busy_us += elapsed_us * sum(self.running.values())
         self.busy_at = self.now
 
-    # --- requests ---
+    # --- requests to the ledger ---
 
-    def pump(self, index: int) -> None:
+    def advance(self, index: int) -> None:
+        """Run the clients of a machine, and send the requests that are due."""
         machine = self.machines[index]
         if machine.dead or machine.stopped_until > self.now:
             return
@@ -244,22 +251,22 @@
                 client.expires_at = max(client.expires_at, now + 1)
             request = client.tick(now)
             if request is not None:
-                late = self.defect == "units kept until the gift is answered"
-                if late and isinstance(request, ReturnUnits):
+                keeps_units = self.defect == "units kept until the gift is answered"
+                if keeps_units and isinstance(request, ReturnUnits):
                     client.units = units_before
                 self.send(index, machine, client, request)
         next_at = min(client.next_at for client in machine.clients.values())
         if next_at >= NEVER:
             return
-        pump_at = self.now + max(round((next_at - now) / machine.rate), 1_000)
-        if not self.now < machine.next_pump_at <= pump_at:
-            machine.next_pump_at = pump_at
-            self.at(pump_at, lambda: self.pump_due(index, machine, pump_at))
+        advance_at = self.now + max(round((next_at - now) / machine.rate), 1_000)
+        if not self.now < machine.next_advance_at <= advance_at:
+            machine.next_advance_at = advance_at
+            self.schedule(advance_at, lambda: self.advance_if_due(index, machine, advance_at))
 
-    def pump_due(self, index: int, machine: Machine, pump_at: int) -> None:
-        if machine.next_pump_at == pump_at and self.machines[index] is machine:
-            machine.next_pump_at = NEVER
-            self.pump(index)
+    def advance_if_due(self, index: int, machine: Machine, advance_at: int) -> None:
+        if machine.next_advance_at == advance_at and self.machines[index] is machine:
+            machine.next_advance_at = NEVER
+            self.advance(index)
 
     def delay(self) -> int:
         if self.scenario.faults and self.random.random() < 0.03:
@@ -268,11 +275,11 @@
 
     def send(self, index: int, machine: Machine, client: AllocationClient, request: Request) -> None:
         self.counts["messages"] += 2
-        if machine.cut_until > self.now:
+        if machine.partitioned_until > self.now:
             return
         for _ in range(1 + (self.scenario.faults and self.random.random() < 0.05)):
             if self.random.random() >= self.loss:
-                self.at(
+                self.schedule(
                     self.now + self.delay(), lambda: self.request_arrives(index, machine, client, request)
                 )
 
@@ -285,9 +292,9 @@
                 allocation.units -= min(request.units, allocation.units)
         response = self.ledger.execute(request)
         self.watcher.observe(self.ledger, self.now)
-        if self.random.random() < self.loss or machine.cut_until > self.now:
+        if self.random.random() < self.loss or machine.partitioned_until > self.now:
             return
-        self.at(
+        self.schedule(
             self.now + self.delay(), lambda: self.response_arrives(index, machine, client, request, response)
         )
 
@@ -302,18 +309,18 @@
         if machine.dead or machine.clients.get(client.account) is not client:
             return
         if machine.stopped_until > self.now:
-            self.at(
+            self.schedule(
                 machine.stopped_until,
                 lambda: self.response_arrives(index, machine, client, request, response),
             )
             return
         now = machine.clock(self.now)
         client.handle_response(request.request_number, response, now)
-        self.pump(index)
+        self.advance(index)
 
-    # --- the leader, and faults ---
+    # --- leader and faults ---
 
-    def lead(self) -> None:
+    def run_leader(self) -> None:
         for operation in self.watcher.expired(self.ledger, self.now):
             self.ledger.execute(operation)
             if self.defect.startswith("units dropped"):
@@ -323,23 +330,25 @@
         if self.defect == "a new epoch is open at once":
             self.ledger.state.is_open = True
         self.watcher.observe(self.ledger, self.now)
-        # What is applied later may be due earlier.
+        # An operation that is applied later may be due earlier.
         next_at = min(self.watcher.next_at(self.ledger), self.now + 100_000)
-        self.at(max(next_at, self.now + 10_000), self.lead)
+        self.schedule(max(next_at, self.now + 10_000), self.run_leader)
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         index = self.random.randrange(len(self.machines))
         machine = self.machines[index]
         kind = self.random.choice(("kill", "kill", "stop", "cut", "leader", "epoch", "shift"))
         self.counts[f"fault {kind}"] += 1
         if kind == "kill":
             machine.dead = True
-            self.at(self.now + self.random.randrange(2 * SECOND_US), lambda: self.start(index))
+            self.schedule(self.now + self.random.randrange(2 * SECOND_US), lambda: self.restart(index))
         elif kind == "stop":
             machine.stopped_until = self.now + self.random.randrange(2 * self.parameters.allocation_ttl_us)
-            self.at(machine.stopped_until, lambda: self.wake(index, machine))
+            self.schedule(machine.stopped_until, lambda: self.resume(index, machine))
         elif kind == "cut":
-            machine.cut_until = self.now + self.random.randrange(2 * self.parameters.allocation_ttl_us)
+            machine.partitioned_until = self.now + self.random.randrange(
+                2 * self.parameters.allocation_ttl_us
+            )
         elif kind == "leader":
             self.watcher = AllocationExpiryWatcher(self.parameters)
             self.watcher.observe(self.ledger, self.now)
@@ -350,31 +359,31 @@
             self.watcher.observe(self.ledger, self.now)
         elif kind == "shift":
             self.demand = {account.name: self.random.choice((0.1, 1.0, 2.0)) for account in self.leaves}
-        self.at(self.now + self.random.randrange(5 * SECOND_US), self.fault)
+        self.schedule(self.now + self.random.randrange(5 * SECOND_US), self.inject_fault)
 
-    def start(self, index: int) -> None:
+    def restart(self, index: int) -> None:
         self.machines[index] = self._machine(index)
-        self.pump(index)
+        self.advance(index)
 
-    def wake(self, index: int, machine: Machine) -> None:
+    def resume(self, index: int, machine: Machine) -> None:
         if machine.dead or machine.stopped_until > self.now:
             return
-        # What was in progress when it stopped goes on first: a job between its check and its send was
-        # admitted before. What arrives later is checked by the clock as it is now.
-        ended = machine.pending_releases
+        # Work that was in progress when the machine stopped continues first: a job between its admission
+        # check and its send was admitted before. Later arrivals are checked against the current clock.
+        pending_releases = machine.pending_releases
         machine.pending_releases = []
-        for permit, account in ended:
+        for permit, account in pending_releases:
             self._release(machine, account, permit)
-        self.pump(index)
+        self.advance(index)
 
 
 def fault_scenario(machines: int, defect: str) -> Scenario:
-    """Short allocations and much load, so that a schedule has many faults that matter."""
+    """Short allocations and a high load, so that many faults of a schedule have an effect."""
     return Scenario(machines=machines, parameters=SHORT_TTL_PARAMETERS, load=3.0, defect=defect)
 
 
 def run_schedules(schedules: int, seconds: float, scenario: Scenario, first_seed: int = 0) -> dict[str, Any]:
-    """Random schedules until an invariant breaks."""
+    """Run random schedules until an invariant is violated."""
     counts: Counter[str] = Counter()
     for seed in range(first_seed, first_seed + schedules):
         simulation = QuotaSimulation(seed, scenario)
@@ -388,8 +397,8 @@
 
 
 def main() -> int:
-    plain = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=plain)
+    raw = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=raw)
     parser.add_argument("--schedules", type=int, default=100)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--machines", type=int, default=3)
