--- a/benchmarks/breadth_first.py
+++ b/benchmarks/breadth_first.py
@@ -1,4 +1,4 @@
-"""A search of all states that can be reached, breadth first, so that the steps to a fault are the fewest."""
+"""Breadth-first search of all reachable states, which finds the fewest steps to a violation."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 
 class Model(Protocol):
-    """One state, and what may follow."""
+    """One state and its successors."""
 
     def key(self) -> Hashable:
-        """Two states with the same key go on alike."""
+        """Identifies the state: two states with the same key have the same successors."""
 
     def next(self) -> Iterator[tuple[str, Self]]:
-        """All that may happen, with a name."""
+        """Yields each possible step: its description and the state after it."""
 
     def broken(self) -> str:
-        """The check that fails here, or nothing."""
+        """The invariant that this state violates, or an empty text."""
 
 
 def search(initial: Model, max_states: int) -> dict[str, object]:
-    """Until a check fails, no state is new, or there are `max_states` of them. `closed`: no state is left."""
+    """Search until an invariant is violated, no new state is left, or `max_states` states were found.
+
+    `closed` in the result: no new state is left.
+    """
     steps: dict[Hashable, tuple[Hashable | None, str]] = {initial.key(): (None, "")}
     layer, depth = [initial], 0
     while layer and len(steps) < max_states:
--- a/benchmarks/fleet_defects.py
+++ b/benchmarks/fleet_defects.py
@@ -1,4 +1,4 @@
-"""Mistakes that the checks of fleet_sim.py and fleet_search.py must find, planted nowhere else."""
+"""Defects that the checks of fleet_sim.py, fleet_search.py and fleet_faults.py must find."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def skip_expiry_wait(watcher: ExpiryWatcher, term: int) -> None:
-    """A new leader takes all that was granted for over."""
+    """A new leader treats all leases granted by earlier leaders as expired."""
     if watcher.proposed_in_term != term:
         watcher.renewed_at = dict.fromkeys(watcher.renewed_at, 0)
 
 
 class RestartsTokensPerEpoch(LeaseTable):
-    """The tokens of a new epoch start anew."""
+    """The fencing tokens of a new epoch start at the beginning, not above those of the last epoch."""
 
     def begin(self, epoch: int) -> None:
         self.state = TableState(epoch=epoch & 1)
 
 
 class CountsTtlFromResponse(LeaseClient):
-    """Its time counts from when the answer came."""
+    """The TTL counts from the arrival of the response in place of the sending of the request."""
 
     def handle_response(self, number: int, response: LeaseResponse | None, now: int) -> None:
         self.in_flight[number] = now
@@ -32,7 +32,7 @@
 
 
 class AllowsConcurrentVoterChanges(RaftNode):
-    """Voters are changed while a change is under way, and by a leader that has committed nothing."""
+    """Allows a voter change during another one, and by a leader that has committed no entry."""
 
     def change_voters(self, voters: tuple[str, ...], now: int, erased: frozenset[str] = frozenset()) -> bool:
         if not self.is_leader or not voters:
@@ -42,7 +42,7 @@
 
 
 class AnswersReadsWithoutQuorum(RaftNode):
-    """A read is answered at once."""
+    """Answers a read at once, without confirming leadership by a quorum."""
 
     def request_read(self, now: int) -> int | None:
         if not self.is_leader:
@@ -53,7 +53,7 @@
 
 
 class CommitsEarlierTermEntries(RaftNode):
-    """An entry of an earlier term is held to be committed once a majority has it (Raft's figure 8)."""
+    """Counts an entry of an earlier term as committed once a majority has it (figure 8 of the Raft paper)."""
 
     def _advance_commit_index(self, now: int) -> None:
         if self.is_leader:
--- a/benchmarks/fleet_history.py
+++ b/benchmarks/fleet_history.py
@@ -1,10 +1,10 @@
-"""Whether what callers saw of one lease could have happened one call after another: Wing and Gong's search
-(1993), with Lowe's memory of what was tried (2017).
+"""Checks that the calls on one lease are linearizable: the search of Wing and Gong (1993) with the cache of
+visited states of Lowe (2017).
 
-A call takes effect at one moment between its start and its end. The object: the highest token that was
-granted, and whether it still holds. Between calls a lease may end by itself, or go to one that waits, so that
-these never have to be seen. A call without an answer may have done only what may happen by itself, and is
-left out.
+A call takes effect at one moment between its start and its end. The state of the object is the highest
+granted token and whether its holder still holds the lease. Between calls a lease may expire or be granted to
+a waiter, so these events need no call of their own. A call without a response can only have had an effect
+that may also occur without a call, and is left out.
 """
 
 from __future__ import annotations
@@ -14,8 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """`kind`: "held" (an answer that names the token), "ended" (one that says it is over, or that the caller
-    ended it), "released" (the caller ended it, so it held until then), "read" (`token` 0: free)."""
+    """One completed call.
+
+    `kind` is one of
+    - "held": the response names the token;
+    - "ended": the response says that the lease has ended, by expiry or by an earlier release;
+    - "released": the caller released the lease, and held it until then;
+    - "read": a read of the lease; `token` 0: the lease is free.
+    """
 
     start: int
     end: int
@@ -27,7 +33,7 @@
 
 
 def step(state: State, call: Call) -> State | None:
-    """The state after it, or None if it cannot be next."""
+    """The state after the call, or None if the call is impossible in this state."""
     highest, holds = state
     token = call.token
     if call.kind == "held" or (call.kind == "read" and token):
@@ -38,14 +44,15 @@
         if token == highest:
             return (token, False) if holds else None
         return (token, False) if token > highest else None
-    # It is over: by itself, if by nothing else.
+    # The lease has ended; it may have expired without a call.
     return (highest, holds and token not in (0, highest)) if token <= highest else (token, False)
 
 
 def linearizable(calls: list[Call]) -> bool:
+    """Whether some sequential order of the calls explains all responses."""
     calls = sorted(calls, key=lambda call: (call.start, call.end))
     tried: set[tuple[int, frozenset[int], State]] = set()
-    # All before `first` are done, and those of `done_ahead`.
+    # All calls before `first` and those in `done_ahead` have taken effect.
     stack: list[tuple[int, frozenset[int], State]] = [(0, frozenset(), (0, False))]
     while stack:
         first, done_ahead, state = stack.pop()
@@ -63,7 +70,7 @@
                 earliest = min(earliest, calls[index].end)
                 after = step(state, calls[index])
                 if after == state:
-                    # It changes nothing and is possible now, so that to wait with it gains nothing.
+                    # The call changes nothing and is possible now, so it need not be tried later.
                     successors = [(first, done_ahead | {index}, state)]
                     break
                 if after is not None:
--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -1,8 +1,8 @@
-"""Starts the program with a clock that runs fast or slow, or with a planted mistake: for the rig alone.
+"""Starts the program with a clock that runs fast or slow, or with a planted defect, for fleet_rig.py.
 
     python -m benchmarks.fleet_launcher RATE DEFECT [words of a command]
 
-The clock that only goes up is changed, in the dispatcher and in `lease run`, as a machine's own would be.
+`time.monotonic_ns` is scaled, in the dispatcher and in `lease run`, as if the clock of the machine drifted.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 
 
 def patch_program(rate: float, defect: str) -> None:
+    """Scale the monotonic clock by `rate`, and plant the defect if one is named."""
     started_at, real_monotonic_ns = time.monotonic_ns(), time.monotonic_ns
 
     def scaled_monotonic_ns() -> int:
@@ -45,7 +46,7 @@
 
 
 def main() -> None:
-    cast(dict[str, Any], sys.modules)["ssl"] = None  # as in `hazelbend.__main__`; never where it is imported
+    cast(dict[str, Any], sys.modules)["ssl"] = None  # as in `hazelbend.__main__`; must not happen on import
     rate, defect = float(sys.argv[1]), sys.argv[2]
     sys.argv[1:3] = []
     patch_program(rate, defect)
--- a/benchmarks/fleet_members.py
+++ b/benchmarks/fleet_members.py
@@ -1,10 +1,10 @@
-"""Gossip membership on virtual time: its cost, and how soon a crash is detected.
+"""Measures gossip membership on virtual time: its cost, and how soon a crash is detected.
 
     python -m benchmarks.fleet_members --sizes 3,50,200 --seconds 60 --seed 1
 
-Prints a line for each size: packets and bytes (msgpack) a second of each process when nothing happens, CPU of
-the engine as part of a core, and after one process is killed: when the first and the last of the others
-declare it dead.
+Prints one line for each cluster size: packets and bytes (msgpack) per second and process while membership
+does not change, CPU of the gossip code as a share of a core, and after one process is killed, the time until
+the first and the last of the others declare it dead.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class GossipCluster:
-    """Processes on one virtual clock that know each other only by gossip."""
+    """Processes on one virtual clock that discover each other by gossip."""
 
     def __init__(self, size: int, seed: int, fleet: str = "f") -> None:
         self.random, self.timing, self.fleet = random.Random(seed), GossipTiming(), fleet
@@ -41,7 +41,7 @@
         self.packets = self.bytes = 0
         self.encoder = msgspec.msgpack.Encoder()
         self.dead_at: dict[tuple[str, str], int] = {}  # by observer and member
-        self.deaths_declared = 0  # by any member, of any other
+        self.deaths_declared = 0  # by any member about any other
         self.seeds = tuple(f"10.0.0.{n}:1" for n in range(3))
         for number in range(size):
             self.start(f"10.0.0.{number}:1")
@@ -85,10 +85,14 @@
         self.now = end
 
     def run_until(self, done: Callable[[], bool], seconds: float) -> float:
-        """Seconds until `done`; AssertionError if it takes longer."""
+        """Run until `done`, and return the seconds it took.
+
+        Raises:
+            AssertionError: it took longer than `seconds`.
+        """
         began = self.now
         while not done():
-            assert self.now < began + seconds * SECOND_US, "it did not come about"
+            assert self.now < began + seconds * SECOND_US, f"the condition did not become true in {seconds} s"
             self.run(0.1)
         return (self.now - began) / SECOND_US
 
@@ -128,12 +132,13 @@
             self._send(member)
 
     def converged(self) -> bool:
-        """Whether every running process knows exactly the running processes."""
-        running = {each.identity for each in self.nodes_by_address.values()}
-        return all(set(each.table.active()) == running for each in self.nodes_by_address.values())
+        """Whether the active members of every running process are exactly the running processes."""
+        running = {node.identity for node in self.nodes_by_address.values()}
+        return all(set(node.table.active()) == running for node in self.nodes_by_address.values())
 
 
 def measure(size: int, seconds: float, seed: int) -> dict[str, float]:
+    """Cost of gossip for this cluster size, and the delay until a crash is detected."""
     cluster = GossipCluster(size, seed)
     joined_s = cluster.run_until(cluster.converged, 120.0)
     cluster.run(40.0)  # until the updates of joining are disseminated
--- a/benchmarks/fleet_search.py
+++ b/benchmarks/fleet_search.py
@@ -1,16 +1,17 @@
-"""Every order of events of a small fleet: the record's engine unchanged, three voters of one epoch.
+"""Explores all orders of events in a small fleet: the unmodified Raft code with three voters in one epoch.
 
     python -m benchmarks.fleet_search --stands 2 --puts 1 --restarts 1 --changes 0 [--defect NAME]
 
-From the first state all of these are tried wherever they are possible, and every state is seen once: a voter
-stands for election (as if told to, so that no clock is asked); a message that was ever sent is delivered,
-whether it was before or not, or never (so all losses, repeats and orders are among the runs); the leader adds
-an entry, or drops a voter; a voter dies and starts again with its memory. After each step: one leader in a
-term; what two have committed is the same; a leader holds all that is committed.
+From the initial state every possible step is tried, and every state is visited once. Steps: a voter starts
+an election (by a TimeoutNow message, so that no clock is involved); a message that was sent at any time is
+delivered, whether or not it was delivered before, so that the runs include all losses, duplicates and orders;
+the leader proposes an entry or removes a voter; a voter crashes and restarts with its persistent state.
+Checked after each step: a term has at most one leader; committed entries of two voters are equal; the leader
+of the newest term holds all committed entries.
 
-The bounds are on how often each may happen in a run. The last line is one JSON object with the number of
-states, and `closed` if there are no more; the exit status is 1 if an invariant breaks, with the fewest steps
-that lead there.
+The options bound how often each kind of step may occur in a run. The last line is one JSON object with the
+number of states, and `closed` if no state is left to visit. If an invariant is violated, the exit status is 1
+and the object has the fewest steps that lead there.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class RemainingSteps(NamedTuple):
-    """How often each may still happen."""
+    """How often each kind of step may still occur."""
 
     elections: int
     proposals: int
@@ -51,7 +52,7 @@
 
 
 class ClusterState:
-    """One state, and what may still happen from it."""
+    """One state of the cluster, its messages and the remaining steps; implements `breadth_first.Model`."""
 
     def __init__(self, defect: str, remaining: RemainingSteps) -> None:
         self.defect, self.remaining = defect, remaining
@@ -73,7 +74,7 @@
         return (
             self.remaining,
             self.sent_messages,
-            tuple(self._node_key(each) for each in self.nodes.values()),
+            tuple(self._node_key(node) for node in self.nodes.values()),
         )
 
     @staticmethod
@@ -93,24 +94,25 @@
         for name, node in self.nodes.items():
             if remaining.elections and not node.is_leader:
                 yield (
-                    f"{name} stands",
-                    self._step(name, remaining._replace(elections=remaining.elections - 1), "stand"),
+                    f"{name} starts an election",
+                    self._step(name, remaining._replace(elections=remaining.elections - 1), "elect"),
                 )
             if remaining.proposals and node.is_leader:
                 yield (
-                    f"{name} adds an entry",
-                    self._step(name, remaining._replace(proposals=remaining.proposals - 1), "put"),
+                    f"{name} proposes an entry",
+                    self._step(name, remaining._replace(proposals=remaining.proposals - 1), "propose"),
                 )
             if remaining.restarts:
                 after = remaining._replace(restarts=remaining.restarts - 1)
-                yield f"{name} starts again", self._step(name, after, "restart")
+                yield f"{name} restarts", self._step(name, after, "restart")
             if remaining.voter_changes and node.is_leader:
                 after = remaining._replace(voter_changes=remaining.voter_changes - 1)
                 for other in node.voters:
-                    yield f"{name} drops the voter {other}", self._step(name, after, f"drop {other}")
+                    yield f"{name} removes the voter {other}", self._step(name, after, f"drop {other}")
         for message in self.sent_messages:
             description = (
-                f"{message.to} hears {type(message.body).__name__} of {message.sender}, term {message.term}"
+                f"{message.to} receives {type(message.body).__name__}"
+                f" from {message.sender}, term {message.term}"
             )
             yield description, self._step(message.to, self.remaining, message)
 
@@ -127,12 +129,12 @@
                     name, 1, 1, "", 1, 1, VOTERS, persistent_state.snapshot_state
                 )
             node = self._make_node(persistent_state)
-        elif action == "stand":
+        elif action == "elect":
             node.receive(Message("", name, 1, node.persistent.current_term, TimeoutNow()), 0)
-        elif action == "put":
+        elif action == "propose":
             node.propose(OPERATION, 0)
         elif isinstance(action, str):
-            node.change_voters(tuple(each for each in node.voters if each != action[-1]), 0)
+            node.change_voters(tuple(voter for voter in node.voters if voter != action[-1]), 0)
         else:
             node.receive(action, 0)
         after.sent_messages = self.sent_messages | frozenset(node.outbox)
@@ -154,38 +156,30 @@
             entries = dict(enumerate(node.persistent.entries, first))
             for index in range(first, node.commit_index + 1):
                 if known.setdefault(index, entries[index]) != entries[index]:
-                    return f"machine: {name} holds another entry at {index}"
+                    return f"log: {name} holds another entry at {index}"
         newest = max(node.persistent.current_term for node in self.nodes.values())
         for name, node in self.nodes.items():
             if node.is_leader and node.persistent.current_term == newest:
                 for index, entry in known.items():
                     if node.persistent.term_at(index) != entry.term:
-                        return f"completeness: {name} leads without what is committed at {index}"
+                        return f"completeness: {name} leads without the committed entry {index}"
         return ""
 
 
 def _copy(node: RaftNode) -> RaftNode:
-    node_copy = copy.copy(node)
-    node_copy.persistent = copy.copy(node.persistent)
-    node_copy.persistent.entries = list(node.persistent.entries)
-    node_copy.state_machine = copy.deepcopy(node.state_machine)
-    node_copy.votes, node_copy.peers = (
-        set(node.votes),
-        {name: copy.copy(peer) for name, peer in node.peers.items()},
-    )
-    node_copy.outbox, node_copy.outcomes, node_copy.pending_reads, node_copy.pending_proposals = (
-        [],
-        [],
-        [],
-        {},
-    )
-    node_copy.rounds = node.rounds.copy()
-    node_copy._catch_up_target = copy.copy(node._catch_up_target)
-    return node_copy
+    clone = copy.copy(node)
+    clone.persistent = copy.copy(node.persistent)
+    clone.persistent.entries = list(node.persistent.entries)
+    clone.state_machine = copy.deepcopy(node.state_machine)
+    clone.votes, clone.peers = set(node.votes), {name: copy.copy(peer) for name, peer in node.peers.items()}
+    clone.outbox, clone.outcomes, clone.pending_reads, clone.pending_proposals = [], [], [], {}
+    clone.rounds = node.rounds.copy()
+    clone._catch_up_target = copy.copy(node._catch_up_target)
+    return clone
 
 
 def search(defect: str, remaining: RemainingSteps, max_states: int) -> dict[str, object]:
-    """All states within these bounds."""
+    """Explore all states within these bounds, at most about `max_states`."""
     return breadth_first.search(ClusterState(defect, remaining), max_states)
 
 
--- a/benchmarks/quota_policies.py
+++ b/benchmarks/quota_policies.py
@@ -1,4 +1,4 @@
-"""Ways to enforce quotas, on the same jobs: a fixed split, one counter, gossip, and allocations.
+"""Compares policies that enforce quotas, on the same jobs: fixed split, central counter, gossip, allocations.
 
 Use: python -m benchmarks.quota_sim --compare
 """
@@ -59,7 +59,7 @@
 
 
 class CentralCounter(FixedSplit):
-    """One counter in the replicated log, with a request for each job, and a quorum's round between."""
+    """One counter in the replicated log: each job waits for a request and a quorum round trip."""
 
     def job_arrives(self, account: str) -> None:
         index = self._next_arrival(account)
@@ -75,7 +75,7 @@
 
 
 class GossipedCounts(FixedSplit):
-    """Each dispatcher sends its counts to all others now and then, and adds up what it received."""
+    """Each dispatcher periodically sends its counts to all others, and sums up the counts it received."""
 
     def __init__(self, seed: int, scenario: Scenario) -> None:
         super().__init__(seed, scenario)
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class PolicyResult:
-    """One run. `use`: part of the limits that was in service, on average."""
+    """Result of one run. `use` is the average share of the limits that was in service."""
 
     overshoot: int
     use: float
@@ -122,7 +122,7 @@
 
 
 def accounts_for(machines: int) -> tuple[Account, ...]:
-    """Limits that grow with the fleet, and one that does not."""
+    """Accounts with limits proportional to the fleet, and one with a constant limit."""
     return (
         Account("all", UNITS_PER_MACHINE * machines),
         Account("large", 8 * machines, 4 * machines, "all"),
@@ -144,7 +144,7 @@
 
 
 def compare(seconds: float, seeds: int) -> list[dict[str, Any]]:
-    """Demand for one and a half of each limit. Prints a row for each policy and size of the fleet."""
+    """Run each policy at 1.5 times the limits, and print one row for each policy and fleet size."""
     rows = []
     for machines in FLEET_SIZES:
         scenario = Scenario(machines=machines, accounts=accounts_for(machines), faults=False)
--- a/benchmarks/quota_sim.py
+++ b/benchmarks/quota_sim.py
@@ -1,12 +1,12 @@
-"""Quotas on virtual time: dispatchers that admit at the same time, from one ledger, with faults between them.
+"""Simulates quotas on virtual time: dispatchers admit jobs concurrently from one ledger, under faults.
 
-    python -m benchmarks.quota_sim --schedules 200    random faults; every count that must be 0 is checked
-    python -m benchmarks.quota_sim --defect NAME      until the planted mistake is found
-    python -m benchmarks.quota_sim --compare          beside a fixed split, asking for each job, and gossip
+    python -m benchmarks.quota_sim --schedules 200    random faults; stops at the first violated invariant
+    python -m benchmarks.quota_sim --defect NAME      runs until the planted defect is found
+    python -m benchmarks.quota_sim --compare          compares a fixed split, a central counter and gossip
 
-Checked after every event: the invariants of quotas/invariants.py, and, by the servers' own count, that no
-account has more jobs in service than its limit. The ledger stands for the replicated log, which other tests
-check: responses are late, lost, repeated and out of order, and the leader changes.
+Checked after every event: the invariants of quotas/invariants.py, and that no account has more jobs in
+service than its limit, as the servers count them. The ledger represents the replicated log, which other tests
+check: responses are delayed, lost, duplicated and reordered, and the leader changes.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from hazelbend.quotas.operations import Account, OpenEpoch, QuotaResponse, Reclaim, ReturnUnits, SetAccounts
 from hazelbend.quotas.timing import QuotaParameters
 
-SECOND_US = 1_000_000  # microseconds
-HANGING_JOB_SHARE = 0.2  # of all, where there are faults: they run for the longest time
+SECOND_US = 1_000_000
+HANGING_JOB_SHARE = 0.2  # of all jobs, with faults: they run for the maximum job time
 DEFAULT_PARAMETERS = QuotaParameters()
 ACCOUNTS = (
     Account("all", 10),
@@ -40,7 +40,7 @@
     Account("b", 6, 3, "all"),
     Account("c", 3, 0, "all"),
 )
-# So short that many allocations end in a schedule of 20 s.
+# Short enough that many allocations expire in a schedule of 20 s.
 SHORT_TTL_PARAMETERS = QuotaParameters(allocation_ttl_us=1 * SECOND_US, max_job_time_us=2 * SECOND_US)
 DEFECTS = (
     "a holder goes on after its time",
@@ -53,22 +53,22 @@
 
 
 def busiest_machine(account: str, now: int) -> int:
-    """Where most of an account's jobs arrive in this second, modulo the number of machines."""
+    """The machine where most jobs of an account arrive in this second, modulo the number of machines."""
     return zlib.crc32(f"{account} {now // SECOND_US}".encode())
 
 
 @dataclass(slots=True)
 class Machine:
-    """One dispatcher, its clock, and whether it runs."""
+    """One dispatcher: its clock, its allocation clients, and whether it runs."""
 
     identity: str
-    rate: float = 1.0  # of its clock
+    rate: float = 1.0  # of its clock, relative to virtual time
     clients: dict[str, AllocationClient] = field(default_factory=dict)
     stopped_until: int = 0
     partitioned_until: int = 0
     dead: bool = False
     next_advance_at: int = NEVER
-    # Permits and accounts of jobs that ended while it was stopped.
+    # Permits and accounts of jobs that ended while the machine was stopped.
     pending_releases: list[tuple[Permit, str]] = field(default_factory=list)
 
     def clock(self, now: int) -> int:
@@ -77,8 +77,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """`load`: jobs that want to be in service at once, as a multiple of the limits. `loss`: of messages, if
-    there are faults."""
+    """Parameters of one simulation.
+
+    `load` is the offered load as a multiple of the limits; `loss` is the share of messages that are lost if
+    there are faults.
+    """
 
     machines: int = 3
     accounts: tuple[Account, ...] = ACCOUNTS
@@ -106,7 +109,7 @@
         self.ledger = QuotaLedger(self.parameters)
         self.watcher = AllocationExpiryWatcher(self.parameters)
         self.ledger.begin(1)
-        self.ledger.execute(OpenEpoch())  # nothing was allocated before
+        self.ledger.execute(OpenEpoch())  # no allocation is outstanding
         self.ledger.execute(SetAccounts(scenario.accounts))
         self.watcher.observe(self.ledger, 0)
         self.machines = [self._machine(number) for number in range(scenario.machines)]
@@ -131,6 +134,7 @@
     # --- time ---
 
     def schedule(self, time: int, callback: Callable[[], None]) -> None:
+        """Run `callback` at this virtual time."""
         self.sequence += 1
         heapq.heappush(self.events, (time, self.sequence, callback))
 
@@ -166,20 +170,20 @@
         if running > limit:
             at = f"{self.now / SECOND_US:.3f} s"
             raise BrokenInvariantError(
-                f"overshoot: {running} of {name} are in service at {at}, {limit} may be"
+                f"overshoot: {running} jobs of {name} are in service at {at}, the limit is {limit}"
             )
 
     # --- jobs ---
 
     def _next_arrival(self, account: str) -> int:
-        """A job has arrived, and the next will: the index of its machine."""
+        """Count an arrival and schedule the next one; the index of the machine where the job arrives."""
         rate = (
             self.scenario.load * self._limit(account) / self.scenario.mean_service_us * self.demand[account]
         )
         self.schedule(
             self.now + max(round(self.random.expovariate(rate)), 1), lambda: self.job_arrives(account)
         )
-        # Demand moves: for a second at a time most of an account's jobs arrive at one machine.
+        # Demand moves: in each second most jobs of an account arrive at one machine.
         busiest = busiest_machine(account, self.now) % len(self.machines)
         self.counts["jobs"] += 1
         return busiest if self.random.random() < 0.7 else self.random.randrange(len(self.machines))
@@ -207,7 +211,7 @@
         longest = self.parameters.max_job_time_us
         service_us = min(round(self.random.expovariate(1 / self.scenario.mean_service_us)), longest)
         if self.scenario.faults and self.random.random() < HANGING_JOB_SHARE:
-            service_us = longest  # a server that hangs
+            service_us = longest  # the server hangs
         self.schedule(self.now + service_us, lambda: self.job_ends(index, machine, account, permit))
 
     def job_ends(self, index: int, machine: Machine, account: str, permit: Permit) -> None:
@@ -233,9 +237,10 @@
         self.busy_us += elapsed_us * sum(self.running.values())
         self.busy_at = self.now
 
-    # --- requests ---
+    # --- requests to the ledger ---
 
     def advance(self, index: int) -> None:
+        """Run the clients of a machine, and send the requests that are due."""
         machine = self.machines[index]
         if machine.dead or machine.stopped_until > self.now:
             return
@@ -313,7 +318,7 @@
         client.handle_response(request.request_number, response, now)
         self.advance(index)
 
-    # --- the leader, and faults ---
+    # --- leader and faults ---
 
     def run_leader(self) -> None:
         for operation in self.watcher.expired(self.ledger, self.now):
@@ -325,7 +330,7 @@
         if self.defect == "a new epoch is open at once":
             self.ledger.state.is_open = True
         self.watcher.observe(self.ledger, self.now)
-        # What is applied later may be due earlier.
+        # An operation that is applied later may be due earlier.
         next_at = min(self.watcher.next_at(self.ledger), self.now + 100_000)
         self.schedule(max(next_at, self.now + 10_000), self.run_leader)
 
@@ -363,8 +368,8 @@
     def resume(self, index: int, machine: Machine) -> None:
         if machine.dead or machine.stopped_until > self.now:
             return
-        # What was in progress when it stopped goes on first: a job between its check and its send was
-        # admitted before. What arrives later is checked by the clock as it is now.
+        # Work that was in progress when the machine stopped continues first: a job between its admission
+        # check and its send was admitted before. Later arrivals are checked against the current clock.
         pending_releases = machine.pending_releases
         machine.pending_releases = []
         for permit, account in pending_releases:
@@ -373,12 +378,12 @@
 
 
 def fault_scenario(machines: int, defect: str) -> Scenario:
-    """Short allocations and much load, so that a schedule has many faults that matter."""
+    """Short allocations and a high load, so that many faults of a schedule have an effect."""
     return Scenario(machines=machines, parameters=SHORT_TTL_PARAMETERS, load=3.0, defect=defect)
 
 
 def run_schedules(schedules: int, seconds: float, scenario: Scenario, first_seed: int = 0) -> dict[str, Any]:
-    """Random schedules until an invariant breaks."""
+    """Run random schedules until an invariant is violated."""
     counts: Counter[str] = Counter()
     for seed in range(first_seed, first_seed + schedules):
         simulation = QuotaSimulation(seed, scenario)
--- a/benchmarks/router_sim.py
+++ b/benchmarks/router_sim.py
@@ -1,17 +1,17 @@
-"""Plays histories of the real router engine against simulated workers and clients, on virtual time.
+"""Runs seeded histories of the real router code with simulated workers and clients, on virtual time.
 
     python -m benchmarks.router_sim [--seeds 100] [--first N] [--defect NAME]
 
-The forwarder, placement, retry budget and handler of control's updates are those of a router. Workers refuse,
-can't be reached, break off before or after they have executed, fail, are slow, hang, drain and come back;
-configurations move a route to another service. Prints one JSON line; the exit status is 1 where a rule was
-broken. What is checked:
+The forwarder, placement, retry budget and handler of control updates are those of a router. Workers reject
+requests, are unreachable, close the connection before or after the execution, fail, are slow, hang, drain and
+are replaced; new configurations move a route to another service. Prints one JSON line; the exit status is 1
+if a rule was broken. The rules:
 
-- each client has one final answer, in its time;
+- each client gets exactly one final response, before its deadline;
 - a request of an `unsafe` route is executed at most once, any other at most as often as its route allows;
-- 503 with Retry-After says that the request was not executed, and it never is;
-- in each sliding window the sends beyond the first of each request keep within the retry budget;
-- a worker whose drain, and a service whose replacement, has reached the router gets nothing new.
+- a request that is answered 503 with Retry-After is never executed;
+- in each sliding window the retries stay within the retry budget;
+- no new request is sent to a worker or a service after the router has received its drain or its replacement.
 """
 
 from __future__ import annotations
@@ -42,26 +42,26 @@
 from hazelbend.system.router_update_handler import RouterUpdateHandler
 from tests.support.virtual_loop import VirtualLoop
 
-SECOND_US = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 HISTORY_LENGTH_S = 30.0
 ARRIVALS_PER_S = 40.0
-CHANGES_PER_S = 1.5  # of workers' behaviour
+CHANGES_PER_S = 1.5  # of the behaviour of workers
 RETRY_RATIO = 0.2
 RETRY_SLACK = 5.0
 RETRY_WINDOW_US = 10 * SECOND_US
 TIMEOUT_MS = 1_500
-LATE_US = 50_000  # by which a final answer may come after its deadline
+LATE_US = 50_000  # tolerance of final responses after the deadline
 WORKERS = 6  # of each service
 SERVICES = ("one", "two")
 RETRIES = {"safe": 3, "unsafe": 3, "stream": 2}  # executions that a route of this kind allows
 PATHS = {kind: f"/{kind}/" for kind in RETRIES}
-BAD_BEHAVIOURS = ("full", "dark", "reset_before", "reset_after", "error", "slow", "hang", "cut")
-BAD_SHARES = (0.2, 0.5, 0.9)  # of the changes of a worker, one of these for each history
+BAD_BEHAVIOURS = ("full", "unreachable", "reset_before", "reset_after", "error", "slow", "hang", "cut")
+BAD_SHARES = (0.2, 0.5, 0.9)  # of behaviour changes; each history draws one of these
 EVENTS = [b"id: %d\ndata: x\n\n" % number for number in range(1, 5)]
 
 
 class BrokenRuleError(AssertionError):
-    """A rule was broken."""
+    """A history broke one of the rules."""
 
 
 @dataclass
@@ -76,7 +76,7 @@
     is_cut: bool = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body, with its end cut off where the worker breaks off."""
+        """The body; half of it if the worker closes the connection early."""
         parts = self.parts[: len(self.parts) // 2] if self.is_cut else self.parts
         for part in parts:
             await asyncio.sleep(0.01)
@@ -89,12 +89,12 @@
         return b"".join([part async for part in self.chunks()])
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Has no resource to release."""
 
 
 @dataclass
 class SimulatedClient:
-    """Implements `ClientResponse`, and checks that one final answer comes."""
+    """Implements `ClientResponse`, and checks that there is exactly one final response."""
 
     request: ClientRequest
     kind: str
@@ -104,30 +104,30 @@
     ended_at: int | None = None
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """The complete response."""
+        """Receive a complete response."""
         self._begin(status, headers)
         self._end()
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """The head of a response."""
+        """Receive the head of a response."""
         self._begin(status, headers)
 
     async def write(self, data: bytes) -> None:
-        """More of the body."""
+        """Receive a part of the body."""
         if self.ended_at is not None:
             raise BrokenRuleError(f"{self.request.id}: data after the end")
 
     async def finish(self) -> None:
-        """The end of the body."""
+        """Receive the end of the body."""
         self._end()
 
     def abort(self) -> None:
-        """The end, which the client sees to be none."""
+        """Receive the end of the connection without the end of the body."""
         self._end()
 
     def _begin(self, status: int, headers: Headers) -> None:
         if self.status:
-            raise BrokenRuleError(f"{self.request.id}: a second answer, {status} after {self.status}")
+            raise BrokenRuleError(f"{self.request.id}: a second response, {status} after {self.status}")
         self.status = status
         self.headers = dict(headers)
 
@@ -138,25 +138,25 @@
 
 
 class SimulatedWorker:
-    """One worker, and what it has executed."""
+    """One worker with a behaviour that changes; counts executions by request id."""
 
     def __init__(self, number: int, service: str, executed: Counter[str]) -> None:
         self.number = number
         self.instance = f"i-{number}"
         self.service = service
         self.address = f"10.9.0.{number}:80"
-        self.behaviour = "well"
+        self.behaviour = "healthy"
         self.sequence = 1
-        self.drained_at: int | None = None  # when the router was told
+        self.drained_at: int | None = None  # when the router received the drain
         self._executed = executed
 
     def record(self, state: WorkerState) -> WorkerRecord:
-        """Its next heartbeat."""
+        """The record of its next heartbeat."""
         self.sequence += 1
         return WorkerRecord(self.instance, self.service, self.address, "z", state, self.sequence, 6, "")
 
     async def respond(self, call: WorkerCall) -> SimulatedResponse:
-        """What becomes of a request that was written completely."""
+        """Respond, by the current behaviour, to a request that was written completely."""
         behaviour = self.behaviour
         if behaviour == "full":
             return SimulatedResponse(503, not_executed=True)
@@ -176,14 +176,14 @@
 
 
 class RouterHistory:
-    """One router, its workers and its clients."""
+    """A seeded run of one router with its workers and clients."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.bad_share = self.random.choice(BAD_SHARES)
         self.loop = VirtualLoop()
         self.executed: Counter[str] = Counter()
-        self.sends: list[tuple[int, str]] = []  # when a request was written, and its id
+        self.sends: list[tuple[int, str]] = []  # time and id of each request that was written
         self.arrivals: list[int] = []
         self.clients: list[SimulatedClient] = []
         self.statuses: Counter[int] = Counter()
@@ -191,7 +191,7 @@
         self.state.has_current_config = lambda: True
         settings: Any = SimpleNamespace(
             config_apply_us=2 * SECOND_US, heartbeat_us=SECOND_US
-        )  # all that the handler reads
+        )  # the handler reads no other settings
         self.handler = RouterUpdateHandler(
             settings, self.state, on_limits=lambda limits: None, on_fleet_status=lambda status: None
         )
@@ -200,7 +200,7 @@
         )
         self.workers: dict[str, SimulatedWorker] = {}
         self.service = SERVICES[0]
-        self.replaced_at: dict[str, int] = {}  # when the router was told that a service is not used any more
+        self.replaced_at: dict[str, int] = {}  # by service: when the router received its replacement
         self.version = 0
 
     def now(self) -> int:
@@ -208,7 +208,7 @@
         seconds: float = self.loop.time()
         return round(seconds * SECOND_US)
 
-    def run_history(self) -> None:
+    def run(self) -> None:
         """Run the history.
 
         Raises:
@@ -223,7 +223,7 @@
         self._check_retry_budget()
 
     def _end_tasks(self) -> None:
-        """A broken rule leaves requests under way."""
+        """Cancel the requests that a broken rule leaves in flight."""
         tasks = asyncio.all_tasks(self.loop)
         for task in tasks:
             task.cancel()
@@ -264,21 +264,23 @@
         self.clients.append(client)
         await self.forwarder.serve(request, client)
         if client.ended_at is None:
-            raise BrokenRuleError(f"{request.id}: no final answer")
+            raise BrokenRuleError(f"{request.id}: no final response")
         deadline = arrived_at + min(request.timeout_us or TIMEOUT_MS * 1_000, TIMEOUT_MS * 1_000)
         if client.ended_at > deadline + LATE_US:
-            raise BrokenRuleError(f"{request.id}: answered {client.ended_at - deadline} us after its time")
+            raise BrokenRuleError(
+                f"{request.id}: answered {client.ended_at - deadline} us after its deadline"
+            )
         self.statuses[client.status] += 1
 
     # --- WorkerClient ---
 
     async def send(self, call: WorkerCall, before_first_byte: BeforeFirstByte) -> SimulatedResponse:
-        """Connect, ask for the last check, and let the worker have the request."""
+        """Connect, run the check before the first byte, and pass the request to the worker."""
         worker = self.workers[call.address]
         await asyncio.sleep(self.random.uniform(0.001, 0.08))
-        if worker.behaviour == "dark":
+        if worker.behaviour == "unreachable":
             await asyncio.sleep(0.2)
-            raise WorkerUnreachableError("dark")
+            raise WorkerUnreachableError("unreachable")
         if before_first_byte() is None:
             raise SendWithdrawnError
         now = self.now()
@@ -291,9 +293,9 @@
         return await worker.respond(call)
 
     async def free_handle(self, address: str, instance: str, handle: str) -> None:
-        """No handles are used."""
+        """Does nothing, as no handles are used."""
 
-    # --- what changes ---
+    # --- changes of workers and configuration ---
 
     async def _change_until(self, end: float) -> None:
         while self.loop.time() < end:
@@ -304,23 +306,23 @@
             elif draw < 0.3:
                 self._drain_or_return()
             else:
-                worker = self.random.choice(sorted(self.workers.values(), key=lambda each: each.address))
+                worker = self.random.choice(sorted(self.workers.values(), key=lambda worker: worker.address))
                 is_bad = self.random.random() < self.bad_share
-                worker.behaviour = self.random.choice(BAD_BEHAVIOURS) if is_bad else "well"
+                worker.behaviour = self.random.choice(BAD_BEHAVIOURS) if is_bad else "healthy"
 
     def _move_route(self) -> None:
         old_service = self.service
-        self.service = next(each for each in SERVICES if each != old_service)
+        self.service = next(service for service in SERVICES if service != old_service)
         self._apply_configuration(self.service)
         self.replaced_at[old_service] = self.now()
         self.replaced_at.pop(self.service, None)
 
     def _drain_or_return(self) -> None:
-        draining = [each for each in self.workers.values() if each.drained_at is not None]
-        serving = [each for each in self.workers.values() if each.drained_at is None]
+        draining = [worker for worker in self.workers.values() if worker.drained_at is not None]
+        serving = [worker for worker in self.workers.values() if worker.drained_at is None]
         if draining and self.random.random() < 0.5:
             removed = self.random.choice(draining)
-            del self.workers[removed.address]  # and another instance comes at its address
+            del self.workers[removed.address]  # another instance takes its address
             worker = SimulatedWorker(
                 int(removed.address.split(".")[3].split(":")[0]), removed.service, self.executed
             )
@@ -343,11 +345,11 @@
              "backend": service, "retries": retries, "resume": kind == "stream"}
             for kind, retries in RETRIES.items()
         ]  # fmt: skip
-        services = [{"name": each} for each in SERVICES]
+        services = [{"name": name} for name in SERVICES]
         document = json.dumps({"version": self.version, "routes": routes, "services": services}).encode()
         self.handler.apply_config(m.ConfigUpdate(self.version, zlib.compress(document)))
 
-    # --- what must hold ---
+    # --- rules that are checked at the end ---
 
     def _check_executions(self) -> None:
         for client in self.clients:
@@ -356,7 +358,7 @@
             if executed > allowed:
                 raise BrokenRuleError(f"{client.request.id} ({client.kind}) was executed {executed} times")
             if client.status == 503 and "Retry-After" in client.headers and executed:
-                raise BrokenRuleError(f"{client.request.id} was refused, and executed")
+                raise BrokenRuleError(f"{client.request.id} was rejected, but executed")
 
     def _check_retry_budget(self) -> None:
         seen: set[str] = set()
@@ -374,9 +376,13 @@
 
 
 def run_history(seed: int) -> RouterHistory:
-    """Run one history. Raises BrokenRuleError."""
+    """Run the history of one seed.
+
+    Raises:
+        BrokenRuleError: a rule was broken.
+    """
     history = RouterHistory(seed)
-    history.run_history()
+    history.run()
     return history
 
 
@@ -405,7 +411,7 @@
 
 
 def _keep_first_configuration(self: FleetState, table: Any) -> bool:
-    """Only the first configuration comes into force."""
+    """Apply only the first configuration."""
     if self.route_table is not None:
         return False
     self.route_table = table
@@ -415,7 +421,7 @@
 
 @contextmanager
 def planted_defect(name: str) -> Iterator[None]:
-    """With this defect in the code; an empty name: with none."""
+    """Plant this defect in the code for the duration of the context; an empty name plants none."""
     if not name:
         yield
         return
