--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -109,7 +109,7 @@
             for n in range(nodes)
         ]
         self.target_voter_count = 3 if nodes < 7 else 5
-        self.partitions: dict[tuple[int, int], int] = {}  # source and target to the end of the partition
+        self.partitions: dict[tuple[int, int], int] = {}  # by source and target: the end
         self.loss = 0.0
         self.slow = 1.0
         self.counts: Counter[str] = Counter()
@@ -119,9 +119,8 @@
         self.highest_tokens: dict[str, int] = {}  # by lease: the highest token that the store has seen
         self.holders_by_token: dict[int, tuple[str, str]] = {}
         self.token_ranges: dict[int, tuple[int, int]] = {}  # by epoch: lowest and highest token
-        self.answered_index: Counter[int] = (
-            Counter()
-        )  # by epoch: highest commit index at which a proposal completed
+        # By epoch: the highest commit index at which a proposal completed.
+        self.answered_index: Counter[int] = Counter()
         self.epoch = 0
         self.history: dict[str, list[Call]] = {name: [] for name in LEASE_NAMES}
 
@@ -288,8 +287,8 @@
         source, to = self._node_number(message.sender), self._node_number(message.to)
         self._deliver(source, to, lambda: self._receive_message(self.nodes[to], message))
         if self.random.random() < 0.03:  # duplicated; the copy is delayed
-            late = self.random.expovariate(1 / 300_000)
-            self.schedule(late, lambda: self._receive_message(self.nodes[to], message))
+            extra_delay = self.random.expovariate(1 / 300_000)
+            self.schedule(extra_delay, lambda: self._receive_message(self.nodes[to], message))
 
     def _deliver(self, source: int, to: int, callback: Callable[[], None]) -> None:
         """Deliver after a random delay.
@@ -382,7 +381,7 @@
             self._advance(node)
 
     def _adjust_voters(self, node: Node, raft: RaftNode, now: int) -> None:
-        up = {node.raft.identity: node for node in self.nodes if node.raft is not None}
+        up = {member.raft.identity: member for member in self.nodes if member.raft is not None}
         lost_voters = {
             name
             for name in raft.voters
@@ -396,7 +395,7 @@
 
     def _read(self, node: Node, raft: RaftNode, now: int) -> None:
         epoch = raft.persistent.epoch
-        finished, read_id = self.answered_index[epoch], raft.request_read(now)
+        answered, read_id = self.answered_index[epoch], raft.request_read(now)
         if read_id is None:
             return
 
@@ -409,9 +408,9 @@
                     lease = node.leases.state.leases.get(name)
                     call = Call(start, self.now, "read", lease.token if lease else 0)
                     self.history[name].append(call)
-            if confirmed and epoch == raft.persistent.epoch and raft.commit_index < finished:
+            if confirmed and epoch == raft.persistent.epoch and raft.commit_index < answered:
                 raise BrokenInvariantError(
-                    f"stale read: {raft.identity} returns {raft.commit_index}, {finished} was answered"
+                    f"stale read: {raft.identity} returns {raft.commit_index}, {answered} was answered"
                 )
 
         node.reads[read_id] = on_complete
@@ -421,7 +420,7 @@
         self.counts["acts"] += 1
         token, name = client.token, client.request.name
 
-        def arrive() -> None:
+        def arrive_at_store() -> None:
             if token < self.highest_tokens.get(name, 0):
                 if self.defect != "no token check":
                     self.counts["refused by token"] += 1
@@ -431,8 +430,8 @@
                 )
             self.highest_tokens[name] = token
 
-        late = self.random.random() < 0.1
-        self.schedule(self.random.uniform(0, 6 * SECOND_US if late else 20_000), arrive)
+        is_late = self.random.random() < 0.1
+        self.schedule(self.random.uniform(0, 6 * SECOND_US if is_late else 20_000), arrive_at_store)
 
     # --- faults ---
 
@@ -440,7 +439,7 @@
         self.schedule(self.random.expovariate(1 / (1.2 * SECOND_US)), self._inject_fault)
         node = self.random.choice(self.nodes)
         kind = self.random.choice(FAULT_KINDS)
-        up = [node for node in self.nodes if node.raft is not None]
+        up = [member for member in self.nodes if member.raft is not None]
         match kind:
             case "kill" | "wipe":
                 happened = self._kill(node, up, wipe=kind == "wipe")
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -169,20 +169,22 @@
         engine = app.parts["waiting"].gate.engine
         names, longest = [row["name"] for row in lanes], engine.totals.longest_wait_us
         return {
-            "rule": rule, "jobs": sum(count for (what, _), count in counts.items() if what == "asked") + sent,
+            "rule": rule,
+            "jobs": sum(count for (what, _), count in counts.items() if what == "asked") + sent,
             "without_an_answer": sum(count for (what, _), count in counts.items() if what == "none"),
             "longest_wait_ms": {names[index]: wait_us // 1_000 for index, wait_us in longest.items()},
-            "missed": engine.totals.missed, "refused_by_the_engine":
-            engine.totals.rejected[JobOutcome.REFUSED], "longest_answer_ms": {name: round(1e3 *
-            max(seconds_waited)) for name, seconds_waited in waits.items()}, "served": {name:
-            round(counts[200, name] / counts["asked", name], 3) for name in waits}, "in_time": {
+            "missed": engine.totals.missed,
+            "refused_by_the_engine": engine.totals.rejected[JobOutcome.REFUSED],
+            "longest_answer_ms": {name: round(1e3 * max(delays)) for name, delays in waits.items()},
+            "served": {name: round(counts[200, name] / counts["asked", name], 3) for name in waits},
+            "in_time": {
                 row["name"]: round(
                     sum(wait_s <= row["objective_us"] / 1e6 for wait_s in waits[row["name"]])
                     / len(waits[row["name"]]), 3
                 )
                 for row in lanes
             },
-            "waits": {name: sorted(seconds_waited) for name, seconds_waited in waits.items()},
+            "waits": {name: sorted(delays) for name, delays in waits.items()},
         }  # fmt: skip
 
 
@@ -197,8 +199,8 @@
             row = asyncio.run(run_mix(options.seconds, rule, Path(folder)))
             rows.append(row)
             print(json.dumps({key: value for key, value in row.items() if key != "waits"}), flush=True)
-    if options.plot_waits:
-        plot_waits(rows, options.plot_waits)
+    if options.plot:
+        plot_waits(rows, options.plot)
 
 
 def plot_waits(rows: list[dict[str, object]], path: str) -> None:
@@ -213,7 +215,7 @@
             waits = row["waits"][name]  # type: ignore[index]
             points = range(0, len(waits), max(len(waits) // 200, 1))
             shown = [*(waits[at] for at in points), waits[-1]]
-            axis.plot_waits(shown, [*(at / len(waits) for at in points), 1.0], label=row["rule"])
+            axis.plot(shown, [*(at / len(waits) for at in points), 1.0], label=row["rule"])
         axis.set(title=name, xlabel="seconds until the response", xscale="log")
     axes[0].set_ylabel("share of the jobs")
     axes[-1].legend()
