--- a/benchmarks/fleet_launcher.py
+++ b/benchmarks/fleet_launcher.py
@@ -1,6 +1,6 @@
 """Starts the program with a clock that runs fast or slow, or with a planted defect, for fleet_rig.py.
 
-    python -m benchmarks.fleet_launcher RATE DEFECT [words of a command]
+    python -m benchmarks.fleet_launcher RATE DEFECT [COMMAND ...]
 
 `time.monotonic_ns` is scaled, in the dispatcher and in `lease run`, as if the clock of the machine drifted.
 """
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -54,7 +54,7 @@
 
 
 def read_acts(path: Path) -> list[tuple[int, int]]:
-    """Times in nanoseconds and fencing tokens that tasks wrote; an incomplete line is left out."""
+    """Times in nanoseconds and fencing tokens that tasks wrote; an incomplete line is skipped."""
     lines = path.read_text().splitlines() if path.exists() else []
     return [(int(at), int(token)) for at, token in (line.split() for line in lines if line.count(" ") == 1)]
 
--- a/example/send_job.py
+++ b/example/send_job.py
@@ -1,4 +1,4 @@
-"""Send one job to a dispatcher over HTTP: `python example/send_job.py 127.0.0.1:7070 100`."""
+"""Sends one job to a dispatcher over HTTP: `python example/send_job.py 127.0.0.1:7070 100`."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description="Send one job; print the status and the result.")
     parser.add_argument("address", help="the dispatcher's address:port")
-    parser.add_argument("body", nargs="*", help="what the toy server is to do")
-    parser.add_argument("--job-class", default="nearby", help="one that the dispatcher's settings name")
+    parser.add_argument("body", nargs="*", help="keywords for the toy server: run time in ms, outcome")
+    parser.add_argument("--job-class", default="nearby", help="a job class of the dispatcher's settings")
     options = parser.parse_args()
     connection = http.client.HTTPConnection(options.address, timeout=10)
     headers = {
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,10 +1,10 @@
-"""A toy real server: it takes jobs as the platform's do, and does with each what its body says.
+"""A toy server that speaks the protocol of the platform's servers; the job body selects run time and outcome.
 
     python example/toy_server.py 127.0.0.1:7101
 
-The body is a line of words. A number is how many milliseconds the job runs (50 if there is none); `fail`,
-`lose`, `return`, `reset` and `hang` say how it ends, if not with a result;
-`held`: only after a POST to /let-go.
+The body is a line of keywords. A number is the run time of the job in milliseconds (default 50). `fail`,
+`lose`, `return`, `reset` and `hang` select an outcome other than a result. With `held` the job ends only
+after a POST to /let-go.
 """
 
 from __future__ import annotations
@@ -21,9 +21,11 @@
 
 
 class ToyServer:
+    """Runs up to `SLOTS` jobs at once and queues the others."""
+
     def __init__(self, name: str = NAME) -> None:
         self.name = name
-        self.started_job_ids: list[str] = []  # the ids of the jobs that started
+        self.started_job_ids: list[str] = []
         self.targets: list[str] = []
         self.jobs_in_flight = 0
         self._slots = asyncio.Semaphore(SLOTS)
@@ -32,7 +34,7 @@
         self._server = web.Server(self._serve, handler_cancellation=True, access_log=None)
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Start; the address that it listens on."""
+        """Start listening; the address as host:port."""
         self._listener = await asyncio.get_running_loop().create_server(self._server, host, port)
         return "{}:{}".format(*self._listener.sockets[0].getsockname()[:2])
 
@@ -85,7 +87,7 @@
             if "hang" in words:
                 await asyncio.Event().wait()
             if "reset" in words:
-                raise ConnectionResetError("as the job's body asks")
+                raise ConnectionResetError("requested by the job's body")
             await write_event(state="running", share=1.0)
         if "fail" in words:
             await write_event(state="failed", load=self.load())
@@ -102,7 +104,7 @@
 
 
 if __name__ == "__main__":
-    parser = argparse.ArgumentParser(description="A toy real server.")
+    parser = argparse.ArgumentParser(description="A toy server.")
     parser.add_argument("address", help="address:port to listen on")
     parser.add_argument("--name", default=NAME)
     options = parser.parse_args()
